--- a/Makefile
+++ b/Makefile
@@ -21,12 +21,12 @@
 	go run $(STATICCHECK) ./...
 
 fuzz:
-	for p in fastcgi resp feed http1; do go test ./internal/$$p -run '^$$' -fuzz FuzzDecode -fuzztime 20s || exit 1; done
+	for p in fastcgi resp watch http1; do go test ./internal/$$p -run '^$$' -fuzz FuzzDecode -fuzztime 20s || exit 1; done
 	go test ./internal/fault -run '^$$' -fuzz FuzzParse -fuzztime 20s
 
 # The proxy with the example's configuration; start the toy servers first.
 run: build
-	BALANCER_CONFIG=example/config.json bin/cloverdoor
+	BALANCER_CONFIG=example/config.json bin/edgeproxy
 
 toy:
 	go run ./example/toy serve
@@ -39,4 +39,4 @@
 
 soak:
 	SEEDS=$(SEEDS) SEED=$(SEED) FLEET=$(FLEET) SECONDS=$(SECONDS) KINDS="$(KINDS)" SHRINK=$(SHRINK) \
-		go test ./cmd/cloverdoor -run '^TestSoak$$' -count=1 -v -timeout 24h
+		go test ./cmd/edgeproxy -run '^TestSoak$$' -count=1 -v -timeout 24h
--- a/cmd/cloverdoor/main.go
+++ b/cmd/edgeproxy/main.go
@@ -1,4 +1,4 @@
-// Command cloverdoor is one edge proxy: it takes requests from clients over FastCGI, has package policy decide
+// Command edgeproxy is one edge proxy: it takes requests from clients over FastCGI, has package policy decide
 // which cache answers each, and keeps up with the coordinator's list of caches and purges.
 package main
 
@@ -16,7 +16,7 @@
 	"syscall"
 	"time"
 
-	"cloverdoor/internal/feed"
+	"cloverdoor/internal/watch"
 	"cloverdoor/internal/logging"
 	"cloverdoor/internal/net"
 	"cloverdoor/internal/proxy"
@@ -46,7 +46,7 @@
 	} `json:"limits"`
 	Coordinator string          `json:"coordinator"`
 	Flow        float64         `json:"flow_bytes_per_s"` // of one transfer
-	Known       feed.Known      `json:"known"`
+	Known       watch.Known      `json:"known"`
 	Settings    json.RawMessage `json:"settings"`
 
 	fields map[string]json.RawMessage // the file's, as they came
@@ -62,10 +62,10 @@
 func serve(clock net.TimeSource) {
 	signals := listenForSignals() // ahead of all else: one that comes early must not end the program
 	out := logging.NewWriter(os.Stderr)
-	name := "cloverdoor"
+	name := "edgeproxy"
 	cfg, err := load(os.Getenv)
 	if err == nil {
-		name = "cloverdoor " + cfg.Name
+		name = "edgeproxy " + cfg.Name
 		err = run(cfg, clock, signals, logging.New(out, cfg.Name), out)
 	}
 	if err != nil {
--- a/internal/proxy/audit.go
+++ b/internal/proxy/audit.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"cloverdoor/internal/feed"
+	"cloverdoor/internal/watch"
 	"cloverdoor/internal/net"
 	"cloverdoor/internal/resp"
 	"cloverdoor/policy"
@@ -72,7 +72,7 @@
 }
 
 // told takes note of an event of the coordinator.
-func (u *audit) told(ev feed.Event) {
+func (u *audit) told(ev watch.Event) {
 	now := u.p.loop.Now()
 	if v := ev.Evict; v != nil && v.At > 0 {
 		u.purged(v, now)
@@ -87,7 +87,7 @@
 		}
 	}
 	for _, s := range ev.Endpoints.Servers {
-		if s.State == feed.Serving {
+		if s.State == watch.Serving {
 			delete(u.leaving, s.ID)
 		} else {
 			u.leave(s.ID, now)
@@ -101,7 +101,7 @@
 	}
 }
 
-func (u *audit) purged(v *feed.Evict, now net.Clock) {
+func (u *audit) purged(v *watch.Evict, now net.Clock) {
 	for key, record := range u.purges {
 		if now-record.told > u.p.set.Policy.ClearedWithin+time.Second {
 			delete(u.purges, key)
--- a/internal/proxy/audit_test.go
+++ b/internal/proxy/audit_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"cloverdoor/internal/feed"
+	"cloverdoor/internal/watch"
 	"cloverdoor/internal/net"
 )
 
@@ -26,7 +26,7 @@
 		if err := loop.Wait(0); err != nil {
 			t.Fatal(err)
 		}
-		u.told(feed.Event{Endpoints: &feed.Endpoints{Servers: []feed.Server{{ID: fmt.Sprint(i), State: feed.Deleted}}}})
+		u.told(watch.Event{Endpoints: &watch.Endpoints{Servers: []watch.Server{{ID: fmt.Sprint(i), State: watch.Deleted}}}})
 	}
 	if _, known := u.leaving[fmt.Sprint(replaced-1)]; !known || len(u.leaving) > replaced/2 {
 		t.Errorf("%d servers are kept, the last one %v", len(u.leaving), known)
--- a/internal/proxy/coordinator.go
+++ b/internal/proxy/coordinator.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"cloverdoor/internal/feed"
+	"cloverdoor/internal/watch"
 	"cloverdoor/internal/net"
 )
 
@@ -109,7 +109,7 @@
 	}
 	s.conn = conn
 	f.streams = append(f.streams, s)
-	conn.Write(feed.Follow(f.last))
+	conn.Write(watch.Follow(f.last))
 }
 
 // stalled says that a stream is silent, as that of a machine that was cut off is, or goes on without ending a line: a
@@ -150,8 +150,8 @@
 // Receive takes whole lines off what has come in.
 func (s *stream) Receive(data []byte) (used int, err error) {
 	for {
-		n, line, err := feed.Next(data[used:])
-		if errors.Is(err, feed.ErrTooLong) { // to ask for it again would bring it again
+		n, line, err := watch.Next(data[used:])
+		if errors.Is(err, watch.ErrTooLong) { // to ask for it again would bring it again
 			s.skipping = true
 			return len(data), nil
 		}
@@ -177,7 +177,7 @@
 		s.passOver(len(line))
 		return nil
 	}
-	ev, err := feed.Decode(line)
+	ev, err := watch.Decode(line)
 	if err != nil {
 		if !more && !f.comesAgain(line) {
 			return err
@@ -225,7 +225,7 @@
 
 // event passes on the next event in order. Repeats are dropped; a gap means that the stream must be followed
 // anew from the last event taken.
-func (s *stream) event(ev feed.Event) error {
+func (s *stream) event(ev watch.Event) error {
 	f := s.f
 	most := f.last + s.over
 	if !ev.Tick() {
--- a/internal/proxy/left_test.go
+++ b/internal/proxy/left_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"cloverdoor/internal/feed"
+	"cloverdoor/internal/watch"
 	"cloverdoor/internal/net"
 	"cloverdoor/internal/settings"
 )
@@ -65,9 +65,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		p := New(loop, Config{Settings: set, Sockets: 100, Memory: 1 << 26, Known: feed.Known{Index: 1, Updates: []feed.Event{{Index: 1,
-			Endpoints: &feed.Endpoints{Full: true, Servers: []feed.Server{{ID: "o", Addr: origin.Addr().String(), Zone: "hub", Kind: "origin",
-				State: feed.Serving, Weight: 100}}}}}}}, slog.New(slog.DiscardHandler))
+		p := New(loop, Config{Settings: set, Sockets: 100, Memory: 1 << 26, Known: watch.Known{Index: 1, Updates: []watch.Event{{Index: 1,
+			Endpoints: &watch.Endpoints{Full: true, Servers: []watch.Server{{ID: "o", Addr: origin.Addr().String(), Zone: "hub", Kind: "origin",
+				State: watch.Serving, Weight: 100}}}}}}}, slog.New(slog.DiscardHandler))
 		free, err := stdnet.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
--- a/internal/proxy/membership.go
+++ b/internal/proxy/membership.go
@@ -6,13 +6,13 @@
 	"slices"
 	"time"
 
-	"cloverdoor/internal/feed"
+	"cloverdoor/internal/watch"
 	"cloverdoor/internal/net"
 	"cloverdoor/policy"
 )
 
 // applyEvent passes one event of the coordinator on to the module and keeps the pools in step with it.
-func (p *Proxy) applyEvent(ev feed.Event) {
+func (p *Proxy) applyEvent(ev watch.Event) {
 	p.audit.told(ev)
 	if v := ev.Evict; v != nil {
 		age := time.Duration(0) // where it is not told when
@@ -35,7 +35,7 @@
 const groups = 256
 
 // purge passes a purge on to the module. One of something that can't be read is one of every group.
-func (p *Proxy) purge(v *feed.Evict, age time.Duration) {
+func (p *Proxy) purge(v *watch.Evict, age time.Duration) {
 	switch {
 	case v.Object != "":
 		p.notify(policy.Purge{Object: v.Object, Age: age})
@@ -49,10 +49,10 @@
 }
 
 var states = map[string]policy.State{
-	feed.Serving: policy.Ready, feed.Draining: policy.Draining, feed.Deleted: policy.Gone,
+	watch.Serving: policy.Ready, watch.Draining: policy.Draining, watch.Deleted: policy.Gone,
 }
 
-func (p *Proxy) applyServers(list *feed.Endpoints) {
+func (p *Proxy) applyServers(list *watch.Endpoints) {
 	named := map[string]bool{}
 	members := policy.MemberList{Whole: list.Full}
 	for _, s := range list.Servers {
@@ -104,7 +104,7 @@
 }
 
 // member decodes one entry of the list.
-func (p *Proxy) member(s feed.Server) (policy.Member, netip.AddrPort, error) {
+func (p *Proxy) member(s watch.Server) (policy.Member, netip.AddrPort, error) {
 	m := policy.Member{
 		ID: s.ID, State: states[s.State], Started: p.startTime(s.Started),
 		Kind: slices.Index(p.set.Kinds, s.Kind), Zone: slices.Index(p.set.Zones, s.Zone),
--- a/internal/proxy/peerclock_test.go
+++ b/internal/proxy/peerclock_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"cloverdoor/internal/feed"
+	"cloverdoor/internal/watch"
 	"cloverdoor/internal/net"
 	"cloverdoor/policy"
 )
@@ -26,7 +26,7 @@
 			p.follower = &follower{}
 		}
 		p.inbox = nil
-		p.applyEvent(feed.Event{Evict: &feed.Evict{Object: "x", At: (right - ago).Milliseconds()}})
+		p.applyEvent(watch.Event{Evict: &watch.Evict{Object: "x", At: (right - ago).Milliseconds()}})
 		return p.inbox[len(p.inbox)-1].(policy.Purge).Age
 	}
 }
@@ -72,10 +72,10 @@
 // Before anything has been told live, purges of the configuration are certain only against the latest of them.
 func TestKnownPurgesByAWrongClock(t *testing.T) {
 	p, _ := told(t, time.Hour)
-	at := func(ago time.Duration) feed.Event {
-		return feed.Event{Evict: &feed.Evict{Object: "x", At: (p.loop.Now() - time.Hour - ago).Milliseconds()}}
+	at := func(ago time.Duration) watch.Event {
+		return watch.Event{Evict: &watch.Evict{Object: "x", At: (p.loop.Now() - time.Hour - ago).Milliseconds()}}
 	}
-	p.applyKnown([]feed.Event{at(5 * time.Second), at(2 * time.Second)})
+	p.applyKnown([]watch.Event{at(5 * time.Second), at(2 * time.Second)})
 	for i, want := range []time.Duration{3 * time.Second, 0} {
 		if age := p.inbox[i].(policy.Purge).Age; age > want || age < want-time.Second {
 			t.Errorf("the %d. counts as %v old, want %v", i+1, age, want)
@@ -109,7 +109,7 @@
 			object = "x"
 		}
 		p.inbox = nil
-		p.applyEvent(feed.Event{Evict: &feed.Evict{Object: object, At: (loop.Now() - ago).Milliseconds()}})
+		p.applyEvent(watch.Event{Evict: &watch.Evict{Object: object, At: (loop.Now() - ago).Milliseconds()}})
 		for _, ev := range p.inbox {
 			router.Handle(loop.Now(), ev)
 		}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -7,7 +7,7 @@
 	"math/rand/v2"
 	"time"
 
-	"cloverdoor/internal/feed"
+	"cloverdoor/internal/watch"
 	"cloverdoor/internal/net"
 	"cloverdoor/internal/resp"
 	"cloverdoor/internal/settings"
@@ -36,7 +36,7 @@
 type Config struct {
 	Settings settings.Settings
 	Seed     uint64
-	Known    feed.Known
+	Known    watch.Known
 	Sockets  int     // descriptors that the process may hold
 	Memory   int     // bytes that the process may use
 	Flow     float64 // bytes a second of one transfer; 0: not told
@@ -124,7 +124,7 @@
 }
 
 // applyKnown takes the events that the configuration tells. How long ago its purges were is certain only against the latest.
-func (p *Proxy) applyKnown(events []feed.Event) {
+func (p *Proxy) applyKnown(events []watch.Event) {
 	for _, ev := range events {
 		if ev.Evict != nil {
 			p.newestKnown = max(p.newestKnown, time.Duration(ev.Evict.At)*time.Millisecond)
--- a/internal/wire/host.go
+++ b/internal/simwire/host.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"bufio"
@@ -97,7 +97,7 @@
 	}
 	router := h.routers[e.Proxy]
 	if router == nil {
-		fmt.Fprintf(h.log, "simhost: %s for an instance that is not running: %q\n", e.Op, e.Proxy)
+		fmt.Fprintf(h.log, "simadapter: %s for an instance that is not running: %q\n", e.Op, e.Proxy)
 		return nil, nil
 	}
 	told := decode(e)
--- a/internal/wire/wire.go
+++ b/internal/simwire/simwire.go
@@ -1,6 +1,6 @@
-// Package wire translates between the simulator's JSON lines and the events and actions of package policy.
+// Package simwire translates between the simulator's JSON lines and the events and actions of package policy.
 // It decides nothing.
-package wire
+package simwire
 
 import (
 	"encoding/json"
--- a/internal/wire/wire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"bytes"
--- a/internal/feed/feed.go
+++ b/internal/watch/watch.go
@@ -1,6 +1,6 @@
-// Package feed is the codec of the coordinator's stream: numbered events, one JSON object per line, and lines
+// Package watch is the codec of the coordinator's stream: numbered events, one JSON object per line, and lines
 // that hold only the last number. It touches no socket.
-package feed
+package watch
 
 import (
 	"bytes"
@@ -14,7 +14,7 @@
 const MaxLine = 1 << 20
 
 // ErrLine says that a line is neither an event nor a number.
-var ErrLine = errors.New("feed: malformed line")
+var ErrLine = errors.New("watch: malformed line")
 
 // ErrTooLong says that a line exceeds MaxLine and has not ended yet.
 var ErrTooLong = fmt.Errorf("%w: over %d bytes", ErrLine, MaxLine)
--- a/internal/feed/feed_test.go
+++ b/internal/watch/watch_test.go
@@ -1,4 +1,4 @@
-package feed
+package watch
 
 import (
 	"errors"
