--- a/cmd/edgeproxy/clock_test.go
+++ b/cmd/edgeproxy/clock_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"cloverdoor/internal/net"
+	"cloverdoor/internal/eventloop"
 )
 
 // stepSize is the length of a message between a test and a program that goes by the test's clock: a time, or the
@@ -80,7 +80,7 @@
 // lookEvery is how long, in real time, the program waits for readiness before it looks for the next step.
 const lookEvery = time.Millisecond
 
-func (c *steppedClock) Now() net.Clock { return c.now }
+func (c *steppedClock) Now() eventloop.Clock { return c.now }
 
 // Nap acknowledges the step that the last turn went by, and takes the next one.
 func (c *steppedClock) Nap(wanted time.Duration) time.Duration {
@@ -98,11 +98,11 @@
 
 // offsetClock goes by a wall clock that was wrong when the program started.
 type offsetClock struct {
-	net.TimeSource
+	eventloop.TimeSource
 	by time.Duration
 }
 
-func (c offsetClock) Now() net.Clock { return c.TimeSource.Now() + c.by }
+func (c offsetClock) Now() eventloop.Clock { return c.TimeSource.Now() + c.by }
 
 // clockOffset is the environment variable that tells by how much the program's wall clock is wrong.
 const clockOffset = "CLOVERDOOR_TEST_CLOCK_OFFSET"
@@ -114,7 +114,7 @@
 	start, err1 := strconv.ParseInt(os.Getenv("CLOVERDOOR_TEST_CLOCK"), 10, 64)
 	fd, err2 := strconv.Atoi(os.Getenv("CLOVERDOOR_TEST_CLOCK_FD"))
 	if by, err := time.ParseDuration(os.Getenv(clockOffset)); err == nil {
-		serve(offsetClock{net.SystemClock(), by})
+		serve(offsetClock{eventloop.SystemClock(), by})
 		return
 	}
 	if errors.Join(err1, err2) != nil {
--- a/cmd/edgeproxy/main.go
+++ b/cmd/edgeproxy/main.go
@@ -16,11 +16,11 @@
 	"syscall"
 	"time"
 
-	"cloverdoor/internal/watch"
+	"cloverdoor/internal/eventloop"
 	"cloverdoor/internal/logging"
-	"cloverdoor/internal/net"
 	"cloverdoor/internal/proxy"
 	"cloverdoor/internal/settings"
+	"cloverdoor/internal/watch"
 )
 
 const (
@@ -46,7 +46,7 @@
 	} `json:"limits"`
 	Coordinator string          `json:"coordinator"`
 	Flow        float64         `json:"flow_bytes_per_s"` // of one transfer
-	Known       watch.Known      `json:"known"`
+	Known       watch.Known     `json:"known"`
 	Settings    json.RawMessage `json:"settings"`
 
 	fields map[string]json.RawMessage // the file's, as they came
@@ -56,10 +56,10 @@
 	proxy                      proxy.Config
 }
 
-func main() { serve(net.SystemClock()) }
+func main() { serve(eventloop.SystemClock()) }
 
 // serve runs the program by a clock until it has been stopped. It exits with status 1 when that went wrong.
-func serve(clock net.TimeSource) {
+func serve(clock eventloop.TimeSource) {
 	signals := listenForSignals() // ahead of all else: one that comes early must not end the program
 	out := logging.NewWriter(os.Stderr)
 	name := "edgeproxy"
@@ -88,11 +88,11 @@
 	return s
 }
 
-func run(cfg *config, clock net.TimeSource, s signals, logger *slog.Logger, out *logging.Writer) error {
+func run(cfg *config, clock eventloop.TimeSource, s signals, logger *slog.Logger, out *logging.Writer) error {
 	// A garbage collector that knows the limit works harder near it; the platform would kill the process.
 	debug.SetMemoryLimit(int64(cfg.proxy.Memory) * 6 / 10)
-	var loop *net.Loop
-	if err := patiently(func() (err error) { loop, err = net.NewLoop(clock); return err }); err != nil {
+	var loop *eventloop.Loop
+	if err := patiently(func() (err error) { loop, err = eventloop.NewLoop(clock); return err }); err != nil {
 		return err
 	}
 	cfg.proxy.LogDropped, cfg.proxy.Violated = out.Dropped, violated
@@ -162,7 +162,7 @@
 // patiently tries again for a while what fails as this machine lacks something: a program that refuses to start serves nobody.
 func patiently(start func() error) (err error) {
 	for end := time.Now().Add(startPatience); ; time.Sleep(startPause) {
-		if err = start(); !errors.Is(err, net.ErrLocal) || time.Now().After(end) {
+		if err = start(); !errors.Is(err, eventloop.ErrLocal) || time.Now().After(end) {
 			return err
 		}
 	}
--- a/cmd/edgeproxy/system_test.go
+++ b/cmd/edgeproxy/system_test.go
@@ -12,7 +12,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"cloverdoor/internal/net"
+	"cloverdoor/internal/eventloop"
 )
 
 // brokenCalls is the environment variable that tells a program under test which system calls fail: words of the form
@@ -34,14 +34,14 @@
 	if err != nil {
 		return
 	}
-	rng, real, own := rand.New(rand.NewPCG(seed, 5)), net.System, map[int]bool{}
+	rng, real, own := rand.New(rand.NewPCG(seed, 5)), eventloop.System, map[int]bool{}
 	fails := func(codes ...unix.Errno) error {
 		if rng.Float64() < failureChance {
 			return codes[rng.IntN(len(codes))]
 		}
 		return nil
 	}
-	net.System.Socket = func(family, kind, protocol int) (int, error) {
+	eventloop.System.Socket = func(family, kind, protocol int) (int, error) {
 		if err := fails(unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM); err != nil {
 			return -1, err
 		}
@@ -49,7 +49,7 @@
 		own[fd] = err == nil
 		return fd, err
 	}
-	net.System.Connect = func(fd int, addr unix.Sockaddr) error {
+	eventloop.System.Connect = func(fd int, addr unix.Sockaddr) error {
 		if err := fails(unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.EAGAIN); err != nil {
 			return err
 		}
@@ -59,7 +59,7 @@
 		}
 		return err
 	}
-	net.System.Accept = func(fd, flags int) (int, error) {
+	eventloop.System.Accept = func(fd, flags int) (int, error) {
 		err := fails(unix.ECONNABORTED, unix.EINTR, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EPROTO, unix.EPERM,
 			unix.ENETDOWN, unix.EHOSTUNREACH)
 		if err != nil {
@@ -83,21 +83,21 @@
 			return call(fd, data)
 		}
 	}
-	net.System.Read = transfer(real.Read, unix.ECONNRESET, unix.ETIMEDOUT, unix.EHOSTUNREACH)
-	net.System.Write = transfer(real.Write, unix.EPIPE, unix.ECONNRESET, unix.ETIMEDOUT, unix.EHOSTUNREACH)
-	net.System.SetOption = func(fd, level, option, value int) error {
+	eventloop.System.Read = transfer(real.Read, unix.ECONNRESET, unix.ETIMEDOUT, unix.EHOSTUNREACH)
+	eventloop.System.Write = transfer(real.Write, unix.EPIPE, unix.ECONNRESET, unix.ETIMEDOUT, unix.EHOSTUNREACH)
+	eventloop.System.SetOption = func(fd, level, option, value int) error {
 		if err := fails(unix.ENOBUFS, unix.ENOMEM); err != nil {
 			return err
 		}
 		return real.SetOption(fd, level, option, value)
 	}
-	net.System.Control = func(epoll, operation, fd int, event *unix.EpollEvent) error {
+	eventloop.System.Control = func(epoll, operation, fd int, event *unix.EpollEvent) error {
 		if err := fails(unix.ENOMEM, unix.ENOSPC); err != nil {
 			return err
 		}
 		return real.Control(epoll, operation, fd, event)
 	}
-	net.System.Wait = func(epoll int, events []unix.EpollEvent, millis int) (int, error) {
+	eventloop.System.Wait = func(epoll int, events []unix.EpollEvent, millis int) (int, error) {
 		if err := fails(unix.EINTR); err != nil {
 			return -1, err
 		}
@@ -139,23 +139,23 @@
 		count++
 		return count >= from && count <= to
 	}
-	switch real := net.System; call {
+	switch real := eventloop.System; call {
 	case "connect":
-		net.System.Connect = func(fd int, addr unix.Sockaddr) error {
+		eventloop.System.Connect = func(fd int, addr unix.Sockaddr) error {
 			if fails() {
 				return code
 			}
 			return real.Connect(fd, addr)
 		}
 	case "socket":
-		net.System.Socket = func(family, kind, protocol int) (int, error) {
+		eventloop.System.Socket = func(family, kind, protocol int) (int, error) {
 			if fails() {
 				return -1, code
 			}
 			return real.Socket(family, kind, protocol)
 		}
 	case "accept":
-		net.System.Accept = func(fd, flags int) (int, error) {
+		eventloop.System.Accept = func(fd, flags int) (int, error) {
 			if fails() {
 				return -1, code
 			}
@@ -170,15 +170,15 @@
 // sound, also one that gets the same descriptor later.
 func breakWritesBehind(text []byte) {
 	const none, over = -1, -2
-	real, stuck, socket := net.System.Write, none, net.System.Socket
-	net.System.Socket = func(family, kind, protocol int) (int, error) {
+	real, stuck, socket := eventloop.System.Write, none, eventloop.System.Socket
+	eventloop.System.Socket = func(family, kind, protocol int) (int, error) {
 		fd, err := socket(family, kind, protocol)
 		if fd == stuck {
 			stuck = over
 		}
 		return fd, err
 	}
-	net.System.Write = func(fd int, data []byte) (int, error) {
+	eventloop.System.Write = func(fd int, data []byte) (int, error) {
 		if fd == stuck {
 			return -1, unix.EAGAIN
 		}
--- a/internal/net/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,6 +1,6 @@
-// Package net is the project's own event loop: epoll, timers, non-blocking connections with write queues, and
+// Package eventloop is the project's own event loop: epoll, timers, non-blocking connections with write queues, and
 // pools of connections. Everything in it belongs to one goroutine. It knows bytes only, no protocol.
-package net
+package eventloop
 
 import (
 	"container/heap"
--- a/internal/net/output.go
+++ b/internal/eventloop/output.go
@@ -1,4 +1,4 @@
-package net
+package eventloop
 
 import (
 	"fmt"
--- a/internal/proxy/admin.go
+++ b/internal/proxy/admin.go
@@ -5,8 +5,8 @@
 	"net/netip"
 	"time"
 
+	"cloverdoor/internal/eventloop"
 	"cloverdoor/internal/http1"
-	"cloverdoor/internal/net"
 )
 
 const (
@@ -55,7 +55,7 @@
 	return true
 }
 
-func (a *Admin) accept(c *net.Conn) net.Handler {
+func (a *Admin) accept(c *eventloop.Conn) eventloop.Handler {
 	ac := &adminConn{admin: a, conn: c, since: a.p.loop.Now()}
 	a.conns[ac] = true
 	return ac
@@ -74,8 +74,8 @@
 // adminConn is one connection of an operator: one call, one answer.
 type adminConn struct {
 	admin *Admin
-	conn  *net.Conn
-	since net.Clock
+	conn  *eventloop.Conn
+	since eventloop.Clock
 }
 
 func (c *adminConn) end() {
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -5,7 +5,7 @@
 	"strconv"
 	"time"
 
-	"cloverdoor/internal/net"
+	"cloverdoor/internal/eventloop"
 	"cloverdoor/internal/resp"
 	"cloverdoor/policy"
 )
@@ -28,14 +28,14 @@
 	req     *request
 	number  int
 	target  string
-	created net.Clock
-	on      *upstream // nil: it got no connection
-	place   int       // how often it has been put on a connection
-	started bool      // its first byte has been written
-	written bool      // its last byte has been written: it may run
-	source  string    // from which a miss is filled
-	began   net.Clock // when its first byte was written, as the audit knows
-	oldest  int64     // Unix millisecond before which no copy that answers it may have been made; 0: not bound
+	created eventloop.Clock
+	on      *upstream       // nil: it got no connection
+	place   int             // how often it has been put on a connection
+	started bool            // its first byte has been written
+	written bool            // its last byte has been written: it may run
+	source  string          // from which a miss is filled
+	began   eventloop.Clock // when its first byte was written, as the audit knows
+	oldest  int64           // Unix millisecond before which no copy that answers it may have been made; 0: not bound
 	ended   bool
 	result  policy.Result // how it ended
 }
@@ -53,7 +53,7 @@
 		p.end(a, resp.Answer{}, policy.ResultMoot)
 		return
 	}
-	slot, err := p.pools.Get(f.Target, !q.safe(), func(s *net.Slot) bool { return s.Owner.(*upstream).takes(q) })
+	slot, err := p.pools.Get(f.Target, !q.safe(), func(s *eventloop.Slot) bool { return s.Owner.(*upstream).takes(q) })
 	if err != nil {
 		p.end(a, resp.Answer{}, connectResult(err))
 		return
@@ -63,7 +63,7 @@
 
 // put queues the call on a connection. While that is late to come up, the call may move on to another: it has not been
 // sent. Some connections come up after a second only, when the client's time is over.
-func (a *attempt) put(slot *net.Slot, moves int) {
+func (a *attempt) put(slot *eventloop.Slot, moves int) {
 	a.on = slot.Owner.(*upstream)
 	a.on.calls[a.req.ID] = a
 	a.place++
@@ -75,7 +75,7 @@
 		if a.ended || a.started || slot.Up() || slot.Ended() {
 			return
 		}
-		other, err := a.p.pools.Reassign(slot, func(s *net.Slot) bool { return s.Owner.(*upstream).takes(a.req) })
+		other, err := a.p.pools.Reassign(slot, func(s *eventloop.Slot) bool { return s.Owner.(*upstream).takes(a.req) })
 		if err != nil {
 			return
 		}
@@ -121,7 +121,7 @@
 }
 
 // maySend asks the module once more whether the call may begin, and with which orders.
-func (a *attempt) maySend(now net.Clock) (policy.Fetch, bool) {
+func (a *attempt) maySend(now eventloop.Clock) (policy.Fetch, bool) {
 	a.req.to.Look()
 	_, left := a.req.to.Left()
 	if a.req.finished { // answered or given up since, perhaps in this very turn
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -4,14 +4,14 @@
 	"encoding/json"
 	"io"
 	"log/slog"
-	stdnet "net"
+	"net"
 	"strings"
 	"testing"
 	"time"
 
-	"cloverdoor/internal/watch"
-	"cloverdoor/internal/net"
+	"cloverdoor/internal/eventloop"
 	"cloverdoor/internal/settings"
+	"cloverdoor/internal/watch"
 )
 
 type deaf struct{}
@@ -20,12 +20,12 @@
 
 func (deaf) Look() {}
 
-func (deaf) Left() (net.Clock, bool) { return 0, false }
+func (deaf) Left() (eventloop.Clock, bool) { return 0, false }
 
 // A call that moves on from a late connection and comes back to it, as it is up by then, is in its queue twice: it is
 // sent once all the same. Otherwise a write would run twice.
 func TestCallThatComesBackIsSentOnce(t *testing.T) {
-	ln, err := stdnet.Listen("tcp", "127.0.0.1:0")
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +50,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	loop, err := net.NewLoop(net.SystemClock())
+	loop, err := eventloop.NewLoop(eventloop.SystemClock())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,7 +61,7 @@
 	p.consult() // the call is queued on a connection that is not up yet
 	a := p.requests[number].attempts[0]
 	first := a.on.slot
-	second, err := p.pools.Reassign(first, func(s *net.Slot) bool { return s != first })
+	second, err := p.pools.Reassign(first, func(s *eventloop.Slot) bool { return s != first })
 	if err != nil || second == first {
 		t.Fatal("no other connection", err)
 	}
--- a/internal/proxy/audit.go
+++ b/internal/proxy/audit.go
@@ -6,9 +6,9 @@
 	"strings"
 	"time"
 
-	"cloverdoor/internal/watch"
-	"cloverdoor/internal/net"
+	"cloverdoor/internal/eventloop"
 	"cloverdoor/internal/resp"
+	"cloverdoor/internal/watch"
 	"cloverdoor/policy"
 )
 
@@ -27,16 +27,16 @@
 // counts; a test has it end the program.
 type audit struct {
 	p        *Proxy
-	leaving  map[string]net.Clock // when each server was told to leave
-	purges   map[any]purgeRecord  // by object or group
+	leaving  map[string]eventloop.Clock // when each server was told to leave
+	purges   map[any]purgeRecord        // by object or group
 	counts   [violations]int64
 	violated func(text string) // nil: only counted
 }
 
 // purgeRecord is a purge as the coordinator told it.
 type purgeRecord struct {
-	at   int64     // Unix millisecond
-	told net.Clock // to this process
+	at   int64           // Unix millisecond
+	told eventloop.Clock // to this process
 }
 
 // violation is a rule that was broken.
@@ -59,7 +59,7 @@
 }
 
 func newAudit(p *Proxy, violated func(string)) *audit {
-	return &audit{p: p, leaving: map[string]net.Clock{}, purges: map[any]purgeRecord{}, violated: violated}
+	return &audit{p: p, leaving: map[string]eventloop.Clock{}, purges: map[any]purgeRecord{}, violated: violated}
 }
 
 // report counts a violation.
@@ -80,7 +80,7 @@
 	if ev.Endpoints == nil {
 		return
 	}
-	maps.DeleteFunc(u.leaving, func(_ string, since net.Clock) bool { return now-since > leavingMemory })
+	maps.DeleteFunc(u.leaving, func(_ string, since eventloop.Clock) bool { return now-since > leavingMemory })
 	if ev.Endpoints.Full {
 		for id := range u.p.servers {
 			u.leave(id, now)
@@ -95,13 +95,13 @@
 	}
 }
 
-func (u *audit) leave(id string, now net.Clock) {
+func (u *audit) leave(id string, now eventloop.Clock) {
 	if _, known := u.leaving[id]; !known {
 		u.leaving[id] = now
 	}
 }
 
-func (u *audit) purged(v *watch.Evict, now net.Clock) {
+func (u *audit) purged(v *watch.Evict, now eventloop.Clock) {
 	for key, record := range u.purges {
 		if now-record.told > u.p.set.Policy.ClearedWithin+time.Second {
 			delete(u.purges, key)
--- a/internal/proxy/client.go
+++ b/internal/proxy/client.go
@@ -5,27 +5,27 @@
 	"slices"
 	"time"
 
+	"cloverdoor/internal/eventloop"
 	"cloverdoor/internal/fastcgi"
-	"cloverdoor/internal/net"
 )
 
 // clientConn is one connection of a client.
 type clientConn struct {
 	front   *Front
 	number  int64 // of the connection, in the log
-	conn    *net.Conn
+	conn    *eventloop.Conn
 	decoder fastcgi.Decoder
 	open    map[uint16]int64 // the proxy's number of each open request
 	partial int              // bytes of requests that have not come whole
 	skip    int              // bytes to come that are passed over
 	last    bool             // the client asked for no further request on it
 	parked  []parked         // requests that wait until the client has read more
-	goneBy  net.Clock        // from when on nothing begins for a client that has left; 0: it has not
+	goneBy  eventloop.Clock  // from when on nothing begins for a client that has left; 0: it has not
 
-	looked          net.Clock // when it was looked at in the middle of a turn
-	asked           int       // requests that came whole
-	incompleteSince net.Clock // since when the client owes its first request, or the rest of one; 0: it does not
-	answered        net.Clock // when it last got an answer
+	looked          eventloop.Clock // when it was looked at in the middle of a turn
+	asked           int             // requests that came whole
+	incompleteSince eventloop.Clock // since when the client owes its first request, or the rest of one; 0: it does not
+	answered        eventloop.Clock // when it last got an answer
 }
 
 // idle is how long nothing has come or gone.
@@ -180,7 +180,7 @@
 
 // PeerClosing notes that the client sends no more. It has closed, most likely, and nothing must begin for it long after. It
 // may also wait for its answers all the same: it gets what can be had at once.
-func (c *clientConn) PeerClosing(after net.Clock) {
+func (c *clientConn) PeerClosing(after eventloop.Clock) {
 	c.goneBy = max(1, after+goneAfter)
 	c.front.p.loop.At(c.goneBy, c.giveUp)
 }
@@ -222,7 +222,7 @@
 type parked struct {
 	request *fastcgi.Request
 	in      Request
-	at      net.Clock
+	at      eventloop.Clock
 }
 
 func (c *clientConn) park(r *fastcgi.Request, in Request) {
@@ -232,7 +232,7 @@
 }
 
 // refuseParked refuses the parked requests that have waited for half of their time: later, a refusal costs more.
-func (c *clientConn) refuseParked(now net.Clock) {
+func (c *clientConn) refuseParked(now eventloop.Clock) {
 	for len(c.parked) > 0 && now-c.parked[0].at >= c.parked[0].in.Wait/2 {
 		r := c.unpark()
 		c.front.p.turnAway(r.in, &responder{conn: c, id: r.request.ID}, Answer{Status: Refused, ComeBack: goneIn})
--- a/internal/proxy/coordinator.go
+++ b/internal/proxy/coordinator.go
@@ -8,8 +8,8 @@
 	"slices"
 	"time"
 
+	"cloverdoor/internal/eventloop"
 	"cloverdoor/internal/watch"
-	"cloverdoor/internal/net"
 )
 
 const (
@@ -35,11 +35,11 @@
 type follower struct {
 	p          *Proxy
 	addr       netip.AddrPort
-	last       int64     // number of the last event that was taken
-	streams    []*stream // the oldest first
-	fruitless  int       // streams in a row that were too slow
-	heard      net.Clock // when a whole line came last, or the following was begun
-	again      *net.Timer
+	last       int64           // number of the last event that was taken
+	streams    []*stream       // the oldest first
+	fruitless  int             // streams in a row that were too slow
+	heard      eventloop.Clock // when a whole line came last, or the following was begun
+	again      *eventloop.Timer
 	pause      time.Duration
 	unreadable unreadableLine
 	gap        gap
@@ -59,12 +59,12 @@
 // stream is one connection on which the coordinator is followed.
 type stream struct {
 	f        *follower
-	conn     *net.Conn
-	whole    net.Clock     // when it last brought a whole line, or was begun
-	silence  time.Duration // for how long it may bring nothing
-	line     time.Duration // for how long it may bring no whole line
-	skipping bool          // the rest of a line that is too long
-	over     int64         // events that may be missing, as lines were passed over since the last one
+	conn     *eventloop.Conn
+	whole    eventloop.Clock // when it last brought a whole line, or was begun
+	silence  time.Duration   // for how long it may bring nothing
+	line     time.Duration   // for how long it may bring no whole line
+	skipping bool            // the rest of a line that is too long
+	over     int64           // events that may be missing, as lines were passed over since the last one
 }
 
 // Follow keeps the proxy up to date with the coordinator at addr from event last on.
@@ -261,7 +261,7 @@
 func (s *stream) Closed(err error) {
 	f := s.f
 	f.streams = slices.DeleteFunc(f.streams, func(other *stream) bool { return other == s })
-	if errors.Is(err, net.ErrConnectTimeout) {
+	if errors.Is(err, eventloop.ErrConnectTimeout) {
 		f.fruitless++
 	}
 	f.lost(err)
--- a/internal/proxy/coordinator_test.go
+++ b/internal/proxy/coordinator_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
+	"cloverdoor/internal/eventloop"
 	"cloverdoor/internal/watch"
-	"cloverdoor/internal/net"
 	"cloverdoor/policy"
 )
 
@@ -44,12 +44,12 @@
 
 // heldClock goes by the system's clock, but the first look at it was long ago: a process that was held up in its turn.
 type heldClock struct {
-	net.TimeSource
+	eventloop.TimeSource
 	held   time.Duration
 	looked bool
 }
 
-func (c *heldClock) Now() net.Clock {
+func (c *heldClock) Now() eventloop.Clock {
 	now := c.TimeSource.Now()
 	if !c.looked {
 		c.looked = true
@@ -61,7 +61,7 @@
 // A purge that is told in a turn in which the process was held up is as old as it was when the turn began.
 func TestPurgeToldInALongTurn(t *testing.T) {
 	const held, ago = 10 * time.Second, 12 * time.Second
-	loop, err := net.NewLoop(&heldClock{TimeSource: net.SystemClock(), held: held})
+	loop, err := eventloop.NewLoop(&heldClock{TimeSource: eventloop.SystemClock(), held: held})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proxy/front.go
+++ b/internal/proxy/front.go
@@ -5,7 +5,7 @@
 	"net/netip"
 	"time"
 
-	"cloverdoor/internal/net"
+	"cloverdoor/internal/eventloop"
 	"cloverdoor/policy"
 )
 
@@ -51,7 +51,7 @@
 // Requests to Submit.
 type Front struct {
 	p        *Proxy
-	listener *net.Listener
+	listener *eventloop.Listener
 	shared   bool // another process may accept from the same socket
 	conns    map[*clientConn]bool
 	parking  map[*clientConn]bool // those with parked requests
@@ -79,7 +79,7 @@
 	return &Front{p: p, conns: map[*clientConn]bool{}, parking: map[*clientConn]bool{}, most: most}
 }
 
-func (f *Front) open(ln *net.Listener, err error) error {
+func (f *Front) open(ln *eventloop.Listener, err error) error {
 	if err != nil {
 		return err
 	}
@@ -119,7 +119,7 @@
 	return true
 }
 
-func (f *Front) accept(c *net.Conn) net.Handler {
+func (f *Front) accept(c *eventloop.Conn) eventloop.Handler {
 	f.accepted++
 	cc := &clientConn{front: f, number: f.accepted, conn: c, open: map[uint16]int64{}, incompleteSince: f.p.loop.Now()}
 	f.conns[cc] = true
@@ -137,7 +137,7 @@
 		case c.unreadSince(stuckAfter), f.memoryFull() && c.unreadSince(unreadAfter):
 			f.p.log.Info("client's connection closed, it takes nothing", "connection", c.number, "bytes", bytes)
 			c.conn.Close()
-			c.Closed(net.ErrBacklog)
+			c.Closed(eventloop.ErrBacklog)
 		case !c.conn.Ended() && c.overdue() && f.mayClose(policy.Connection{Open: len(c.open), Unread: c.conn.Unread}):
 			c.conn.CloseFlushed()
 		}
--- a/internal/proxy/left_test.go
+++ b/internal/proxy/left_test.go
@@ -4,20 +4,20 @@
 	"encoding/binary"
 	"encoding/json"
 	"log/slog"
-	stdnet "net"
+	"net"
 	"net/netip"
 	"testing"
 	"time"
 
-	"cloverdoor/internal/watch"
-	"cloverdoor/internal/net"
+	"cloverdoor/internal/eventloop"
 	"cloverdoor/internal/settings"
+	"cloverdoor/internal/watch"
 )
 
 // handClock is moved on by a test.
-type handClock struct{ now net.Clock }
+type handClock struct{ now eventloop.Clock }
 
-func (c *handClock) Now() net.Clock                         { return c.now }
+func (c *handClock) Now() eventloop.Clock                   { return c.now }
 func (c *handClock) Nap(wanted time.Duration) time.Duration { return min(wanted, time.Millisecond) }
 
 // record is one FastCGI record.
@@ -43,18 +43,18 @@
 // Nothing begins for a client that leaves, or takes its request back, while the turn in which that was read lasts: the process
 // may lose its core between reading and writing.
 func TestNothingBeginsForAClientThatLeavesInALongTurn(t *testing.T) {
-	for name, leave := range map[string]func(*stdnet.TCPConn){
-		"close":   func(c *stdnet.TCPConn) { c.Close() },
-		"reset":   func(c *stdnet.TCPConn) { c.SetLinger(0); c.Close() },
-		"abort":   func(c *stdnet.TCPConn) { c.Write(record(2, "")) },
-		"nothing": func(*stdnet.TCPConn) {},
+	for name, leave := range map[string]func(*net.TCPConn){
+		"close":   func(c *net.TCPConn) { c.Close() },
+		"reset":   func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
+		"abort":   func(c *net.TCPConn) { c.Write(record(2, "")) },
+		"nothing": func(*net.TCPConn) {},
 	} {
-		clock := &handClock{now: net.Clock(time.Now().UnixNano())}
-		loop, err := net.NewLoop(clock)
+		clock := &handClock{now: eventloop.Clock(time.Now().UnixNano())}
+		loop, err := eventloop.NewLoop(clock)
 		if err != nil {
 			t.Fatal(err)
 		}
-		origin, err := stdnet.Listen("tcp", "127.0.0.1:0")
+		origin, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -68,7 +68,7 @@
 		p := New(loop, Config{Settings: set, Sockets: 100, Memory: 1 << 26, Known: watch.Known{Index: 1, Updates: []watch.Event{{Index: 1,
 			Endpoints: &watch.Endpoints{Full: true, Servers: []watch.Server{{ID: "o", Addr: origin.Addr().String(), Zone: "hub", Kind: "origin",
 				State: watch.Serving, Weight: 100}}}}}}}, slog.New(slog.DiscardHandler))
-		free, err := stdnet.Listen("tcp", "127.0.0.1:0")
+		free, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -76,7 +76,7 @@
 		if err := p.Listen(netip.MustParseAddrPort(free.Addr().String()), 10); err != nil {
 			t.Fatal(err)
 		}
-		client, err := stdnet.Dial("tcp", free.Addr().String())
+		client, err := net.Dial("tcp", free.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -100,7 +100,7 @@
 		for end := time.Now().Add(5 * time.Second); !a.on.slot.Up() && time.Now().Before(end); {
 			turn(false)
 		}
-		leave(client.(*stdnet.TCPConn))
+		leave(client.(*net.TCPConn))
 		time.Sleep(20 * time.Millisecond) // on loopback it has arrived long before
 		clock.now += 200 * time.Millisecond
 		p.settle()
--- a/internal/proxy/membership.go
+++ b/internal/proxy/membership.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
+	"cloverdoor/internal/eventloop"
 	"cloverdoor/internal/watch"
-	"cloverdoor/internal/net"
 	"cloverdoor/policy"
 )
 
@@ -94,7 +94,7 @@
 }
 
 // startTime is the loop's time of a late start that is told as a Unix millisecond; 0: long ago.
-func (p *Proxy) startTime(unixMillis int64) net.Clock {
+func (p *Proxy) startTime(unixMillis int64) eventloop.Clock {
 	if unixMillis == 0 {
 		return 0
 	}
--- a/internal/proxy/peerclock_test.go
+++ b/internal/proxy/peerclock_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
+	"cloverdoor/internal/eventloop"
 	"cloverdoor/internal/watch"
-	"cloverdoor/internal/net"
 	"cloverdoor/policy"
 )
 
@@ -14,8 +14,8 @@
 // returns how old it counts as.
 func told(t *testing.T, wrongBy time.Duration) (*Proxy, func(ago time.Duration, live bool) time.Duration) {
 	t.Helper()
-	right := net.Clock(time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC).UnixNano())
-	loop, err := net.NewLoop(&handClock{now: right + wrongBy})
+	right := eventloop.Clock(time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC).UnixNano())
+	loop, err := eventloop.NewLoop(&handClock{now: right + wrongBy})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,7 +52,7 @@
 	p, age := told(t, 0)
 	clock := &handClock{now: p.loop.Now()}
 	var err error
-	if p.loop, err = net.NewLoop(clock); err != nil {
+	if p.loop, err = eventloop.NewLoop(clock); err != nil {
 		t.Fatal(err)
 	}
 	age(-time.Hour, true)
@@ -88,7 +88,7 @@
 func TestPurgesThatCatchUp(t *testing.T) {
 	p, age := told(t, 0)
 	clock := &handClock{now: p.loop.Now()}
-	loop, err := net.NewLoop(clock)
+	loop, err := eventloop.NewLoop(clock)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proxy/phase.go
+++ b/internal/proxy/phase.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"cloverdoor/internal/net"
+	"cloverdoor/internal/eventloop"
 )
 
 const (
@@ -83,7 +83,7 @@
 }
 
 // shorten gives a request no more time than until a deadline.
-func (p *Proxy) shorten(q *request, deadline net.Clock) {
+func (p *Proxy) shorten(q *request, deadline eventloop.Clock) {
 	if q.deadline <= deadline {
 		return
 	}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -7,10 +7,10 @@
 	"math/rand/v2"
 	"time"
 
-	"cloverdoor/internal/watch"
-	"cloverdoor/internal/net"
+	"cloverdoor/internal/eventloop"
 	"cloverdoor/internal/resp"
 	"cloverdoor/internal/settings"
+	"cloverdoor/internal/watch"
 	"cloverdoor/policy"
 )
 
@@ -47,7 +47,7 @@
 
 // Proxy is one edge proxy. Everything in it runs on the loop's goroutine.
 type Proxy struct {
-	loop   *net.Loop
+	loop   *eventloop.Loop
 	router *policy.Router
 	set    settings.Settings
 	class  map[string]int // by name: its number in the settings
@@ -66,14 +66,14 @@
 	partial  int // bytes of requests that have not come whole
 
 	servers  map[string]int64 // by id: when it started
-	pools    *net.Pools
+	pools    *eventloop.Pools
 	fronts   []*Front
 	follower *follower
 
 	// While draining or stopping:
-	leaveAt net.Clock // new clients have stopped coming
-	lateAt  net.Clock // no request is taken any more
-	endBy   net.Clock // all must be answered; 0: at their deadlines
+	leaveAt eventloop.Clock // new clients have stopped coming
+	lateAt  eventloop.Clock // no request is taken any more
+	endBy   eventloop.Clock // all must be answered; 0: at their deadlines
 
 	open              int // requests taken and not ended
 	tallies           tallies
@@ -81,7 +81,7 @@
 	logDropped        func() int64
 	loader            loader
 	clock             peerClock
-	newestKnown       net.Clock // the latest time that the configuration's purges tell; 0: none
+	newestKnown       eventloop.Clock // the latest time that the configuration's purges tell; 0: none
 	audit             *audit
 	denied            denials
 	unreadable        int // parts of the coordinator's events that could not be read
@@ -92,11 +92,11 @@
 	Request
 	number     int64 // the module's
 	to         Responder
-	deadline   net.Clock // by which the answer must have been written
+	deadline   eventloop.Clock // by which the answer must have been written
 	effect     policy.Effect
 	answers    int  // final answers so far, as the audit counts
 	mayHaveRun bool // a call was written whole and not proven not to have run, as the audit knows
-	timer      *net.Timer
+	timer      *eventloop.Timer
 	attempts   []*attempt
 	pending    int
 	registered bool // the module has heard of it and its first actions have been carried out
@@ -107,7 +107,7 @@
 func (q *request) safe() bool { return q.effect == policy.Safe }
 
 // New returns a proxy that knows what the configuration knows.
-func New(loop *net.Loop, cfg Config, logger *slog.Logger) *Proxy {
+func New(loop *eventloop.Loop, cfg Config, logger *slog.Logger) *Proxy {
 	p := &Proxy{
 		loop: loop, router: policy.New(cfg.Settings.Policy, cfg.Seed), log: logger,
 		rng:      rand.New(rand.NewPCG(cfg.Seed, 1)),
@@ -115,7 +115,7 @@
 		sockets: UpstreamSockets(cfg.Sockets), maxHeld: cfg.Memory / 4, logDropped: cfg.LogDropped,
 	}
 	p.denied, p.audit = denials{}, newAudit(p, cfg.Violated)
-	p.pools = net.NewPools(loop, net.Limits{}, p.openUpstream)
+	p.pools = eventloop.NewPools(loop, eventloop.Limits{}, p.openUpstream)
 	p.apply(cfg.Settings, cfg.Flow)
 	p.applyKnown(cfg.Known.Updates)
 	p.settle()
@@ -147,7 +147,7 @@
 	if set.DearHandshakes {
 		shared = sharedCalls
 	}
-	p.pools.SetLimits(net.Limits{
+	p.pools.SetLimits(eventloop.Limits{
 		Streams:        max(1, set.StreamsPerConn),
 		Shared:         shared,
 		Sockets:        p.sockets,
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -6,7 +6,7 @@
 	"os"
 	"time"
 
-	"cloverdoor/internal/net"
+	"cloverdoor/internal/eventloop"
 	"cloverdoor/internal/settings"
 )
 
@@ -37,7 +37,7 @@
 // loader reads the configuration off the loop: a slow disk must not hold up requests.
 type loader struct {
 	results chan loadResult // of the read under way; nil: none is
-	since   net.Clock       // when that was begun
+	since   eventloop.Clock // when that was begun
 	again   bool            // it was ordered once more meanwhile
 }
 
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"cloverdoor/internal/net"
+	"cloverdoor/internal/eventloop"
 )
 
 // Request is a client's request, whatever protocol brought it. What passes on to a cache is kept as it came.
@@ -51,5 +51,5 @@
 	Look()
 	// Left tells since when the client may have left, 0 while it is there, and whether that is so long ago that nothing may
 	// begin for it any more.
-	Left() (since net.Clock, long bool)
+	Left() (since eventloop.Clock, long bool)
 }
--- a/internal/proxy/responder.go
+++ b/internal/proxy/responder.go
@@ -3,8 +3,8 @@
 import (
 	"strconv"
 
+	"cloverdoor/internal/eventloop"
 	"cloverdoor/internal/fastcgi"
-	"cloverdoor/internal/net"
 )
 
 // responder takes one answer to its client.
@@ -17,7 +17,7 @@
 func (r *responder) Look() { r.conn.lookAgain() }
 
 // Left tells since when the client may have left.
-func (r *responder) Left() (since net.Clock, long bool) {
+func (r *responder) Left() (since eventloop.Clock, long bool) {
 	c := r.conn
 	if c.goneBy == 0 {
 		return 0, false
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"cloverdoor/internal/net"
+	"cloverdoor/internal/eventloop"
 	"cloverdoor/internal/resp"
 	"cloverdoor/policy"
 )
@@ -16,13 +16,13 @@
 // upstream is one connection to a cache, a parent or the origin, with the calls that are open on it.
 type upstream struct {
 	p     *Proxy
-	slot  *net.Slot
+	slot  *eventloop.Slot
 	calls map[string]*attempt // by the request's id, which answers come under
-	since net.Clock           // from when on an answer has been waited for without a byte; 0: none is due
+	since eventloop.Clock     // from when on an answer has been waited for without a byte; 0: none is due
 }
 
 // openUpstream makes the owner of a new connection.
-func (p *Proxy) openUpstream(s *net.Slot) net.Handler {
+func (p *Proxy) openUpstream(s *eventloop.Slot) eventloop.Handler {
 	return &upstream{p: p, slot: s, calls: map[string]*attempt{}}
 }
 
@@ -78,7 +78,7 @@
 	}
 	result := policy.ResultReset
 	switch {
-	case errors.Is(err, net.ErrConnect):
+	case errors.Is(err, eventloop.ErrConnect):
 		result = connectResult(err)
 	case errors.Is(err, resp.ErrMalformed):
 		u.p.log.Warn("connection to a server dropped", "error", err)
@@ -95,7 +95,7 @@
 
 // connectResult is how a call ended whose connection did not come up. What this machine lacks is no fault of the server.
 func connectResult(err error) policy.Result {
-	if errors.Is(err, net.ErrLocal) || errors.Is(err, net.ErrNoSocket) {
+	if errors.Is(err, eventloop.ErrLocal) || errors.Is(err, eventloop.ErrNoSocket) {
 		return policy.ResultMoot
 	}
 	return policy.ResultConnectFailed
