--- a/internal/eventloop/risk_test.go
+++ b/internal/connpool/idlerisk_test.go
@@ -1,4 +1,4 @@
-package eventloop
+package connpool
 
 import "testing"
 
--- a/internal/eventloop/pool.go
+++ b/internal/connpool/pools.go
@@ -1,4 +1,6 @@
-package eventloop
+// Package connpool keeps a pool of connections for each server and assigns uses to them. Everything in it belongs to the
+// event loop's goroutine.
+package connpool
 
 import (
 	"errors"
@@ -7,6 +9,8 @@
 	"net/netip"
 	"slices"
 	"time"
+
+	"cloverdoor/internal/eventloop"
 )
 
 // ErrNoSocket says that a connection would exceed the budget for sockets.
@@ -35,9 +39,9 @@
 // Pools holds a pool for each server, by the server's id. An address says nothing of who answers there: a new
 // server may take it over, and no connection to the old one may then be used for the new.
 type Pools struct {
-	loop   *Loop
+	loop   *eventloop.Loop
 	limits Limits
-	open   func(*Slot) Handler
+	open   func(*Slot) eventloop.Handler
 	byID   map[string]*Pool
 	count  int // open connections
 	risks  risks
@@ -53,21 +57,21 @@
 
 // Slot is one pooled connection.
 type Slot struct {
-	*Conn
-	Owner    Handler
+	*eventloop.Conn
+	Owner    eventloop.Handler
 	pool     *Pool
 	Load     int  // uses under way
 	Stale    bool // takes no new use; closed when the last one is over
-	used     Clock
+	used     eventloop.Clock
 	recorded bool // how long it took to come up has been counted
 
-	trial int   // how long it had been idle when its last use began, as a place in risks; -1: known by now
-	begun Clock // when that was
+	trial int             // how long it had been idle when its last use began, as a place in risks; -1: known by now
+	begun eventloop.Clock // when that was
 }
 
 // NewPools returns pools without servers. open makes the handler of each new connection; the handler calls
 // Drop when the connection has ended.
-func NewPools(l *Loop, limits Limits, open func(*Slot) Handler) *Pools {
+func NewPools(l *eventloop.Loop, limits Limits, open func(*Slot) eventloop.Handler) *Pools {
 	return &Pools{loop: l, limits: limits, open: open, byID: map[string]*Pool{}}
 }
 
@@ -96,7 +100,7 @@
 	for _, s := range slices.Clone(p.slots) {
 		s.Stale = true
 		if !s.Up() {
-			s.fail(ErrRetired)
+			s.Fail(ErrRetired)
 		} else {
 			s.closeUnused()
 		}
@@ -150,7 +154,7 @@
 
 func (s *Slot) use() {
 	if s.Load++; s.Load == 1 {
-		s.trial, s.begun = s.idle(), s.pool.pools.loop.now
+		s.trial, s.begun = s.idle(), s.pool.pools.loop.Now()
 	}
 }
 
@@ -161,7 +165,7 @@
 	p := late.pool
 	var best *Slot
 	for _, s := range p.slots {
-		if !s.Stale && s.Up() && !s.Ended() && s.Load < ps.limits.Streams && s.Heard() > late.since && fits(s) &&
+		if !s.Stale && s.Up() && !s.Ended() && s.Load < ps.limits.Streams && s.Heard() > late.CreatedAt() && fits(s) &&
 			(best == nil || s.before(best)) {
 			best = s
 		}
@@ -193,7 +197,7 @@
 		return
 	}
 	s.recorded = true
-	if s.took > s.pool.medianConnect {
+	if s.ConnectDuration() > s.pool.medianConnect {
 		s.pool.medianConnect += s.pool.medianConnect / medianStep
 	} else {
 		s.pool.medianConnect -= s.pool.medianConnect / medianStep
@@ -233,7 +237,7 @@
 	if s.used == 0 {
 		return 0
 	}
-	return 1 + min(bits.Len64(uint64((s.pool.pools.loop.now-s.used)/idleStep)), len(s.pool.pools.risks)-2)
+	return 1 + min(bits.Len64(uint64((s.pool.pools.loop.Now()-s.used)/idleStep)), len(s.pool.pools.risks)-2)
 }
 
 // retireIdle closes a connection that has been idle for so long that its next use would be at risk.
@@ -255,16 +259,13 @@
 // Release ends one use.
 func (s *Slot) Release() {
 	s.Load--
-	s.used = s.pool.pools.loop.now
+	s.used = s.pool.pools.loop.Now()
 	if s.Load == 0 && !s.Ended() {
 		s.trial = -1 // given up: it tells nothing
 	}
 	s.closeUnused()
 }
 
-// Fail ends the connection with an error, and all uses under way.
-func (s *Slot) Fail(err error) { s.fail(err) }
-
 func (s *Slot) closeUnused() {
 	if s.Stale && s.Load == 0 && !s.Ended() {
 		s.Close()
@@ -274,7 +275,7 @@
 
 // Drop takes an ended connection out of its pool. One that ended as soon as it was used had ended before.
 func (s *Slot) Drop() {
-	if s.Up() && s.Load > 0 && s.trial >= 0 && s.pool.pools.loop.now-s.begun < atOnce {
+	if s.Up() && s.Load > 0 && s.trial >= 0 && s.pool.pools.loop.Now()-s.begun < atOnce {
 		s.pool.pools.risks.count(s.trial, true)
 	}
 	before := len(s.pool.slots)
@@ -287,7 +288,7 @@
 func (ps *Pools) CloseIdle() {
 	for _, p := range ps.byID {
 		for _, s := range slices.Clone(p.slots) {
-			if s.Load == 0 && s.used > 0 && ps.loop.now-s.used >= ps.limits.Idle {
+			if s.Load == 0 && s.used > 0 && ps.loop.Now()-s.used >= ps.limits.Idle {
 				s.Stale = true
 				s.closeUnused()
 			}
--- a/internal/eventloop/pool_test.go
+++ b/internal/connpool/pools_test.go
@@ -1,4 +1,4 @@
-package eventloop
+package connpool
 
 import (
 	"net/netip"
@@ -6,8 +6,21 @@
 	"time"
 
 	"golang.org/x/sys/unix"
+
+	"cloverdoor/internal/eventloop"
 )
 
+// nobody is a handler that takes all input and does nothing.
+type nobody struct{}
+
+func (nobody) Receive(data []byte) (int, error) { return len(data), nil }
+func (nobody) Closed(error)                     {}
+
+// newSocket returns a non-blocking TCP socket.
+func newSocket() (int, error) {
+	return unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
+}
+
 // full is a server whose queue of new connections is full: a further one does not come up until there is room again.
 type full struct {
 	fd    int
@@ -17,7 +30,7 @@
 
 func newFull(t *testing.T) *full {
 	t.Helper()
-	fd, err := socket(netip.MustParseAddrPort("127.0.0.1:0"))
+	fd, err := newSocket()
 	if err == nil {
 		err = unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}})
 	}
@@ -38,18 +51,18 @@
 		}
 	})
 	for range 2 { // one more than the queue holds, which may be one more than was asked for
-		c, err := socket(f.addr)
+		c, err := newSocket()
 		if err != nil {
 			t.Fatal(err)
 		}
 		f.first = append(f.first, c)
-		unix.Connect(c, sockaddr(f.addr)) //nolint:errcheck // in progress
+		unix.Connect(c, &unix.SockaddrInet4{Port: int(f.addr.Port()), Addr: f.addr.Addr().As4()}) //nolint:errcheck // in progress
 	}
 	return f
 }
 
 // accept takes one connection off the queue, once there is one.
-func (f *full) accept(t *testing.T, l *Loop) int {
+func (f *full) accept(t *testing.T, l *eventloop.Loop) int {
 	t.Helper()
 	for range 1000 {
 		if fd, _, err := unix.Accept(f.fd); err == nil {
@@ -62,7 +75,7 @@
 	return -1
 }
 
-func turn(t *testing.T, l *Loop) {
+func turn(t *testing.T, l *eventloop.Loop) {
 	t.Helper()
 	if err := l.Wait(5 * time.Millisecond); err != nil {
 		t.Fatal(err)
@@ -73,14 +86,13 @@
 // What waits for a connection that is late to come up gets another, and the late one is not waited for by others. The
 // danger: a handshake's lost packet is sent again after a second only, when the time of many a request is over.
 func TestReassignFromALateConnection(t *testing.T) {
-	l, err := NewLoop(SystemClock())
+	l, err := eventloop.NewLoop(eventloop.SystemClock())
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.tick()
 	server := newFull(t)
 	ps := NewPools(l, Limits{Streams: 8, Sockets: 10, Apart: 8, ConnectTimeout: time.Minute, Idle: time.Minute},
-		func(*Slot) Handler { return nobody{} })
+		func(*Slot) eventloop.Handler { return nobody{} })
 	ps.Set("s", server.addr)
 	any := func(*Slot) bool { return true }
 	late, err := ps.Get("s", false, any)
@@ -115,7 +127,7 @@
 	if _, err := unix.Write(fd, []byte("x")); err != nil {
 		t.Fatal(err)
 	}
-	for i := 0; other.Heard() <= late.since || ps.count == 0; i++ {
+	for i := 0; other.Heard() <= late.CreatedAt() || ps.count == 0; i++ {
 		if turn(t, l); i == 1000 {
 			t.Fatal("nothing was heard")
 		}
@@ -139,13 +151,12 @@
 		{3, []bool{false, true, false}, 2},
 		{3, []bool{true, true}, 2},
 	} {
-		l, err := NewLoop(SystemClock())
+		l, err := eventloop.NewLoop(eventloop.SystemClock())
 		if err != nil {
 			t.Fatal(err)
 		}
-		l.tick()
 		ps := NewPools(l, Limits{Streams: 8, Sockets: 10, Apart: 8, Shared: c.shared, ConnectTimeout: time.Minute, Idle: time.Minute},
-			func(*Slot) Handler { return nobody{} })
+			func(*Slot) eventloop.Handler { return nobody{} })
 		ps.Set("s", newFull(t).addr)
 		for _, careful := range c.careful {
 			if _, err := ps.Get("s", careful, func(*Slot) bool { return true }); err != nil {
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -85,6 +85,12 @@
 // Age is for how long the connection has existed.
 func (c *Conn) Age() time.Duration { return c.loop.now - c.since }
 
+// CreatedAt is when the connection was begun or accepted.
+func (c *Conn) CreatedAt() Clock { return c.since }
+
+// ConnectDuration is how long the connection took to come up; 0: it has not yet, or was accepted.
+func (c *Conn) ConnectDuration() time.Duration { return c.took }
+
 // Ended says whether the connection has ended or is about to.
 func (c *Conn) Ended() bool { return c.closed || c.closing }
 
@@ -123,11 +129,11 @@
 // would else lose the rest of an answer.
 func (c *Conn) shutdown() {
 	if c.eof { // nothing can be unread
-		c.fail(io.EOF)
+		c.Fail(io.EOF)
 		return
 	}
 	if err := System.Shutdown(c.fd, unix.SHUT_WR); err != nil {
-		c.fail(fmt.Errorf("shutdown: %w", err))
+		c.Fail(fmt.Errorf("shutdown: %w", err))
 		return
 	}
 	c.linger(c.loop.now + lingerMost)
@@ -144,13 +150,14 @@
 			c.linger(end)
 		default:
 			if c.receive(); !c.closed {
-				c.fail(io.EOF)
+				c.Fail(io.EOF)
 			}
 		}
 	})
 }
 
-func (c *Conn) fail(err error) {
+// Fail ends the connection with an error, which its handler is told.
+func (c *Conn) Fail(err error) {
 	if c.closed {
 		return
 	}
@@ -170,7 +177,7 @@
 	switch {
 	case !c.up || c.closed:
 	case (c.eof || c.deaf) && events&broken != 0, isHalf && events&unix.EPOLLERR != 0:
-		c.fail(unix.ECONNRESET) // what it sent before is not wanted any more
+		c.Fail(unix.ECONNRESET) // what it sent before is not wanted any more
 	case isHalf && !c.closing && events&unix.EPOLLRDHUP != 0:
 		c.peerClosing(half)
 	}
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -15,7 +15,7 @@
 		err = unix.Errno(code)
 	}
 	if err != nil {
-		c.fail(err)
+		c.Fail(err)
 		return
 	}
 	if err := System.PeerName(c.fd); err != nil {
@@ -44,7 +44,7 @@
 		return nil, connectError(addr, err)
 	}
 	c.registered = true
-	c.timeout = l.At(l.now+timeout, func() { c.fail(ErrConnectTimeout) })
+	c.timeout = l.At(l.now+timeout, func() { c.Fail(ErrConnectTimeout) })
 	return c, nil
 }
 
--- a/internal/eventloop/input.go
+++ b/internal/eventloop/input.go
@@ -66,7 +66,7 @@
 		case err != nil && retry(err):
 			return
 		case err != nil:
-			c.fail(fmt.Errorf("read: %w", err))
+			c.Fail(fmt.Errorf("read: %w", err))
 			return
 		case n == 0:
 			c.end()
@@ -108,7 +108,7 @@
 		}
 	}
 	if !c.closed {
-		c.fail(io.EOF)
+		c.Fail(io.EOF)
 	}
 }
 
@@ -128,7 +128,7 @@
 		return
 	}
 	if err != nil {
-		c.fail(err)
+		c.Fail(err)
 		return
 	}
 	if c.deaf {
--- a/internal/eventloop/output.go
+++ b/internal/eventloop/output.go
@@ -103,7 +103,7 @@
 	switch {
 	case c.closed:
 	case c.queued > mostQueued:
-		c.fail(ErrBacklog)
+		c.Fail(ErrBacklog)
 	case c.closing && len(c.queue) == 0:
 		c.shutdown()
 	default:
@@ -117,7 +117,7 @@
 	if _, half := c.handler.(HalfCloser); !half && !c.closing && !c.eof {
 		c.receive()
 	}
-	c.fail(err)
+	c.Fail(err)
 }
 
 // writeFirst writes from the first output of the queue; more is false when the peer takes no more now. A
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -5,6 +5,7 @@
 	"strconv"
 	"time"
 
+	"cloverdoor/internal/connpool"
 	"cloverdoor/internal/eventloop"
 	"cloverdoor/internal/resp"
 	"cloverdoor/policy"
@@ -53,7 +54,7 @@
 		p.end(a, resp.Answer{}, policy.ResultMoot)
 		return
 	}
-	slot, err := p.pools.Get(f.Target, !q.safe(), func(s *eventloop.Slot) bool { return s.Owner.(*upstream).takes(q) })
+	slot, err := p.pools.Get(f.Target, !q.safe(), func(s *connpool.Slot) bool { return s.Owner.(*upstream).takes(q) })
 	if err != nil {
 		p.end(a, resp.Answer{}, connectResult(err))
 		return
@@ -63,7 +64,7 @@
 
 // put queues the call on a connection. While that is late to come up, the call may move on to another: it has not been
 // sent. Some connections come up after a second only, when the client's time is over.
-func (a *attempt) put(slot *eventloop.Slot, moves int) {
+func (a *attempt) put(slot *connpool.Slot, moves int) {
 	a.on = slot.Owner.(*upstream)
 	a.on.calls[a.req.ID] = a
 	a.place++
@@ -75,7 +76,7 @@
 		if a.ended || a.started || slot.Up() || slot.Ended() {
 			return
 		}
-		other, err := a.p.pools.Reassign(slot, func(s *eventloop.Slot) bool { return s.Owner.(*upstream).takes(a.req) })
+		other, err := a.p.pools.Reassign(slot, func(s *connpool.Slot) bool { return s.Owner.(*upstream).takes(a.req) })
 		if err != nil {
 			return
 		}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -7,6 +7,7 @@
 	"math/rand/v2"
 	"time"
 
+	"cloverdoor/internal/connpool"
 	"cloverdoor/internal/eventloop"
 	"cloverdoor/internal/resp"
 	"cloverdoor/internal/settings"
@@ -66,7 +67,7 @@
 	partial  int // bytes of requests that have not come whole
 
 	servers  map[string]int64 // by id: when it started
-	pools    *eventloop.Pools
+	pools    *connpool.Pools
 	fronts   []*Front
 	follower *follower
 
@@ -115,7 +116,7 @@
 		sockets: UpstreamSockets(cfg.Sockets), maxHeld: cfg.Memory / 4, logDropped: cfg.LogDropped,
 	}
 	p.denied, p.audit = denials{}, newAudit(p, cfg.Violated)
-	p.pools = eventloop.NewPools(loop, eventloop.Limits{}, p.openUpstream)
+	p.pools = connpool.NewPools(loop, connpool.Limits{}, p.openUpstream)
 	p.apply(cfg.Settings, cfg.Flow)
 	p.applyKnown(cfg.Known.Updates)
 	p.settle()
@@ -147,7 +148,7 @@
 	if set.DearHandshakes {
 		shared = sharedCalls
 	}
-	p.pools.SetLimits(eventloop.Limits{
+	p.pools.SetLimits(connpool.Limits{
 		Streams:        max(1, set.StreamsPerConn),
 		Shared:         shared,
 		Sockets:        p.sockets,
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"cloverdoor/internal/connpool"
 	"cloverdoor/internal/eventloop"
 	"cloverdoor/internal/resp"
 	"cloverdoor/policy"
@@ -16,13 +17,13 @@
 // upstream is one connection to a cache, a parent or the origin, with the calls that are open on it.
 type upstream struct {
 	p     *Proxy
-	slot  *eventloop.Slot
+	slot  *connpool.Slot
 	calls map[string]*attempt // by the request's id, which answers come under
 	since eventloop.Clock     // from when on an answer has been waited for without a byte; 0: none is due
 }
 
 // openUpstream makes the owner of a new connection.
-func (p *Proxy) openUpstream(s *eventloop.Slot) eventloop.Handler {
+func (p *Proxy) openUpstream(s *connpool.Slot) eventloop.Handler {
 	return &upstream{p: p, slot: s, calls: map[string]*attempt{}}
 }
 
@@ -95,7 +96,7 @@
 
 // connectResult is how a call ended whose connection did not come up. What this machine lacks is no fault of the server.
 func connectResult(err error) policy.Result {
-	if errors.Is(err, eventloop.ErrLocal) || errors.Is(err, eventloop.ErrNoSocket) {
+	if errors.Is(err, eventloop.ErrLocal) || errors.Is(err, connpool.ErrNoSocket) {
 		return policy.ResultMoot
 	}
 	return policy.ResultConnectFailed
