--- a/internal/proxy/membership.go
+++ b/internal/proxy/membership.go
@@ -49,24 +49,24 @@
 }
 
 var states = map[string]policy.State{
-	watch.Serving: policy.Ready, watch.Draining: policy.Draining, watch.Deleted: policy.Gone,
+	watch.Serving: policy.Ready, watch.Draining: policy.Draining, watch.Deleted: policy.Removed,
 }
 
 func (p *Proxy) applyServers(list *watch.Endpoints) {
 	named := map[string]bool{}
-	members := policy.MemberList{Whole: list.Full}
+	members := policy.EndpointUpdate{Full: list.Full}
 	for _, s := range list.Servers {
 		m, addr, err := p.member(s)
 		if err != nil {
 			// What can't be read can't be used, and it may have told of a drain.
 			p.log.Warn("server counts as gone", "server", s.ID, "error", err)
-			m.State = policy.Gone
+			m.State = policy.Removed
 		}
 		if !list.Full { // a whole list may have thousands
 			p.log.Info("server changed", "server", s.ID, "state", s.State, "started_ms", s.Started)
 		}
-		named[s.ID] = m.State != policy.Gone
-		members.Members = append(members.Members, m)
+		named[s.ID] = m.State != policy.Removed
+		members.Endpoints = append(members.Endpoints, m)
 		p.place(m, s.Started, addr)
 	}
 	for id := range p.servers {
@@ -82,8 +82,8 @@
 }
 
 // place tells the pools where a server is, and of its restarts.
-func (p *Proxy) place(m policy.Member, started int64, addr netip.AddrPort) {
-	if m.State == policy.Gone {
+func (p *Proxy) place(m policy.Endpoint, started int64, addr netip.AddrPort) {
+	if m.State == policy.Removed {
 		return
 	}
 	if before, known := p.servers[m.ID]; known && before != started {
@@ -104,13 +104,13 @@
 }
 
 // member decodes one entry of the list.
-func (p *Proxy) member(s watch.Server) (policy.Member, netip.AddrPort, error) {
-	m := policy.Member{
+func (p *Proxy) member(s watch.Server) (policy.Endpoint, netip.AddrPort, error) {
+	m := policy.Endpoint{
 		ID: s.ID, State: states[s.State], Started: p.startTime(s.Started),
 		Kind: slices.Index(p.set.Kinds, s.Kind), Zone: slices.Index(p.set.Zones, s.Zone),
 		Weight: s.Weight, Cell: s.Cell,
 	}
-	if m.State == policy.Gone {
+	if m.State == policy.Removed {
 		return m, netip.AddrPort{}, nil
 	}
 	if m.Kind < 0 || m.Zone < 0 {
--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -16,13 +16,13 @@
 // come back in the reply.
 type Host struct {
 	routers map[string]*policy.Router
-	pages   map[int][]policy.Member
+	pages   map[int][]policy.Endpoint
 	log     io.Writer
 }
 
 // NewHost returns a host without routers that writes its messages to log.
 func NewHost(log io.Writer) *Host {
-	return &Host{routers: map[string]*policy.Router{}, pages: map[int][]policy.Member{}, log: log}
+	return &Host{routers: map[string]*policy.Router{}, pages: map[int][]policy.Endpoint{}, log: log}
 }
 
 // Serve answers batches line by line until the input ends.
@@ -102,7 +102,7 @@
 	}
 	told := decode(e)
 	if e.Op == "Membership" && e.Mode >= 0 && e.Mode <= 2 {
-		told = policy.MemberList{Whole: e.Mode != 0, Members: h.pages[e.Ref]}
+		told = policy.EndpointUpdate{Full: e.Mode != 0, Endpoints: h.pages[e.Ref]}
 	}
 	if told == nil {
 		return nil, nil
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -75,10 +75,10 @@
 
 var states = map[int]policy.State{2: policy.Ready, 1: policy.Draining}
 
-func members(hosts []host) []policy.Member {
-	list := make([]policy.Member, 0, len(hosts))
+func members(hosts []host) []policy.Endpoint {
+	list := make([]policy.Endpoint, 0, len(hosts))
 	for _, h := range hosts {
-		list = append(list, policy.Member{ID: h.Store, State: states[h.Status], Started: us(h.Since),
+		list = append(list, policy.Endpoint{ID: h.Store, State: states[h.Status], Started: us(h.Since),
 			Kind: h.Kind, Zone: h.Zone, Weight: h.Share, Cell: h.Stripe})
 	}
 	return list
--- a/policy/coldbudget_test.go
+++ b/policy/coldbudget_test.go
@@ -10,7 +10,7 @@
 func TestColdCacheBudget(t *testing.T) {
 	g := newRig(t)
 	home := g.serve(1, "x", NoteFilled).Target
-	g.do(MemberList{Members: []Member{{ID: home, State: Ready, Zone: 1, Weight: 5, Started: g.n}}})
+	g.do(EndpointUpdate{Endpoints: []Endpoint{{ID: home, State: Ready, Zone: 1, Weight: 5, Started: g.n}}})
 	sent := 0
 	for i := int64(2); i < 60; i++ {
 		if f := fetchOf(g.request(i, "x", 0)); f != nil && f.Target == home {
@@ -32,7 +32,7 @@
 	for i := range set.Instances {
 		g := &rig{t: t, r: New(set, uint64(i)), n: time.Hour}
 		list := everybody()
-		list.Members[3].Started, list.Members[4].State = g.n, Gone
+		list.Endpoints[3].Started, list.Endpoints[4].State = g.n, Removed
 		g.do(list)
 		for id := int64(1); id < 20; id++ {
 			if f := fetchOf(g.request(id, string(rune('a'+id)), 0)); f != nil && f.Source == "p" {
@@ -49,7 +49,7 @@
 // fleet is many routers that are asked all the time for what lies at one cold member.
 type fleet struct {
 	set     Settings
-	list    MemberList
+	list    EndpointUpdate
 	routers []*Router
 	now     time.Duration
 	sent    []time.Duration // when the cold member was sent something
@@ -109,13 +109,13 @@
 				f.start(i)
 			}
 			started, window := f.now+time.Second, f.set.FallWindow
-			for i := range f.list.Members {
-				m := &f.list.Members[i]
+			for i := range f.list.Endpoints {
+				m := &f.list.Endpoints[i]
 				m.Started = time.Duration(0)
 				if m.ID == cold {
 					m.Started = started
 				} else if m.Kind == 0 && cold == "a" || m.Kind == 1 && cold == "p" {
-					m.State = Gone
+					m.State = Removed
 				}
 			}
 			for tick := int64(0); f.now < started+within-time.Second; tick++ {
@@ -160,7 +160,7 @@
 		g.do(everybody())
 		home := g.serve(1, "x", NoteFilled).Target
 		g.n += time.Minute
-		cold := MemberList{Members: []Member{{ID: home, State: Ready, Zone: 1, Weight: 5, Started: g.n}}}
+		cold := EndpointUpdate{Endpoints: []Endpoint{{ID: home, State: Ready, Zone: 1, Weight: 5, Started: g.n}}}
 		if !startsAnew {
 			g.do(cold)
 		}
@@ -172,7 +172,7 @@
 			}
 		}
 		if startsAnew {
-			cold.Members[0].Started = g.n
+			cold.Endpoints[0].Started = g.n
 			g.do(cold)
 		}
 		sent := 0
@@ -200,7 +200,7 @@
 			g.do(everybody())
 			home := g.serve(1, "x", NoteFilled).Target
 			g.n += time.Minute
-			g.do(MemberList{Members: []Member{{ID: home, State: Ready, Zone: 1, Weight: 5, Started: g.n}}})
+			g.do(EndpointUpdate{Endpoints: []Endpoint{{ID: home, State: Ready, Zone: 1, Weight: 5, Started: g.n}}})
 			for id := int64(2); id < 60; id++ {
 				if f := fetchOf(g.request(id, "x", 0)); f != nil && f.Target == home {
 					sent[processes]++
--- a/policy/estimators_test.go
+++ b/policy/estimators_test.go
@@ -65,7 +65,7 @@
 		m.link.learnCapacity(0.5)
 	}
 	learned := m.link.capacity
-	g.do(MemberList{Members: []Member{{ID: "a", State: Ready, Zone: 1, Weight: 5, Started: g.n}}})
+	g.do(EndpointUpdate{Endpoints: []Endpoint{{ID: "a", State: Ready, Zone: 1, Weight: 5, Started: g.n}}})
 	if m.link.capacity != learned || learned >= m.link.nominal {
 		t.Fatalf("share %v after the restart, %v before", m.link.capacity, learned)
 	}
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -15,7 +15,7 @@
 		Classes: []policy.Class{{Name: "page", Effect: policy.Safe, Aim: time.Second, Worth: 1}},
 	}, 42)
 	now := time.Hour // any clock that only rises
-	router.Handle(now, policy.MemberList{Whole: true, Members: []policy.Member{
+	router.Handle(now, policy.EndpointUpdate{Full: true, Endpoints: []policy.Endpoint{
 		{ID: "cache-1", State: policy.Ready, Zone: 1},
 		{ID: "parent-1", State: policy.Ready, Kind: 1},
 		{ID: "origin", State: policy.Ready, Kind: 2},
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -15,7 +15,7 @@
 		set := world()
 		set.Instances, set.RoutersInZone, set.Index = routers, routers, i
 		r := New(set, uint64(i))
-		r.Handle(time.Hour, MemberList{Whole: true})
+		r.Handle(time.Hour, EndpointUpdate{Full: true})
 		for id := range int64(each) {
 			acts := r.Handle(time.Hour, Request{ID: id + 1, Object: fmt.Sprint(id), Left: 3 * time.Second})
 			refusal, ok := acts[len(acts)-1].(Refuse)
--- a/policy/membership.go
+++ b/policy/membership.go
@@ -16,7 +16,7 @@
 )
 
 type member struct {
-	Member
+	Endpoint
 	hash                    uint64
 	link                    link
 	firstByteWait           mean // as a source, seconds
@@ -29,19 +29,19 @@
 	lastHeard, suspectUntil time.Duration
 }
 
-func (list MemberList) apply(r *Router) {
+func (list EndpointUpdate) apply(r *Router) {
 	for _, m := range r.members {
-		if list.Whole { // members not named again are gone
-			m.State = Gone
+		if list.Full { // members not named again are gone
+			m.State = Removed
 		}
 	}
-	for _, entry := range list.Members {
+	for _, entry := range list.Endpoints {
 		m := r.members[entry.ID]
 		if m == nil {
 			m = &member{hash: xxhash.Sum64String(entry.ID), link: newLink()}
 			r.members[entry.ID] = m
 		}
-		if m.copies == nil || m.Started != entry.Started || entry.State == Gone { // it is empty
+		if m.copies == nil || m.Started != entry.Started || entry.State == Removed { // it is empty
 			m.copies, _ = simplelru.NewLRU[uint64, copyRecord](copyTableSize, nil)
 			m.misindication, m.link.slowdown = ratio{}, 0
 			m.suspicions, m.suspectUntil = 0, 0
@@ -49,7 +49,7 @@
 		if m.Started != entry.Started { // what one life was sent does not weigh on the next
 			m.coldAttempts = nil
 		}
-		m.Member = entry
+		m.Endpoint = entry
 	}
 	r.sortMembers()
 }
@@ -79,7 +79,7 @@
 	for _, id := range slices.Sorted(maps.Keys(r.members)) {
 		m := r.members[id]
 		switch size := r.linkSize(m, defaultCapacity); {
-		case m.State == Gone:
+		case m.State == Removed:
 		case m.Kind == r.settings.OriginKind && (r.origin == nil || m.State > r.origin.State):
 			r.origin = m
 		case m.Kind == r.settings.ParentKind:
--- a/policy/placement_test.go
+++ b/policy/placement_test.go
@@ -21,7 +21,7 @@
 func TestDrainedIsNeitherTargetNorSource(t *testing.T) {
 	g := newRig(t)
 	home := g.serve(1, "x", NoteFilled).Target
-	g.do(MemberList{Members: []Member{{ID: home, State: Draining, Zone: 1, Weight: 5}}})
+	g.do(EndpointUpdate{Endpoints: []Endpoint{{ID: home, State: Draining, Zone: 1, Weight: 5}}})
 	f := fetchOf(g.request(2, "x", 0))
 	if f.Target == home || f.Source == home {
 		t.Fatalf("%s drains and is used: %+v", home, f)
@@ -80,7 +80,7 @@
 		set.ZoneHubs = c.hubs
 		g := &rig{t: t, r: New(set, 1), n: time.Hour}
 		list := everybody()
-		list.Members[4].Zone = 2
+		list.Endpoints[4].Zone = 2
 		g.do(list)
 		near := 0
 		for i := range 100 {
@@ -93,7 +93,7 @@
 		if near < c.near || near > c.most {
 			t.Errorf("hubs %v: %d of 100 from the near parent", c.hubs, near)
 		}
-		g.do(MemberList{Members: []Member{{ID: "p", State: Gone, Kind: 1}}})
+		g.do(EndpointUpdate{Endpoints: []Endpoint{{ID: "p", State: Removed, Kind: 1}}})
 		if f := fetchOf(g.request(1, "x", 0)); f.Source != "q" {
 			t.Errorf("hubs %v: with the near hub lost %q fills", c.hubs, f.Source)
 		}
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -45,25 +45,25 @@
 
 // A keyed request that may have run is repeated only in its scope and within its window.
 func TestKeyedScopeAndWindow(t *testing.T) {
-	first := &member{Member: Member{ID: "a", Zone: 1, Cell: 3}}
+	first := &member{Endpoint: Endpoint{ID: "a", Zone: 1, Cell: 3}}
 	for _, c := range []struct {
 		scope Scope
-		to    Member
+		to    Endpoint
 		after time.Duration
 		want  bool
 	}{
-		{ScopeAll, Member{Zone: 2}, time.Second, true},
-		{ScopeAll, Member{Zone: 2}, 5 * time.Second, false},
-		{ScopeZone, Member{Zone: 1}, time.Second, true},
-		{ScopeZone, Member{Zone: 2}, time.Second, false},
-		{ScopeCell, Member{Zone: 1, Cell: 3}, time.Second, true},
-		{ScopeCell, Member{Zone: 1, Cell: 4}, time.Second, false},
+		{ScopeAll, Endpoint{Zone: 2}, time.Second, true},
+		{ScopeAll, Endpoint{Zone: 2}, 5 * time.Second, false},
+		{ScopeZone, Endpoint{Zone: 1}, time.Second, true},
+		{ScopeZone, Endpoint{Zone: 2}, time.Second, false},
+		{ScopeCell, Endpoint{Zone: 1, Cell: 3}, time.Second, true},
+		{ScopeCell, Endpoint{Zone: 1, Cell: 4}, time.Second, false},
 	} {
 		r := New(world(), 1)
 		req := &request{class: &Class{Effect: Keyed, Scope: c.scope, Window: 5 * time.Second}}
 		req.mayHaveRun = &attempt{target: first, sent: time.Hour}
 		r.now = time.Hour + c.after
-		if got := r.mayRepeat(req, &member{Member: c.to}); got != c.want {
+		if got := r.mayRepeat(req, &member{Endpoint: c.to}); got != c.want {
 			t.Errorf("%+v: %v", c, got)
 		}
 		if got := r.mayRefuse(req); got != (c.scope == ScopeAll) {
--- a/policy/rig_test.go
+++ b/policy/rig_test.go
@@ -25,8 +25,8 @@
 	}
 }
 
-func everybody() MemberList {
-	return MemberList{Whole: true, Members: []Member{
+func everybody() EndpointUpdate {
+	return EndpointUpdate{Full: true, Endpoints: []Endpoint{
 		{ID: "a", State: Ready, Zone: 1, Weight: 5}, {ID: "b", State: Ready, Zone: 1, Weight: 5},
 		{ID: "c", State: Ready, Zone: 1, Weight: 5},
 		{ID: "p", State: Ready, Kind: 1, Weight: 20}, {ID: "q", State: Ready, Kind: 1, Weight: 20},
--- a/policy/router_test.go
+++ b/policy/router_test.go
@@ -72,7 +72,9 @@
 
 // What was decided while a connection came up is looked at again when the first byte goes.
 func TestGuardBeforeTheFirstByte(t *testing.T) {
-	drain := func(id string) Event { return MemberList{Members: []Member{{ID: id, State: Draining, Zone: 1}}} }
+	drain := func(id string) Event {
+		return EndpointUpdate{Endpoints: []Endpoint{{ID: id, State: Draining, Zone: 1}}}
+	}
 	for name, c := range map[string]struct {
 		event func(Fetch) Event
 		want  Verdict
--- a/policy/source_test.go
+++ b/policy/source_test.go
@@ -10,9 +10,9 @@
 func TestReturnedCacheIsFilledFromSibling(t *testing.T) {
 	g := newRig(t)
 	home := g.serve(1, "x", NoteFilled).Target
-	g.do(MemberList{Members: []Member{{ID: home, State: Gone, Zone: 1, Weight: 5}}})
+	g.do(EndpointUpdate{Endpoints: []Endpoint{{ID: home, State: Removed, Zone: 1, Weight: 5}}})
 	next := g.serve(2, "x", NoteFilled).Target
-	g.do(MemberList{Members: []Member{{ID: home, State: Ready, Zone: 1, Weight: 5}}})
+	g.do(EndpointUpdate{Endpoints: []Endpoint{{ID: home, State: Ready, Zone: 1, Weight: 5}}})
 	f := fetchOf(g.request(3, "x", 0))
 	if f.Target != home || f.Source != next {
 		t.Fatalf("want %s filled from %s, got %+v", home, next, f)
@@ -74,7 +74,7 @@
 	if m.copies.Len() != 1 {
 		t.Fatalf("%d copy records", m.copies.Len())
 	}
-	g.do(MemberList{Members: []Member{{ID: home, State: Ready, Zone: 1, Weight: 5, Started: g.n}}})
+	g.do(EndpointUpdate{Endpoints: []Endpoint{{ID: home, State: Ready, Zone: 1, Weight: 5, Started: g.n}}})
 	if m.copies.Len() != 0 || m.misindication != (ratio{}) {
 		t.Fatalf("%d copy records, ratio %+v after a restart", m.copies.Len(), m.misindication)
 	}
--- a/policy/types.go
+++ b/policy/types.go
@@ -94,13 +94,13 @@
 
 // States of a member.
 const (
-	Gone State = iota
+	Removed State = iota
 	Draining
 	Ready
 )
 
-// Member is one cache, parent or origin of the list.
-type Member struct {
+// Endpoint is one cache, parent or origin of the list.
+type Endpoint struct {
 	ID      string
 	State   State
 	Started time.Duration // clock time of its last start; 0: long ago
@@ -114,10 +114,10 @@
 // ClientGone, TimerFired or ClockCorrection. Each is applied in the file of the decisions that it leads to.
 type Event interface{ apply(r *Router) }
 
-// MemberList brings the whole list, or changes to it.
-type MemberList struct {
-	Whole   bool
-	Members []Member
+// EndpointUpdate brings the whole list, or changes to it.
+type EndpointUpdate struct {
+	Full      bool
+	Endpoints []Endpoint
 }
 
 // Request is a client's request that has come in.
