--- a/internal/proxy/audit.go
+++ b/internal/proxy/audit.go
@@ -135,7 +135,7 @@
 
 // wrote looks at an attempt whose last byte has gone: it may run from now on.
 func (u *audit) wrote(a *attempt) {
-	if a.req.effect == policy.Unsafe && a.req.mayHaveRun {
+	if a.req.effect == policy.NonIdempotent && a.req.mayHaveRun {
 		u.report(ranTwice, a.req, a.target)
 	}
 	a.req.mayHaveRun = true
@@ -170,7 +170,7 @@
 		u.report(secondAnswer, q, "")
 	}
 	refused := status == Refused || status == Overloaded
-	if refused && q.effect == policy.Unsafe && q.mayHaveRun {
+	if refused && q.effect == policy.NonIdempotent && q.mayHaveRun {
 		u.report(refusedAfterRun, q, "")
 	}
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -94,7 +94,7 @@
 	number     int64 // the module's
 	to         Responder
 	deadline   eventloop.Clock // by which the answer must have been written
-	effect     policy.Effect
+	effect     policy.Idempotency
 	answers    int  // final answers so far, as the audit counts
 	mayHaveRun bool // a call was written whole and not proven not to have run, as the audit knows
 	timer      *eventloop.Timer
@@ -105,7 +105,7 @@
 }
 
 // safe says that the request may be repeated freely.
-func (q *request) safe() bool { return q.effect == policy.Safe }
+func (q *request) safe() bool { return q.effect == policy.Idempotent }
 
 // New returns a proxy that knows what the configuration knows.
 func New(loop *eventloop.Loop, cfg Config, logger *slog.Logger) *Proxy {
@@ -263,7 +263,7 @@
 	p.lastID++
 	now := p.loop.Now()
 	q := &request{Request: in, number: p.lastID, to: to, deadline: now + in.Wait - min(answerTime, in.Wait/answerPart),
-		effect: p.set.Policy.Classes[in.Class].Effect}
+		effect: p.set.Policy.Classes[in.Class].Idempotency}
 	if p.phase == Stopping {
 		q.deadline = max(now, min(q.deadline, p.endBy))
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -97,11 +97,11 @@
 	return value
 }
 
-var effects = map[string]policy.Effect{
-	"read_like": policy.Safe, "idempotency_key": policy.Keyed, "non_idempotent": policy.Unsafe,
+var effects = map[string]policy.Idempotency{
+	"read_like": policy.Idempotent, "idempotency_key": policy.IdempotencyKey, "non_idempotent": policy.NonIdempotent,
 }
 
-var scopes = map[string]policy.Scope{"all": policy.ScopeAll, "zone": policy.ScopeZone, "cell": policy.ScopeCell}
+var scopes = map[string]policy.DeduplicationScope{"all": policy.ScopeAll, "zone": policy.ScopeZone, "cell": policy.ScopeCell}
 
 var siblings = map[string]policy.Siblings{"location": policy.SiblingsZone, "any": policy.SiblingsAny}
 
@@ -145,7 +145,7 @@
 			longest = max(longest, us(*k.Deadline))
 		}
 		s.Classes = append(s.Classes, policy.Class{
-			Name: k.Name, Effect: effects[k.Semantics], Scope: scopes[k.KeyScope], Window: us(k.Window),
+			Name: k.Name, Idempotency: effects[k.Semantics], DeduplicationScope: scopes[k.KeyScope], DeduplicationWindow: us(k.Window),
 			Aim: us(k.Promise), AimStretch: k.AimStretch,
 			Worth: k.Gain,
 			Fresh: us(at(d.Fresh, i)), Grace: us(at(d.Grace, i)),
--- a/policy/guard.go
+++ b/policy/guard.go
@@ -109,15 +109,15 @@
 func (r *Router) repeatVerdict(req *request, m *member) Verdict {
 	first := req.mayHaveRun
 	switch {
-	case first == nil || req.class.Effect == Safe:
+	case first == nil || req.class.Idempotency == Idempotent:
 		return Verdict{}
-	case req.class.Effect == Unsafe:
+	case req.class.Idempotency == NonIdempotent:
 		return Verdict{RuleDuplicate, ReasonMayHaveRun}
-	case r.now-first.sent >= req.class.Window:
+	case r.now-first.sent >= req.class.DeduplicationWindow:
 		return Verdict{RuleDuplicate, ReasonWindowOver}
-	case req.class.Scope == ScopeAll,
-		req.class.Scope == ScopeZone && m.Zone == first.target.Zone,
-		req.class.Scope == ScopeCell && m.Cell == first.target.Cell && m.Zone == first.target.Zone:
+	case req.class.DeduplicationScope == ScopeAll,
+		req.class.DeduplicationScope == ScopeZone && m.Zone == first.target.Zone,
+		req.class.DeduplicationScope == ScopeCell && m.Cell == first.target.Cell && m.Zone == first.target.Zone:
 		return Verdict{}
 	}
 	return Verdict{RuleDuplicate, ReasonMayHaveRun}
@@ -128,7 +128,7 @@
 // mayRefuse reports whether it may be said that trying again is harmless.
 func (r *Router) mayRefuse(req *request) bool {
 	class := req.class
-	return class.Effect == Safe || req.mayHaveRun == nil || class.Effect == Keyed && class.Scope == ScopeAll
+	return class.Idempotency == Idempotent || req.mayHaveRun == nil || class.Idempotency == IdempotencyKey && class.DeduplicationScope == ScopeAll
 }
 
 // joinsColdBudget counts an attempt in the budgets of cold members that it is not counted in: they have
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -31,7 +31,7 @@
 	silent := !r.healthy(a.target) || !r.healthy(a.source)
 	inTime := r.now+time.Duration(req.work*float64(time.Second)) < req.aim
 	switch {
-	case !lost && !(silent && inTime) || req.class.Effect != Safe || r.retryBudget < 1:
+	case !lost && !(silent && inTime) || req.class.Idempotency != Idempotent || r.retryBudget < 1:
 	case r.settings.SecondCopies:
 		r.decide(req)
 	case r.settings.MayCancel:
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -47,7 +47,7 @@
 func TestKeyedScopeAndWindow(t *testing.T) {
 	first := &member{Endpoint: Endpoint{ID: "a", Zone: 1, Cell: 3}}
 	for _, c := range []struct {
-		scope Scope
+		scope DeduplicationScope
 		to    Endpoint
 		after time.Duration
 		want  bool
@@ -60,7 +60,7 @@
 		{ScopeCell, Endpoint{Zone: 1, Cell: 4}, time.Second, false},
 	} {
 		r := New(world(), 1)
-		req := &request{class: &Class{Effect: Keyed, Scope: c.scope, Window: 5 * time.Second}}
+		req := &request{class: &Class{Idempotency: IdempotencyKey, DeduplicationScope: c.scope, DeduplicationWindow: 5 * time.Second}}
 		req.mayHaveRun = &attempt{target: first, sent: time.Hour}
 		r.now = time.Hour + c.after
 		if got := r.mayRepeat(req, &member{Endpoint: c.to}); got != c.want {
@@ -158,7 +158,7 @@
 func TestRepeatIsNotBegunAfterItsWindow(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		set := world()
-		set.Classes[0] = Class{Effect: Keyed, Scope: ScopeAll, Window: time.Second, Aim: 2 * time.Second, Worth: 1}
+		set.Classes[0] = Class{Idempotency: IdempotencyKey, DeduplicationScope: ScopeAll, DeduplicationWindow: time.Second, Aim: 2 * time.Second, Worth: 1}
 		g := &rig{t: t, r: New(set, 1), n: time.Hour}
 		g.do(everybody())
 		if fetchOf(g.request(1, "x", 0)) == nil {
--- a/policy/rig_test.go
+++ b/policy/rig_test.go
@@ -13,10 +13,10 @@
 		Zone: 1, ParentKind: 1, OriginKind: 2, Instances: 1, RoutersInZone: 1, WeightsTold: true,
 		FlowKBps: 1000, ZoneLink: 100, Direct: true, CanJoin: true, Siblings: SiblingsZone,
 		Classes: []Class{
-			{Effect: Safe, Aim: 500 * ms, AimStretch: 2, Worth: 1},
-			{Effect: Safe, Aim: 500 * ms, AimStretch: 2, Worth: 1,
+			{Idempotency: Idempotent, Aim: 500 * ms, AimStretch: 2, Worth: 1},
+			{Idempotency: Idempotent, Aim: 500 * ms, AimStretch: 2, Worth: 1,
 				Fresh: 8 * time.Second, Grace: 10 * time.Second},
-			{Effect: Unsafe, Aim: 500 * ms, Worth: 3, PassOn: true},
+			{Idempotency: NonIdempotent, Aim: 500 * ms, Worth: 3, PassOn: true},
 		},
 		MaxAttempts: 6, MayCancel: true, MaxComeBack: time.Second,
 		ColdShare: 0.2, WarmWithin: 10 * time.Second, FallMultiple: 2, FallWindow: 2 * time.Second,
--- a/policy/types.go
+++ b/policy/types.go
@@ -7,39 +7,39 @@
 
 import "time"
 
-// Effect says what repeating a request of a class may do.
-type Effect int
+// Idempotency says what repeating a request of a class may do.
+type Idempotency int
 
 // The effects a class can have.
 const (
-	Unsafe Effect = iota // must never run twice; also what an unknown effect counts as
-	Keyed                // a group of stores drops repeats for a while
-	Safe                 // may be repeated freely
+	NonIdempotent  Idempotency = iota // must never run twice; also what an unknown effect counts as
+	IdempotencyKey                    // a group of stores drops repeats for a while
+	Idempotent                        // may be repeated freely
 )
 
-// Scope is the group of stores that share what they know of repeats of a keyed request.
-type Scope int
+// DeduplicationScope is the group of stores that share what they know of repeats of a keyed request.
+type DeduplicationScope int
 
 // The scopes of a keyed class.
 const (
-	ScopeCell Scope = iota
+	ScopeCell DeduplicationScope = iota
 	ScopeZone
 	ScopeAll
 )
 
 // Class describes one class of requests.
 type Class struct {
-	Name       string
-	Effect     Effect
-	Scope      Scope
-	Window     time.Duration // how long repeats of a keyed request are dropped
-	Aim        time.Duration // full worth when answered within this, plus AimStretch times the sending time
-	AimStretch float64
-	Worth      float64
-	Fresh      time.Duration // 0: good until purged
-	Grace      time.Duration // how much past Fresh a copy may still be served when asked for
-	PassOn     bool          // never kept: runs at the origin
-	Stream     bool
+	Name                string
+	Idempotency         Idempotency
+	DeduplicationScope  DeduplicationScope
+	DeduplicationWindow time.Duration // how long repeats of a keyed request are dropped
+	Aim                 time.Duration // full worth when answered within this, plus AimStretch times the sending time
+	AimStretch          float64
+	Worth               float64
+	Fresh               time.Duration // 0: good until purged
+	Grace               time.Duration // how much past Fresh a copy may still be served when asked for
+	PassOn              bool          // never kept: runs at the origin
+	Stream              bool
 }
 
 // Siblings says which caches may be the source of a fill.
