--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -146,10 +146,10 @@
 		}
 		s.Classes = append(s.Classes, policy.Class{
 			Name: k.Name, Idempotency: effects[k.Semantics], DeduplicationScope: scopes[k.KeyScope], DeduplicationWindow: us(k.Window),
-			Aim: us(k.Promise), AimStretch: k.AimStretch,
-			Worth: k.Gain,
-			Fresh: us(at(d.Fresh, i)), Grace: us(at(d.Grace, i)),
-			PassOn: at(d.PassOn, i), Stream: k.Stream,
+			LatencyObjective: us(k.Promise), LatencyObjectiveStretch: k.AimStretch,
+			PriorityWeight: k.Gain,
+			FreshFor:       us(at(d.Fresh, i)), StaleFor: us(at(d.Grace, i)),
+			Uncacheable: at(d.PassOn, i), Stream: k.Stream,
 		})
 	}
 	return Settings{
--- a/policy/estimators.go
+++ b/policy/estimators.go
@@ -168,7 +168,7 @@
 	if work == 0 && o.fromCopy() && a.targetTime < congestedFrom*req.work {
 		work = o.Took.Seconds()
 	}
-	if work > 0 && o.Result == ResultOK && req.SizeKB == 0 && !req.class.PassOn {
+	if work > 0 && o.Result == ResultOK && req.SizeKB == 0 && !req.class.Uncacheable {
 		r.classWork[req.class.Name].add(work, requestSamples)
 		r.partWork.Add(req.key, work)
 	}
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -12,7 +12,7 @@
 	router := policy.New(policy.Settings{
 		Zone: 1, ParentKind: 1, OriginKind: 2, Instances: 1, RoutersInZone: 1, FlowKBps: 5000,
 		Siblings: policy.SiblingsZone, MaxAttempts: 4,
-		Classes: []policy.Class{{Name: "page", Idempotency: policy.Idempotent, Aim: time.Second, Worth: 1}},
+		Classes: []policy.Class{{Name: "page", Idempotency: policy.Idempotent, LatencyObjective: time.Second, PriorityWeight: 1}},
 	}, 42)
 	now := time.Hour // any clock that only rises
 	router.Handle(now, policy.EndpointUpdate{Full: true, Endpoints: []policy.Endpoint{
--- a/policy/health.go
+++ b/policy/health.go
@@ -107,7 +107,7 @@
 	case o.Note == NoteOriginFailed, direct && (o.Note == NoteSourceRefused || o.Note == NoteSourceFailed),
 		direct && a.target == r.origin && o.Result == ResultFull:
 		r.originLimiter.decrease(r.now, failureDecrease)
-	case o.Note == NoteFilledByOrigin && (slow || o.SourceWait > a.request.class.Aim):
+	case o.Note == NoteFilledByOrigin && (slow || o.SourceWait > a.request.class.LatencyObjective):
 		r.originLimiter.decrease(r.now, lateDecrease)
 	case o.Note == NoteFilledByOrigin, direct && o.Result == ResultOK:
 		r.originLimiter.increase()
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -14,11 +14,11 @@
 func (r *Router) decide(req *request) {
 	target := r.firstWithRoom(req, r.ranked(r.caches, req))
 	switch {
-	case req.class.PassOn && !r.usable(r.origin, req):
+	case req.class.Uncacheable && !r.usable(r.origin, req):
 		r.finishUnserved(req)
-	case req.class.PassOn && r.settings.Direct:
+	case req.class.Uncacheable && r.settings.Direct:
 		r.startAttempt(req, r.origin, r.origin)
-	case req.class.PassOn && target != nil:
+	case req.class.Uncacheable && target != nil:
 		r.startAttempt(req, target, r.origin)
 	case target != nil && (r.healthy(target) || !r.settings.Direct):
 		r.startAttempt(req, target, r.chooseSource(req, target))
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -158,7 +158,7 @@
 func TestRepeatIsNotBegunAfterItsWindow(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		set := world()
-		set.Classes[0] = Class{Idempotency: IdempotencyKey, DeduplicationScope: ScopeAll, DeduplicationWindow: time.Second, Aim: 2 * time.Second, Worth: 1}
+		set.Classes[0] = Class{Idempotency: IdempotencyKey, DeduplicationScope: ScopeAll, DeduplicationWindow: time.Second, LatencyObjective: 2 * time.Second, PriorityWeight: 1}
 		g := &rig{t: t, r: New(set, 1), n: time.Hour}
 		g.do(everybody())
 		if fetchOf(g.request(1, "x", 0)) == nil {
--- a/policy/router.go
+++ b/policy/router.go
@@ -109,16 +109,16 @@
 	req.key = mixHash(xxhash.Sum64String(arrived.Object) + uint64(arrived.Part)*0x9e3779b97f4a7c15)
 	learned, known := r.partWork.Get(req.key)
 	req.sized = known || arrived.SizeKB > 0
-	req.work = cmp.Or(learned, r.classWork[class.Name].value, class.Aim.Seconds()/4)
+	req.work = cmp.Or(learned, r.classWork[class.Name].value, class.LatencyObjective.Seconds()/4)
 	if arrived.SizeKB > 0 && r.settings.FlowKBps > 0 {
 		req.work = arrived.SizeKB / r.settings.FlowKBps
 		r.classWork[class.Name].add(req.work, requestSamples)
 	}
-	stretch := time.Duration(class.AimStretch * req.work * float64(time.Second))
-	req.aim = min(r.now+class.Aim+stretch-clientTime, req.deadline)
+	stretch := time.Duration(class.LatencyObjectiveStretch * req.work * float64(time.Second))
+	req.aim = min(r.now+class.LatencyObjective+stretch-clientTime, req.deadline)
 	r.requests[arrived.ID] = req
 	r.meanWork.add(req.work, requestSamples)
-	r.meanWorth.add(class.Worth, requestSamples)
+	r.meanWorth.add(class.PriorityWeight, requestSamples)
 	r.retryBudget = min(r.retryBudget+retryShare, retryBurst)
 	r.decide(req)
 }
@@ -167,11 +167,11 @@
 	a := &attempt{request: req, number: len(req.attempts), target: target, source: source,
 		slowest: &target.link, sent: r.now, begun: r.now}
 	wait := r.estimate(a)
-	if !r.isCache(source) && !a.expectHit && !req.class.PassOn { // it may load the origin
+	if !r.isCache(source) && !a.expectHit && !req.class.Uncacheable { // it may load the origin
 		a.limited = r.originLimiter.admits(r.rng.Float64)
 		a.heldOnly = !a.limited
 	}
-	if a.heldOnly && source == r.origin && !req.class.PassOn || r.shouldShed(a, wait) {
+	if a.heldOnly && source == r.origin && !req.class.Uncacheable || r.shouldShed(a, wait) {
 		r.finishUnserved(req)
 		return
 	}
@@ -211,7 +211,7 @@
 	}
 	a.targetTime = use(&a.target.link, r.warmShare(a.target))
 	a.expectHit = r.isCache(a.target) && r.likelyHolds(a.target, a.request)
-	if a.request.class.PassOn || a.expectHit {
+	if a.request.class.Uncacheable || a.expectHit {
 		return 0
 	}
 	a.missChance = 1
@@ -234,7 +234,7 @@
 // shouldShed reports whether congestion makes a request late; those of least worth for their time go first.
 func (r *Router) shouldShed(a *attempt, wait float64) bool {
 	req := a.request
-	value := req.class.Worth / req.work / (r.meanWorth.value / r.meanWork.value)
+	value := req.class.PriorityWeight / req.work / (r.meanWorth.value / r.meanWork.value)
 	share := min(1, math.Pow(value, min(1, a.expected/req.work-1)))
 	full := a.congested && a.expected > congestedFrom*req.work
 	return r.mayRefuse(req) && full && wait+a.expected > share*(req.aim-r.now).Seconds()
@@ -242,21 +242,21 @@
 
 func (r *Router) fetch(a *attempt) Fetch {
 	req, f := a.request, Fetch{ID: a.request.ID, Target: a.target.ID, Source: a.source.ID}
-	if req.class.PassOn {
+	if req.class.Uncacheable {
 		return f
 	}
 	f.Keep, f.Join, f.HeldOnly = 1, r.settings.CanJoin, a.heldOnly
 	if slices.ContainsFunc(r.caches, func(m *member) bool { return m.copies.Contains(req.key) }) {
 		f.Keep = 2 // it was asked for before: kept longer than what came once
 	}
-	f.Renew = req.class.Fresh > 0 && !a.heldOnly
-	if (a.number > 0 || a.heldOnly) && req.class.Fresh > 0 {
-		f.MaxAge = req.class.Fresh + req.class.Grace
+	f.Renew = req.class.FreshFor > 0 && !a.heldOnly
+	if (a.number > 0 || a.heldOnly) && req.class.FreshFor > 0 {
+		f.MaxAge = req.class.FreshFor + req.class.StaleFor
 	}
 	// A copy from before a purge may still exist: its age is bounded. A further attempt joins no fill.
 	if at, purged := r.purgedAt(req); purged && r.now-at <= r.settings.ClearedWithin+r.settings.PurgeGrace {
 		since := max(r.now-at, time.Microsecond)
-		f.MaxAge = min(cmp.Or(f.MaxAge, req.class.Fresh, since), since)
+		f.MaxAge = min(cmp.Or(f.MaxAge, req.class.FreshFor, since), since)
 		f.Join = f.Join && a.number == 0
 	}
 	return f
--- a/policy/router_test.go
+++ b/policy/router_test.go
@@ -124,7 +124,7 @@
 	write := fetchOf(g.request(2, "y", 2))
 
 	later := set
-	later.Classes = []Class{{Name: "write", Idempotency: NonIdempotent, PassOn: true, Worth: 3, Aim: 500 * ms}, set.Classes[0]}
+	later.Classes = []Class{{Name: "write", Idempotency: NonIdempotent, Uncacheable: true, PriorityWeight: 3, LatencyObjective: 500 * ms}, set.Classes[0]}
 	later.MaxAttempts = 1
 	g.do(later)
 	if f := fetchOf(g.request(3, "z", 0)); f == nil || f.Target != "o" || f.Target != write.Target {
--- a/policy/source.go
+++ b/policy/source.go
@@ -36,7 +36,7 @@
 
 func (r *Router) observeCopy(a *attempt, o Outcome) {
 	req, sibling := a.request, a.source != a.target && r.isCache(a.source)
-	if o.Result == ResultOK && o.Note != NoteNone && r.isCache(a.target) && !req.class.PassOn {
+	if o.Result == ResultOK && o.Note != NoteNone && r.isCache(a.target) && !req.class.Uncacheable {
 		r.recordCopy(a.target, req, !o.fromCopy())
 	}
 	filled := o.Result == ResultOK && (o.Note == NoteFilled || o.Note == NoteFilledByOrigin)
@@ -76,7 +76,7 @@
 	record, known := m.copies.Peek(req.key)
 	at, purged := r.purgedAt(req)
 	return known && (!purged || at < record.filled) && r.now-record.seen < copyMemory &&
-		(req.class.Fresh == 0 || r.now-record.filled < req.class.Fresh)
+		(req.class.FreshFor == 0 || r.now-record.filled < req.class.FreshFor)
 }
 
 func (r *Router) chooseSource(req *request, target *member) *member {
--- a/policy/source_test.go
+++ b/policy/source_test.go
@@ -131,7 +131,7 @@
 	if !g.r.likelyHolds(m, req) {
 		t.Fatal("a new belief must count")
 	}
-	if g.r.now += req.class.Fresh; g.r.likelyHolds(m, req) {
+	if g.r.now += req.class.FreshFor; g.r.likelyHolds(m, req) {
 		t.Fatal("a copy past its fresh time is believed in")
 	}
 }
--- a/policy/types.go
+++ b/policy/types.go
@@ -29,17 +29,17 @@
 
 // Class describes one class of requests.
 type Class struct {
-	Name                string
-	Idempotency         Idempotency
-	DeduplicationScope  DeduplicationScope
-	DeduplicationWindow time.Duration // how long repeats of a keyed request are dropped
-	Aim                 time.Duration // full worth when answered within this, plus AimStretch times the sending time
-	AimStretch          float64
-	Worth               float64
-	Fresh               time.Duration // 0: good until purged
-	Grace               time.Duration // how much past Fresh a copy may still be served when asked for
-	PassOn              bool          // never kept: runs at the origin
-	Stream              bool
+	Name                    string
+	Idempotency             Idempotency
+	DeduplicationScope      DeduplicationScope
+	DeduplicationWindow     time.Duration // how long repeats of a keyed request are dropped
+	LatencyObjective        time.Duration // full worth when answered within this, plus AimStretch times the sending time
+	LatencyObjectiveStretch float64
+	PriorityWeight          float64
+	FreshFor                time.Duration // 0: good until purged
+	StaleFor                time.Duration // how much past Fresh a copy may still be served when asked for
+	Uncacheable             bool          // never kept: runs at the origin
+	Stream                  bool
 }
 
 // Siblings says which caches may be the source of a fill.
