--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -112,8 +112,8 @@
 	}
 	c := resp.Call{
 		ID: a.req.ID, Class: a.req.Name, Object: a.req.Object, Part: strconv.Itoa(a.req.Part),
-		Wait: max(a.req.deadline-now, time.Millisecond), Keep: f.Keep, MaxAge: f.MaxAge, Have: a.req.Version, Token: a.req.Token,
-		Coalesce: f.Join, Shallow: f.HeldOnly, Freshen: f.Renew, Body: a.req.Body,
+		Wait: max(a.req.deadline-now, time.Millisecond), Keep: f.RetentionRank, MaxAge: f.MaxAge, Have: a.req.Version, Token: a.req.Token,
+		Coalesce: f.CoalesceFill, Shallow: f.CachedOnly, Freshen: f.StaleWhileRevalidate, Body: a.req.Body,
 	}
 	if f.Source != f.Target {
 		c.Source = f.Source
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -231,8 +231,8 @@
 		if q := p.requests[a.ID]; q != nil {
 			p.attempt(q, a)
 		}
-	case policy.Refuse:
-		p.answer(p.requests[a.ID], Answer{Status: Refused, ComeBack: a.ComeBack})
+	case policy.Reject:
+		p.answer(p.requests[a.ID], Answer{Status: Refused, ComeBack: a.RetryAfter})
 	case policy.Fail:
 		p.answer(p.requests[a.ID], Answer{Status: Failed})
 	case policy.Cancel:
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -130,10 +130,10 @@
 	switch a := a.(type) {
 	case policy.Fetch:
 		return action{Op: "FetchThrough", Proxy: proxy, Job: &a.ID, Store: a.Target, Source: a.Source,
-			Rank: &a.Keep, Age: a.MaxAge.Microseconds(),
-			Manner: flag(a.Join, 1) + flag(a.HeldOnly, 2) + flag(a.Renew, 8)}
-	case policy.Refuse:
-		return action{Op: "PushBack", Proxy: proxy, Job: &a.ID, CoolDown: a.ComeBack.Microseconds()}
+			Rank: &a.RetentionRank, Age: a.MaxAge.Microseconds(),
+			Manner: flag(a.CoalesceFill, 1) + flag(a.CachedOnly, 2) + flag(a.StaleWhileRevalidate, 8)}
+	case policy.Reject:
+		return action{Op: "PushBack", Proxy: proxy, Job: &a.ID, CoolDown: a.RetryAfter.Microseconds()}
 	case policy.Fail:
 		return action{Op: "EndFailed", Proxy: proxy, Job: &a.ID}
 	case policy.Cancel:
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -23,7 +23,7 @@
 	for _, action := range router.Handle(now, policy.Request{ID: 1, Object: "a.html", SizeKB: 50, Left: 3 * time.Second}) {
 		switch a := action.(type) {
 		case policy.Fetch:
-			fmt.Printf("ask %s, fill from %s, keep at rank %d\n", a.Target, a.Source, a.Keep)
+			fmt.Printf("ask %s, fill from %s, keep at rank %d\n", a.Target, a.Source, a.RetentionRank)
 		case policy.StartTimer:
 			fmt.Println("look again after", a.In > 0)
 		}
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -18,11 +18,11 @@
 		r.Handle(time.Hour, EndpointUpdate{Full: true})
 		for id := range int64(each) {
 			acts := r.Handle(time.Hour, Request{ID: id + 1, Object: fmt.Sprint(id), Left: 3 * time.Second})
-			refusal, ok := acts[len(acts)-1].(Refuse)
-			if !ok || refusal.ComeBack < minComeBack || refusal.ComeBack >= 2*minComeBack {
+			refusal, ok := acts[len(acts)-1].(Reject)
+			if !ok || refusal.RetryAfter < minComeBack || refusal.RetryAfter >= 2*minComeBack {
 				t.Fatalf("router %d: %+v", i, acts)
 			}
-			comeBack[refusal.ComeBack/bin]++
+			comeBack[refusal.RetryAfter/bin]++
 		}
 	}
 	part := float64(routers*each) / float64(minComeBack/bin)
@@ -48,7 +48,7 @@
 				r.Handle(time.Hour, Purge{Group: group, Age: 50 * ms})
 			}
 			f := fetchOf(r.Handle(time.Hour+ms, Request{ID: 1, Object: fmt.Sprint(object), Group: object, SizeKB: 10, Left: 3 * time.Second}))
-			if f == nil || !f.Join || f.MaxAge != 51*ms {
+			if f == nil || !f.CoalesceFill || f.MaxAge != 51*ms {
 				t.Fatalf("router %d, object %d: %+v", i, object, f)
 			}
 			targets[f.Target], sources[f.Source] = true, true
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -54,12 +54,12 @@
 func TestOriginLimitFalls(t *testing.T) {
 	g := newRig(t)
 	for i := int64(1); i < 8; i++ {
-		if fetchOf(g.request(i, string(rune('a'+i)), 0)).HeldOnly {
+		if fetchOf(g.request(i, string(rune('a'+i)), 0)).CachedOnly {
 			t.Fatal("the limit is reached before any failure")
 		}
 	}
 	g.do(Outcome{ID: 1, Result: ResultError, Note: NoteOriginFailed, Took: 20 * ms})
-	if f := fetchOf(g.request(20, "new", 0)); f == nil || !f.HeldOnly {
+	if f := fetchOf(g.request(20, "new", 0)); f == nil || !f.CachedOnly {
 		t.Fatalf("the origin failed and is asked on: %+v", f)
 	}
 }
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -66,7 +66,7 @@
 	var answer Action = Fail{ID: req.ID}
 	if r.mayRefuse(req) {
 		wait := minComeBack + time.Duration(r.rng.Int64N(int64(minComeBack)))
-		answer = Refuse{ID: req.ID, ComeBack: min(wait, max(r.settings.MaxComeBack, minComeBack))}
+		answer = Reject{ID: req.ID, RetryAfter: min(wait, max(r.settings.MaxComeBack, minComeBack))}
 	}
 	r.actions = append(r.actions, answer)
 	r.finishID(req.ID)
--- a/policy/rig_test.go
+++ b/policy/rig_test.go
@@ -65,7 +65,7 @@
 func finals(acts []Action) (n int) {
 	for _, a := range acts {
 		switch a.(type) {
-		case Refuse, Fail:
+		case Reject, Fail:
 			n++
 		}
 	}
--- a/policy/router.go
+++ b/policy/router.go
@@ -245,11 +245,11 @@
 	if req.class.Uncacheable {
 		return f
 	}
-	f.Keep, f.Join, f.HeldOnly = 1, r.settings.CanJoin, a.heldOnly
+	f.RetentionRank, f.CoalesceFill, f.CachedOnly = 1, r.settings.CanJoin, a.heldOnly
 	if slices.ContainsFunc(r.caches, func(m *member) bool { return m.copies.Contains(req.key) }) {
-		f.Keep = 2 // it was asked for before: kept longer than what came once
+		f.RetentionRank = 2 // it was asked for before: kept longer than what came once
 	}
-	f.Renew = req.class.FreshFor > 0 && !a.heldOnly
+	f.StaleWhileRevalidate = req.class.FreshFor > 0 && !a.heldOnly
 	if (a.number > 0 || a.heldOnly) && req.class.FreshFor > 0 {
 		f.MaxAge = req.class.FreshFor + req.class.StaleFor
 	}
@@ -257,7 +257,7 @@
 	if at, purged := r.purgedAt(req); purged && r.now-at <= r.settings.ClearedWithin+r.settings.PurgeGrace {
 		since := max(r.now-at, time.Microsecond)
 		f.MaxAge = min(cmp.Or(f.MaxAge, req.class.FreshFor, since), since)
-		f.Join = f.Join && a.number == 0
+		f.CoalesceFill = f.CoalesceFill && a.number == 0
 	}
 	return f
 }
--- a/policy/router_test.go
+++ b/policy/router_test.go
@@ -93,7 +93,7 @@
 		g.n += 10 * ms
 		g.do(c.event(*f))
 		now, verdict := g.r.MaySend(g.n+20*ms, Sending{ID: 1, Left: time.Second})
-		if verdict != c.want || now.MaxAge != c.age || now.Join != c.join {
+		if verdict != c.want || now.MaxAge != c.age || now.CoalesceFill != c.join {
 			t.Errorf("%s: %v %+v", name, verdict, now)
 		}
 	}
--- a/policy/source_test.go
+++ b/policy/source_test.go
@@ -48,15 +48,15 @@
 	g.do(Purge{Object: "x", Age: 100 * ms})
 	g.n += 50 * ms
 	f := fetchOf(g.request(1, "x", 0))
-	if f.MaxAge != 150*ms || !f.Join {
+	if f.MaxAge != 150*ms || !f.CoalesceFill {
 		t.Fatalf("want age 150 ms, and a join as all that miss at once would fill, got %+v", f)
 	}
 	f = fetchOf(g.do(Outcome{ID: 1, Result: ResultError, Took: 20 * ms})) // what it joined was too old, perhaps
-	if f == nil || f.MaxAge != 150*ms || f.Join {
+	if f == nil || f.MaxAge != 150*ms || f.CoalesceFill {
 		t.Fatalf("want age 150 ms and no join in a further attempt, got %+v", f)
 	}
 	g.n += 7 * time.Second
-	if f = fetchOf(g.request(2, "x", 0)); f.MaxAge != 0 || !f.Join {
+	if f = fetchOf(g.request(2, "x", 0)); f.MaxAge != 0 || !f.CoalesceFill {
 		t.Fatalf("the purge is over, got %+v", f)
 	}
 	g.do(Purge{Group: 0})
--- a/policy/types.go
+++ b/policy/types.go
@@ -213,20 +213,20 @@
 
 // Fetch sends an attempt to Target, with orders for a miss.
 type Fetch struct {
-	ID       int64
-	Target   string
-	Source   string        // the target itself: nothing is filled
-	Keep     int           // rank of the copy; 0: keep none
-	MaxAge   time.Duration // oldest copy that will do; 0: as the class has it
-	Join     bool          // wait for a fill that is under way
-	HeldOnly bool          // the source gives only what it holds
-	Renew    bool          // serve an ageing copy and fetch it anew behind
+	ID                   int64
+	Target               string
+	Source               string        // the target itself: nothing is filled
+	RetentionRank        int           // rank of the copy; 0: keep none
+	MaxAge               time.Duration // oldest copy that will do; 0: as the class has it
+	CoalesceFill         bool          // wait for a fill that is under way
+	CachedOnly           bool          // the source gives only what it holds
+	StaleWhileRevalidate bool          // serve an ageing copy and fetch it anew behind
 }
 
-// Refuse is a final answer: not done, and trying again is harmless.
-type Refuse struct {
-	ID       int64
-	ComeBack time.Duration
+// Reject is a final answer: not done, and trying again is harmless.
+type Reject struct {
+	ID         int64
+	RetryAfter time.Duration
 }
 
 // Fail is a final answer that promises nothing of the effect.
@@ -245,7 +245,7 @@
 }
 
 func (Fetch) action()      {}
-func (Refuse) action()     {}
+func (Reject) action()     {}
 func (Fail) action()       {}
 func (Cancel) action()     {}
 func (StartTimer) action() {}
