--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -51,7 +51,7 @@
 	q.attempts = append(q.attempts, a)
 	q.pending++
 	if q.finished {
-		p.end(a, resp.Answer{}, policy.ResultMoot)
+		p.end(a, resp.Answer{}, policy.ResultNotSent)
 		return
 	}
 	slot, err := p.pools.Get(f.Target, !q.safe(), func(s *connpool.Slot) bool { return s.Owner.(*upstream).takes(q) })
@@ -103,7 +103,7 @@
 	now := a.p.loop.Fresh() // the process may have been without its core since the turn began
 	f, ok := a.maySend(now)
 	if !ok {
-		a.p.end(a, resp.Answer{}, policy.ResultMoot)
+		a.p.end(a, resp.Answer{}, policy.ResultNotSent)
 		return nil, false
 	}
 	a.source = f.Source
@@ -193,8 +193,8 @@
 
 // A word without a result counts as an error: it may have run.
 var results = map[resp.Word]policy.Result{
-	resp.Served: policy.ResultOK, resp.StillGood: policy.ResultOK, resp.NotHere: policy.ResultMiss,
-	resp.Overload: policy.ResultFull, resp.Crashed: policy.ResultError, resp.Nobody: policy.ResultMoot,
+	resp.Served: policy.ResultOK, resp.StillGood: policy.ResultOK, resp.NotHere: policy.ResultNotFound,
+	resp.Overload: policy.ResultRejected, resp.Crashed: policy.ResultError, resp.Nobody: policy.ResultNotSent,
 }
 
 // mustClose says that a call is given up so that another may follow, where no second one may be out: a
@@ -222,15 +222,15 @@
 	if a.neverRan() && ans.Word == 0 { // whatever ended it
 		switch result {
 		case policy.ResultCancelled:
-			result = policy.ResultMoot
+			result = policy.ResultNotSent
 		case policy.ResultTimeout, policy.ResultReset:
 			result = policy.ResultConnectFailed
 		}
 	}
 	a.result = result
 	p.audit.ended(a, result)
-	p.notify(policy.Outcome{ID: a.req.number, Attempt: a.number, Result: result, Note: policy.Note(ans.Note),
-		Took: p.loop.Now() - a.created, SourceWait: ans.SourceWait, Sending: p.sending(ans), Finished: a.req.finished})
+	p.notify(policy.Outcome{ID: a.req.number, Attempt: a.number, Result: result, CacheStatus: policy.CacheStatus(ans.Note),
+		Elapsed: p.loop.Now() - a.created, SourceFirstByte: ans.SourceWait, TransferTime: p.sending(ans), RequestFinished: a.req.finished})
 	p.forget(a.req)
 }
 
--- a/internal/proxy/audit.go
+++ b/internal/proxy/audit.go
@@ -144,7 +144,7 @@
 // ended looks at the end of an attempt that was written whole.
 func (u *audit) ended(a *attempt, result policy.Result) {
 	switch result {
-	case policy.ResultFull, policy.ResultMiss, policy.ResultMoot, policy.ResultConnectFailed:
+	case policy.ResultRejected, policy.ResultNotFound, policy.ResultNotSent, policy.ResultConnectFailed:
 		if a.written {
 			a.req.mayHaveRun = false
 		}
--- a/internal/proxy/peerclock_test.go
+++ b/internal/proxy/peerclock_test.go
@@ -114,7 +114,7 @@
 			router.Handle(loop.Now(), ev)
 		}
 	}
-	for _, a := range router.Handle(loop.Now(), policy.Request{ID: 1, Object: "x", Left: time.Second}) {
+	for _, a := range router.Handle(loop.Now(), policy.Request{ID: 1, Object: "x", Remaining: time.Second}) {
 		if f, ok := a.(policy.Fetch); ok && (f.MaxAge <= 0 || f.MaxAge > last) {
 			t.Errorf("copies of %v are asked for, the purge was %v ago", f.MaxAge, last)
 		}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -272,7 +272,7 @@
 	p.bodies += len(q.Body)
 	q.timer = p.loop.At(q.deadline, func() { p.expire(q) })
 	p.notify(policy.Request{ID: q.number, Object: in.Object, Part: in.Part, Group: in.Group, Class: in.Class,
-		SizeKB: in.SizeKB, Left: q.deadline - now})
+		SizeKB: in.SizeKB, Remaining: q.deadline - now})
 	return q.number
 }
 
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -97,7 +97,7 @@
 // connectResult is how a call ended whose connection did not come up. What this machine lacks is no fault of the server.
 func connectResult(err error) policy.Result {
 	if errors.Is(err, eventloop.ErrLocal) || errors.Is(err, connpool.ErrNoSocket) {
-		return policy.ResultMoot
+		return policy.ResultNotSent
 	}
 	return policy.ResultConnectFailed
 }
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -85,16 +85,16 @@
 }
 
 var results = map[int]policy.Result{
-	0: policy.ResultOK, 5: policy.ResultError, 11: policy.ResultFull, 110: policy.ResultTimeout,
+	0: policy.ResultOK, 5: policy.ResultError, 11: policy.ResultRejected, 110: policy.ResultTimeout,
 	111: policy.ResultConnectFailed, 104: policy.ResultReset, 125: policy.ResultCancelled,
-	114: policy.ResultMoot, 2: policy.ResultMiss,
+	114: policy.ResultNotSent, 2: policy.ResultNotFound,
 }
 
-func note(n int) policy.Note {
-	if n < int(policy.NoteNone) || n > int(policy.NoteOriginFailed) {
-		return policy.NoteNone
+func note(n int) policy.CacheStatus {
+	if n < int(policy.CacheStatusNone) || n > int(policy.CacheStatusOriginFailed) {
+		return policy.CacheStatusNone
 	}
-	return policy.Note(n)
+	return policy.CacheStatus(n)
 }
 
 // decode gives the policy event for e, or nil for one that says nothing to the policy. A list's entries
@@ -103,10 +103,10 @@
 	switch e.Op {
 	case "Ingress":
 		return policy.Request{ID: e.Job, Object: e.Asset, Part: int(e.Part), Group: int(e.SetNo), Class: e.Kind,
-			SizeKB: e.SizeKB, Left: us(e.Expires)}
+			SizeKB: e.SizeKB, Remaining: us(e.Expires)}
 	case "Reply":
-		return policy.Outcome{ID: e.Job, Attempt: e.Try, Result: results[e.Verdict], Note: note(e.Note),
-			Took: us(e.Duration), SourceWait: us(e.SourceWait), Finished: e.Finished}
+		return policy.Outcome{ID: e.Job, Attempt: e.Try, Result: results[e.Verdict], CacheStatus: note(e.Note),
+			Elapsed: us(e.Duration), SourceFirstByte: us(e.SourceWait), RequestFinished: e.Finished}
 	case "FirstByte":
 		return policy.StreamStarted{ID: e.Job, Attempt: e.Try}
 	case "Voided":
--- a/policy/coldbudget_test.go
+++ b/policy/coldbudget_test.go
@@ -9,7 +9,7 @@
 // A cold cache gets no more than its budget.
 func TestColdCacheBudget(t *testing.T) {
 	g := newRig(t)
-	home := g.serve(1, "x", NoteFilled).Target
+	home := g.serve(1, "x", CacheStatusFilled).Target
 	g.do(EndpointUpdate{Endpoints: []Endpoint{{ID: home, State: Ready, Zone: 1, Weight: 5, Started: g.n}}})
 	sent := 0
 	for i := int64(2); i < 60; i++ {
@@ -66,13 +66,13 @@
 func (f *fleet) ask(cold string, id int64) {
 	for _, r := range f.routers {
 		for n := range int64(8) {
-			q := Request{ID: id<<8 + n, Object: string(rune('a' + n)), Class: 0, SizeKB: 100, Left: 3 * time.Second}
+			q := Request{ID: id<<8 + n, Object: string(rune('a' + n)), Class: 0, SizeKB: 100, Remaining: 3 * time.Second}
 			if got := fetchOf(r.Handle(f.now, q)); got != nil && (got.Target == cold || got.Source == cold) {
 				f.sent = append(f.sent, f.now)
 			}
 			r.Handle(f.now, ClientGone{q.ID})
 			for i := range 2 {
-				r.Handle(f.now, Outcome{ID: q.ID, Attempt: i, Result: ResultCancelled, Finished: true})
+				r.Handle(f.now, Outcome{ID: q.ID, Attempt: i, Result: ResultCancelled, RequestFinished: true})
 			}
 		}
 	}
@@ -158,7 +158,7 @@
 		set.ColdShare, set.FallWindow = 0.05, time.Second
 		g := &rig{t: t, r: New(set, 1), n: time.Hour}
 		g.do(everybody())
-		home := g.serve(1, "x", NoteFilled).Target
+		home := g.serve(1, "x", CacheStatusFilled).Target
 		g.n += time.Minute
 		cold := EndpointUpdate{Endpoints: []Endpoint{{ID: home, State: Ready, Zone: 1, Weight: 5, Started: g.n}}}
 		if !startsAnew {
@@ -198,7 +198,7 @@
 		for i := range processes {
 			g := &rig{t: t, r: New(set, uint64(i)), n: time.Hour}
 			g.do(everybody())
-			home := g.serve(1, "x", NoteFilled).Target
+			home := g.serve(1, "x", CacheStatusFilled).Target
 			g.n += time.Minute
 			g.do(EndpointUpdate{Endpoints: []Endpoint{{ID: home, State: Ready, Zone: 1, Weight: 5, Started: g.n}}})
 			for id := int64(2); id < 60; id++ {
@@ -206,7 +206,7 @@
 					sent[processes]++
 				}
 				g.do(ClientGone{ID: id})
-				g.do(Outcome{ID: id, Result: ResultCancelled, Finished: true})
+				g.do(Outcome{ID: id, Result: ResultCancelled, RequestFinished: true})
 			}
 		}
 	}
--- a/policy/estimators.go
+++ b/policy/estimators.go
@@ -132,41 +132,41 @@
 }
 
 func (r *Router) observePace(a *attempt, o Outcome) {
-	if o.Result != ResultOK || o.Note == NoteJoined {
+	if o.Result != ResultOK || o.CacheStatus == CacheStatusCoalesced {
 		return
 	}
 	hit := o.fromCopy()
-	if !a.expectHit && o.Note != NoteNone && r.isCache(a.target) {
+	if !a.expectHit && o.CacheStatus != CacheStatusNone && r.isCache(a.target) {
 		r.missShare.add(map[bool]float64{false: 1}[hit], waitSamples)
 	}
 	l, expected := a.slowest, a.expected
 	if hit {
 		l, expected = &a.target.link, a.targetTime
 	}
-	took, work := (o.Took - o.SourceWait).Seconds(), a.request.work
-	if o.Sending > 0 {
-		work = o.Sending.Seconds()
+	took, work := (o.Elapsed - o.SourceFirstByte).Seconds(), a.request.work
+	if o.TransferTime > 0 {
+		work = o.TransferTime.Seconds()
 		expected *= work / a.request.work
 	} else if !a.request.sized && expected < congestedFrom*work && took < unusualFrom*work {
 		return
 	}
 	took = math.Max(took, work)
-	if !a.congested && (o.Sending > 0 || a.request.sized) {
+	if !a.congested && (o.TransferTime > 0 || a.request.sized) {
 		if !hit {
 			l = &a.source.link
 		}
 		if work >= minTimedWork {
 			l.learnSlowdown(r.now, took/work)
 		}
-	} else if (o.Sending > 0 || !l.told) && math.Max(took, expected) >= congestedFrom*work {
+	} else if (o.TransferTime > 0 || !l.told) && math.Max(took, expected) >= congestedFrom*work {
 		l.learnCapacity(math.Max(expected, work) / took)
 	}
 }
 
 func (r *Router) observeSize(a *attempt, o Outcome) {
-	req, work := a.request, o.Sending.Seconds()
+	req, work := a.request, o.TransferTime.Seconds()
 	if work == 0 && o.fromCopy() && a.targetTime < congestedFrom*req.work {
-		work = o.Took.Seconds()
+		work = o.Elapsed.Seconds()
 	}
 	if work > 0 && o.Result == ResultOK && req.SizeKB == 0 && !req.class.Uncacheable {
 		r.classWork[req.class.Name].add(work, requestSamples)
--- a/policy/estimators_test.go
+++ b/policy/estimators_test.go
@@ -33,7 +33,7 @@
 	set.Instances, set.RoutersInZone = 200, 5
 	g := &rig{t: t, r: New(set, 1), n: time.Hour}
 	g.do(everybody())
-	f := fetchOf(g.do(Request{ID: 1, Object: "x", SizeKB: 300, Left: 3 * time.Second}))
+	f := fetchOf(g.do(Request{ID: 1, Object: "x", SizeKB: 300, Remaining: 3 * time.Second}))
 	if f == nil || f.Source == "o" {
 		t.Fatalf("nothing is under way and the first miss is not filled from a parent: %+v", f)
 	}
@@ -80,12 +80,12 @@
 		if id%2 == 1 {
 			object, sending = "large", 750*ms
 		}
-		g.do(Request{ID: id + 1, Object: object, Left: 6 * time.Second})
+		g.do(Request{ID: id + 1, Object: object, Remaining: 6 * time.Second})
 		g.n += 2 * sending
-		g.do(Outcome{ID: id + 1, Result: ResultOK, Note: NoteHit, Took: 2 * sending, Sending: sending, Finished: true})
+		g.do(Outcome{ID: id + 1, Result: ResultOK, CacheStatus: CacheStatusHit, Elapsed: 2 * sending, TransferTime: sending, RequestFinished: true})
 	}
 	for object, want := range map[string]float64{"small": 0.05, "large": 0.75, "unknown": 0.4} {
-		g.do(Request{ID: 99, Object: object, Left: 6 * time.Second})
+		g.do(Request{ID: 99, Object: object, Remaining: 6 * time.Second})
 		if got := g.r.requests[99].work; math.Abs(got-want) > 0.01 {
 			t.Errorf("%s is expected to take %v s, want %v", object, got, want)
 		}
@@ -100,12 +100,12 @@
 	g := newRig(t)
 	guess := newRig(t).r.classWork[""].value
 	ask := func(id int64, took time.Duration) *member {
-		f := fetchOf(g.do(Request{ID: id, Object: "x", Class: 0, Left: 3 * time.Second}))
+		f := fetchOf(g.do(Request{ID: id, Object: "x", Class: 0, Remaining: 3 * time.Second}))
 		if f == nil {
 			t.Fatalf("request %d was not sent", id)
 		}
 		g.n += took
-		g.do(Outcome{ID: id, Result: ResultOK, Note: NoteHit, Took: took, Finished: true})
+		g.do(Outcome{ID: id, Result: ResultOK, CacheStatus: CacheStatusHit, Elapsed: took, RequestFinished: true})
 		return g.r.members[f.Target]
 	}
 	var m *member
@@ -140,7 +140,7 @@
 		g := &rig{t: t, r: New(set, 1), n: time.Hour}
 		g.do(everybody())
 		for id := range int64(60) { // a burst: every link on the way is taken to be full
-			g.do(Request{ID: id + 1, Object: string(rune('a' + id)), Left: 3 * time.Second})
+			g.do(Request{ID: id + 1, Object: string(rune('a' + id)), Remaining: 3 * time.Second})
 		}
 		var full *link
 		for id := range int64(60) {
@@ -150,7 +150,7 @@
 			}
 			full = req.attempts[0].slowest
 			g.n += ms
-			g.do(Outcome{ID: id + 1, Result: ResultOK, Note: NoteFilled, Took: 2 * time.Second, Sending: c.sending, Finished: true})
+			g.do(Outcome{ID: id + 1, Result: ResultOK, CacheStatus: CacheStatusFilled, Elapsed: 2 * time.Second, TransferTime: c.sending, RequestFinished: true})
 			break
 		}
 		if full == nil {
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -20,7 +20,7 @@
 		{ID: "parent-1", State: policy.Ready, Kind: 1},
 		{ID: "origin", State: policy.Ready, Kind: 2},
 	}})
-	for _, action := range router.Handle(now, policy.Request{ID: 1, Object: "a.html", SizeKB: 50, Left: 3 * time.Second}) {
+	for _, action := range router.Handle(now, policy.Request{ID: 1, Object: "a.html", SizeKB: 50, Remaining: 3 * time.Second}) {
 		switch a := action.(type) {
 		case policy.Fetch:
 			fmt.Printf("ask %s, fill from %s, keep at rank %d\n", a.Target, a.Source, a.RetentionRank)
@@ -28,8 +28,8 @@
 			fmt.Println("look again after", a.In > 0)
 		}
 	}
-	router.Handle(now+30*time.Millisecond, policy.Outcome{ID: 1, Result: policy.ResultOK, Note: policy.NoteFilled,
-		Took: 30 * time.Millisecond, SourceWait: 8 * time.Millisecond, Finished: true})
+	router.Handle(now+30*time.Millisecond, policy.Outcome{ID: 1, Result: policy.ResultOK, CacheStatus: policy.CacheStatusFilled,
+		Elapsed: 30 * time.Millisecond, SourceFirstByte: 8 * time.Millisecond, RequestFinished: true})
 	// Output:
 	// ask cache-1, fill from parent-1, keep at rank 1
 	// look again after true
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -17,7 +17,7 @@
 		r := New(set, uint64(i))
 		r.Handle(time.Hour, EndpointUpdate{Full: true})
 		for id := range int64(each) {
-			acts := r.Handle(time.Hour, Request{ID: id + 1, Object: fmt.Sprint(id), Left: 3 * time.Second})
+			acts := r.Handle(time.Hour, Request{ID: id + 1, Object: fmt.Sprint(id), Remaining: 3 * time.Second})
 			refusal, ok := acts[len(acts)-1].(Reject)
 			if !ok || refusal.RetryAfter < minComeBack || refusal.RetryAfter >= 2*minComeBack {
 				t.Fatalf("router %d: %+v", i, acts)
@@ -47,7 +47,7 @@
 			for group := range 32 {
 				r.Handle(time.Hour, Purge{Group: group, Age: 50 * ms})
 			}
-			f := fetchOf(r.Handle(time.Hour+ms, Request{ID: 1, Object: fmt.Sprint(object), Group: object, SizeKB: 10, Left: 3 * time.Second}))
+			f := fetchOf(r.Handle(time.Hour+ms, Request{ID: 1, Object: fmt.Sprint(object), Group: object, SizeKB: 10, Remaining: 3 * time.Second}))
 			if f == nil || !f.CoalesceFill || f.MaxAge != 51*ms {
 				t.Fatalf("router %d, object %d: %+v", i, object, f)
 			}
--- a/policy/health.go
+++ b/policy/health.go
@@ -18,15 +18,15 @@
 
 func (r *Router) observeHealth(a *attempt, o Outcome) {
 	switch {
-	case o.Note != NoteNone, o.Result == ResultOK, o.Result == ResultMiss, o.Result == ResultFull:
+	case o.CacheStatus != CacheStatusNone, o.Result == ResultOK, o.Result == ResultNotFound, o.Result == ResultRejected:
 		a.target.markHealthy(r.now)
 	case o.Result == ResultConnectFailed:
 		a.target.markSuspect(r.now)
 	}
-	switch o.Note {
-	case NoteSourceFailed:
+	switch o.CacheStatus {
+	case CacheStatusSourceFailed:
 		a.source.markSuspect(r.now)
-	case NoteOriginFailed, NoteSourceLacks, NoteFilled, NoteFilledByOrigin:
+	case CacheStatusOriginFailed, CacheStatusSourceMissing, CacheStatusFilled, CacheStatusFilledByOrigin:
 		a.source.markHealthy(r.now)
 	}
 }
@@ -101,15 +101,15 @@
 		r.originLimiter.inFlight--
 	}
 	direct := a.source == r.origin
-	late, sending := r.now > a.request.aim, (o.Took - o.SourceWait).Seconds()
-	slow := late && o.Sending > 0 && sending > unusualFrom*o.Sending.Seconds()
+	late, sending := r.now > a.request.aim, (o.Elapsed - o.SourceFirstByte).Seconds()
+	slow := late && o.TransferTime > 0 && sending > unusualFrom*o.TransferTime.Seconds()
 	switch {
-	case o.Note == NoteOriginFailed, direct && (o.Note == NoteSourceRefused || o.Note == NoteSourceFailed),
-		direct && a.target == r.origin && o.Result == ResultFull:
+	case o.CacheStatus == CacheStatusOriginFailed, direct && (o.CacheStatus == CacheStatusSourceRejected || o.CacheStatus == CacheStatusSourceFailed),
+		direct && a.target == r.origin && o.Result == ResultRejected:
 		r.originLimiter.decrease(r.now, failureDecrease)
-	case o.Note == NoteFilledByOrigin && (slow || o.SourceWait > a.request.class.LatencyObjective):
+	case o.CacheStatus == CacheStatusFilledByOrigin && (slow || o.SourceFirstByte > a.request.class.LatencyObjective):
 		r.originLimiter.decrease(r.now, lateDecrease)
-	case o.Note == NoteFilledByOrigin, direct && o.Result == ResultOK:
+	case o.CacheStatus == CacheStatusFilledByOrigin, direct && o.Result == ResultOK:
 		r.originLimiter.increase()
 	}
 }
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -9,28 +9,28 @@
 // wherever it goes is given up, and no cache is suspected for it.
 func TestFailuresCountOnceOthersAnswer(t *testing.T) {
 	g := newRig(t)
-	home := g.serve(1, "x", NoteFilled).Target
+	home := g.serve(1, "x", CacheStatusFilled).Target
 	for id := int64(2); id < 4; id++ {
 		if f := fetchOf(g.request(id, "x", 0)); f.Target != home {
 			t.Fatalf("request %d goes to %s, not %s", id, f.Target, home)
 		}
-		f := fetchOf(g.do(Outcome{ID: id, Result: ResultError, Took: ms}))
+		f := fetchOf(g.do(Outcome{ID: id, Result: ResultError, Elapsed: ms}))
 		if f == nil || f.Target != home {
 			t.Fatalf("after one error want %s again, got %+v", home, f)
 		}
-		f = fetchOf(g.do(Outcome{ID: id, Attempt: 1, Result: ResultError, Took: ms}))
+		f = fetchOf(g.do(Outcome{ID: id, Attempt: 1, Result: ResultError, Elapsed: ms}))
 		if f == nil || f.Target == home {
 			t.Fatalf("after a second error: %+v", f)
 		}
-		g.do(Outcome{ID: id, Attempt: 2, Result: ResultOK, Note: NoteFilled, Took: 150 * ms, Finished: true})
+		g.do(Outcome{ID: id, Attempt: 2, Result: ResultOK, CacheStatus: CacheStatusFilled, Elapsed: 150 * ms, RequestFinished: true})
 	}
 	f := fetchOf(g.request(4, "x", 0))
 	if f.Target == home {
 		t.Fatalf("%s failed two requests that others answered, and gets a third", home)
 	}
-	g.do(Outcome{ID: 4, Result: ResultOK, Note: NoteHit, Took: 100 * ms, Finished: true})
+	g.do(Outcome{ID: 4, Result: ResultOK, CacheStatus: CacheStatusHit, Elapsed: 100 * ms, RequestFinished: true})
 	g.n += firstSuspicion
-	g.serve(5, "x", NoteHit)
+	g.serve(5, "x", CacheStatusHit)
 	if !g.r.healthy(g.r.members[home]) {
 		t.Fatal("a good answer must bring it back")
 	}
@@ -38,7 +38,7 @@
 	g.request(6, "y", 0)
 	attempts, acts := 1, []Action(nil)
 	for ; finals(acts) == 0; attempts++ {
-		acts = g.do(Outcome{ID: 6, Attempt: attempts - 1, Result: ResultError, Took: ms})
+		acts = g.do(Outcome{ID: 6, Attempt: attempts - 1, Result: ResultError, Elapsed: ms})
 	}
 	if attempts-1 != maxFailures {
 		t.Errorf("%d attempts", attempts-1)
@@ -58,7 +58,7 @@
 			t.Fatal("the limit is reached before any failure")
 		}
 	}
-	g.do(Outcome{ID: 1, Result: ResultError, Note: NoteOriginFailed, Took: 20 * ms})
+	g.do(Outcome{ID: 1, Result: ResultError, CacheStatus: CacheStatusOriginFailed, Elapsed: 20 * ms})
 	if f := fetchOf(g.request(20, "new", 0)); f == nil || !f.CachedOnly {
 		t.Fatalf("the origin failed and is asked on: %+v", f)
 	}
@@ -72,14 +72,14 @@
 	}
 	before := g.r.originLimiter.limit
 	g.n += 700 * ms
-	g.do(Outcome{ID: 1, Result: ResultOK, Note: NoteFilledByOrigin, Took: 700 * ms, SourceWait: 600 * ms,
-		Finished: true})
+	g.do(Outcome{ID: 1, Result: ResultOK, CacheStatus: CacheStatusFilledByOrigin, Elapsed: 700 * ms, SourceFirstByte: 600 * ms,
+		RequestFinished: true})
 	if g.r.originLimiter.limit >= before {
 		t.Fatalf("limit %v after a slow answer, %v before", g.r.originLimiter.limit, before)
 	}
 	after := g.r.originLimiter.limit
-	g.do(Outcome{ID: 2, Result: ResultOK, Note: NoteFilledByOrigin, Took: 700 * ms, SourceWait: 50 * ms,
-		Finished: true})
+	g.do(Outcome{ID: 2, Result: ResultOK, CacheStatus: CacheStatusFilledByOrigin, Elapsed: 700 * ms, SourceFirstByte: 50 * ms,
+		RequestFinished: true})
 	if g.r.originLimiter.limit <= after {
 		t.Fatal("a quick answer of the origin must raise the limit")
 	}
@@ -119,7 +119,7 @@
 		for id := int64(1); id < 20; id++ {
 			g.request(id, string(rune('a'+id)), 0)
 			g.n += 200 * ms
-			g.do(Outcome{ID: id, Result: ResultError, Note: NoteOriginFailed, Took: 20 * ms})
+			g.do(Outcome{ID: id, Result: ResultError, CacheStatus: CacheStatusOriginFailed, Elapsed: 20 * ms})
 		}
 		shut := g.r.originLimiter.limit
 		if (shut < 1) != c.below || shut <= 0 {
@@ -127,7 +127,7 @@
 		}
 		a := &attempt{request: &request{class: &set.Classes[0]}, source: g.r.members["p"], target: g.r.members["a"]}
 		for range 20 {
-			g.r.observeOrigin(a, Outcome{Result: ResultOK, Note: NoteFilledByOrigin})
+			g.r.observeOrigin(a, Outcome{Result: ResultOK, CacheStatus: CacheStatusFilledByOrigin})
 		}
 		if g.r.originLimiter.limit < shut+1 {
 			t.Fatalf("%d routers: answers raised the limit from %v to %v only", c.instances, shut, g.r.originLimiter.limit)
@@ -153,7 +153,7 @@
 		}
 		before := g.r.originLimiter.limit
 		g.n += c.took
-		g.do(Outcome{ID: 1, Result: ResultOK, Note: NoteFilledByOrigin, Took: c.took, SourceWait: 50 * ms, Sending: c.sending, Finished: true})
+		g.do(Outcome{ID: 1, Result: ResultOK, CacheStatus: CacheStatusFilledByOrigin, Elapsed: c.took, SourceFirstByte: 50 * ms, TransferTime: c.sending, RequestFinished: true})
 		if lowered := g.r.originLimiter.limit < before; lowered != c.lowers {
 			t.Errorf("%+v: limit %v, %v before", c, g.r.originLimiter.limit, before)
 		}
--- a/policy/placement_test.go
+++ b/policy/placement_test.go
@@ -7,8 +7,8 @@
 
 func TestSameObjectSameCacheAndParent(t *testing.T) {
 	g := newRig(t)
-	first := g.serve(1, "x", NoteFilled)
-	second := g.serve(2, "x", NoteHit)
+	first := g.serve(1, "x", CacheStatusFilled)
+	second := g.serve(2, "x", CacheStatusHit)
 	if first.Target != second.Target || first.Source != second.Source {
 		t.Fatalf("%+v then %+v", first, second)
 	}
@@ -20,7 +20,7 @@
 // A cache that drains hands its objects to the next in hash order, which fills from it no more.
 func TestDrainedIsNeitherTargetNorSource(t *testing.T) {
 	g := newRig(t)
-	home := g.serve(1, "x", NoteFilled).Target
+	home := g.serve(1, "x", CacheStatusFilled).Target
 	g.do(EndpointUpdate{Endpoints: []Endpoint{{ID: home, State: Draining, Zone: 1, Weight: 5}}})
 	f := fetchOf(g.request(2, "x", 0))
 	if f.Target == home || f.Source == home {
@@ -60,7 +60,7 @@
 // A cache with too many bytes under way is passed over for the next in hash order (bounded load).
 func TestBoundedLoadPassesOver(t *testing.T) {
 	g := newRig(t)
-	home := g.serve(1, "x", NoteFilled).Target
+	home := g.serve(1, "x", CacheStatusFilled).Target
 	m := g.r.members[home]
 	for i := 0; i < 40; i++ {
 		m.link.inFlight = append(m.link.inFlight, &attempt{request: &request{work: 0.1}, target: m})
@@ -106,7 +106,7 @@
 	g, object, id := newRig(t), "", int64(0)
 	fill := func() string {
 		id++
-		f := fetchOf(g.do(Request{ID: id, Object: object, Left: 6 * time.Second}))
+		f := fetchOf(g.do(Request{ID: id, Object: object, Remaining: 6 * time.Second}))
 		if f == nil {
 			t.Fatalf("request %d was not sent", id)
 		}
@@ -115,7 +115,7 @@
 			took = 900 * ms
 		}
 		g.n += 100 * ms
-		g.do(Outcome{ID: id, Result: ResultOK, Note: NoteFilled, Took: took, Sending: 200 * ms, Finished: true})
+		g.do(Outcome{ID: id, Result: ResultOK, CacheStatus: CacheStatusFilled, Elapsed: took, TransferTime: 200 * ms, RequestFinished: true})
 		g.do(Purge{Object: object}) // so that no sibling is expected to hold it
 		return f.Source
 	}
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -44,8 +44,8 @@
 	switch {
 	case req.pending > 0:
 		return
-	case o.Note == NoteSourceLacks:
-	case o.Note == NoteSourceFailed, o.Note == NoteSourceRefused, o.Note == NoteOriginFailed:
+	case o.CacheStatus == CacheStatusSourceMissing:
+	case o.CacheStatus == CacheStatusSourceFailed, o.CacheStatus == CacheStatusSourceRejected, o.CacheStatus == CacheStatusOriginFailed:
 		req.avoid[a.source] = true
 	case !a.failed && o.Result != ResultCancelled, a.number > 0, !r.healthy(a.target):
 		req.avoid[a.target] = true // after one error or lost answer alone the copy is still there
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -10,13 +10,13 @@
 	for _, c := range []struct {
 		result Result
 		again  bool
-	}{{ResultReset, false}, {ResultTimeout, false}, {ResultError, false}, {ResultFull, true},
+	}{{ResultReset, false}, {ResultTimeout, false}, {ResultError, false}, {ResultRejected, true},
 		{ResultConnectFailed, true}} {
 		g := newRig(t)
 		if f := fetchOf(g.request(1, "w", 2)); f == nil || f.Target != "o" {
 			t.Fatalf("a write goes to the origin, got %+v", f)
 		}
-		acts := g.do(Outcome{ID: 1, Result: c.result, Took: 10 * ms})
+		acts := g.do(Outcome{ID: 1, Result: c.result, Elapsed: 10 * ms})
 		if again := fetchOf(acts) != nil; again != c.again {
 			t.Errorf("result %v: sent again %v", c.result, again)
 		}
@@ -31,13 +31,13 @@
 // One reset is the connection's, not the cache's: the next attempt goes to the same cache. Incident i39a6ba.
 func TestOneResetIsNoDeath(t *testing.T) {
 	g := newRig(t)
-	home := g.serve(1, "x", NoteFilled).Target
+	home := g.serve(1, "x", CacheStatusFilled).Target
 	g.request(2, "x", 0)
-	f := fetchOf(g.do(Outcome{ID: 2, Result: ResultReset, Took: 20 * ms}))
+	f := fetchOf(g.do(Outcome{ID: 2, Result: ResultReset, Elapsed: 20 * ms}))
 	if f == nil || f.Target != home {
 		t.Fatalf("after one reset want %s again, got %+v", home, f)
 	}
-	f = fetchOf(g.do(Outcome{ID: 2, Attempt: 1, Result: ResultReset, Took: 20 * ms}))
+	f = fetchOf(g.do(Outcome{ID: 2, Attempt: 1, Result: ResultReset, Elapsed: 20 * ms}))
 	if f == nil || f.Target == home {
 		t.Fatalf("after a second reset want another cache, got %+v", f)
 	}
@@ -80,11 +80,11 @@
 		set.SecondCopies = second
 		g := &rig{t: t, r: New(set, 1), n: time.Hour}
 		g.do(everybody())
-		home := g.serve(1, "x", NoteFilled).Target
+		home := g.serve(1, "x", CacheStatusFilled).Target
 		acts := g.request(2, "x", 0)
 		due := acts[1].(StartTimer)
 		g.n += ms
-		g.serve(3, "x", NoteHit)
+		g.serve(3, "x", CacheStatusHit)
 		g.n += due.In
 		acts = g.do(TimerFired{Token: due.Token})
 		if !second {
@@ -107,12 +107,12 @@
 func TestLargeObjectIsNotTakenForLost(t *testing.T) {
 	g := newRig(t)
 	ask := func(id int64, object string) []Action {
-		return g.do(Request{ID: id, Object: object, Left: 6 * time.Second})
+		return g.do(Request{ID: id, Object: object, Remaining: 6 * time.Second})
 	}
 	for id := range int64(20) {
 		ask(id+1, "small")
 		g.n += 100 * ms
-		g.do(Outcome{ID: id + 1, Result: ResultOK, Note: NoteHit, Took: 100 * ms, Finished: true})
+		g.do(Outcome{ID: id + 1, Result: ResultOK, CacheStatus: CacheStatusHit, Elapsed: 100 * ms, RequestFinished: true})
 	}
 	due := ask(30, "large")[1].(StartTimer)
 	if due.In < 700*ms {
@@ -126,7 +126,7 @@
 	due := g.request(1, "w", 2)[1].(StartTimer)
 	g.n += ms
 	g.request(2, "w", 2)
-	g.do(Outcome{ID: 2, Result: ResultOK, Took: ms, Finished: true})
+	g.do(Outcome{ID: 2, Result: ResultOK, Elapsed: ms, RequestFinished: true})
 	g.n += due.In
 	if acts := g.do(TimerFired{Token: due.Token}); len(acts) != 0 {
 		t.Fatalf("%+v", acts)
@@ -143,7 +143,7 @@
 		for f != nil {
 			attempts++
 			if attempts%3 != 0 {
-				g.do(Outcome{ID: id + 1, Attempt: len(g.r.requests[id+1].attempts) - 1, Result: ResultOK, Note: NoteHit, Finished: true})
+				g.do(Outcome{ID: id + 1, Attempt: len(g.r.requests[id+1].attempts) - 1, Result: ResultOK, CacheStatus: CacheStatusHit, RequestFinished: true})
 				break
 			}
 			acts := g.do(Outcome{ID: id + 1, Attempt: len(g.r.requests[id+1].attempts) - 1, Result: ResultError})
--- a/policy/rig_test.go
+++ b/policy/rig_test.go
@@ -50,7 +50,7 @@
 func (g *rig) do(ev Event) []Action { return g.r.Handle(g.n, ev) }
 
 func (g *rig) request(id int64, object string, class int) []Action {
-	return g.do(Request{ID: id, Object: object, Class: class, SizeKB: 100, Left: 3 * time.Second})
+	return g.do(Request{ID: id, Object: object, Class: class, SizeKB: 100, Remaining: 3 * time.Second})
 }
 
 func fetchOf(acts []Action) *Fetch {
@@ -72,12 +72,12 @@
 	return n
 }
 
-func (g *rig) serve(id int64, object string, note Note) Fetch {
+func (g *rig) serve(id int64, object string, note CacheStatus) Fetch {
 	f := fetchOf(g.request(id, object, 0))
 	if f == nil {
 		g.t.Fatalf("request %d was not sent", id)
 	}
 	g.n += 150 * ms
-	g.do(Outcome{ID: id, Result: ResultOK, Note: note, Took: 150 * ms, SourceWait: 20 * ms, Finished: true})
+	g.do(Outcome{ID: id, Result: ResultOK, CacheStatus: note, Elapsed: 150 * ms, SourceFirstByte: 20 * ms, RequestFinished: true})
 	return *f
 }
--- a/policy/router.go
+++ b/policy/router.go
@@ -105,7 +105,7 @@
 		return
 	}
 	class := &r.settings.Classes[arrived.Class]
-	req := &request{Request: arrived, class: class, avoid: map[*member]bool{}, deadline: r.now + arrived.Left}
+	req := &request{Request: arrived, class: class, avoid: map[*member]bool{}, deadline: r.now + arrived.Remaining}
 	req.key = mixHash(xxhash.Sum64String(arrived.Object) + uint64(arrived.Part)*0x9e3779b97f4a7c15)
 	learned, known := r.partWork.Get(req.key)
 	req.sized = known || arrived.SizeKB > 0
@@ -144,11 +144,11 @@
 	r.observeCopy(a, o)
 	r.observePace(a, o)
 	r.observeSize(a, o)
-	neverRan := []Result{ResultFull, ResultConnectFailed, ResultMoot, ResultMiss}
+	neverRan := []Result{ResultRejected, ResultConnectFailed, ResultNotSent, ResultNotFound}
 	if req.mayHaveRun == a && slices.Contains(neverRan, o.Result) {
 		req.mayHaveRun = nil
 	}
-	if o.Finished || req.finished {
+	if o.RequestFinished || req.finished {
 		r.finishID(req.ID)
 	} else if o.Result != ResultOK {
 		r.retry(a, o)
--- a/policy/router_test.go
+++ b/policy/router_test.go
@@ -7,15 +7,15 @@
 )
 
 func TestEveryRequestIsFinishedOnce(t *testing.T) {
-	for _, result := range []Result{ResultError, ResultFull, ResultTimeout, ResultConnectFailed, ResultReset,
-		ResultCancelled, ResultMoot, ResultMiss} {
+	for _, result := range []Result{ResultError, ResultRejected, ResultTimeout, ResultConnectFailed, ResultReset,
+		ResultCancelled, ResultNotSent, ResultNotFound} {
 		for class := 0; class < 3; class++ {
 			g := newRig(t)
 			acts := g.request(1, "x", class)
 			ends := finals(acts)
 			for try := 0; fetchOf(acts) != nil; try++ {
 				g.n += 600 * ms
-				acts = g.do(Outcome{ID: 1, Attempt: try, Result: result, Took: 600 * ms})
+				acts = g.do(Outcome{ID: 1, Attempt: try, Result: result, Elapsed: 600 * ms})
 				ends += finals(acts)
 			}
 			if ends != 1 || len(g.r.requests) != 0 {
@@ -32,7 +32,7 @@
 			all = append(all, g.request(i, string(rune('a'+i%40)), int(i%3)))
 			g.n += 3 * ms
 			if i > 20 {
-				all = append(all, g.do(Outcome{ID: i - 20, Result: Result(i % 9), Took: 60 * ms, Finished: i%9 == 1}))
+				all = append(all, g.do(Outcome{ID: i - 20, Result: Result(i % 9), Elapsed: 60 * ms, RequestFinished: i%9 == 1}))
 			}
 		}
 		return all
@@ -46,7 +46,7 @@
 func TestAdmissionByWorthPerSendingTime(t *testing.T) {
 	g := newRig(t)
 	ask := func(id int64, kb float64) *Fetch {
-		return fetchOf(g.do(Request{ID: id, Object: "x", SizeKB: kb, Left: 5 * time.Second}))
+		return fetchOf(g.do(Request{ID: id, Object: "x", SizeKB: kb, Remaining: 5 * time.Second}))
 	}
 	short, long := 0, 0
 	for i := int64(1); i < 400; i++ {
@@ -119,7 +119,7 @@
 	}
 	g := &rig{t: t, r: New(set, 1), n: time.Hour}
 	g.do(everybody())
-	g.serve(1, "x", NoteHit)
+	g.serve(1, "x", CacheStatusHit)
 	learned := g.r.classWork["old"].value
 	write := fetchOf(g.request(2, "y", 2))
 
@@ -137,11 +137,11 @@
 	if f == nil || f.Target == "o" {
 		t.Fatalf("the read, by its new number: %+v", f)
 	}
-	if acts := g.do(Outcome{ID: 4, Result: ResultFull}); fetchOf(acts) != nil || finals(acts) != 1 {
+	if acts := g.do(Outcome{ID: 4, Result: ResultRejected}); fetchOf(acts) != nil || finals(acts) != 1 {
 		t.Errorf("after the one attempt: %+v", acts)
 	}
 	if acts := g.request(5, "x", 2); finals(acts) != 1 { // a class that is gone
 		t.Errorf("%+v", acts)
 	}
-	g.do(Outcome{ID: 2, Result: ResultOK, Sending: time.Second, Finished: true}) // of the class that had number 2
+	g.do(Outcome{ID: 2, Result: ResultOK, TransferTime: time.Second, RequestFinished: true}) // of the class that had number 2
 }
--- a/policy/source.go
+++ b/policy/source.go
@@ -32,35 +32,37 @@
 	return max(object, group), objectPurged || groupPurged
 }
 
-func (o Outcome) fromCopy() bool { return o.Note == NoteHit || o.Note == NoteStale }
+func (o Outcome) fromCopy() bool {
+	return o.CacheStatus == CacheStatusHit || o.CacheStatus == CacheStatusStale
+}
 
 func (r *Router) observeCopy(a *attempt, o Outcome) {
 	req, sibling := a.request, a.source != a.target && r.isCache(a.source)
-	if o.Result == ResultOK && o.Note != NoteNone && r.isCache(a.target) && !req.class.Uncacheable {
+	if o.Result == ResultOK && o.CacheStatus != CacheStatusNone && r.isCache(a.target) && !req.class.Uncacheable {
 		r.recordCopy(a.target, req, !o.fromCopy())
 	}
-	filled := o.Result == ResultOK && (o.Note == NoteFilled || o.Note == NoteFilledByOrigin)
-	if sibling && (filled || o.Note == NoteSourceLacks) {
-		a.source.misindication.add(o.Note == NoteSourceLacks)
+	filled := o.Result == ResultOK && (o.CacheStatus == CacheStatusFilled || o.CacheStatus == CacheStatusFilledByOrigin)
+	if sibling && (filled || o.CacheStatus == CacheStatusSourceMissing) {
+		a.source.misindication.add(o.CacheStatus == CacheStatusSourceMissing)
 	}
-	if o.Note == NoteSourceLacks {
+	if o.CacheStatus == CacheStatusSourceMissing {
 		req.avoid[a.source] = true
 		if sibling {
 			a.source.copies.Remove(req.key)
 		}
 	}
-	if !filled || o.SourceWait <= 0 {
+	if !filled || o.SourceFirstByte <= 0 {
 		return
 	}
 	source, tier := a.source, &r.parentWait
-	if o.Note == NoteFilledByOrigin && r.origin != nil {
+	if o.CacheStatus == CacheStatusFilledByOrigin && r.origin != nil {
 		source = r.origin // the parent itself was waiting for it
 	}
 	if sibling {
 		tier = &r.siblingWait
 	}
-	source.firstByteWait.add(o.SourceWait.Seconds(), waitSamples)
-	tier.add(o.SourceWait.Seconds(), waitSamples)
+	source.firstByteWait.add(o.SourceFirstByte.Seconds(), waitSamples)
+	tier.add(o.SourceFirstByte.Seconds(), waitSamples)
 }
 
 func (r *Router) recordCopy(m *member, req *request, filled bool) {
--- a/policy/source_test.go
+++ b/policy/source_test.go
@@ -9,15 +9,15 @@
 // A cache that joins owns objects that a sibling still holds: the sibling fills.
 func TestReturnedCacheIsFilledFromSibling(t *testing.T) {
 	g := newRig(t)
-	home := g.serve(1, "x", NoteFilled).Target
+	home := g.serve(1, "x", CacheStatusFilled).Target
 	g.do(EndpointUpdate{Endpoints: []Endpoint{{ID: home, State: Removed, Zone: 1, Weight: 5}}})
-	next := g.serve(2, "x", NoteFilled).Target
+	next := g.serve(2, "x", CacheStatusFilled).Target
 	g.do(EndpointUpdate{Endpoints: []Endpoint{{ID: home, State: Ready, Zone: 1, Weight: 5}}})
 	f := fetchOf(g.request(3, "x", 0))
 	if f.Target != home || f.Source != next {
 		t.Fatalf("want %s filled from %s, got %+v", home, next, f)
 	}
-	acts := g.do(Outcome{ID: 3, Result: ResultMiss, Note: NoteSourceLacks, Took: 10 * ms})
+	acts := g.do(Outcome{ID: 3, Result: ResultNotFound, CacheStatus: CacheStatusSourceMissing, Elapsed: 10 * ms})
 	if f = fetchOf(acts); f == nil || f.Source != "p" && f.Source != "q" {
 		t.Fatalf("after 'lacks it' want the parent, got %+v", acts)
 	}
@@ -51,7 +51,7 @@
 	if f.MaxAge != 150*ms || !f.CoalesceFill {
 		t.Fatalf("want age 150 ms, and a join as all that miss at once would fill, got %+v", f)
 	}
-	f = fetchOf(g.do(Outcome{ID: 1, Result: ResultError, Took: 20 * ms})) // what it joined was too old, perhaps
+	f = fetchOf(g.do(Outcome{ID: 1, Result: ResultError, Elapsed: 20 * ms})) // what it joined was too old, perhaps
 	if f == nil || f.MaxAge != 150*ms || f.CoalesceFill {
 		t.Fatalf("want age 150 ms and no join in a further attempt, got %+v", f)
 	}
@@ -68,7 +68,7 @@
 // A restarted cache is empty: no belief in it is left, and its ratio starts anew.
 func TestRestartClearsCopyRecords(t *testing.T) {
 	g := newRig(t)
-	home := g.serve(1, "x", NoteFilled).Target
+	home := g.serve(1, "x", CacheStatusFilled).Target
 	m := g.r.members[home]
 	m.misindication.add(true)
 	if m.copies.Len() != 1 {
@@ -84,7 +84,7 @@
 func TestPurgeClearsCopyRecords(t *testing.T) {
 	for _, purge := range []Purge{{Object: "x", Group: 0}, {Group: 0}} {
 		g := newRig(t)
-		m := g.r.members[g.serve(1, "x", NoteFilled).Target]
+		m := g.r.members[g.serve(1, "x", CacheStatusFilled).Target]
 		req := &request{Request: Request{Object: "x"}, class: &g.r.settings.Classes[0], key: m.copies.Keys()[0]}
 		g.n += 10 * time.Second
 		g.do(Purge{Object: "y", Group: 0})
--- a/policy/types.go
+++ b/policy/types.go
@@ -122,13 +122,13 @@
 
 // Request is a client's request that has come in.
 type Request struct {
-	ID     int64
-	Object string
-	Part   int
-	Group  int
-	Class  int
-	SizeKB float64 // 0: not told
-	Left   time.Duration
+	ID        int64
+	Object    string
+	Part      int
+	Group     int
+	Class     int
+	SizeKB    float64 // 0: not told
+	Remaining time.Duration
 }
 
 // Result is how an attempt ended.
@@ -138,13 +138,13 @@
 const (
 	ResultError Result = iota
 	ResultOK
-	ResultFull          // turned away unseen
+	ResultRejected      // turned away unseen
 	ResultTimeout       // no answer in time
 	ResultConnectFailed // no connection
 	ResultReset         // broke in flight
 	ResultCancelled
-	ResultMoot // never sent
-	ResultMiss // lacks it
+	ResultNotSent  // never sent
+	ResultNotFound // lacks it
 )
 
 var resultNames = [...]string{
@@ -159,34 +159,34 @@
 	return resultNames[r]
 }
 
-// Note tells how an answer was had, or why a fill failed.
-type Note int
+// CacheStatus tells how an answer was had, or why a fill failed.
+type CacheStatus int
 
 // Notes of an outcome.
 const (
-	NoteNone Note = iota
-	NoteHit
-	NoteFilled
-	NoteFilledByOrigin
-	NoteJoined
-	NoteStale
-	NoteSourceRefused
-	NoteSourceFailed
-	NoteSourceLacks
-	NoteNoFillPlace
-	NoteOriginFailed
+	CacheStatusNone CacheStatus = iota
+	CacheStatusHit
+	CacheStatusFilled
+	CacheStatusFilledByOrigin
+	CacheStatusCoalesced
+	CacheStatusStale
+	CacheStatusSourceRejected
+	CacheStatusSourceFailed
+	CacheStatusSourceMissing
+	CacheStatusNoFillCapacity
+	CacheStatusOriginFailed
 )
 
 // Outcome reports how one attempt ended.
 type Outcome struct {
-	ID         int64
-	Attempt    int
-	Result     Result
-	Note       Note
-	Took       time.Duration
-	SourceWait time.Duration // until the source's first byte
-	Sending    time.Duration // what the answer's bytes take at the pace of one transfer; 0: not told
-	Finished   bool          // the request is finished
+	ID              int64
+	Attempt         int
+	Result          Result
+	CacheStatus     CacheStatus
+	Elapsed         time.Duration
+	SourceFirstByte time.Duration // until the source's first byte
+	TransferTime    time.Duration // what the answer's bytes take at the pace of one transfer; 0: not told
+	RequestFinished bool          // the request is finished
 }
 
 // StreamStarted says that a streamed answer has begun; the attempt now belongs to the client.
