--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -120,12 +120,12 @@
 		FlowKBps: d.FlowKBps, Direct: d.Direct, CanJoin: d.CanJoin,
 		Siblings:  siblings[d.PeersFill],
 		MayCancel: c.Limits.MayCancel, SecondCopies: c.Limits.SecondCopies,
-		MaxComeBack: us(c.Limits.MaxRetryAfter),
-		ColdShare:   c.Rules.StartCapacity,
-		WarmWithin:  us(c.Rules.WarmWithin), FallMultiple: c.Rules.FallMultiple, FallWindow: us(c.Rules.Fall),
-		ParentColdShare: d.ParentFloor, ParentWarmWithin: us(d.UpperCold),
-		ParentFallMultiple: d.ParentLimitFactor,
-		PurgeGrace:         us(d.PurgeSlack), ClearedWithin: us(d.ClearedWithin),
+		MaxComeBack:       us(c.Limits.MaxRetryAfter),
+		SlowStartCapacity: c.Rules.StartCapacity,
+		SlowStartDuration: us(c.Rules.WarmWithin), OverloadMultiple: c.Rules.FallMultiple, OverloadWindow: us(c.Rules.Fall),
+		ParentSlowStartCapacity: d.ParentFloor, ParentSlowStartDuration: us(d.UpperCold),
+		ParentOverloadMultiple: d.ParentLimitFactor,
+		PurgeGrace:             us(d.PurgeSlack), ClearedWithin: us(d.ClearedWithin),
 	}
 	if d.FlowKBps > 0 {
 		s.ZoneLink = at(d.PipeKBps, c.Zone) / d.FlowKBps
--- a/policy/coldbudget.go
+++ b/policy/coldbudget.go
@@ -13,9 +13,9 @@
 
 func (r *Router) coldRules(m *member) (share float64, warmWithin time.Duration, multiple float64) {
 	if m.Kind == r.settings.ParentKind {
-		return r.settings.ParentColdShare, r.settings.ParentWarmWithin, r.settings.ParentFallMultiple
+		return r.settings.ParentSlowStartCapacity, r.settings.ParentSlowStartDuration, r.settings.ParentOverloadMultiple
 	}
-	return r.settings.ColdShare, r.settings.WarmWithin, r.settings.FallMultiple
+	return r.settings.SlowStartCapacity, r.settings.SlowStartDuration, r.settings.OverloadMultiple
 }
 
 func (r *Router) warmShare(m *member) float64 {
@@ -35,7 +35,7 @@
 		return true
 	}
 	_, _, multiple := r.coldRules(m)
-	window, cost := max(r.settings.FallWindow, time.Second), r.coldCost(req)
+	window, cost := max(r.settings.OverloadWindow, time.Second), r.coldCost(req)
 	expired := func(a *attempt) bool { return r.now-a.begun > window }
 	m.coldAttempts = slices.DeleteFunc(m.coldAttempts, expired)
 	sum := cost
--- a/policy/coldbudget_test.go
+++ b/policy/coldbudget_test.go
@@ -101,14 +101,14 @@
 		for _, cold := range []string{"a", "p"} {
 			f := &fleet{set: world(), list: everybody(), routers: make([]*Router, routers), now: time.Hour}
 			f.set.Instances, f.set.RoutersInZone = routers, routers
-			share, within, weight := f.set.ColdShare, f.set.WarmWithin, 5.0
+			share, within, weight := f.set.SlowStartCapacity, f.set.SlowStartDuration, 5.0
 			if cold == "p" {
-				share, within, weight = f.set.ParentColdShare, f.set.ParentWarmWithin, 20
+				share, within, weight = f.set.ParentSlowStartCapacity, f.set.ParentSlowStartDuration, 20
 			}
 			for i := range f.routers {
 				f.start(i)
 			}
-			started, window := f.now+time.Second, f.set.FallWindow
+			started, window := f.now+time.Second, f.set.OverloadWindow
 			for i := range f.list.Endpoints {
 				m := &f.list.Endpoints[i]
 				m.Started = time.Duration(0)
@@ -155,7 +155,7 @@
 func TestCallsThatWaitedKeepTheColdBudget(t *testing.T) {
 	for _, startsAnew := range []bool{false, true} {
 		set := world()
-		set.ColdShare, set.FallWindow = 0.05, time.Second
+		set.SlowStartCapacity, set.OverloadWindow = 0.05, time.Second
 		g := &rig{t: t, r: New(set, 1), n: time.Hour}
 		g.do(everybody())
 		home := g.serve(1, "x", CacheStatusFilled).Target
--- a/policy/rig_test.go
+++ b/policy/rig_test.go
@@ -19,8 +19,8 @@
 			{Idempotency: NonIdempotent, LatencyObjective: 500 * ms, PriorityWeight: 3, Uncacheable: true},
 		},
 		MaxAttempts: 6, MayCancel: true, MaxComeBack: time.Second,
-		ColdShare: 0.2, WarmWithin: 10 * time.Second, FallMultiple: 2, FallWindow: 2 * time.Second,
-		ParentColdShare: 0.1, ParentWarmWithin: 20 * time.Second, ParentFallMultiple: 2,
+		SlowStartCapacity: 0.2, SlowStartDuration: 10 * time.Second, OverloadMultiple: 2, OverloadWindow: 2 * time.Second,
+		ParentSlowStartCapacity: 0.1, ParentSlowStartDuration: 20 * time.Second, ParentOverloadMultiple: 2,
 		PurgeGrace: 500 * ms, ClearedWithin: 6 * time.Second,
 	}
 }
--- a/policy/types.go
+++ b/policy/types.go
@@ -76,14 +76,14 @@
 	SecondCopies bool
 	MaxComeBack  time.Duration
 
-	ColdShare    float64 // a cache starts at this share of its capacity or more
-	WarmWithin   time.Duration
-	FallMultiple float64
-	FallWindow   time.Duration
-
-	ParentColdShare    float64
-	ParentWarmWithin   time.Duration
-	ParentFallMultiple float64
+	SlowStartCapacity float64 // a cache starts at this share of its capacity or more
+	SlowStartDuration time.Duration
+	OverloadMultiple  float64
+	OverloadWindow    time.Duration
+
+	ParentSlowStartCapacity float64
+	ParentSlowStartDuration time.Duration
+	ParentOverloadMultiple  float64
 
 	PurgeGrace    time.Duration
 	ClearedWithin time.Duration // no copy older than a purge is left after this
