--- a/cmd/edgeproxy/main.go
+++ b/cmd/edgeproxy/main.go
@@ -256,7 +256,7 @@
 		Memory: c.Limits.MemoryMB << 20, Flow: c.Flow}
 	if c.inherited != 0 { // for a while, two processes share the limits
 		c.proxy.Sockets, c.proxy.Memory = c.proxy.Sockets/2, c.proxy.Memory/2
-		c.proxy.Settings.Policy.Processes = 2
+		c.proxy.Settings.Policy.ProcessesPerRouter = 2
 	}
 	return nil
 }
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -200,7 +200,7 @@
 // mustClose says that a call is given up so that another may follow, where no second one may be out: a
 // server that hangs does not read the STOP; only the end of its connection gives up what is open on it.
 func (p *Proxy) mustClose(a *attempt) bool {
-	return !p.set.Policy.SecondCopies && a.started && !a.req.finished
+	return !p.set.Policy.Hedging && a.started && !a.req.finished
 }
 
 // mayCancel says whether a call can be given up: one that must close its connection only where no other call is on it.
--- a/internal/proxy/audit.go
+++ b/internal/proxy/audit.go
@@ -103,7 +103,7 @@
 
 func (u *audit) purged(v *watch.Evict, now eventloop.Clock) {
 	for key, record := range u.purges {
-		if now-record.told > u.p.set.Policy.ClearedWithin+time.Second {
+		if now-record.told > u.p.set.Policy.PurgeCompletedWithin+time.Second {
 			delete(u.purges, key)
 		}
 	}
--- a/internal/proxy/peerclock_test.go
+++ b/internal/proxy/peerclock_test.go
@@ -95,7 +95,7 @@
 	p.loop = loop
 	age(0, true) // in time
 	router := policy.New(policy.Settings{ParentKind: -1, OriginKind: 1, Classes: []policy.Class{{Idempotency: policy.Idempotent, LatencyObjective: time.Second}},
-		ClearedWithin: 6 * time.Second, PurgeGrace: 300 * time.Millisecond}, 1)
+		PurgeCompletedWithin: 6 * time.Second, PurgeGrace: 300 * time.Millisecond}, 1)
 	router.Handle(loop.Now(), policy.EndpointUpdate{Full: true, Endpoints: []policy.Endpoint{
 		{ID: "c", State: policy.Ready, Weight: 10}, {ID: "o", State: policy.Ready, Kind: 1}}})
 	clock.now += 3 * time.Second // nothing was heard meanwhile
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -115,20 +115,20 @@
 	}
 	d := c.Domain
 	s := policy.Settings{
-		Zone: c.Zone, ParentKind: -1, OriginKind: d.RootKind, Instances: c.GroupSize, Index: c.Index,
-		ZoneHubs: d.AttachedTo, WeightsTold: c.WeightSource == "nominal" || c.WeightSource == "rough",
-		FlowKBps: d.FlowKBps, Direct: d.Direct, CanJoin: d.CanJoin,
+		Zone: c.Zone, ParentKind: -1, OriginKind: d.RootKind, Routers: c.GroupSize, RouterIndex: c.Index,
+		ZoneHubs: d.AttachedTo, WeightsConfigured: c.WeightSource == "nominal" || c.WeightSource == "rough",
+		TransferKBPerSecond: d.FlowKBps, DirectRequests: d.Direct, CoalesceFills: d.CanJoin,
 		Siblings:  siblings[d.PeersFill],
-		MayCancel: c.Limits.MayCancel, SecondCopies: c.Limits.SecondCopies,
-		MaxComeBack:       us(c.Limits.MaxRetryAfter),
+		MayCancel: c.Limits.MayCancel, Hedging: c.Limits.SecondCopies,
+		MaxRetryAfter:     us(c.Limits.MaxRetryAfter),
 		SlowStartCapacity: c.Rules.StartCapacity,
 		SlowStartDuration: us(c.Rules.WarmWithin), OverloadMultiple: c.Rules.FallMultiple, OverloadWindow: us(c.Rules.Fall),
 		ParentSlowStartCapacity: d.ParentFloor, ParentSlowStartDuration: us(d.UpperCold),
 		ParentOverloadMultiple: d.ParentLimitFactor,
-		PurgeGrace:             us(d.PurgeSlack), ClearedWithin: us(d.ClearedWithin),
+		PurgeGrace:             us(d.PurgeSlack), PurgeCompletedWithin: us(d.ClearedWithin),
 	}
 	if d.FlowKBps > 0 {
-		s.ZoneLink = at(d.PipeKBps, c.Zone) / d.FlowKBps
+		s.ZoneLinkTransfers = at(d.PipeKBps, c.Zone) / d.FlowKBps
 	}
 	if c.Zone >= 0 && c.Zone < len(d.CountByZone) {
 		s.RoutersInZone = max(1, d.CountByZone[c.Zone])
--- a/policy/coldbudget.go
+++ b/policy/coldbudget.go
@@ -42,7 +42,7 @@
 	for _, a := range m.coldAttempts {
 		sum += r.coldCost(a.request)
 	}
-	sharers := m.link.sharers * float64(max(1, r.settings.Processes))
+	sharers := m.link.sharers * float64(max(1, r.settings.ProcessesPerRouter))
 	part := coldMargin * multiple * min(m.link.capacity, m.link.nominal) / sharers
 	return (m.Started >= r.startedAt || r.now-r.startedAt >= window) &&
 		(sum <= part*warm*window.Seconds() || sum == cost && r.hasColdTurn(m, window, cost/(part*turnMargin)))
@@ -54,7 +54,7 @@
 	turns := func(at time.Duration) float64 {
 		age := max(at-m.Started, 0).Seconds()
 		warmed := age * (share + (1-share)*age/within.Seconds()/2)
-		return math.Floor(math.Mod(float64(r.settings.Index)*math.Phi, 1) + warmed/seconds)
+		return math.Floor(math.Mod(float64(r.settings.RouterIndex)*math.Phi, 1) + warmed/seconds)
 	}
 	return turns(r.now) > turns(r.now-window)
 }
--- a/policy/coldbudget_test.go
+++ b/policy/coldbudget_test.go
@@ -27,9 +27,9 @@
 // together stay inside what it can bear. Incident iddf016.
 func TestColdParentBudgetOfAllRouters(t *testing.T) {
 	set := world()
-	set.Instances, set.RoutersInZone, set.WeightsTold = 100, 5, false
+	set.Routers, set.RoutersInZone, set.WeightsConfigured = 100, 5, false
 	sent := 0
-	for i := range set.Instances {
+	for i := range set.Routers {
 		g := &rig{t: t, r: New(set, uint64(i)), n: time.Hour}
 		list := everybody()
 		list.Endpoints[3].Started, list.Endpoints[4].State = g.n, Removed
@@ -57,7 +57,7 @@
 
 func (f *fleet) start(i int) {
 	set := f.set
-	set.Index = i
+	set.RouterIndex = i
 	f.routers[i] = New(set, uint64(i))
 	f.routers[i].Handle(f.now, f.list)
 }
@@ -100,7 +100,7 @@
 	for _, routers := range []int{3, 20, 30, 300} {
 		for _, cold := range []string{"a", "p"} {
 			f := &fleet{set: world(), list: everybody(), routers: make([]*Router, routers), now: time.Hour}
-			f.set.Instances, f.set.RoutersInZone = routers, routers
+			f.set.Routers, f.set.RoutersInZone = routers, routers
 			share, within, weight := f.set.SlowStartCapacity, f.set.SlowStartDuration, 5.0
 			if cold == "p" {
 				share, within, weight = f.set.ParentSlowStartCapacity, f.set.ParentSlowStartDuration, 20
@@ -128,7 +128,7 @@
 				case at == 4*time.Second:
 					for i, r := range f.routers {
 						set := f.set
-						set.Index = i
+						set.RouterIndex = i
 						r.Handle(f.now, set)
 					}
 				case at == 6*time.Second: // seven in ten are killed at once
@@ -194,7 +194,7 @@
 	sent := map[int]int{}
 	for _, processes := range []int{1, 2} {
 		set := world()
-		set.Processes = processes
+		set.ProcessesPerRouter = processes
 		for i := range processes {
 			g := &rig{t: t, r: New(set, uint64(i)), n: time.Hour}
 			g.do(everybody())
--- a/policy/estimators_test.go
+++ b/policy/estimators_test.go
@@ -30,7 +30,7 @@
 // With many routers a share of a link is under one transfer; an idle link must not look full for it. i0f9a26.
 func TestManyRoutersShareALink(t *testing.T) {
 	set := world()
-	set.Instances, set.RoutersInZone = 200, 5
+	set.Routers, set.RoutersInZone = 200, 5
 	g := &rig{t: t, r: New(set, 1), n: time.Hour}
 	g.do(everybody())
 	f := fetchOf(g.do(Request{ID: 1, Object: "x", SizeKB: 300, Remaining: 3 * time.Second}))
@@ -133,9 +133,9 @@
 		moves   bool
 	}{{true, 0, false}, {true, 100 * ms, true}, {false, 0, true}} {
 		set := world()
-		set.WeightsTold = c.told
+		set.WeightsConfigured = c.told
 		if !c.told {
-			set.ZoneLink = 0
+			set.ZoneLinkTransfers = 0
 		}
 		g := &rig{t: t, r: New(set, 1), n: time.Hour}
 		g.do(everybody())
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -10,7 +10,7 @@
 // A proxy hands the router what it learns and carries out the actions it gets back.
 func Example() {
 	router := policy.New(policy.Settings{
-		Zone: 1, ParentKind: 1, OriginKind: 2, Instances: 1, RoutersInZone: 1, FlowKBps: 5000,
+		Zone: 1, ParentKind: 1, OriginKind: 2, Routers: 1, RoutersInZone: 1, TransferKBPerSecond: 5000,
 		Siblings: policy.SiblingsZone, MaxAttempts: 4,
 		Classes: []policy.Class{{Name: "page", Idempotency: policy.Idempotent, LatencyObjective: time.Second, PriorityWeight: 1}},
 	}, 42)
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -13,7 +13,7 @@
 	comeBack := map[time.Duration]int{}
 	for i := range routers {
 		set := world()
-		set.Instances, set.RoutersInZone, set.Index = routers, routers, i
+		set.Routers, set.RoutersInZone, set.RouterIndex = routers, routers, i
 		r := New(set, uint64(i))
 		r.Handle(time.Hour, EndpointUpdate{Full: true})
 		for id := range int64(each) {
@@ -41,7 +41,7 @@
 		targets, sources := map[string]bool{}, map[string]bool{}
 		for i := range routers {
 			set := world()
-			set.Instances, set.RoutersInZone, set.Index = routers, routers, i
+			set.Routers, set.RoutersInZone, set.RouterIndex = routers, routers, i
 			r := New(set, uint64(i))
 			r.Handle(time.Hour, everybody())
 			for group := range 32 {
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -113,7 +113,7 @@
 		below     bool
 	}{{300, true}, {1, false}} {
 		set := world()
-		set.Instances = c.instances
+		set.Routers = c.instances
 		g := &rig{t: t, r: New(set, 1), n: time.Hour}
 		g.do(everybody())
 		for id := int64(1); id < 20; id++ {
--- a/policy/membership.go
+++ b/policy/membership.go
@@ -74,7 +74,7 @@
 func (r *Router) sortMembers() {
 	r.caches, r.parents, r.origin = nil, nil, nil
 	allCaches, zoneFills := 0.0, 0.0
-	instances := float64(max(1, r.settings.Instances))
+	instances := float64(max(1, r.settings.Routers))
 	zoneRouters := float64(cmp.Or(r.settings.RoutersInZone, int(instances)))
 	for _, id := range slices.Sorted(maps.Keys(r.members)) {
 		m := r.members[id]
@@ -87,7 +87,7 @@
 		case r.isCache(m):
 			allCaches += size
 			if m.Zone == r.settings.Zone {
-				m.link.resize(size, zoneRouters, r.settings.WeightsTold)
+				m.link.resize(size, zoneRouters, r.settings.WeightsConfigured)
 				r.caches = append(r.caches, m)
 				zoneFills += size * fillShare
 			}
@@ -95,18 +95,18 @@
 	}
 	for _, m := range r.parents {
 		even := max(fillShare*allCaches/float64(len(r.parents)), defaultCapacity)
-		m.link.resize(r.linkSize(m, even), instances, r.settings.WeightsTold)
+		m.link.resize(r.linkSize(m, even), instances, r.settings.WeightsConfigured)
 	}
 	if r.origin != nil {
 		r.origin.link.resize(max(fillShare*fillShare*allCaches, defaultCapacity), instances, false)
 		r.originLimiter.minimum = min(1, r.origin.link.nominal/instances)
 	}
-	told := r.settings.WeightsTold || r.settings.ZoneLink > 0
-	r.zoneLink.resize(max(cmp.Or(r.settings.ZoneLink, zoneFills), 1), zoneRouters, told)
+	told := r.settings.WeightsConfigured || r.settings.ZoneLinkTransfers > 0
+	r.zoneLink.resize(max(cmp.Or(r.settings.ZoneLinkTransfers, zoneFills), 1), zoneRouters, told)
 }
 
 func (r *Router) linkSize(m *member, otherwise float64) float64 {
-	if r.settings.WeightsTold && m.Weight > 0 {
+	if r.settings.WeightsConfigured && m.Weight > 0 {
 		return m.Weight
 	}
 	return otherwise
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -32,7 +32,7 @@
 	inTime := r.now+time.Duration(req.work*float64(time.Second)) < req.aim
 	switch {
 	case !lost && !(silent && inTime) || req.class.Idempotency != Idempotent || r.retryBudget < 1:
-	case r.settings.SecondCopies:
+	case r.settings.Hedging:
 		r.decide(req)
 	case r.settings.MayCancel:
 		r.actions = append(r.actions, Cancel{ID: req.ID, Attempt: a.number})
@@ -66,7 +66,7 @@
 	var answer Action = Fail{ID: req.ID}
 	if r.mayRefuse(req) {
 		wait := minComeBack + time.Duration(r.rng.Int64N(int64(minComeBack)))
-		answer = Reject{ID: req.ID, RetryAfter: min(wait, max(r.settings.MaxComeBack, minComeBack))}
+		answer = Reject{ID: req.ID, RetryAfter: min(wait, max(r.settings.MaxRetryAfter, minComeBack))}
 	}
 	r.actions = append(r.actions, answer)
 	r.finishID(req.ID)
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -77,7 +77,7 @@
 func TestLostAnswerIsAskedForAgain(t *testing.T) {
 	for _, second := range []bool{true, false} {
 		set := world()
-		set.SecondCopies = second
+		set.Hedging = second
 		g := &rig{t: t, r: New(set, 1), n: time.Hour}
 		g.do(everybody())
 		home := g.serve(1, "x", CacheStatusFilled).Target
--- a/policy/rig_test.go
+++ b/policy/rig_test.go
@@ -10,18 +10,18 @@
 // world is a small deployment: three caches, two parents and an origin, one class of each effect.
 func world() Settings {
 	return Settings{
-		Zone: 1, ParentKind: 1, OriginKind: 2, Instances: 1, RoutersInZone: 1, WeightsTold: true,
-		FlowKBps: 1000, ZoneLink: 100, Direct: true, CanJoin: true, Siblings: SiblingsZone,
+		Zone: 1, ParentKind: 1, OriginKind: 2, Routers: 1, RoutersInZone: 1, WeightsConfigured: true,
+		TransferKBPerSecond: 1000, ZoneLinkTransfers: 100, DirectRequests: true, CoalesceFills: true, Siblings: SiblingsZone,
 		Classes: []Class{
 			{Idempotency: Idempotent, LatencyObjective: 500 * ms, LatencyObjectiveStretch: 2, PriorityWeight: 1},
 			{Idempotency: Idempotent, LatencyObjective: 500 * ms, LatencyObjectiveStretch: 2, PriorityWeight: 1,
 				FreshFor: 8 * time.Second, StaleFor: 10 * time.Second},
 			{Idempotency: NonIdempotent, LatencyObjective: 500 * ms, PriorityWeight: 3, Uncacheable: true},
 		},
-		MaxAttempts: 6, MayCancel: true, MaxComeBack: time.Second,
+		MaxAttempts: 6, MayCancel: true, MaxRetryAfter: time.Second,
 		SlowStartCapacity: 0.2, SlowStartDuration: 10 * time.Second, OverloadMultiple: 2, OverloadWindow: 2 * time.Second,
 		ParentSlowStartCapacity: 0.1, ParentSlowStartDuration: 20 * time.Second, ParentOverloadMultiple: 2,
-		PurgeGrace: 500 * ms, ClearedWithin: 6 * time.Second,
+		PurgeGrace: 500 * ms, PurgeCompletedWithin: 6 * time.Second,
 	}
 }
 
--- a/policy/router.go
+++ b/policy/router.go
@@ -110,8 +110,8 @@
 	learned, known := r.partWork.Get(req.key)
 	req.sized = known || arrived.SizeKB > 0
 	req.work = cmp.Or(learned, r.classWork[class.Name].value, class.LatencyObjective.Seconds()/4)
-	if arrived.SizeKB > 0 && r.settings.FlowKBps > 0 {
-		req.work = arrived.SizeKB / r.settings.FlowKBps
+	if arrived.SizeKB > 0 && r.settings.TransferKBPerSecond > 0 {
+		req.work = arrived.SizeKB / r.settings.TransferKBPerSecond
 		r.classWork[class.Name].add(req.work, requestSamples)
 	}
 	stretch := time.Duration(class.LatencyObjectiveStretch * req.work * float64(time.Second))
@@ -245,7 +245,7 @@
 	if req.class.Uncacheable {
 		return f
 	}
-	f.RetentionRank, f.CoalesceFill, f.CachedOnly = 1, r.settings.CanJoin, a.heldOnly
+	f.RetentionRank, f.CoalesceFill, f.CachedOnly = 1, r.settings.CoalesceFills, a.heldOnly
 	if slices.ContainsFunc(r.caches, func(m *member) bool { return m.copies.Contains(req.key) }) {
 		f.RetentionRank = 2 // it was asked for before: kept longer than what came once
 	}
@@ -254,7 +254,7 @@
 		f.MaxAge = req.class.FreshFor + req.class.StaleFor
 	}
 	// A copy from before a purge may still exist: its age is bounded. A further attempt joins no fill.
-	if at, purged := r.purgedAt(req); purged && r.now-at <= r.settings.ClearedWithin+r.settings.PurgeGrace {
+	if at, purged := r.purgedAt(req); purged && r.now-at <= r.settings.PurgeCompletedWithin+r.settings.PurgeGrace {
 		since := max(r.now-at, time.Microsecond)
 		f.MaxAge = min(cmp.Or(f.MaxAge, req.class.FreshFor, since), since)
 		f.CoalesceFill = f.CoalesceFill && a.number == 0
--- a/policy/types.go
+++ b/policy/types.go
@@ -55,26 +55,26 @@
 // Settings is what a router is told at its start, and as an event when operators change it. Zero values mean 'not
 // told' and get safe meanings. What is under way keeps its class.
 type Settings struct {
-	Zone          int
-	Classes       []Class
-	ParentKind    int // -1: no parents
-	OriginKind    int
-	Instances     int   // routers of this tier in all
-	Index         int   // this router's number among them, from 0
-	RoutersInZone int   // of them, in this zone; 0: not told
-	Processes     int   // that may stand for one router at once, while one takes over from another; 0: one
-	ZoneHubs      []int // the hub that each zone is tied to, by its place in the ring of hubs; empty: not told
-	WeightsTold   bool  // weights count one-client transfers
-	FlowKBps      float64
-	ZoneLink      float64 // one-client transfers that this zone's link in carries; 0: not told
-	Direct        bool    // parents and the origin take requests too
-	CanJoin       bool
-	Siblings      Siblings
-
-	MaxAttempts  int
-	MayCancel    bool
-	SecondCopies bool
-	MaxComeBack  time.Duration
+	Zone                int
+	Classes             []Class
+	ParentKind          int // -1: no parents
+	OriginKind          int
+	Routers             int   // routers of this tier in all
+	RouterIndex         int   // this router's number among them, from 0
+	RoutersInZone       int   // of them, in this zone; 0: not told
+	ProcessesPerRouter  int   // that may stand for one router at once, while one takes over from another; 0: one
+	ZoneHubs            []int // the hub that each zone is tied to, by its place in the ring of hubs; empty: not told
+	WeightsConfigured   bool  // weights count one-client transfers
+	TransferKBPerSecond float64
+	ZoneLinkTransfers   float64 // one-client transfers that this zone's link in carries; 0: not told
+	DirectRequests      bool    // parents and the origin take requests too
+	CoalesceFills       bool
+	Siblings            Siblings
+
+	MaxAttempts   int
+	MayCancel     bool
+	Hedging       bool
+	MaxRetryAfter time.Duration
 
 	SlowStartCapacity float64 // a cache starts at this share of its capacity or more
 	SlowStartDuration time.Duration
@@ -85,8 +85,8 @@
 	ParentSlowStartDuration time.Duration
 	ParentOverloadMultiple  float64
 
-	PurgeGrace    time.Duration
-	ClearedWithin time.Duration // no copy older than a purge is left after this
+	PurgeGrace           time.Duration
+	PurgeCompletedWithin time.Duration // no copy older than a purge is left after this
 }
 
 // State is what the list says of a member.
