--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -129,10 +129,10 @@
 		a.p.denied.allows(actionSend, policy.Verdict{Rule: policy.RuleAnswer, Reason: policy.ReasonAnswered})
 		return policy.Fetch{}, false
 	}
-	f, verdict := a.p.router.MaySend(now, policy.Sending{ID: a.req.number, Attempt: a.number, Left: a.req.deadline - now, ClientLeft: left})
+	f, verdict := a.p.router.MaySend(now, policy.SendInfo{ID: a.req.number, Attempt: a.number, Remaining: a.req.deadline - now, ClientDisconnected: left})
 	if !a.p.denied.allows(actionSend, verdict) {
 		a.p.log.Info("call not sent", "request", a.req.ID, "attempt", a.number, "server", a.target, "rule", verdict.Rule, "reason", verdict.Reason)
-		if verdict.Rule == policy.RuleClientLeft {
+		if verdict.Rule == policy.RuleClientDisconnected {
 			a.p.GiveUp(a.req.number)
 		}
 		return policy.Fetch{}, false
--- a/internal/proxy/front.go
+++ b/internal/proxy/front.go
@@ -108,7 +108,7 @@
 		if spare == nil {
 			return false
 		}
-		if f.mayClose(policy.Connection{Open: len(spare.open), Unread: spare.conn.Unread}) {
+		if f.mayClose(policy.CloseInfo{OpenRequests: len(spare.open), HasUnreadInput: spare.conn.Unread}) {
 			break
 		}
 		unread[spare], spare = true, nil
@@ -138,7 +138,7 @@
 			f.p.log.Info("client's connection closed, it takes nothing", "connection", c.number, "bytes", bytes)
 			c.conn.Close()
 			c.Closed(eventloop.ErrBacklog)
-		case !c.conn.Ended() && c.overdue() && f.mayClose(policy.Connection{Open: len(c.open), Unread: c.conn.Unread}):
+		case !c.conn.Ended() && c.overdue() && f.mayClose(policy.CloseInfo{OpenRequests: len(c.open), HasUnreadInput: c.conn.Unread}):
 			c.conn.CloseFlushed()
 		}
 	}
@@ -164,7 +164,7 @@
 func (f *Front) memoryFull() bool { return f.p.held() > 2*f.p.maxHeld }
 
 // mayClose says whether a connection can be closed now, and counts where it can't.
-func (f *Front) mayClose(c policy.Connection) bool {
+func (f *Front) mayClose(c policy.CloseInfo) bool {
 	return f.p.denied.allows(actionClose, policy.MayClose(c))
 }
 
@@ -177,8 +177,8 @@
 			continue
 		}
 		bytes, _ := c.conn.Backlog()
-		verdict := policy.MayClose(policy.Connection{Open: len(c.open), Queued: bytes, Partial: c.midRequest(), Busy: c.asking(),
-			Unread: c.conn.Unread, Unacked: c.conn.Unacked})
+		verdict := policy.MayClose(policy.CloseInfo{OpenRequests: len(c.open), QueuedBytes: bytes, PartialRequest: c.midRequest(), InUse: c.asking(),
+			HasUnreadInput: c.conn.Unread, UnackedBytes: c.conn.Unacked})
 		if verdict.Allowed() { // else it is asked again in the next turn
 			c.conn.CloseFlushed()
 		}
--- a/internal/proxy/peerclock.go
+++ b/internal/proxy/peerclock.go
@@ -64,7 +64,7 @@
 	}
 	if change := p.clock.observe(told, now); change != 0 {
 		p.log.Warn("clock differs from the coordinator's", "offset", p.clock.offset)
-		p.notify(policy.ClockCorrection{By: -change})
+		p.notify(policy.ClockCorrection{Offset: -change})
 	}
 }
 
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -249,8 +249,8 @@
 // when it was answered at once.
 func (p *Proxy) Submit(in Request, to Responder) int64 {
 	_, left := to.Left()
-	verdict := policy.MayStart(policy.Arrival{ClientLeft: left, Stopping: p.late(), Left: in.Wait,
-		Open: len(p.requests), Most: p.maxOpen, Full: p.held() >= p.maxHeld})
+	verdict := policy.MayAdmit(policy.AdmitInfo{ClientDisconnected: left, Stopping: p.late(), Remaining: in.Wait,
+		OpenRequests: len(p.requests), MaxOpenRequests: p.maxOpen, MemoryFull: p.held() >= p.maxHeld})
 	if !p.denied.allows(actionStart, verdict) {
 		answer := Answer{Status: Refused, ComeBack: goneIn}
 		if verdict.Rule == policy.RuleLimits { // a refusal is all that memory allows; clients come again
@@ -290,7 +290,7 @@
 	if q := p.requests[number]; q != nil && !q.finished {
 		p.finish(q)
 		p.tallies.count(q.Name, faulted)
-		p.notify(policy.ClientGone{ID: number})
+		p.notify(policy.ClientDisconnected{ID: number})
 	}
 }
 
@@ -308,7 +308,7 @@
 		}
 	}
 	p.answer(q, Answer{Status: status})
-	p.notify(policy.ClientGone{ID: number})
+	p.notify(policy.ClientDisconnected{ID: number})
 }
 
 // expire ends what is still out when a request's time is over; the module then gives the final answer. One that
@@ -316,7 +316,7 @@
 func (p *Proxy) expire(q *request) {
 	if q.pending == 0 {
 		p.answer(q, Answer{Status: Failed})
-		p.notify(policy.ClientGone{ID: q.number})
+		p.notify(policy.ClientDisconnected{ID: q.number})
 		return
 	}
 	q.timer = p.loop.At(p.loop.Now()+answerTime/4, func() { p.expire(q) })
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -76,7 +76,7 @@
 	}{
 		{"open_requests", p.open},
 		{"registry_entries", len(p.servers)},
-		{"out_of_rotation", p.router.Avoided(p.loop.Now())},
+		{"out_of_rotation", p.router.OutOfRotation(p.loop.Now())},
 		{"cfg_accepted", p.accepted},
 		{"cfg_invalid", p.invalid},
 		{"log_lines_dropped", p.droppedLines()},
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -112,7 +112,7 @@
 	case "Voided":
 		return policy.Purge{Object: e.Asset, Group: int(e.SetNo), Age: us(e.Age)}
 	case "ClientLeft":
-		return policy.ClientGone{ID: e.Job}
+		return policy.ClientDisconnected{ID: e.Job}
 	case "Due":
 		return policy.TimerFired{Token: e.Mark}
 	}
--- a/policy/coldbudget_test.go
+++ b/policy/coldbudget_test.go
@@ -70,7 +70,7 @@
 			if got := fetchOf(r.Handle(f.now, q)); got != nil && (got.Target == cold || got.Source == cold) {
 				f.sent = append(f.sent, f.now)
 			}
-			r.Handle(f.now, ClientGone{q.ID})
+			r.Handle(f.now, ClientDisconnected{q.ID})
 			for i := range 2 {
 				r.Handle(f.now, Outcome{ID: q.ID, Attempt: i, Result: ResultCancelled, RequestFinished: true})
 			}
@@ -177,7 +177,7 @@
 		}
 		sent := 0
 		for _, id := range waiting {
-			if _, verdict := g.r.MaySend(g.n, Sending{ID: id, Left: time.Second}); verdict.Allowed() {
+			if _, verdict := g.r.MaySend(g.n, SendInfo{ID: id, Remaining: time.Second}); verdict.Allowed() {
 				sent++
 			}
 		}
@@ -205,7 +205,7 @@
 				if f := fetchOf(g.request(id, "x", 0)); f != nil && f.Target == home {
 					sent[processes]++
 				}
-				g.do(ClientGone{ID: id})
+				g.do(ClientDisconnected{ID: id})
 				g.do(Outcome{ID: id, Result: ResultCancelled, RequestFinished: true})
 			}
 		}
--- a/policy/estimators_test.go
+++ b/policy/estimators_test.go
@@ -89,7 +89,7 @@
 		if got := g.r.requests[99].work; math.Abs(got-want) > 0.01 {
 			t.Errorf("%s is expected to take %v s, want %v", object, got, want)
 		}
-		g.do(ClientGone{ID: 99})
+		g.do(ClientDisconnected{ID: 99})
 		g.do(Outcome{ID: 99, Result: ResultCancelled})
 	}
 }
--- a/policy/guard.go
+++ b/policy/guard.go
@@ -10,14 +10,14 @@
 
 // The rules that guards look at.
 const (
-	RuleNone       Rule = iota
-	RuleAnswer          // every request that was taken gets one final answer
-	RuleDuplicate       // what may not be repeated runs once
-	RuleDrain           // nothing new for a member that drains or is gone
-	RuleColdStart       // a member that has just started is not pushed over
-	RuleClientLeft      // nothing begins for a client that has left
-	RuleDeadline        // nothing is promised, or asked for, beyond a request's time
-	RuleLimits          // memory and descriptors
+	RuleNone               Rule = iota
+	RuleAnswer                  // every request that was taken gets one final answer
+	RuleDuplicate               // what may not be repeated runs once
+	RuleDrain                   // nothing new for a member that drains or is gone
+	RuleSlowStart               // a member that has just started is not pushed over
+	RuleClientDisconnected      // nothing begins for a client that has left
+	RuleDeadline                // nothing is promised, or asked for, beyond a request's time
+	RuleLimits                  // memory and descriptors
 )
 
 var ruleNames = [...]string{
@@ -32,23 +32,23 @@
 
 // The reasons of guards.
 const (
-	ReasonAttemptOver    Reason = "attempt_over"
-	ReasonAnswered       Reason = "answered"
-	ReasonClientLeft     Reason = "client_left"
-	ReasonNoTime         Reason = "no_time_left"
-	ReasonTargetLeaving  Reason = "target_leaving"
-	ReasonSourceLeaving  Reason = "source_leaving"
-	ReasonMayHaveRun     Reason = "may_have_run"
-	ReasonWindowOver     Reason = "window_over"
-	ReasonOverBudget     Reason = "over_budget"
-	ReasonStopping       Reason = "stopping"
-	ReasonManyOpen       Reason = "many_open"
-	ReasonMemory         Reason = "memory"
-	ReasonRequestsOpen   Reason = "requests_open"
-	ReasonHalfARequest   Reason = "half_a_request"
-	ReasonInputUnread    Reason = "input_unread"
-	ReasonOutputNotTaken Reason = "output_not_taken"
-	ReasonInUse          Reason = "in_use"
+	ReasonAttemptEnded       Reason = "attempt_over"
+	ReasonAnswered           Reason = "answered"
+	ReasonClientDisconnected Reason = "client_left"
+	ReasonDeadlineExceeded   Reason = "no_time_left"
+	ReasonTargetDraining     Reason = "target_leaving"
+	ReasonSourceDraining     Reason = "source_leaving"
+	ReasonMayHaveRun         Reason = "may_have_run"
+	ReasonWindowExpired      Reason = "window_over"
+	ReasonOverBudget         Reason = "over_budget"
+	ReasonStopping           Reason = "stopping"
+	ReasonTooManyOpen        Reason = "many_open"
+	ReasonMemory             Reason = "memory"
+	ReasonRequestsOpen       Reason = "requests_open"
+	ReasonPartialRequest     Reason = "half_a_request"
+	ReasonUnreadInput        Reason = "input_unread"
+	ReasonUnsentOutput       Reason = "output_not_taken"
+	ReasonInUse              Reason = "in_use"
 )
 
 // Verdict says whether an action may be carried out now, and if not, which rule it would break and why. The
@@ -61,18 +61,18 @@
 // Allowed reports that no rule would be broken.
 func (v Verdict) Allowed() bool { return v.Rule == RuleNone }
 
-// Sending is what a guard has to be told of an attempt whose first byte is about to go.
-type Sending struct {
-	ID         int64 // of the request
-	Attempt    int
-	Left       time.Duration // of the request's time
-	ClientLeft bool
+// SendInfo is what a guard has to be told of an attempt whose first byte is about to go.
+type SendInfo struct {
+	ID                 int64 // of the request
+	Attempt            int
+	Remaining          time.Duration // of the request's time
+	ClientDisconnected bool
 }
 
 // MaySend decides, at the last instant, whether an attempt may begin: while it waited for its connection its
 // member may have drained or started anew, its client left, or the time for repeats passed. It returns the
 // attempt's orders as of now.
-func (r *Router) MaySend(now time.Duration, s Sending) (Fetch, Verdict) {
+func (r *Router) MaySend(now time.Duration, s SendInfo) (Fetch, Verdict) {
 	r.now = now
 	a := r.pendingAttempt(s.ID, s.Attempt)
 	if verdict := r.sendVerdict(a, s); !verdict.Allowed() {
@@ -82,22 +82,22 @@
 	return r.fetch(a), Verdict{}
 }
 
-func (r *Router) sendVerdict(a *attempt, s Sending) Verdict {
+func (r *Router) sendVerdict(a *attempt, s SendInfo) Verdict {
 	switch {
 	case a == nil:
-		return Verdict{RuleAnswer, ReasonAttemptOver}
+		return Verdict{RuleAnswer, ReasonAttemptEnded}
 	case a.request.finished:
 		return Verdict{RuleAnswer, ReasonAnswered}
-	case s.ClientLeft:
-		return Verdict{RuleClientLeft, ReasonClientLeft}
-	case s.Left <= 0:
-		return Verdict{RuleDeadline, ReasonNoTime}
+	case s.ClientDisconnected:
+		return Verdict{RuleClientDisconnected, ReasonClientDisconnected}
+	case s.Remaining <= 0:
+		return Verdict{RuleDeadline, ReasonDeadlineExceeded}
 	case a.target.State != Ready:
-		return Verdict{RuleDrain, ReasonTargetLeaving}
+		return Verdict{RuleDrain, ReasonTargetDraining}
 	case a.source.State != Ready:
-		return Verdict{RuleDrain, ReasonSourceLeaving}
+		return Verdict{RuleDrain, ReasonSourceDraining}
 	case !r.joinsColdBudget(a):
-		return Verdict{RuleColdStart, ReasonOverBudget}
+		return Verdict{RuleSlowStart, ReasonOverBudget}
 	case a.request.mayHaveRun != a:
 		return r.repeatVerdict(a.request, a.target)
 	}
@@ -114,7 +114,7 @@
 	case req.class.Idempotency == NonIdempotent:
 		return Verdict{RuleDuplicate, ReasonMayHaveRun}
 	case r.now-first.sent >= req.class.DeduplicationWindow:
-		return Verdict{RuleDuplicate, ReasonWindowOver}
+		return Verdict{RuleDuplicate, ReasonWindowExpired}
 	case req.class.DeduplicationScope == ScopeAll,
 		req.class.DeduplicationScope == ScopeZone && m.Zone == first.target.Zone,
 		req.class.DeduplicationScope == ScopeCell && m.Cell == first.target.Cell && m.Zone == first.target.Zone:
@@ -156,57 +156,57 @@
 	return r.warmShare(m) < 1 && (m == a.target || m.Kind == r.settings.ParentKind)
 }
 
-// Arrival is what a guard has to be told of a request that has just come whole.
-type Arrival struct {
-	ClientLeft bool
-	Stopping   bool          // clients have had time enough to go
-	Left       time.Duration // of the request's time
-	Open, Most int           // requests that are open, and may be
-	Full       bool          // no memory is left for requests
+// AdmitInfo is what a guard has to be told of a request that has just come whole.
+type AdmitInfo struct {
+	ClientDisconnected            bool
+	Stopping                      bool          // clients have had time enough to go
+	Remaining                     time.Duration // of the request's time
+	OpenRequests, MaxOpenRequests int           // requests that are open, and may be
+	MemoryFull                    bool          // no memory is left for requests
 }
 
-// MayStart decides whether a request is taken on. One that is not gets its final answer at once.
-func MayStart(a Arrival) Verdict {
+// MayAdmit decides whether a request is taken on. One that is not gets its final answer at once.
+func MayAdmit(a AdmitInfo) Verdict {
 	switch {
-	case a.ClientLeft:
-		return Verdict{RuleClientLeft, ReasonClientLeft}
+	case a.ClientDisconnected:
+		return Verdict{RuleClientDisconnected, ReasonClientDisconnected}
 	case a.Stopping:
 		return Verdict{RuleAnswer, ReasonStopping}
-	case a.Left <= 0:
-		return Verdict{RuleDeadline, ReasonNoTime}
-	case a.Open >= a.Most:
-		return Verdict{RuleLimits, ReasonManyOpen}
-	case a.Full:
+	case a.Remaining <= 0:
+		return Verdict{RuleDeadline, ReasonDeadlineExceeded}
+	case a.OpenRequests >= a.MaxOpenRequests:
+		return Verdict{RuleLimits, ReasonTooManyOpen}
+	case a.MemoryFull:
 		return Verdict{RuleLimits, ReasonMemory}
 	}
 	return Verdict{}
 }
 
-// Connection is what a guard has to be told of a client's connection that might be closed.
-type Connection struct {
-	Open    int         // requests that came whole and are not answered
-	Partial bool        // a request has come in part, and may still come whole
-	Queued  int         // bytes that wait to be written
-	Busy    bool        // it has been used so lately that more may be on its way
-	Unread  func() bool // something has come that was not read; asked last, as it takes a system call
-	Unacked func() int  // bytes that were written and have not arrived; nil: the close waits for them
+// CloseInfo is what a guard has to be told of a client's connection that might be closed.
+type CloseInfo struct {
+	OpenRequests   int         // requests that came whole and are not answered
+	PartialRequest bool        // a request has come in part, and may still come whole
+	QueuedBytes    int         // bytes that wait to be written
+	InUse          bool        // it has been used so lately that more may be on its way
+	HasUnreadInput func() bool // something has come that was not read; asked last, as it takes a system call
+	UnackedBytes   func() int  // bytes that were written and have not arrived; nil: the close waits for them
 }
 
 // MayClose decides whether a connection can be closed without taking an answer, or a request, with it.
-func MayClose(c Connection) Verdict {
+func MayClose(c CloseInfo) Verdict {
 	switch {
-	case c.Open > 0:
+	case c.OpenRequests > 0:
 		return Verdict{RuleAnswer, ReasonRequestsOpen}
-	case c.Queued > 0:
-		return Verdict{RuleAnswer, ReasonOutputNotTaken}
-	case c.Partial:
-		return Verdict{RuleAnswer, ReasonHalfARequest}
-	case c.Busy:
+	case c.QueuedBytes > 0:
+		return Verdict{RuleAnswer, ReasonUnsentOutput}
+	case c.PartialRequest:
+		return Verdict{RuleAnswer, ReasonPartialRequest}
+	case c.InUse:
 		return Verdict{RuleAnswer, ReasonInUse}
-	case c.Unacked != nil && c.Unacked() > 0:
-		return Verdict{RuleAnswer, ReasonOutputNotTaken}
-	case c.Unread():
-		return Verdict{RuleAnswer, ReasonInputUnread}
+	case c.UnackedBytes != nil && c.UnackedBytes() > 0:
+		return Verdict{RuleAnswer, ReasonUnsentOutput}
+	case c.HasUnreadInput():
+		return Verdict{RuleAnswer, ReasonUnreadInput}
 	}
 	return Verdict{}
 }
--- a/policy/health.go
+++ b/policy/health.go
@@ -63,8 +63,8 @@
 	return r.now >= m.suspectUntil && (m.suspicions == 0 || len(m.link.inFlight) == 0)
 }
 
-// Avoided returns how many listed members get nothing new at time now.
-func (r *Router) Avoided(now time.Duration) (count int) {
+// OutOfRotation returns how many listed members get nothing new at time now.
+func (r *Router) OutOfRotation(now time.Duration) (count int) {
 	for _, m := range r.members {
 		if m.State == Draining || m.State == Ready && now < m.suspectUntil {
 			count++
--- a/policy/membership.go
+++ b/policy/membership.go
@@ -57,16 +57,16 @@
 // ClockCorrection says that the clock times of starts and purges that were told so far were off: each is
 // later by By.
 // A purge is never moved to earlier, also where By is under 0: it must not count as older than it is.
-type ClockCorrection struct{ By time.Duration }
+type ClockCorrection struct{ Offset time.Duration }
 
 func (c ClockCorrection) apply(r *Router) {
 	for _, m := range r.members {
 		if m.Started != 0 {
-			m.Started += c.By
+			m.Started += c.Offset
 		}
 	}
 	for key := range r.purges {
-		r.purges[key] += max(0, c.By)
+		r.purges[key] += max(0, c.Offset)
 	}
 }
 
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -74,7 +74,7 @@
 
 func (started StreamStarted) apply(r *Router) { r.finishID(started.ID) }
 
-func (gone ClientGone) apply(r *Router) { r.finishID(gone.ID) }
+func (gone ClientDisconnected) apply(r *Router) { r.finishID(gone.ID) }
 
 // finishID marks a request as finished; it is forgotten when its last attempt has ended.
 func (r *Router) finishID(id int64) {
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -164,7 +164,7 @@
 		if fetchOf(g.request(1, "x", 0)) == nil {
 			t.Fatal("not sent")
 		}
-		if _, verdict := g.r.MaySend(g.n, Sending{ID: 1, Left: time.Second}); !verdict.Allowed() {
+		if _, verdict := g.r.MaySend(g.n, SendInfo{ID: 1, Remaining: time.Second}); !verdict.Allowed() {
 			t.Fatal("the first attempt may go at any time")
 		}
 		g.n += 900 * ms
@@ -174,8 +174,8 @@
 		if late {
 			g.n += 200 * ms
 		}
-		_, verdict := g.r.MaySend(g.n, Sending{ID: 1, Attempt: 1, Left: time.Second})
-		if verdict.Allowed() == late || late && verdict != (Verdict{RuleDuplicate, ReasonWindowOver}) {
+		_, verdict := g.r.MaySend(g.n, SendInfo{ID: 1, Attempt: 1, Remaining: time.Second})
+		if verdict.Allowed() == late || late && verdict != (Verdict{RuleDuplicate, ReasonWindowExpired}) {
 			t.Errorf("late %v: %+v", late, verdict)
 		}
 	}
--- a/policy/router_test.go
+++ b/policy/router_test.go
@@ -82,25 +82,25 @@
 		join  bool
 	}{
 		"nothing new":         {func(Fetch) Event { return TimerFired{} }, Verdict{}, 0, true},
-		"its target drains":   {func(f Fetch) Event { return drain(f.Target) }, Verdict{RuleDrain, ReasonTargetLeaving}, 0, false},
-		"its source drains":   {func(f Fetch) Event { return drain(f.Source) }, Verdict{RuleDrain, ReasonSourceLeaving}, 0, false},
+		"its target drains":   {func(f Fetch) Event { return drain(f.Target) }, Verdict{RuleDrain, ReasonTargetDraining}, 0, false},
+		"its source drains":   {func(f Fetch) Event { return drain(f.Source) }, Verdict{RuleDrain, ReasonSourceDraining}, 0, false},
 		"its object purged":   {func(Fetch) Event { return Purge{Object: "x", Age: 70 * ms} }, Verdict{}, 90 * ms, true},
 		"its group purged":    {func(Fetch) Event { return Purge{Age: 70 * ms} }, Verdict{}, 90 * ms, true},
-		"the client has left": {func(Fetch) Event { return ClientGone{ID: 1} }, Verdict{RuleAnswer, ReasonAnswered}, 0, false},
+		"the client has left": {func(Fetch) Event { return ClientDisconnected{ID: 1} }, Verdict{RuleAnswer, ReasonAnswered}, 0, false},
 	} {
 		g := newRig(t)
 		f := fetchOf(g.request(1, "x", 0))
 		g.n += 10 * ms
 		g.do(c.event(*f))
-		now, verdict := g.r.MaySend(g.n+20*ms, Sending{ID: 1, Left: time.Second})
+		now, verdict := g.r.MaySend(g.n+20*ms, SendInfo{ID: 1, Remaining: time.Second})
 		if verdict != c.want || now.MaxAge != c.age || now.CoalesceFill != c.join {
 			t.Errorf("%s: %v %+v", name, verdict, now)
 		}
 	}
-	for want, s := range map[Verdict]Sending{
-		{RuleAnswer, ReasonAttemptOver}:    {ID: 9, Left: time.Second},
-		{RuleClientLeft, ReasonClientLeft}: {ID: 1, Left: time.Second, ClientLeft: true},
-		{RuleDeadline, ReasonNoTime}:       {ID: 1},
+	for want, s := range map[Verdict]SendInfo{
+		{RuleAnswer, ReasonAttemptEnded}:                   {ID: 9, Remaining: time.Second},
+		{RuleClientDisconnected, ReasonClientDisconnected}: {ID: 1, Remaining: time.Second, ClientDisconnected: true},
+		{RuleDeadline, ReasonDeadlineExceeded}:             {ID: 1},
 	} {
 		g := newRig(t)
 		g.request(1, "x", 0)
--- a/policy/types.go
+++ b/policy/types.go
@@ -202,8 +202,8 @@
 	Age    time.Duration
 }
 
-// ClientGone says that the client has left and the request is finished.
-type ClientGone struct{ ID int64 }
+// ClientDisconnected says that the client has left and the request is finished.
+type ClientDisconnected struct{ ID int64 }
 
 // TimerFired is a timer that has come due.
 type TimerFired struct{ Token uint64 }
