--- a/cmd/edgeproxy/clock_test.go
+++ b/cmd/edgeproxy/clock_test.go
@@ -80,10 +80,10 @@
 // lookEvery is how long, in real time, the program waits for readiness before it looks for the next step.
 const lookEvery = time.Millisecond
 
-func (c *steppedClock) Now() eventloop.Clock { return c.now }
+func (c *steppedClock) Now() eventloop.Timestamp { return c.now }
 
-// Nap acknowledges the step that the last turn went by, and takes the next one.
-func (c *steppedClock) Nap(wanted time.Duration) time.Duration {
+// PollTimeout acknowledges the step that the last turn went by, and takes the next one.
+func (c *steppedClock) PollTimeout(wanted time.Duration) time.Duration {
 	var step [stepSize]byte
 	if c.pending {
 		c.pending = false
@@ -102,7 +102,7 @@
 	by time.Duration
 }
 
-func (c offsetClock) Now() eventloop.Clock { return c.TimeSource.Now() + c.by }
+func (c offsetClock) Now() eventloop.Timestamp { return c.TimeSource.Now() + c.by }
 
 // clockOffset is the environment variable that tells by how much the program's wall clock is wrong.
 const clockOffset = "CLOVERDOOR_TEST_CLOCK_OFFSET"
--- a/cmd/edgeproxy/main.go
+++ b/cmd/edgeproxy/main.go
@@ -162,7 +162,7 @@
 // patiently tries again for a while what fails as this machine lacks something: a program that refuses to start serves nobody.
 func patiently(start func() error) (err error) {
 	for end := time.Now().Add(startPatience); ; time.Sleep(startPause) {
-		if err = start(); !errors.Is(err, eventloop.ErrLocal) || time.Now().After(end) {
+		if err = start(); !errors.Is(err, eventloop.ErrLocalResources) || time.Now().After(end) {
 			return err
 		}
 	}
--- a/internal/connpool/pools.go
+++ b/internal/connpool/pools.go
@@ -62,11 +62,11 @@
 	pool     *Pool
 	Load     int  // uses under way
 	Stale    bool // takes no new use; closed when the last one is over
-	used     eventloop.Clock
+	used     eventloop.Timestamp
 	recorded bool // how long it took to come up has been counted
 
-	trial int             // how long it had been idle when its last use began, as a place in risks; -1: known by now
-	begun eventloop.Clock // when that was
+	trial int                 // how long it had been idle when its last use began, as a place in risks; -1: known by now
+	begun eventloop.Timestamp // when that was
 }
 
 // NewPools returns pools without servers. open makes the handler of each new connection; the handler calls
@@ -99,7 +99,7 @@
 	delete(ps.byID, id)
 	for _, s := range slices.Clone(p.slots) {
 		s.Stale = true
-		if !s.Up() {
+		if !s.Connected() {
 			s.Fail(ErrRetired)
 		} else {
 			s.closeUnused()
@@ -165,7 +165,7 @@
 	p := late.pool
 	var best *Slot
 	for _, s := range p.slots {
-		if !s.Stale && s.Up() && !s.Ended() && s.Load < ps.limits.Streams && s.Heard() > late.CreatedAt() && fits(s) &&
+		if !s.Stale && s.Connected() && !s.Ended() && s.Load < ps.limits.Streams && s.LastReceived() > late.CreatedAt() && fits(s) &&
 			(best == nil || s.before(best)) {
 			best = s
 		}
@@ -188,12 +188,12 @@
 func (s *Slot) Patience() time.Duration { return max(leastPatience, lateBy*s.pool.medianConnect) }
 
 // late says that a connection has not come up in the usual time.
-func (s *Slot) late() bool { return !s.Up() && s.Age() > s.Patience() }
+func (s *Slot) late() bool { return !s.Connected() && s.Age() > s.Patience() }
 
 // recordConnect counts how long the connection took to come up, once: the estimate follows the median in small steps, so that those
 // that come up late, however late, do not make late the rule.
 func (s *Slot) recordConnect() {
-	if !s.Up() || s.recorded {
+	if !s.Connected() || s.recorded {
 		return
 	}
 	s.recorded = true
@@ -207,8 +207,8 @@
 // before says whether s is better than other for a new use.
 func (s *Slot) before(other *Slot) bool {
 	switch {
-	case s.Up() != other.Up():
-		return s.Up()
+	case s.Connected() != other.Connected():
+		return s.Connected()
 	case s.Load != other.Load:
 		return s.Load < other.Load
 	}
@@ -242,7 +242,7 @@
 
 // retireIdle closes a connection that has been idle for so long that its next use would be at risk.
 func (s *Slot) retireIdle() {
-	if s.Load == 0 && s.Up() && s.pool.pools.risks.after(s.idle()) > mostRisk {
+	if s.Load == 0 && s.Connected() && s.pool.pools.risks.after(s.idle()) > mostRisk {
 		s.Stale = true
 		s.closeUnused()
 	}
@@ -275,7 +275,7 @@
 
 // Drop takes an ended connection out of its pool. One that ended as soon as it was used had ended before.
 func (s *Slot) Drop() {
-	if s.Up() && s.Load > 0 && s.trial >= 0 && s.pool.pools.loop.Now()-s.begun < atOnce {
+	if s.Connected() && s.Load > 0 && s.trial >= 0 && s.pool.pools.loop.Now()-s.begun < atOnce {
 		s.pool.pools.risks.count(s.trial, true)
 	}
 	before := len(s.pool.slots)
--- a/internal/connpool/pools_test.go
+++ b/internal/connpool/pools_test.go
@@ -102,7 +102,7 @@
 	for !late.late() {
 		turn(t, l)
 	}
-	if late.Up() {
+	if late.Connected() {
 		t.Fatal("the server's queue was not full: nothing is late")
 	}
 	server.accept(t, l) // there is room for one more now
@@ -111,12 +111,12 @@
 		t.Fatal(err)
 	}
 	late.Release()
-	for i := 0; !other.Up(); i++ {
+	for i := 0; !other.Connected(); i++ {
 		if turn(t, l); i == 1000 {
 			t.Fatal("the other one never came up")
 		}
 	}
-	if late.Up() {
+	if late.Connected() {
 		t.Fatal("the late one is up too: nothing was tested")
 	}
 	if s, err := ps.Get("s", false, any); err != nil || s == late {
@@ -127,12 +127,12 @@
 	if _, err := unix.Write(fd, []byte("x")); err != nil {
 		t.Fatal(err)
 	}
-	for i := 0; other.Heard() <= late.CreatedAt() || ps.count == 0; i++ {
+	for i := 0; other.LastReceived() <= late.CreatedAt() || ps.count == 0; i++ {
 		if turn(t, l); i == 1000 {
 			t.Fatal("nothing was heard")
 		}
 	}
-	if s, err := ps.Reassign(late, any); err != nil || !s.Up() {
+	if s, err := ps.Reassign(late, any); err != nil || !s.Connected() {
 		t.Errorf("a new connection though one is up: %v", err)
 	}
 }
--- a/internal/eventloop/clock.go
+++ b/internal/eventloop/clock.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Clock is time since the Unix epoch, the one origin of all times in the program.
-type Clock = time.Duration
+// Timestamp is time since the Unix epoch, the one origin of all times in the program.
+type Timestamp = time.Duration
 
 // TimeSource is where a loop takes its time from.
 type TimeSource interface {
 	// Now returns the current time. It never goes back.
-	Now() Clock
-	// Nap is called once a turn, before the loop waits for readiness: all that was due up to the previous turn has been
+	Now() Timestamp
+	// PollTimeout is called once a turn, before the loop waits for readiness: all that was due up to the previous turn has been
 	// carried out by then. It returns how long the loop may wait in real time, at most wanted.
-	Nap(wanted time.Duration) time.Duration
+	PollTimeout(wanted time.Duration) time.Duration
 }
 
 // systemClock begins at the Unix clock and does not follow a later change of that: deadlines must neither stand still
@@ -22,7 +22,7 @@
 func SystemClock() TimeSource { return systemClock{start: time.Now()} }
 
 // Now returns the Unix time at the start, moved on by what has passed since.
-func (c systemClock) Now() Clock { return Clock(c.start.UnixNano()) + time.Since(c.start) }
+func (c systemClock) Now() Timestamp { return Timestamp(c.start.UnixNano()) + time.Since(c.start) }
 
-// Nap lets the loop wait for as long as it wants.
-func (c systemClock) Nap(wanted time.Duration) time.Duration { return wanted }
+// PollTimeout lets the loop wait for as long as it wants.
+func (c systemClock) PollTimeout(wanted time.Duration) time.Duration { return wanted }
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -24,20 +24,20 @@
 type HalfCloser interface {
 	Handler
 	// PeerClosing is called once, when the peer is seen to send no more. It did so after the given time; 0: not known.
-	PeerClosing(after Clock)
+	PeerClosing(after Timestamp)
 	// PeerClosed is called once, when all that the peer sent has been handed over. It says whether output is still
 	// owed: the handler then closes the connection itself when it is not any more.
 	PeerClosed() (owed bool)
 }
 
-// ErrConnect marks a connection that never came up: nothing was sent on it.
-var ErrConnect = errors.New("not connected")
+// ErrNotConnected marks a connection that never came up: nothing was sent on it.
+var ErrNotConnected = errors.New("not connected")
 
 // ErrConnectTimeout says that a connection did not come up in the time that it was given.
 var ErrConnectTimeout = errors.New("connect timed out")
 
-// ErrBacklog marks a connection whose peer does not take what it is sent.
-var ErrBacklog = errors.New("peer takes no output")
+// ErrWriteStalled marks a connection whose peer does not take what it is sent.
+var ErrWriteStalled = errors.New("peer takes no output")
 
 const (
 	mostQueued = 16 << 20 // queued output at which the connection is given up
@@ -68,25 +68,25 @@
 	registered bool          // with epoll
 	rdhup      bool          // the peer has been seen to send no more
 	eof        bool          // and all that it sent has been handed over
-	came       Clock         // an accepted connection was made after this; 0: not known
-	since      Clock         // when it was begun or accepted
+	came       Timestamp     // an accepted connection was made after this; 0: not known
+	since      Timestamp     // when it was begun or accepted
 	queuedLong bool          // it may have waited to be accepted for long
 	inQueue    time.Duration // for how long the process was held up before
-	behind     Clock         // since when what comes next may have waited, as there was much before it; 0: it is new
+	behind     Timestamp     // since when what comes next may have waited, as there was much before it; 0: it is new
 	waited     time.Duration // see Waited
 	took       time.Duration // to come up
-	heard      Clock
-	wrote      Clock
+	heard      Timestamp
+	wrote      Timestamp
 }
 
-// Up says whether the connection has been made.
-func (c *Conn) Up() bool { return c.up }
+// Connected says whether the connection has been made.
+func (c *Conn) Connected() bool { return c.up }
 
 // Age is for how long the connection has existed.
 func (c *Conn) Age() time.Duration { return c.loop.now - c.since }
 
 // CreatedAt is when the connection was begun or accepted.
-func (c *Conn) CreatedAt() Clock { return c.since }
+func (c *Conn) CreatedAt() Timestamp { return c.since }
 
 // ConnectDuration is how long the connection took to come up; 0: it has not yet, or was accepted.
 func (c *Conn) ConnectDuration() time.Duration { return c.took }
@@ -94,11 +94,11 @@
 // Ended says whether the connection has ended or is about to.
 func (c *Conn) Ended() bool { return c.closed || c.closing }
 
-// Heard is when the peer was last heard of: made the connection or sent something.
-func (c *Conn) Heard() Clock { return c.heard }
+// LastReceived is when the peer was last heard of: made the connection or sent something.
+func (c *Conn) LastReceived() Timestamp { return c.heard }
 
-// Pending is how many bytes have been received and not used yet: part of a message.
-func (c *Conn) Pending() int { return len(c.in) }
+// UnparsedBytes is how many bytes have been received and not used yet: part of a message.
+func (c *Conn) UnparsedBytes() int { return len(c.in) }
 
 // Close ends the connection at once. Its handler is not called any more.
 func (c *Conn) Close() {
@@ -112,10 +112,10 @@
 	c.loop.remove(c.fd)
 }
 
-// CloseFlushed ends the connection in good order: what is queued is written, the peer is told that no more
+// CloseAfterFlush ends the connection in good order: what is queued is written, the peer is told that no more
 // comes, and its own end is waited for. Closing at once with input unread would reset the connection, and the
 // peer would lose answers still on their way.
-func (c *Conn) CloseFlushed() {
+func (c *Conn) CloseAfterFlush() {
 	if c.Ended() {
 		return
 	}
@@ -142,11 +142,11 @@
 
 // linger closes after a while, though the peer has not closed: a close over unread bytes resets the connection,
 // and a peer that still takes its answers would lose the rest of them.
-func (c *Conn) linger(end Clock) {
+func (c *Conn) linger(end Timestamp) {
 	c.loop.At(c.loop.now+lingerFor, func() {
 		switch {
 		case c.closed:
-		case c.Unacked() > 0 && c.loop.now < end:
+		case c.UnackedBytes() > 0 && c.loop.now < end:
 			c.linger(end)
 		default:
 			if c.receive(); !c.closed {
@@ -162,7 +162,7 @@
 		return
 	}
 	if !c.up {
-		err = fmt.Errorf("%w: %w", ErrConnect, err)
+		err = fmt.Errorf("%w: %w", ErrNotConnected, err)
 	}
 	c.Close()
 	c.handler.Closed(err)
--- a/internal/eventloop/conn_test.go
+++ b/internal/eventloop/conn_test.go
@@ -39,20 +39,20 @@
 	}
 	c := &Conn{loop: l, fd: pair[0], handler: nobody{}, up: true, events: unix.EPOLLIN}
 	defer c.Close()
-	if c.Unread() {
+	if c.HasUnreadInput() {
 		t.Error("nothing was sent")
 	}
 	if _, err := unix.Write(pair[1], []byte("x")); err != nil {
 		t.Fatal(err)
 	}
-	if !c.Unread() {
+	if !c.HasUnreadInput() {
 		t.Error("what was sent is not seen")
 	}
-	if c.receive(); c.Unread() {
+	if c.receive(); c.HasUnreadInput() {
 		t.Error("it was read")
 	}
 	unix.Close(pair[1]) //nolint:errcheck // its end is what counts
-	if c.Unread() {
+	if c.HasUnreadInput() {
 		t.Error("the peer's end is nothing unread")
 	}
 }
@@ -87,7 +87,7 @@
 			break
 		}
 	}
-	if !done || !c.Ended() || l.Held() != 0 {
+	if !done || !c.Ended() || l.BufferedBytes() != 0 {
 		t.Error("never encoded, or still open")
 	}
 }
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -51,9 +51,9 @@
 // connectError is how a connect failed.
 func connectError(addr netip.AddrPort, err error) error {
 	if isLocal(err) {
-		err = fmt.Errorf("%w: %w", ErrLocal, err)
+		err = fmt.Errorf("%w: %w", ErrLocalResources, err)
 	}
-	return fmt.Errorf("%w: connect %s: %w", ErrConnect, addr, err)
+	return fmt.Errorf("%w: connect %s: %w", ErrNotConnected, addr, err)
 }
 
 func socket(addr netip.AddrPort) (int, error) {
--- a/internal/eventloop/input.go
+++ b/internal/eventloop/input.go
@@ -9,12 +9,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// Waited is for how long what is being handed over may have waited to be read, besides the time between two turns: in the
+// QueueingDelay is for how long what is being handed over may have waited to be read, besides the time between two turns: in the
 // queue of connections to accept, or behind what one turn reads of a connection.
-func (c *Conn) Waited() time.Duration { return c.waited }
+func (c *Conn) QueueingDelay() time.Duration { return c.waited }
 
-// Look takes what has come since the turn began, in the middle of it.
-func (c *Conn) Look() {
+// PollNow takes what has come since the turn began, in the middle of it.
+func (c *Conn) PollNow() {
 	if c.closed || !c.up {
 		return
 	}
@@ -86,7 +86,7 @@
 // rest may have waited here or in the peer's system.
 func (c *Conn) markBehind(total int) {
 	if c.behind = 0; total >= muchInput {
-		c.behind = c.loop.now - max(c.waited, c.loop.Stalled(c.loop.napped))
+		c.behind = c.loop.now - max(c.waited, c.loop.SchedulingDelay(c.loop.napped))
 	}
 }
 
@@ -141,9 +141,9 @@
 	}
 }
 
-// Unread says whether the peer has sent something that has not been read. To close now would lose it, and it may
+// HasUnreadInput says whether the peer has sent something that has not been read. To close now would lose it, and it may
 // have waited for longer than the peer would take for a crossing: the process does not always have its core.
-func (c *Conn) Unread() bool {
+func (c *Conn) HasUnreadInput() bool {
 	var first [1]byte
 	n, err := System.Peek(c.fd, first[:])
 	if err != nil {
--- a/internal/eventloop/listen.go
+++ b/internal/eventloop/listen.go
@@ -82,11 +82,11 @@
 	return ln, nil
 }
 
-// Accept takes what waits now.
-func (ln *Listener) Accept() { ln.ready(0) }
+// AcceptPending takes what waits now.
+func (ln *Listener) AcceptPending() { ln.ready(0) }
 
-// Waiting says whether a connection waits to be accepted.
-func (ln *Listener) Waiting() bool { return !ln.closed && ln.waiting() }
+// HasPending says whether a connection waits to be accepted.
+func (ln *Listener) HasPending() bool { return !ln.closed && ln.waiting() }
 
 // Close stops accepting.
 func (ln *Listener) Close() {
@@ -155,7 +155,7 @@
 func (ln *Listener) take(fd int) {
 	l := ln.loop
 	c := &Conn{loop: l, fd: fd, up: true, events: unix.EPOLLIN | unix.EPOLLRDHUP, since: l.now, heard: l.now, wrote: l.now}
-	c.inQueue = l.Stalled(l.napped)
+	c.inQueue = l.SchedulingDelay(l.napped)
 	c.queuedLong = ln.behind || c.inQueue > queuedAfter
 	if !ln.behind {
 		c.came = l.lastPoll
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -29,13 +29,13 @@
 	added     int32 // descriptors so far
 	timers    timers
 	clock     TimeSource
-	now       Clock
-	lastPoll  Clock   // when the last look at all that is ready ended: what is new in this turn came after it
-	looked    Clock   // when the look of this turn ended, or a time before that
-	polledAll bool    // it was at all
-	dirty     []*Conn // with output queued in this turn
-	held      int     // bytes held in all buffers and queues
-	read      []byte  // shared by all reads
+	now       Timestamp
+	lastPoll  Timestamp // when the last look at all that is ready ended: what is new in this turn came after it
+	looked    Timestamp // when the look of this turn ended, or a time before that
+	polledAll bool      // it was at all
+	dirty     []*Conn   // with output queued in this turn
+	held      int       // bytes held in all buffers and queues
+	read      []byte    // shared by all reads
 	events    []unix.EpollEvent
 	failures  int           // of the wait, in a row
 	napped    time.Duration // how long the last wait was to last at the most
@@ -69,22 +69,22 @@
 }
 
 // Now is the clock time of this turn.
-func (l *Loop) Now() Clock { return l.now }
+func (l *Loop) Now() Timestamp { return l.now }
 
-// Fresh is the clock's time now, where that of the turn may be too old.
-func (l *Loop) Fresh() Clock { return l.clock.Now() }
+// CurrentTime is the clock's time now, where that of the turn may be too old.
+func (l *Loop) CurrentTime() Timestamp { return l.clock.Now() }
 
-// Stalled is for how much longer than a nap the loop has not looked at what is ready: the process does not always have
+// SchedulingDelay is for how much longer than a nap the loop has not looked at what is ready: the process does not always have
 // its core, and what is read in this turn may have waited for as long.
-func (l *Loop) Stalled(nap time.Duration) time.Duration {
+func (l *Loop) SchedulingDelay(nap time.Duration) time.Duration {
 	if l.lastPoll == 0 {
 		return 0
 	}
 	return max(0, l.now-l.lastPoll-nap)
 }
 
-// Held is how many bytes all connections hold, received and not used or queued and not written.
-func (l *Loop) Held() int { return l.held }
+// BufferedBytes is how many bytes all connections hold, received and not used or queued and not written.
+func (l *Loop) BufferedBytes() int { return l.held }
 
 // tick brings the loop's time up to date.
 func (l *Loop) tick() { l.now = l.clock.Now() }
@@ -99,7 +99,7 @@
 	if len(l.timers) > 0 {
 		most = min(most, l.timers[0].at-l.now)
 	}
-	most = l.clock.Nap(max(most, 0))
+	most = l.clock.PollTimeout(max(most, 0))
 	l.napped = most
 	millis := int((most + time.Millisecond - 1) / time.Millisecond)
 	n, err := System.Wait(l.epoll, l.events, millis)
@@ -169,13 +169,13 @@
 
 // Timer calls a function once.
 type Timer struct {
-	at    Clock
+	at    Timestamp
 	call  func()
 	place int // in the heap; -1: not in it
 }
 
 // At calls f at the given time, in the turn that finds it due.
-func (l *Loop) At(at Clock, f func()) *Timer {
+func (l *Loop) At(at Timestamp, f func()) *Timer {
 	t := &Timer{at: at, call: f}
 	heap.Push(&l.timers, t)
 	return t
--- a/internal/eventloop/output.go
+++ b/internal/eventloop/output.go
@@ -24,8 +24,8 @@
 	written func() // of a message that has been encoded
 }
 
-// Backlog is how many bytes wait to be written, and since when none was.
-func (c *Conn) Backlog() (bytes int, since Clock) { return c.queued, c.wrote }
+// QueuedOutput is how many bytes wait to be written, and since when none was.
+func (c *Conn) QueuedOutput() (bytes int, since Timestamp) { return c.queued, c.wrote }
 
 // Write queues bytes; the connection keeps them.
 func (c *Conn) Write(data []byte) {
@@ -71,8 +71,8 @@
 	c.loop.held += n
 }
 
-// Unacked is how many bytes the peer has not acknowledged of those that were written.
-func (c *Conn) Unacked() int {
+// UnackedBytes is how many bytes the peer has not acknowledged of those that were written.
+func (c *Conn) UnackedBytes() int {
 	n, err := unix.IoctlGetInt(c.fd, unix.SIOCOUTQ)
 	if err != nil {
 		return 0
@@ -103,7 +103,7 @@
 	switch {
 	case c.closed:
 	case c.queued > mostQueued:
-		c.Fail(ErrBacklog)
+		c.Fail(ErrWriteStalled)
 	case c.closing && len(c.queue) == 0:
 		c.shutdown()
 	default:
--- a/internal/eventloop/system.go
+++ b/internal/eventloop/system.go
@@ -49,14 +49,14 @@
 	Wait:    unix.EpollWait,
 }
 
-// ErrLocal marks a failure of this machine or process, such as a lack of descriptors, ports or memory. It says nothing of the
+// ErrLocalResources marks a failure of this machine or process, such as a lack of descriptors, ports or memory. It says nothing of the
 // peer.
-var ErrLocal = errors.New("local resources are used up")
+var ErrLocalResources = errors.New("local resources are used up")
 
 // startError marks an error of the start that may pass.
 func startError(err error) error {
 	if isExhausted(err) {
-		return fmt.Errorf("%w: %w", ErrLocal, err)
+		return fmt.Errorf("%w: %w", ErrLocalResources, err)
 	}
 	return err
 }
--- a/internal/eventloop/system_test.go
+++ b/internal/eventloop/system_test.go
@@ -231,7 +231,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		turns(t, loop, caller.conn.Up)
+		turns(t, loop, caller.conn.Connected)
 		other, err := peer.Accept()
 		if err != nil {
 			t.Fatal(err)
@@ -240,7 +240,7 @@
 		if _, err := other.Write([]byte("answer")); err != nil {
 			t.Fatal(err)
 		}
-		for end := time.Now().Add(time.Second); !caller.conn.Unread() && time.Now().Before(end); {
+		for end := time.Now().Add(time.Second); !caller.conn.HasUnreadInput() && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
 		substitute(t, func(s *SystemCalls) { s.Write = func(int, []byte) (int, error) { return -1, code } })
@@ -258,8 +258,8 @@
 	closing bool
 }
 
-func (h *halfEcho) PeerClosing(Clock) { h.closing = true }
-func (h *halfEcho) PeerClosed() bool  { return false }
+func (h *halfEcho) PeerClosing(Timestamp) { h.closing = true }
+func (h *halfEcho) PeerClosed() bool      { return false }
 
 // A connection that is closed to make room may have an event of its own in the same turn. It is not taken for one of the
 // connection that gets its descriptor.
@@ -306,16 +306,18 @@
 }
 
 // testClock is moved on by a test.
-type testClock struct{ now Clock }
+type testClock struct{ now Timestamp }
 
-func (c *testClock) Now() Clock                             { return c.now }
-func (c *testClock) Nap(wanted time.Duration) time.Duration { return min(wanted, time.Millisecond) }
+func (c *testClock) Now() Timestamp { return c.now }
+func (c *testClock) PollTimeout(wanted time.Duration) time.Duration {
+	return min(wanted, time.Millisecond)
+}
 
 // The process is stopped just after it has looked at what is ready. What comes until it goes on has waited, though it is found in
 // the turn after the next look only.
 func TestStoppedBehindALook(t *testing.T) {
 	const stopped, nap = 2 * time.Second, 50 * time.Millisecond
-	clock := &testClock{now: Clock(time.Now().UnixNano())}
+	clock := &testClock{now: Timestamp(time.Now().UnixNano())}
 	loop, err := NewLoop(clock)
 	if err != nil {
 		t.Fatal(err)
@@ -334,7 +336,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		turns(t, loop, conn.Up)
+		turns(t, loop, conn.Connected)
 		peer, err := ln.Accept()
 		if err != nil {
 			t.Fatal(err)
@@ -346,7 +348,7 @@
 		if _, err := peers[i].Write([]byte("x")); err != nil {
 			t.Fatal(err)
 		}
-		for end := time.Now().Add(time.Second); !conns[i].Unread() && time.Now().Before(end); {
+		for end := time.Now().Add(time.Second); !conns[i].HasUnreadInput() && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
 	}
@@ -379,7 +381,7 @@
 }
 
 func (w *waiter) Receive(data []byte) (int, error) {
-	*w.waited = append(*w.waited, w.loop.Stalled(50*time.Millisecond))
+	*w.waited = append(*w.waited, w.loop.SchedulingDelay(50*time.Millisecond))
 	return len(data), nil
 }
 
--- a/internal/proxy/admin.go
+++ b/internal/proxy/admin.go
@@ -75,7 +75,7 @@
 type adminConn struct {
 	admin *Admin
 	conn  *eventloop.Conn
-	since eventloop.Clock
+	since eventloop.Timestamp
 }
 
 func (c *adminConn) end() {
@@ -101,7 +101,7 @@
 
 func (c *adminConn) respond(r http1.Response) {
 	c.conn.Write(http1.AppendResponse(nil, r))
-	c.conn.CloseFlushed()
+	c.conn.CloseAfterFlush()
 }
 
 // Closed forgets the connection.
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -29,14 +29,14 @@
 	req     *request
 	number  int
 	target  string
-	created eventloop.Clock
-	on      *upstream       // nil: it got no connection
-	place   int             // how often it has been put on a connection
-	started bool            // its first byte has been written
-	written bool            // its last byte has been written: it may run
-	source  string          // from which a miss is filled
-	began   eventloop.Clock // when its first byte was written, as the audit knows
-	oldest  int64           // Unix millisecond before which no copy that answers it may have been made; 0: not bound
+	created eventloop.Timestamp
+	on      *upstream           // nil: it got no connection
+	place   int                 // how often it has been put on a connection
+	started bool                // its first byte has been written
+	written bool                // its last byte has been written: it may run
+	source  string              // from which a miss is filled
+	began   eventloop.Timestamp // when its first byte was written, as the audit knows
+	oldest  int64               // Unix millisecond before which no copy that answers it may have been made; 0: not bound
 	ended   bool
 	result  policy.Result // how it ended
 }
@@ -69,11 +69,11 @@
 	a.on.calls[a.req.ID] = a
 	a.place++
 	slot.Send(sending{a, a.place})
-	if slot.Up() || moves == 0 {
+	if slot.Connected() || moves == 0 {
 		return
 	}
 	a.p.loop.At(a.p.loop.Now()+max(0, slot.Patience()-slot.Age()), func() {
-		if a.ended || a.started || slot.Up() || slot.Ended() {
+		if a.ended || a.started || slot.Connected() || slot.Ended() {
 			return
 		}
 		other, err := a.p.pools.Reassign(slot, func(s *connpool.Slot) bool { return s.Owner.(*upstream).takes(a.req) })
@@ -100,7 +100,7 @@
 	if a.ended || a.started || a.place != s.place {
 		return nil, false
 	}
-	now := a.p.loop.Fresh() // the process may have been without its core since the turn began
+	now := a.p.loop.CurrentTime() // the process may have been without its core since the turn began
 	f, ok := a.maySend(now)
 	if !ok {
 		a.p.end(a, resp.Answer{}, policy.ResultNotSent)
@@ -122,7 +122,7 @@
 }
 
 // maySend asks the module once more whether the call may begin, and with which orders.
-func (a *attempt) maySend(now eventloop.Clock) (policy.Fetch, bool) {
+func (a *attempt) maySend(now eventloop.Timestamp) (policy.Fetch, bool) {
 	a.req.to.Look()
 	_, left := a.req.to.Left()
 	if a.req.finished { // answered or given up since, perhaps in this very turn
@@ -147,7 +147,7 @@
 	a.on.started()
 	a.p.audit.began(a, a.source)
 	if !whole {
-		a.p.loop.At(a.p.loop.Fresh()+maxHalfWritten, a.giveUpHalfWritten)
+		a.p.loop.At(a.p.loop.CurrentTime()+maxHalfWritten, a.giveUpHalfWritten)
 	}
 }
 
--- a/internal/proxy/audit.go
+++ b/internal/proxy/audit.go
@@ -27,16 +27,16 @@
 // counts; a test has it end the program.
 type audit struct {
 	p        *Proxy
-	leaving  map[string]eventloop.Clock // when each server was told to leave
-	purges   map[any]purgeRecord        // by object or group
+	leaving  map[string]eventloop.Timestamp // when each server was told to leave
+	purges   map[any]purgeRecord            // by object or group
 	counts   [violations]int64
 	violated func(text string) // nil: only counted
 }
 
 // purgeRecord is a purge as the coordinator told it.
 type purgeRecord struct {
-	at   int64           // Unix millisecond
-	told eventloop.Clock // to this process
+	at   int64               // Unix millisecond
+	told eventloop.Timestamp // to this process
 }
 
 // violation is a rule that was broken.
@@ -59,7 +59,7 @@
 }
 
 func newAudit(p *Proxy, violated func(string)) *audit {
-	return &audit{p: p, leaving: map[string]eventloop.Clock{}, purges: map[any]purgeRecord{}, violated: violated}
+	return &audit{p: p, leaving: map[string]eventloop.Timestamp{}, purges: map[any]purgeRecord{}, violated: violated}
 }
 
 // report counts a violation.
@@ -80,7 +80,7 @@
 	if ev.Endpoints == nil {
 		return
 	}
-	maps.DeleteFunc(u.leaving, func(_ string, since eventloop.Clock) bool { return now-since > leavingMemory })
+	maps.DeleteFunc(u.leaving, func(_ string, since eventloop.Timestamp) bool { return now-since > leavingMemory })
 	if ev.Endpoints.Full {
 		for id := range u.p.servers {
 			u.leave(id, now)
@@ -95,13 +95,13 @@
 	}
 }
 
-func (u *audit) leave(id string, now eventloop.Clock) {
+func (u *audit) leave(id string, now eventloop.Timestamp) {
 	if _, known := u.leaving[id]; !known {
 		u.leaving[id] = now
 	}
 }
 
-func (u *audit) purged(v *watch.Evict, now eventloop.Clock) {
+func (u *audit) purged(v *watch.Evict, now eventloop.Timestamp) {
 	for key, record := range u.purges {
 		if now-record.told > u.p.set.Policy.PurgeCompletedWithin+time.Second {
 			delete(u.purges, key)
@@ -121,7 +121,7 @@
 
 // began looks at an attempt whose first byte has gone.
 func (u *audit) began(a *attempt, source string) {
-	now := u.p.loop.Fresh()
+	now := u.p.loop.CurrentTime()
 	for _, id := range []string{a.target, source} {
 		if since, leaving := u.leaving[id]; leaving && now-since > drainGrace+auditSlack {
 			u.report(sentToLeaving, a.req, id)
--- a/internal/proxy/audit_test.go
+++ b/internal/proxy/audit_test.go
@@ -13,7 +13,7 @@
 // What is kept of servers that have left is forgotten after a while: servers are replaced under new ids for as long as a process
 // runs. One that has just left is still known.
 func TestAuditForgetsServers(t *testing.T) {
-	clock := &handClock{now: eventloop.Clock(time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC).UnixNano())}
+	clock := &handClock{now: eventloop.Timestamp(time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC).UnixNano())}
 	loop, err := eventloop.NewLoop(clock)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/proxy/client.go
+++ b/internal/proxy/client.go
@@ -15,22 +15,22 @@
 	number  int64 // of the connection, in the log
 	conn    *eventloop.Conn
 	decoder fastcgi.Decoder
-	open    map[uint16]int64 // the proxy's number of each open request
-	partial int              // bytes of requests that have not come whole
-	skip    int              // bytes to come that are passed over
-	last    bool             // the client asked for no further request on it
-	parked  []parked         // requests that wait until the client has read more
-	goneBy  eventloop.Clock  // from when on nothing begins for a client that has left; 0: it has not
-
-	looked          eventloop.Clock // when it was looked at in the middle of a turn
-	asked           int             // requests that came whole
-	incompleteSince eventloop.Clock // since when the client owes its first request, or the rest of one; 0: it does not
-	answered        eventloop.Clock // when it last got an answer
+	open    map[uint16]int64    // the proxy's number of each open request
+	partial int                 // bytes of requests that have not come whole
+	skip    int                 // bytes to come that are passed over
+	last    bool                // the client asked for no further request on it
+	parked  []parked            // requests that wait until the client has read more
+	goneBy  eventloop.Timestamp // from when on nothing begins for a client that has left; 0: it has not
+
+	looked          eventloop.Timestamp // when it was looked at in the middle of a turn
+	asked           int                 // requests that came whole
+	incompleteSince eventloop.Timestamp // since when the client owes its first request, or the rest of one; 0: it does not
+	answered        eventloop.Timestamp // when it last got an answer
 }
 
 // idle is how long nothing has come or gone.
 func (c *clientConn) idle() time.Duration {
-	return c.front.p.loop.Now() - max(c.conn.Heard(), c.answered)
+	return c.front.p.loop.Now() - max(c.conn.LastReceived(), c.answered)
 }
 
 // overdue says that a client has paused for too long over a request, or has asked nothing for too long.
@@ -42,11 +42,11 @@
 }
 
 // midRequest says whether a request has come in part.
-func (c *clientConn) midRequest() bool { return c.conn.Pending() > 0 || c.decoder.Receiving() }
+func (c *clientConn) midRequest() bool { return c.conn.UnparsedBytes() > 0 || c.decoder.Receiving() }
 
 // evictable says whether a connection may be closed to make room for another.
 func (c *clientConn) evictable() bool {
-	bytes, _ := c.conn.Backlog()
+	bytes, _ := c.conn.QueuedOutput()
 	if len(c.open) > 0 || bytes > 0 || c.conn.Ended() {
 		return false // looked at here as well, as all connections are asked: what is left is decided by policy.MayClose
 	}
@@ -180,20 +180,20 @@
 
 // PeerClosing notes that the client sends no more. It has closed, most likely, and nothing must begin for it long after. It
 // may also wait for its answers all the same: it gets what can be had at once.
-func (c *clientConn) PeerClosing(after eventloop.Clock) {
+func (c *clientConn) PeerClosing(after eventloop.Timestamp) {
 	c.goneBy = max(1, after+goneAfter)
 	c.front.p.loop.At(c.goneBy, c.giveUp)
 }
 
-func (c *clientConn) gone() bool { return c.goneBy != 0 && c.front.p.loop.Fresh() >= c.goneBy }
+func (c *clientConn) gone() bool { return c.goneBy != 0 && c.front.p.loop.CurrentTime() >= c.goneBy }
 
 // lookAgain reads what has come since the turn began, if that is long ago: the client may have left, or taken back what it
 // asked for.
 func (c *clientConn) lookAgain() {
-	now := c.front.p.loop.Fresh()
+	now := c.front.p.loop.CurrentTime()
 	if now-max(c.looked, c.front.p.loop.Now()) > lookAgainAfter {
 		c.looked = now
-		c.conn.Look()
+		c.conn.PollNow()
 	}
 }
 
@@ -208,11 +208,11 @@
 // PeerClosed says whether the client is still owed something; it is closed when it is not any more.
 func (c *clientConn) PeerClosed() (owed bool) {
 	c.last = true
-	if bytes, _ := c.conn.Backlog(); len(c.open) == 0 && bytes == 0 {
+	if bytes, _ := c.conn.QueuedOutput(); len(c.open) == 0 && bytes == 0 {
 		return false
 	}
 	if len(c.open) == 0 {
-		c.conn.CloseFlushed()
+		c.conn.CloseAfterFlush()
 	}
 	return true
 }
@@ -222,7 +222,7 @@
 type parked struct {
 	request *fastcgi.Request
 	in      Request
-	at      eventloop.Clock
+	at      eventloop.Timestamp
 }
 
 func (c *clientConn) park(r *fastcgi.Request, in Request) {
@@ -232,7 +232,7 @@
 }
 
 // refuseParked refuses the parked requests that have waited for half of their time: later, a refusal costs more.
-func (c *clientConn) refuseParked(now eventloop.Clock) {
+func (c *clientConn) refuseParked(now eventloop.Timestamp) {
 	for len(c.parked) > 0 && now-c.parked[0].at >= c.parked[0].in.Wait/2 {
 		r := c.unpark()
 		c.front.p.turnAway(r.in, &responder{conn: c, id: r.request.ID}, Answer{Status: Refused, ComeBack: goneIn})
@@ -249,7 +249,7 @@
 }
 
 func (c *clientConn) full() bool {
-	bytes, _ := c.conn.Backlog()
+	bytes, _ := c.conn.QueuedOutput()
 	return bytes >= backpressureAt
 }
 
@@ -272,7 +272,7 @@
 	case (c.full() || len(c.parked) > 0) && !c.gone() && !c.front.p.late():
 		c.park(r, in)
 	default:
-		in.Wait -= max(c.front.p.loop.Stalled(longestNap), c.conn.Waited()) // its client has been waiting for it
+		in.Wait -= max(c.front.p.loop.SchedulingDelay(longestNap), c.conn.QueueingDelay()) // its client has been waiting for it
 		c.serve(in, to)
 	}
 }
@@ -309,7 +309,7 @@
 
 // unreadSince says that the client has taken nothing of what it is owed for so long.
 func (c *clientConn) unreadSince(length time.Duration) bool {
-	bytes, since := c.conn.Backlog()
+	bytes, since := c.conn.QueuedOutput()
 	return bytes > 0 && c.front.p.loop.Now()-since > length
 }
 
@@ -325,7 +325,7 @@
 // closeIfLast closes a connection that its client wants to be closed, once it is empty.
 func (c *clientConn) closeIfLast() {
 	if c.last && c.empty() {
-		c.conn.CloseFlushed()
+		c.conn.CloseAfterFlush()
 	}
 }
 
--- a/internal/proxy/coordinator.go
+++ b/internal/proxy/coordinator.go
@@ -35,10 +35,10 @@
 type follower struct {
 	p          *Proxy
 	addr       netip.AddrPort
-	last       int64           // number of the last event that was taken
-	streams    []*stream       // the oldest first
-	fruitless  int             // streams in a row that were too slow
-	heard      eventloop.Clock // when a whole line came last, or the following was begun
+	last       int64               // number of the last event that was taken
+	streams    []*stream           // the oldest first
+	fruitless  int                 // streams in a row that were too slow
+	heard      eventloop.Timestamp // when a whole line came last, or the following was begun
 	again      *eventloop.Timer
 	pause      time.Duration
 	unreadable unreadableLine
@@ -60,11 +60,11 @@
 type stream struct {
 	f        *follower
 	conn     *eventloop.Conn
-	whole    eventloop.Clock // when it last brought a whole line, or was begun
-	silence  time.Duration   // for how long it may bring nothing
-	line     time.Duration   // for how long it may bring no whole line
-	skipping bool            // the rest of a line that is too long
-	over     int64           // events that may be missing, as lines were passed over since the last one
+	whole    eventloop.Timestamp // when it last brought a whole line, or was begun
+	silence  time.Duration       // for how long it may bring nothing
+	line     time.Duration       // for how long it may bring no whole line
+	skipping bool                // the rest of a line that is too long
+	over     int64               // events that may be missing, as lines were passed over since the last one
 }
 
 // Follow keeps the proxy up to date with the coordinator at addr from event last on.
@@ -116,7 +116,7 @@
 // drain in the middle of it would not be heeded.
 func (s *stream) stalled() bool {
 	now := s.f.p.loop.Now()
-	return now-max(s.conn.Heard(), s.whole) > s.silence || now-s.whole > s.line
+	return now-max(s.conn.LastReceived(), s.whole) > s.silence || now-s.whole > s.line
 }
 
 // watch opens a second stream when none brings whole lines, and makes room for the next when both do not.
@@ -217,7 +217,7 @@
 // nothing of a line.
 func (f *follower) prefer(s *stream, news bool) {
 	for _, other := range slices.Clone(f.streams) {
-		if other != s && (news || other.conn.Pending() == 0 || other.conn.Age() > lineAfter<<maxDoublings) {
+		if other != s && (news || other.conn.UnparsedBytes() == 0 || other.conn.Age() > lineAfter<<maxDoublings) {
 			f.drop(other)
 		}
 	}
--- a/internal/proxy/coordinator_test.go
+++ b/internal/proxy/coordinator_test.go
@@ -49,7 +49,7 @@
 	looked bool
 }
 
-func (c *heldClock) Now() eventloop.Clock {
+func (c *heldClock) Now() eventloop.Timestamp {
 	now := c.TimeSource.Now()
 	if !c.looked {
 		c.looked = true
--- a/internal/proxy/front.go
+++ b/internal/proxy/front.go
@@ -108,7 +108,7 @@
 		if spare == nil {
 			return false
 		}
-		if f.mayClose(policy.CloseInfo{OpenRequests: len(spare.open), HasUnreadInput: spare.conn.Unread}) {
+		if f.mayClose(policy.CloseInfo{OpenRequests: len(spare.open), HasUnreadInput: spare.conn.HasUnreadInput}) {
 			break
 		}
 		unread[spare], spare = true, nil
@@ -132,14 +132,14 @@
 	f.leave()
 	for c := range f.conns {
 		c.refuseParked(f.p.loop.Now())
-		bytes, _ := c.conn.Backlog()
+		bytes, _ := c.conn.QueuedOutput()
 		switch {
 		case c.unreadSince(stuckAfter), f.memoryFull() && c.unreadSince(unreadAfter):
 			f.p.log.Info("client's connection closed, it takes nothing", "connection", c.number, "bytes", bytes)
 			c.conn.Close()
-			c.Closed(eventloop.ErrBacklog)
-		case !c.conn.Ended() && c.overdue() && f.mayClose(policy.CloseInfo{OpenRequests: len(c.open), HasUnreadInput: c.conn.Unread}):
-			c.conn.CloseFlushed()
+			c.Closed(eventloop.ErrWriteStalled)
+		case !c.conn.Ended() && c.overdue() && f.mayClose(policy.CloseInfo{OpenRequests: len(c.open), HasUnreadInput: c.conn.HasUnreadInput}):
+			c.conn.CloseAfterFlush()
 		}
 	}
 	f.p.loop.At(f.p.loop.Now()+longestNap, f.watch)
@@ -153,9 +153,9 @@
 		return
 	}
 	if !f.shared {
-		f.listener.Accept()
+		f.listener.AcceptPending()
 	}
-	if f.shared || !f.listener.Waiting() || f.p.late() {
+	if f.shared || !f.listener.HasPending() || f.p.late() {
 		f.listener.Close()
 	}
 }
@@ -176,17 +176,17 @@
 		if c.conn.Ended() {
 			continue
 		}
-		bytes, _ := c.conn.Backlog()
+		bytes, _ := c.conn.QueuedOutput()
 		verdict := policy.MayClose(policy.CloseInfo{OpenRequests: len(c.open), QueuedBytes: bytes, PartialRequest: c.midRequest(), InUse: c.asking(),
-			HasUnreadInput: c.conn.Unread, UnackedBytes: c.conn.Unacked})
+			HasUnreadInput: c.conn.HasUnreadInput, UnackedBytes: c.conn.UnackedBytes})
 		if verdict.Allowed() { // else it is asked again in the next turn
-			c.conn.CloseFlushed()
+			c.conn.CloseAfterFlush()
 		}
 	}
 }
 
 // Idle says whether no client is connected any more, or waits to be.
-func (f *Front) Idle() bool { return len(f.conns) == 0 && (f.shared || !f.listener.Waiting()) }
+func (f *Front) Idle() bool { return len(f.conns) == 0 && (f.shared || !f.listener.HasPending()) }
 
 // unpark takes on what was parked, as far as clients have read meanwhile.
 func (f *Front) unpark() {
--- a/internal/proxy/left_test.go
+++ b/internal/proxy/left_test.go
@@ -15,10 +15,12 @@
 )
 
 // handClock is moved on by a test.
-type handClock struct{ now eventloop.Clock }
+type handClock struct{ now eventloop.Timestamp }
 
-func (c *handClock) Now() eventloop.Clock                   { return c.now }
-func (c *handClock) Nap(wanted time.Duration) time.Duration { return min(wanted, time.Millisecond) }
+func (c *handClock) Now() eventloop.Timestamp { return c.now }
+func (c *handClock) PollTimeout(wanted time.Duration) time.Duration {
+	return min(wanted, time.Millisecond)
+}
 
 // record is one FastCGI record.
 func record(kind byte, content string) []byte {
@@ -49,7 +51,7 @@
 		"abort":   func(c *net.TCPConn) { c.Write(record(2, "")) },
 		"nothing": func(*net.TCPConn) {},
 	} {
-		clock := &handClock{now: eventloop.Clock(time.Now().UnixNano())}
+		clock := &handClock{now: eventloop.Timestamp(time.Now().UnixNano())}
 		loop, err := eventloop.NewLoop(clock)
 		if err != nil {
 			t.Fatal(err)
@@ -97,7 +99,7 @@
 		for _, q := range p.requests {
 			a = q.attempts[0]
 		}
-		for end := time.Now().Add(5 * time.Second); !a.on.slot.Up() && time.Now().Before(end); {
+		for end := time.Now().Add(5 * time.Second); !a.on.slot.Connected() && time.Now().Before(end); {
 			turn(false)
 		}
 		leave(client.(*net.TCPConn))
--- a/internal/proxy/membership.go
+++ b/internal/proxy/membership.go
@@ -94,7 +94,7 @@
 }
 
 // startTime is the loop's time of a late start that is told as a Unix millisecond; 0: long ago.
-func (p *Proxy) startTime(unixMillis int64) eventloop.Clock {
+func (p *Proxy) startTime(unixMillis int64) eventloop.Timestamp {
 	if unixMillis == 0 {
 		return 0
 	}
--- a/internal/proxy/peerclock.go
+++ b/internal/proxy/peerclock.go
@@ -28,13 +28,13 @@
 
 // clockSample is how far a time that was told lay ahead of the loop's clock as it came.
 type clockSample struct {
-	at    eventloop.Clock
+	at    eventloop.Timestamp
 	ahead time.Duration
 }
 
 // observe takes note of a time that was told just now. It returns how much later than thought the coordinator's clock is,
 // 0 for no change that counts.
-func (c *peerClock) observe(told, now eventloop.Clock) time.Duration {
+func (c *peerClock) observe(told, now eventloop.Timestamp) time.Duration {
 	c.samples = slices.DeleteFunc(c.samples, func(s clockSample) bool { return now-s.at > sampleAge || s.ahead <= told-now })
 	c.samples = append(c.samples, clockSample{at: now, ahead: told - now})
 	least, offset := c.samples[0].ahead, time.Duration(0) // each one lies further ahead than those after it
@@ -50,14 +50,14 @@
 }
 
 // local is the loop's time at which something happened.
-func (c *peerClock) local(told eventloop.Clock) eventloop.Clock { return told - c.offset }
+func (c *peerClock) local(told eventloop.Timestamp) eventloop.Timestamp { return told - c.offset }
 
 // unix is the coordinator's time at a time of the loop.
-func (c *peerClock) unix(at eventloop.Clock) eventloop.Clock { return at + c.offset }
+func (c *peerClock) unix(at eventloop.Timestamp) eventloop.Timestamp { return at + c.offset }
 
 // observeTime compares a Unix time that was told with the loop's clock. Only a purge that has just been told shows that the
 // clock is ahead; any time that lies in the future shows that it is behind.
-func (p *Proxy) observeTime(told eventloop.Clock, justNow bool) {
+func (p *Proxy) observeTime(told eventloop.Timestamp, justNow bool) {
 	now := p.loop.Now()
 	if !justNow && told <= p.clock.unix(now) {
 		return
--- a/internal/proxy/peerclock_test.go
+++ b/internal/proxy/peerclock_test.go
@@ -14,7 +14,7 @@
 // returns how old it counts as.
 func told(t *testing.T, wrongBy time.Duration) (*Proxy, func(ago time.Duration, live bool) time.Duration) {
 	t.Helper()
-	right := eventloop.Clock(time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC).UnixNano())
+	right := eventloop.Timestamp(time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC).UnixNano())
 	loop, err := eventloop.NewLoop(&handClock{now: right + wrongBy})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/proxy/phase.go
+++ b/internal/proxy/phase.go
@@ -83,7 +83,7 @@
 }
 
 // shorten gives a request no more time than until a deadline.
-func (p *Proxy) shorten(q *request, deadline eventloop.Clock) {
+func (p *Proxy) shorten(q *request, deadline eventloop.Timestamp) {
 	if q.deadline <= deadline {
 		return
 	}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -72,9 +72,9 @@
 	follower *follower
 
 	// While draining or stopping:
-	leaveAt eventloop.Clock // new clients have stopped coming
-	lateAt  eventloop.Clock // no request is taken any more
-	endBy   eventloop.Clock // all must be answered; 0: at their deadlines
+	leaveAt eventloop.Timestamp // new clients have stopped coming
+	lateAt  eventloop.Timestamp // no request is taken any more
+	endBy   eventloop.Timestamp // all must be answered; 0: at their deadlines
 
 	open              int // requests taken and not ended
 	tallies           tallies
@@ -82,7 +82,7 @@
 	logDropped        func() int64
 	loader            loader
 	clock             peerClock
-	newestKnown       eventloop.Clock // the latest time that the configuration's purges tell; 0: none
+	newestKnown       eventloop.Timestamp // the latest time that the configuration's purges tell; 0: none
 	audit             *audit
 	denied            denials
 	unreadable        int // parts of the coordinator's events that could not be read
@@ -93,7 +93,7 @@
 	Request
 	number     int64 // the module's
 	to         Responder
-	deadline   eventloop.Clock // by which the answer must have been written
+	deadline   eventloop.Timestamp // by which the answer must have been written
 	effect     policy.Idempotency
 	answers    int  // final answers so far, as the audit counts
 	mayHaveRun bool // a call was written whole and not proven not to have run, as the audit knows
@@ -283,7 +283,7 @@
 }
 
 // held is how many bytes are kept for clients and caches together.
-func (p *Proxy) held() int { return p.loop.Held() + p.bodies + p.partial }
+func (p *Proxy) held() int { return p.loop.BufferedBytes() + p.bodies + p.partial }
 
 // Abandon takes note that the client has given a request up; it gets no answer.
 func (p *Proxy) Abandon(number int64) {
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -36,9 +36,9 @@
 
 // loader reads the configuration off the loop: a slow disk must not hold up requests.
 type loader struct {
-	results chan loadResult // of the read under way; nil: none is
-	since   eventloop.Clock // when that was begun
-	again   bool            // it was ordered once more meanwhile
+	results chan loadResult     // of the read under way; nil: none is
+	since   eventloop.Timestamp // when that was begun
+	again   bool                // it was ordered once more meanwhile
 }
 
 type loadResult struct {
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -51,5 +51,5 @@
 	Look()
 	// Left tells since when the client may have left, 0 while it is there, and whether that is so long ago that nothing may
 	// begin for it any more.
-	Left() (since eventloop.Clock, long bool)
+	Left() (since eventloop.Timestamp, long bool)
 }
--- a/internal/proxy/responder.go
+++ b/internal/proxy/responder.go
@@ -17,7 +17,7 @@
 func (r *responder) Look() { r.conn.lookAgain() }
 
 // Left tells since when the client may have left.
-func (r *responder) Left() (since eventloop.Clock, long bool) {
+func (r *responder) Left() (since eventloop.Timestamp, long bool) {
 	c := r.conn
 	if c.goneBy == 0 {
 		return 0, false
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -19,7 +19,7 @@
 	p     *Proxy
 	slot  *connpool.Slot
 	calls map[string]*attempt // by the request's id, which answers come under
-	since eventloop.Clock     // from when on an answer has been waited for without a byte; 0: none is due
+	since eventloop.Timestamp // from when on an answer has been waited for without a byte; 0: none is due
 }
 
 // openUpstream makes the owner of a new connection.
@@ -79,7 +79,7 @@
 	}
 	result := policy.ResultReset
 	switch {
-	case errors.Is(err, eventloop.ErrConnect):
+	case errors.Is(err, eventloop.ErrNotConnected):
 		result = connectResult(err)
 	case errors.Is(err, resp.ErrMalformed):
 		u.p.log.Warn("connection to a server dropped", "error", err)
@@ -96,7 +96,7 @@
 
 // connectResult is how a call ended whose connection did not come up. What this machine lacks is no fault of the server.
 func connectResult(err error) policy.Result {
-	if errors.Is(err, eventloop.ErrLocal) || errors.Is(err, connpool.ErrNoSocket) {
+	if errors.Is(err, eventloop.ErrLocalResources) || errors.Is(err, connpool.ErrNoSocket) {
 		return policy.ResultNotSent
 	}
 	return policy.ResultConnectFailed
@@ -108,7 +108,7 @@
 	if a.started && unanswered && !u.slot.Ended() {
 		// An answer that stopped short would take the next one's bytes for its own.
 		// One that was written in part must not come whole any more.
-		u.slot.Stale = u.slot.Stale || u.quiet() || u.slot.Pending() > 0 || u.p.mustClose(a) || !a.written
+		u.slot.Stale = u.slot.Stale || u.quiet() || u.slot.UnparsedBytes() > 0 || u.p.mustClose(a) || !a.written
 		u.slot.Write(resp.AppendStop(nil, a.req.ID))
 	}
 	u.slot.Release()
