--- a/internal/connpool/pools.go
+++ b/internal/connpool/pools.go
@@ -13,8 +13,8 @@
 	"cloverdoor/internal/eventloop"
 )
 
-// ErrNoSocket says that a connection would exceed the budget for sockets.
-var ErrNoSocket = errors.New("budget for sockets is used up")
+// ErrConnLimit says that a connection would exceed the budget for sockets.
+var ErrConnLimit = errors.New("budget for sockets is used up")
 
 const (
 	startConnect  = 10 * time.Millisecond // to come up, until some have
@@ -23,17 +23,17 @@
 	leastPatience = 5 * time.Millisecond
 )
 
-// ErrRetired says that a pool's server is gone.
-var ErrRetired = errors.New("server is gone")
+// ErrEndpointRemoved says that a pool's server is gone.
+var ErrEndpointRemoved = errors.New("server is gone")
 
 // Limits bound the connections of all pools.
 type Limits struct {
-	Streams        int // uses that one connection carries together
-	Sockets        int // connections of all pools together
-	Apart          int // connections up to which each use gets one of its own
-	Shared         int // uses that share one all the same, of those that can be repeated; 0: none
+	MaxUsesPerConn int // uses that one connection carries together
+	MaxConns       int // connections of all pools together
+	DedicatedConns int // connections up to which each use gets one of its own
+	SharedUses     int // uses that share one all the same, of those that can be repeated; 0: none
 	ConnectTimeout time.Duration
-	Idle           time.Duration // an unused connection is closed after this
+	IdleTimeout    time.Duration // an unused connection is closed after this
 }
 
 // Pools holds a pool for each server, by the server's id. An address says nothing of who answers there: a new
@@ -41,26 +41,26 @@
 type Pools struct {
 	loop   *eventloop.Loop
 	limits Limits
-	open   func(*Slot) eventloop.Handler
-	byID   map[string]*Pool
+	open   func(*PooledConn) eventloop.Handler
+	byID   map[string]*endpointPool
 	count  int // open connections
 	risks  risks
 }
 
-// Pool is the connections to one server.
-type Pool struct {
+// endpointPool is the connections to one server.
+type endpointPool struct {
 	pools         *Pools
 	addr          netip.AddrPort
-	slots         []*Slot
+	slots         []*PooledConn
 	medianConnect time.Duration // in which about half of its connections come up
 }
 
-// Slot is one pooled connection.
-type Slot struct {
+// PooledConn is one pooled connection.
+type PooledConn struct {
 	*eventloop.Conn
 	Owner    eventloop.Handler
-	pool     *Pool
-	Load     int  // uses under way
+	pool     *endpointPool
+	InUse    int  // uses under way
 	Stale    bool // takes no new use; closed when the last one is over
 	used     eventloop.Timestamp
 	recorded bool // how long it took to come up has been counted
@@ -69,29 +69,29 @@
 	begun eventloop.Timestamp // when that was
 }
 
-// NewPools returns pools without servers. open makes the handler of each new connection; the handler calls
+// New returns pools without servers. open makes the handler of each new connection; the handler calls
 // Drop when the connection has ended.
-func NewPools(l *eventloop.Loop, limits Limits, open func(*Slot) eventloop.Handler) *Pools {
-	return &Pools{loop: l, limits: limits, open: open, byID: map[string]*Pool{}}
+func New(l *eventloop.Loop, limits Limits, open func(*PooledConn) eventloop.Handler) *Pools {
+	return &Pools{loop: l, limits: limits, open: open, byID: map[string]*endpointPool{}}
 }
 
 // SetLimits replaces the limits. Connections beyond them end as they are used up.
 func (ps *Pools) SetLimits(limits Limits) { ps.limits = limits }
 
-// Set says where a server is to be found. At a new address its old connections take no new use.
-func (ps *Pools) Set(id string, addr netip.AddrPort) {
+// SetAddress says where a server is to be found. At a new address its old connections take no new use.
+func (ps *Pools) SetAddress(id string, addr netip.AddrPort) {
 	if p := ps.byID[id]; p != nil {
 		if p.addr == addr {
 			return
 		}
-		ps.Retire(id)
+		ps.RemoveEndpoint(id)
 	}
-	ps.byID[id] = &Pool{pools: ps, addr: addr, medianConnect: startConnect}
+	ps.byID[id] = &endpointPool{pools: ps, addr: addr, medianConnect: startConnect}
 }
 
-// Retire forgets a server. Connections that are not up yet are given up: whoever has taken over the address
+// RemoveEndpoint forgets a server. Connections that are not up yet are given up: whoever has taken over the address
 // must not get what was meant for the old server. Uses under way end as they may.
-func (ps *Pools) Retire(id string) {
+func (ps *Pools) RemoveEndpoint(id string) {
 	p := ps.byID[id]
 	if p == nil {
 		return
@@ -100,15 +100,15 @@
 	for _, s := range slices.Clone(p.slots) {
 		s.Stale = true
 		if !s.Connected() {
-			s.Fail(ErrRetired)
+			s.Fail(ErrEndpointRemoved)
 		} else {
 			s.closeUnused()
 		}
 	}
 }
 
-// Refresh makes connections to a server stale: it has restarted, and those from before are dead.
-func (ps *Pools) Refresh(id string) {
+// DiscardConns makes connections to a server stale: it has restarted, and those from before are dead.
+func (ps *Pools) DiscardConns(id string) {
 	if p := ps.byID[id]; p != nil {
 		for _, s := range slices.Clone(p.slots) {
 			s.Stale = true
@@ -117,29 +117,29 @@
 	}
 }
 
-// Get returns a connection to the server for one more use: one that is up rather than one still connecting,
+// Acquire returns a connection to the server for one more use: one that is up rather than one still connecting,
 // the least used first, of unused ones the last used, and a new one when none fits. While connections are few
 // each use gets one of its own: what spoils or ends a connection hits all uses that share it. Where the limits say so,
 // a few that can be repeated share one. A careful use, which can't be, takes a new one if those lately were lost less
 // often.
-func (ps *Pools) Get(id string, careful bool, fits func(*Slot) bool) (*Slot, error) {
+func (ps *Pools) Acquire(id string, careful bool, fits func(*PooledConn) bool) (*PooledConn, error) {
 	p := ps.byID[id]
 	if p == nil {
-		return nil, ErrRetired
+		return nil, ErrEndpointRemoved
 	}
-	var best *Slot
+	var best *PooledConn
 	for _, s := range slices.Clone(p.slots) {
 		s.recordConnect()
-		if s.retireIdle(); s.Stale || s.Ended() || s.Load >= ps.limits.Streams || s.late() || !fits(s) {
+		if s.retireIdle(); s.Stale || s.Ended() || s.InUse >= ps.limits.MaxUsesPerConn || s.late() || !fits(s) {
 			continue
 		}
 		if best == nil || s.before(best) {
 			best = s
 		}
 	}
-	worse := best != nil && careful && best.Load == 0 && ps.risks[best.idle()] > ps.risks[0]
-	crowded := best != nil && best.Load > 0 && (careful || best.Load >= ps.limits.Shared)
-	if best == nil || (crowded || worse) && ps.count < ps.limits.Apart {
+	worse := best != nil && careful && best.InUse == 0 && ps.risks[best.idle()] > ps.risks[0]
+	crowded := best != nil && best.InUse > 0 && (careful || best.InUse >= ps.limits.SharedUses)
+	if best == nil || (crowded || worse) && ps.count < ps.limits.DedicatedConns {
 		fresh, err := p.dial()
 		switch {
 		case err == nil:
@@ -152,8 +152,8 @@
 	return best, nil
 }
 
-func (s *Slot) use() {
-	if s.Load++; s.Load == 1 {
+func (s *PooledConn) use() {
+	if s.InUse++; s.InUse == 1 {
 		s.trial, s.begun = s.idle(), s.pool.pools.loop.Now()
 	}
 }
@@ -161,18 +161,18 @@
 // Reassign returns another connection for a use that waits for one that is late to come up: one that is up and has
 // brought something since the late one was begun, as its server may be gone, else a new one. The caller releases the
 // late one, which is there for others when it comes up.
-func (ps *Pools) Reassign(late *Slot, fits func(*Slot) bool) (*Slot, error) {
+func (ps *Pools) Reassign(late *PooledConn, fits func(*PooledConn) bool) (*PooledConn, error) {
 	p := late.pool
-	var best *Slot
+	var best *PooledConn
 	for _, s := range p.slots {
-		if !s.Stale && s.Connected() && !s.Ended() && s.Load < ps.limits.Streams && s.LastReceived() > late.CreatedAt() && fits(s) &&
+		if !s.Stale && s.Connected() && !s.Ended() && s.InUse < ps.limits.MaxUsesPerConn && s.LastReceived() > late.CreatedAt() && fits(s) &&
 			(best == nil || s.before(best)) {
 			best = s
 		}
 	}
 	if best == nil {
-		if late.Stale || ps.count >= ps.limits.Apart {
-			return nil, ErrNoSocket
+		if late.Stale || ps.count >= ps.limits.DedicatedConns {
+			return nil, ErrConnLimit
 		}
 		fresh, err := p.dial()
 		if err != nil {
@@ -184,15 +184,17 @@
 	return best, nil
 }
 
-// Patience is how long a connection to this server may take to come up before it is late.
-func (s *Slot) Patience() time.Duration { return max(leastPatience, lateBy*s.pool.medianConnect) }
+// ConnectPatience is how long a connection to this server may take to come up before it is late.
+func (s *PooledConn) ConnectPatience() time.Duration {
+	return max(leastPatience, lateBy*s.pool.medianConnect)
+}
 
 // late says that a connection has not come up in the usual time.
-func (s *Slot) late() bool { return !s.Connected() && s.Age() > s.Patience() }
+func (s *PooledConn) late() bool { return !s.Connected() && s.Age() > s.ConnectPatience() }
 
 // recordConnect counts how long the connection took to come up, once: the estimate follows the median in small steps, so that those
 // that come up late, however late, do not make late the rule.
-func (s *Slot) recordConnect() {
+func (s *PooledConn) recordConnect() {
 	if !s.Connected() || s.recorded {
 		return
 	}
@@ -205,22 +207,22 @@
 }
 
 // before says whether s is better than other for a new use.
-func (s *Slot) before(other *Slot) bool {
+func (s *PooledConn) before(other *PooledConn) bool {
 	switch {
 	case s.Connected() != other.Connected():
 		return s.Connected()
-	case s.Load != other.Load:
-		return s.Load < other.Load
+	case s.InUse != other.InUse:
+		return s.InUse < other.InUse
 	}
 	return s.used > other.used
 }
 
-func (p *Pool) dial() (*Slot, error) {
+func (p *endpointPool) dial() (*PooledConn, error) {
 	ps := p.pools
-	if ps.count >= ps.limits.Sockets {
-		return nil, fmt.Errorf("%s: %w", p.addr, ErrNoSocket)
+	if ps.count >= ps.limits.MaxConns {
+		return nil, fmt.Errorf("%s: %w", p.addr, ErrConnLimit)
 	}
-	s := &Slot{pool: p}
+	s := &PooledConn{pool: p}
 	s.Owner = ps.open(s)
 	conn, err := ps.loop.Dial(p.addr, ps.limits.ConnectTimeout, s.Owner)
 	if err != nil {
@@ -233,7 +235,7 @@
 }
 
 // idle is the place in risks for how long a connection without uses has been idle; 0: it is new.
-func (s *Slot) idle() int {
+func (s *PooledConn) idle() int {
 	if s.used == 0 {
 		return 0
 	}
@@ -241,15 +243,15 @@
 }
 
 // retireIdle closes a connection that has been idle for so long that its next use would be at risk.
-func (s *Slot) retireIdle() {
-	if s.Load == 0 && s.Connected() && s.pool.pools.risks.after(s.idle()) > mostRisk {
+func (s *PooledConn) retireIdle() {
+	if s.InUse == 0 && s.Connected() && s.pool.pools.risks.after(s.idle()) > mostRisk {
 		s.Stale = true
 		s.closeUnused()
 	}
 }
 
-// Answered notes that the connection has brought something since its last use began: it was alive.
-func (s *Slot) Answered() {
+// MarkAlive notes that the connection has brought something since its last use began: it was alive.
+func (s *PooledConn) MarkAlive() {
 	if s.trial >= 0 {
 		s.pool.pools.risks.count(s.trial, false)
 		s.trial = -1
@@ -257,29 +259,29 @@
 }
 
 // Release ends one use.
-func (s *Slot) Release() {
-	s.Load--
+func (s *PooledConn) Release() {
+	s.InUse--
 	s.used = s.pool.pools.loop.Now()
-	if s.Load == 0 && !s.Ended() {
+	if s.InUse == 0 && !s.Ended() {
 		s.trial = -1 // given up: it tells nothing
 	}
 	s.closeUnused()
 }
 
-func (s *Slot) closeUnused() {
-	if s.Stale && s.Load == 0 && !s.Ended() {
+func (s *PooledConn) closeUnused() {
+	if s.Stale && s.InUse == 0 && !s.Ended() {
 		s.Close()
-		s.Drop()
+		s.RemoveFromPool()
 	}
 }
 
-// Drop takes an ended connection out of its pool. One that ended as soon as it was used had ended before.
-func (s *Slot) Drop() {
-	if s.Connected() && s.Load > 0 && s.trial >= 0 && s.pool.pools.loop.Now()-s.begun < atOnce {
+// RemoveFromPool takes an ended connection out of its pool. One that ended as soon as it was used had ended before.
+func (s *PooledConn) RemoveFromPool() {
+	if s.Connected() && s.InUse > 0 && s.trial >= 0 && s.pool.pools.loop.Now()-s.begun < atOnce {
 		s.pool.pools.risks.count(s.trial, true)
 	}
 	before := len(s.pool.slots)
-	s.pool.slots = slices.DeleteFunc(s.pool.slots, func(other *Slot) bool { return other == s })
+	s.pool.slots = slices.DeleteFunc(s.pool.slots, func(other *PooledConn) bool { return other == s })
 	s.pool.pools.count -= before - len(s.pool.slots)
 }
 
@@ -288,7 +290,7 @@
 func (ps *Pools) CloseIdle() {
 	for _, p := range ps.byID {
 		for _, s := range slices.Clone(p.slots) {
-			if s.Load == 0 && s.used > 0 && ps.loop.Now()-s.used >= ps.limits.Idle {
+			if s.InUse == 0 && s.used > 0 && ps.loop.Now()-s.used >= ps.limits.IdleTimeout {
 				s.Stale = true
 				s.closeUnused()
 			}
--- a/internal/connpool/pools_test.go
+++ b/internal/connpool/pools_test.go
@@ -91,11 +91,11 @@
 		t.Fatal(err)
 	}
 	server := newFull(t)
-	ps := NewPools(l, Limits{Streams: 8, Sockets: 10, Apart: 8, ConnectTimeout: time.Minute, Idle: time.Minute},
-		func(*Slot) eventloop.Handler { return nobody{} })
-	ps.Set("s", server.addr)
-	any := func(*Slot) bool { return true }
-	late, err := ps.Get("s", false, any)
+	ps := New(l, Limits{MaxUsesPerConn: 8, MaxConns: 10, DedicatedConns: 8, ConnectTimeout: time.Minute, IdleTimeout: time.Minute},
+		func(*PooledConn) eventloop.Handler { return nobody{} })
+	ps.SetAddress("s", server.addr)
+	any := func(*PooledConn) bool { return true }
+	late, err := ps.Acquire("s", false, any)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -119,7 +119,7 @@
 	if late.Connected() {
 		t.Fatal("the late one is up too: nothing was tested")
 	}
-	if s, err := ps.Get("s", false, any); err != nil || s == late {
+	if s, err := ps.Acquire("s", false, any); err != nil || s == late {
 		t.Errorf("a new use waits for the late one: %v", err)
 	}
 	// One that has brought something since shows that the server is there: no further handshake is needed.
@@ -155,11 +155,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		ps := NewPools(l, Limits{Streams: 8, Sockets: 10, Apart: 8, Shared: c.shared, ConnectTimeout: time.Minute, Idle: time.Minute},
-			func(*Slot) eventloop.Handler { return nobody{} })
-		ps.Set("s", newFull(t).addr)
+		ps := New(l, Limits{MaxUsesPerConn: 8, MaxConns: 10, DedicatedConns: 8, SharedUses: c.shared, ConnectTimeout: time.Minute, IdleTimeout: time.Minute},
+			func(*PooledConn) eventloop.Handler { return nobody{} })
+		ps.SetAddress("s", newFull(t).addr)
 		for _, careful := range c.careful {
-			if _, err := ps.Get("s", careful, func(*Slot) bool { return true }); err != nil {
+			if _, err := ps.Acquire("s", careful, func(*PooledConn) bool { return true }); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -54,7 +54,7 @@
 		p.end(a, resp.Answer{}, policy.ResultNotSent)
 		return
 	}
-	slot, err := p.pools.Get(f.Target, !q.safe(), func(s *connpool.Slot) bool { return s.Owner.(*upstream).takes(q) })
+	slot, err := p.pools.Acquire(f.Target, !q.safe(), func(s *connpool.PooledConn) bool { return s.Owner.(*upstream).takes(q) })
 	if err != nil {
 		p.end(a, resp.Answer{}, connectResult(err))
 		return
@@ -64,7 +64,7 @@
 
 // put queues the call on a connection. While that is late to come up, the call may move on to another: it has not been
 // sent. Some connections come up after a second only, when the client's time is over.
-func (a *attempt) put(slot *connpool.Slot, moves int) {
+func (a *attempt) put(slot *connpool.PooledConn, moves int) {
 	a.on = slot.Owner.(*upstream)
 	a.on.calls[a.req.ID] = a
 	a.place++
@@ -72,11 +72,11 @@
 	if slot.Connected() || moves == 0 {
 		return
 	}
-	a.p.loop.At(a.p.loop.Now()+max(0, slot.Patience()-slot.Age()), func() {
+	a.p.loop.At(a.p.loop.Now()+max(0, slot.ConnectPatience()-slot.Age()), func() {
 		if a.ended || a.started || slot.Connected() || slot.Ended() {
 			return
 		}
-		other, err := a.p.pools.Reassign(slot, func(s *connpool.Slot) bool { return s.Owner.(*upstream).takes(a.req) })
+		other, err := a.p.pools.Reassign(slot, func(s *connpool.PooledConn) bool { return s.Owner.(*upstream).takes(a.req) })
 		if err != nil {
 			return
 		}
@@ -206,7 +206,7 @@
 // mayCancel says whether a call can be given up: one that must close its connection only where no other call is on it.
 // It goes on then, until its answer or its deadline.
 func (p *Proxy) mayCancel(a *attempt) bool {
-	return !p.mustClose(a) || a.ended || a.on.slot.Load == 1
+	return !p.mustClose(a) || a.ended || a.on.slot.InUse == 1
 }
 
 // end ends an attempt and tells the module of it, once. A call that is out is stopped.
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -62,7 +62,7 @@
 	p.consult() // the call is queued on a connection that is not up yet
 	a := p.requests[number].attempts[0]
 	first := a.on.slot
-	second, err := p.pools.Reassign(first, func(s *connpool.Slot) bool { return s != first })
+	second, err := p.pools.Reassign(first, func(s *connpool.PooledConn) bool { return s != first })
 	if err != nil || second == first {
 		t.Fatal("no other connection", err)
 	}
--- a/internal/proxy/membership.go
+++ b/internal/proxy/membership.go
@@ -72,7 +72,7 @@
 	for id := range p.servers {
 		if live, told := named[id]; told && !live || !told && list.Full {
 			delete(p.servers, id)
-			p.pools.Retire(id)
+			p.pools.RemoveEndpoint(id)
 		}
 	}
 	p.notify(members)
@@ -87,10 +87,10 @@
 		return
 	}
 	if before, known := p.servers[m.ID]; known && before != started {
-		p.pools.Refresh(m.ID)
+		p.pools.DiscardConns(m.ID)
 	}
 	p.servers[m.ID] = started
-	p.pools.Set(m.ID, addr)
+	p.pools.SetAddress(m.ID, addr)
 }
 
 // startTime is the loop's time of a late start that is told as a Unix millisecond; 0: long ago.
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -116,7 +116,7 @@
 		sockets: UpstreamSockets(cfg.Sockets), maxHeld: cfg.Memory / 4, logDropped: cfg.LogDropped,
 	}
 	p.denied, p.audit = denials{}, newAudit(p, cfg.Violated)
-	p.pools = connpool.NewPools(loop, connpool.Limits{}, p.openUpstream)
+	p.pools = connpool.New(loop, connpool.Limits{}, p.openUpstream)
 	p.apply(cfg.Settings, cfg.Flow)
 	p.applyKnown(cfg.Known.Updates)
 	p.settle()
@@ -149,13 +149,13 @@
 		shared = sharedCalls
 	}
 	p.pools.SetLimits(connpool.Limits{
-		Streams:        max(1, set.StreamsPerConn),
-		Shared:         shared,
-		Sockets:        p.sockets,
-		Apart:          p.sockets / 2,
+		MaxUsesPerConn: max(1, set.StreamsPerConn),
+		SharedUses:     shared,
+		MaxConns:       p.sockets,
+		DedicatedConns: p.sockets / 2,
 		ConnectTimeout: cmp.Or(set.ConnectTimeout, defaultConnect),
 		// Before the server closes it: a call that crosses the server's close would be lost.
-		Idle: cmp.Or(set.ConnIdle, defaultIdle) * 2 / 3,
+		IdleTimeout: cmp.Or(set.ConnIdle, defaultIdle) * 2 / 3,
 	})
 }
 
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -17,13 +17,13 @@
 // upstream is one connection to a cache, a parent or the origin, with the calls that are open on it.
 type upstream struct {
 	p     *Proxy
-	slot  *connpool.Slot
+	slot  *connpool.PooledConn
 	calls map[string]*attempt // by the request's id, which answers come under
 	since eventloop.Timestamp // from when on an answer has been waited for without a byte; 0: none is due
 }
 
 // openUpstream makes the owner of a new connection.
-func (p *Proxy) openUpstream(s *connpool.Slot) eventloop.Handler {
+func (p *Proxy) openUpstream(s *connpool.PooledConn) eventloop.Handler {
 	return &upstream{p: p, slot: s, calls: map[string]*attempt{}}
 }
 
@@ -57,7 +57,7 @@
 
 // Receive takes whole answers off what has come in.
 func (u *upstream) Receive(data []byte) (used int, err error) {
-	u.slot.Answered()
+	u.slot.MarkAlive()
 	defer u.heard()
 	for {
 		n, ans, err := resp.Decode(data[used:])
@@ -73,7 +73,7 @@
 
 // Closed ends all calls that were open here. What was not written never ran; the rest may have.
 func (u *upstream) Closed(err error) {
-	u.slot.Drop()
+	u.slot.RemoveFromPool()
 	if len(u.calls) > 0 {
 		u.p.log.Info("connection to a server lost under calls", "calls", len(u.calls), "error", err)
 	}
@@ -96,7 +96,7 @@
 
 // connectResult is how a call ended whose connection did not come up. What this machine lacks is no fault of the server.
 func connectResult(err error) policy.Result {
-	if errors.Is(err, eventloop.ErrLocalResources) || errors.Is(err, connpool.ErrNoSocket) {
+	if errors.Is(err, eventloop.ErrLocalResources) || errors.Is(err, connpool.ErrConnLimit) {
 		return policy.ResultNotSent
 	}
 	return policy.ResultConnectFailed
