--- a/cmd/edgeproxy/main.go
+++ b/cmd/edgeproxy/main.go
@@ -44,10 +44,10 @@
 		MemoryMB int `json:"memory_mb"`
 		Sockets  int `json:"sockets"`
 	} `json:"limits"`
-	Coordinator string          `json:"coordinator"`
-	Flow        float64         `json:"flow_bytes_per_s"` // of one transfer
-	Known       watch.Known     `json:"known"`
-	Settings    json.RawMessage `json:"settings"`
+	Coordinator string             `json:"coordinator"`
+	Flow        float64            `json:"flow_bytes_per_s"` // of one transfer
+	Known       watch.InitialState `json:"known"`
+	Settings    json.RawMessage    `json:"settings"`
 
 	fields map[string]json.RawMessage // the file's, as they came
 
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -55,9 +55,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := New(loop, Config{Settings: set, Sockets: 100, Memory: 1 << 26, Known: watch.Known{Index: 1, Updates: []watch.Event{{Index: 1,
-		Endpoints: &watch.Endpoints{Full: true, Servers: []watch.Server{{ID: "o", Addr: ln.Addr().String(), Zone: "hub", Kind: "origin",
-			State: watch.Serving, Weight: 100}}}}}}}, slog.New(slog.DiscardHandler))
+	p := New(loop, Config{Settings: set, Sockets: 100, Memory: 1 << 26, Known: watch.InitialState{Index: 1, Events: []watch.Event{{Index: 1,
+		Endpoints: &watch.EndpointUpdate{Full: true, Endpoints: []watch.Endpoint{{ID: "o", Addr: ln.Addr().String(), Zone: "hub", Kind: "origin",
+			State: watch.StateServing, Weight: 100}}}}}}}, slog.New(slog.DiscardHandler))
 	number := p.Submit(Request{ID: "9b1f03aa5c7e2d41", Name: "w", Object: "7f3a9c21e0b4d655", Wait: time.Minute}, deaf{})
 	p.consult() // the call is queued on a connection that is not up yet
 	a := p.requests[number].attempts[0]
--- a/internal/proxy/audit.go
+++ b/internal/proxy/audit.go
@@ -74,7 +74,7 @@
 // told takes note of an event of the coordinator.
 func (u *audit) told(ev watch.Event) {
 	now := u.p.loop.Now()
-	if v := ev.Evict; v != nil && v.At > 0 {
+	if v := ev.Purge; v != nil && v.At > 0 {
 		u.purged(v, now)
 	}
 	if ev.Endpoints == nil {
@@ -86,8 +86,8 @@
 			u.leave(id, now)
 		}
 	}
-	for _, s := range ev.Endpoints.Servers {
-		if s.State == watch.Serving {
+	for _, s := range ev.Endpoints.Endpoints {
+		if s.State == watch.StateServing {
 			delete(u.leaving, s.ID)
 		} else {
 			u.leave(s.ID, now)
@@ -101,7 +101,7 @@
 	}
 }
 
-func (u *audit) purged(v *watch.Evict, now eventloop.Timestamp) {
+func (u *audit) purged(v *watch.Purge, now eventloop.Timestamp) {
 	for key, record := range u.purges {
 		if now-record.told > u.p.set.Policy.PurgeCompletedWithin+time.Second {
 			delete(u.purges, key)
--- a/internal/proxy/audit_test.go
+++ b/internal/proxy/audit_test.go
@@ -26,7 +26,7 @@
 		if err := loop.Wait(0); err != nil {
 			t.Fatal(err)
 		}
-		u.told(watch.Event{Endpoints: &watch.Endpoints{Servers: []watch.Server{{ID: fmt.Sprint(i), State: watch.Deleted}}}})
+		u.told(watch.Event{Endpoints: &watch.EndpointUpdate{Endpoints: []watch.Endpoint{{ID: fmt.Sprint(i), State: watch.StateDeleted}}}})
 	}
 	if _, known := u.leaving[fmt.Sprint(replaced-1)]; !known || len(u.leaving) > replaced/2 {
 		t.Errorf("%d servers are kept, the last one %v", len(u.leaving), known)
--- a/internal/proxy/coordinator.go
+++ b/internal/proxy/coordinator.go
@@ -109,7 +109,7 @@
 	}
 	s.conn = conn
 	f.streams = append(f.streams, s)
-	conn.Write(watch.Follow(f.last))
+	conn.Write(watch.AppendFollow(f.last))
 }
 
 // stalled says that a stream is silent, as that of a machine that was cut off is, or goes on without ending a line: a
@@ -150,7 +150,7 @@
 // Receive takes whole lines off what has come in.
 func (s *stream) Receive(data []byte) (used int, err error) {
 	for {
-		n, line, err := watch.Next(data[used:])
+		n, line, err := watch.NextLine(data[used:])
 		if errors.Is(err, watch.ErrTooLong) { // to ask for it again would bring it again
 			s.skipping = true
 			return len(data), nil
@@ -228,11 +228,11 @@
 func (s *stream) event(ev watch.Event) error {
 	f := s.f
 	most := f.last + s.over
-	if !ev.Tick() {
+	if !ev.IsHeartbeat() {
 		most++
 	}
 	switch place := (gap{f.last, ev.Index}); {
-	case ev.Tick() && ev.Index == f.last: // what could not be read was no event
+	case ev.IsHeartbeat() && ev.Index == f.last: // what could not be read was no event
 		s.over = 0
 		return nil
 	case ev.Index <= f.last:
@@ -240,7 +240,7 @@
 	case ev.Index > most && place != f.gap:
 		f.gap = place
 		return errGap
-	case ev.Index > most && ev.Tick(): // the missing ones may still come
+	case ev.Index > most && ev.IsHeartbeat(): // the missing ones may still come
 		return nil
 	case ev.Index > most:
 		f.p.unreadable++
--- a/internal/proxy/left_test.go
+++ b/internal/proxy/left_test.go
@@ -67,9 +67,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		p := New(loop, Config{Settings: set, Sockets: 100, Memory: 1 << 26, Known: watch.Known{Index: 1, Updates: []watch.Event{{Index: 1,
-			Endpoints: &watch.Endpoints{Full: true, Servers: []watch.Server{{ID: "o", Addr: origin.Addr().String(), Zone: "hub", Kind: "origin",
-				State: watch.Serving, Weight: 100}}}}}}}, slog.New(slog.DiscardHandler))
+		p := New(loop, Config{Settings: set, Sockets: 100, Memory: 1 << 26, Known: watch.InitialState{Index: 1, Events: []watch.Event{{Index: 1,
+			Endpoints: &watch.EndpointUpdate{Full: true, Endpoints: []watch.Endpoint{{ID: "o", Addr: origin.Addr().String(), Zone: "hub", Kind: "origin",
+				State: watch.StateServing, Weight: 100}}}}}}}, slog.New(slog.DiscardHandler))
 		free, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
--- a/internal/proxy/membership.go
+++ b/internal/proxy/membership.go
@@ -14,7 +14,7 @@
 // applyEvent passes one event of the coordinator on to the module and keeps the pools in step with it.
 func (p *Proxy) applyEvent(ev watch.Event) {
 	p.audit.told(ev)
-	if v := ev.Evict; v != nil {
+	if v := ev.Purge; v != nil {
 		age := time.Duration(0) // where it is not told when
 		if v.At != 0 {
 			p.observeTime(time.Duration(v.At)*time.Millisecond, p.follower != nil)
@@ -35,7 +35,7 @@
 const groups = 256
 
 // purge passes a purge on to the module. One of something that can't be read is one of every group.
-func (p *Proxy) purge(v *watch.Evict, age time.Duration) {
+func (p *Proxy) purge(v *watch.Purge, age time.Duration) {
 	switch {
 	case v.Object != "":
 		p.notify(policy.Purge{Object: v.Object, Age: age})
@@ -49,13 +49,13 @@
 }
 
 var states = map[string]policy.State{
-	watch.Serving: policy.Ready, watch.Draining: policy.Draining, watch.Deleted: policy.Removed,
+	watch.StateServing: policy.Ready, watch.StateDraining: policy.Draining, watch.StateDeleted: policy.Removed,
 }
 
-func (p *Proxy) applyServers(list *watch.Endpoints) {
+func (p *Proxy) applyServers(list *watch.EndpointUpdate) {
 	named := map[string]bool{}
 	members := policy.EndpointUpdate{Full: list.Full}
-	for _, s := range list.Servers {
+	for _, s := range list.Endpoints {
 		m, addr, err := p.member(s)
 		if err != nil {
 			// What can't be read can't be used, and it may have told of a drain.
@@ -104,7 +104,7 @@
 }
 
 // member decodes one entry of the list.
-func (p *Proxy) member(s watch.Server) (policy.Endpoint, netip.AddrPort, error) {
+func (p *Proxy) member(s watch.Endpoint) (policy.Endpoint, netip.AddrPort, error) {
 	m := policy.Endpoint{
 		ID: s.ID, State: states[s.State], Started: p.startTime(s.Started),
 		Kind: slices.Index(p.set.Kinds, s.Kind), Zone: slices.Index(p.set.Zones, s.Zone),
--- a/internal/proxy/peerclock_test.go
+++ b/internal/proxy/peerclock_test.go
@@ -26,7 +26,7 @@
 			p.follower = &follower{}
 		}
 		p.inbox = nil
-		p.applyEvent(watch.Event{Evict: &watch.Evict{Object: "x", At: (right - ago).Milliseconds()}})
+		p.applyEvent(watch.Event{Purge: &watch.Purge{Object: "x", At: (right - ago).Milliseconds()}})
 		return p.inbox[len(p.inbox)-1].(policy.Purge).Age
 	}
 }
@@ -73,7 +73,7 @@
 func TestKnownPurgesByAWrongClock(t *testing.T) {
 	p, _ := told(t, time.Hour)
 	at := func(ago time.Duration) watch.Event {
-		return watch.Event{Evict: &watch.Evict{Object: "x", At: (p.loop.Now() - time.Hour - ago).Milliseconds()}}
+		return watch.Event{Purge: &watch.Purge{Object: "x", At: (p.loop.Now() - time.Hour - ago).Milliseconds()}}
 	}
 	p.applyKnown([]watch.Event{at(5 * time.Second), at(2 * time.Second)})
 	for i, want := range []time.Duration{3 * time.Second, 0} {
@@ -109,7 +109,7 @@
 			object = "x"
 		}
 		p.inbox = nil
-		p.applyEvent(watch.Event{Evict: &watch.Evict{Object: object, At: (loop.Now() - ago).Milliseconds()}})
+		p.applyEvent(watch.Event{Purge: &watch.Purge{Object: object, At: (loop.Now() - ago).Milliseconds()}})
 		for _, ev := range p.inbox {
 			router.Handle(loop.Now(), ev)
 		}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -37,7 +37,7 @@
 type Config struct {
 	Settings settings.Settings
 	Seed     uint64
-	Known    watch.Known
+	Known    watch.InitialState
 	Sockets  int     // descriptors that the process may hold
 	Memory   int     // bytes that the process may use
 	Flow     float64 // bytes a second of one transfer; 0: not told
@@ -118,7 +118,7 @@
 	p.denied, p.audit = denials{}, newAudit(p, cfg.Violated)
 	p.pools = connpool.New(loop, connpool.Limits{}, p.openUpstream)
 	p.apply(cfg.Settings, cfg.Flow)
-	p.applyKnown(cfg.Known.Updates)
+	p.applyKnown(cfg.Known.Events)
 	p.settle()
 	p.sweep()
 	return p
@@ -127,8 +127,8 @@
 // applyKnown takes the events that the configuration tells. How long ago its purges were is certain only against the latest.
 func (p *Proxy) applyKnown(events []watch.Event) {
 	for _, ev := range events {
-		if ev.Evict != nil {
-			p.newestKnown = max(p.newestKnown, time.Duration(ev.Evict.At)*time.Millisecond)
+		if ev.Purge != nil {
+			p.newestKnown = max(p.newestKnown, time.Duration(ev.Purge.At)*time.Millisecond)
 		}
 	}
 	for _, ev := range events {
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -19,9 +19,9 @@
 // ErrTooLong says that a line exceeds MaxLine and has not ended yet.
 var ErrTooLong = fmt.Errorf("%w: over %d bytes", ErrLine, MaxLine)
 
-// Server is one entry of the list. One whose State is none of the states below, also because its entry could not be read,
+// Endpoint is one entry of the list. One whose State is none of the states below, also because its entry could not be read,
 // must count as gone.
-type Server struct {
+type Endpoint struct {
 	ID      string  `json:"id"`
 	Addr    string  `json:"addr"`
 	Zone    string  `json:"zone"`
@@ -34,20 +34,20 @@
 
 // States of a server.
 const (
-	Serving  = "SERVING"
-	Draining = "DRAINING"
-	Deleted  = "DELETED"
+	StateServing  = "SERVING"
+	StateDraining = "DRAINING"
+	StateDeleted  = "DELETED"
 )
 
-// Endpoints is the whole list, or changes to it.
-type Endpoints struct {
-	Full    bool
-	Servers []Server
+// EndpointUpdate is the whole list, or changes to it.
+type EndpointUpdate struct {
+	Full      bool
+	Endpoints []Endpoint
 }
 
-// Evict is a purge of one object, or of a group where Object is empty; of everything where Group is nil too, as what it
+// Purge is a purge of one object, or of a group where Object is empty; of everything where Group is nil too, as what it
 // names could not be read.
-type Evict struct {
+type Purge struct {
 	Object string `json:"ref"`
 	Group  *int   `json:"shard"`
 	At     int64  `json:"unix_ms"` // Unix millisecond at which it took place; 0: not told
@@ -56,20 +56,20 @@
 // Event is one numbered event; with neither part it only tells the last number.
 type Event struct {
 	Index     int64
-	Endpoints *Endpoints
-	Evict     *Evict
+	Endpoints *EndpointUpdate
+	Purge     *Purge
 	// Unreadable counts what could not be read in it. To ask for the event again would bring the same text.
 	Unreadable int
 }
 
-// Known is what the configuration says of the events before the start.
-type Known struct {
-	Index   int64   `json:"index"`
-	Updates []Event `json:"updates"`
+// InitialState is what the configuration says of the events before the start.
+type InitialState struct {
+	Index  int64   `json:"index"`
+	Events []Event `json:"updates"`
 }
 
-// Tick reports whether the event carries nothing but the last number.
-func (e *Event) Tick() bool { return e.Endpoints == nil && e.Evict == nil && e.Unreadable == 0 }
+// IsHeartbeat reports whether the event carries nothing but the last number.
+func (e *Event) IsHeartbeat() bool { return e.Endpoints == nil && e.Purge == nil && e.Unreadable == 0 }
 
 // Decode reads one line without its line feed.
 func Decode(line []byte) (Event, error) {
@@ -129,18 +129,18 @@
 		e.Unreadable++
 		return
 	}
-	e.Endpoints = &Endpoints{Full: raw.Full}
+	e.Endpoints = &EndpointUpdate{Full: raw.Full}
 	for _, entry := range raw.Servers {
 		if server, ok := e.readServer(entry); ok {
-			e.Endpoints.Servers = append(e.Endpoints.Servers, server)
+			e.Endpoints.Endpoints = append(e.Endpoints.Endpoints, server)
 		}
 	}
 }
 
 // readServer reads one entry. One that names a server and can't be read in full counts as gone.
-func (e *Event) readServer(text json.RawMessage) (server Server, named bool) {
+func (e *Event) readServer(text json.RawMessage) (server Endpoint, named bool) {
 	err := json.Unmarshal(text, &server)
-	known := server.State == Serving || server.State == Draining || server.State == Deleted
+	known := server.State == StateServing || server.State == StateDraining || server.State == StateDeleted
 	if err == nil && known && server.ID != "" {
 		return server, true
 	}
@@ -149,22 +149,22 @@
 		ID string `json:"id"`
 	}
 	if json.Unmarshal(text, &name) != nil || name.ID == "" {
-		return Server{}, false
+		return Endpoint{}, false
 	}
-	return Server{ID: name.ID, State: Deleted}, true
+	return Endpoint{ID: name.ID, State: StateDeleted}, true
 }
 
 func (e *Event) readEvict(text json.RawMessage) {
-	e.Evict = &Evict{}
-	if json.Unmarshal(text, e.Evict) == nil && (e.Evict.Object != "" || e.Evict.Group != nil) {
+	e.Purge = &Purge{}
+	if json.Unmarshal(text, e.Purge) == nil && (e.Purge.Object != "" || e.Purge.Group != nil) {
 		return
 	}
 	e.Unreadable++
-	*e.Evict = Evict{}
+	*e.Purge = Purge{}
 }
 
-// Next takes one line off data; used is 0 when none is whole.
-func Next(data []byte) (used int, line []byte, err error) {
+// NextLine takes one line off data; used is 0 when none is whole.
+func NextLine(data []byte) (used int, line []byte, err error) {
 	i := bytes.IndexByte(data, '\n')
 	if i < 0 && len(data) > MaxLine {
 		return 0, nil, ErrTooLong
@@ -175,5 +175,5 @@
 	return i + 1, data[:i], nil
 }
 
-// Follow encodes the request for every event after last.
-func Follow(last int64) []byte { return fmt.Appendf(nil, "follow %d\n", last) }
+// AppendFollow encodes the request for every event after last.
+func AppendFollow(last int64) []byte { return fmt.Appendf(nil, "follow %d\n", last) }
