--- a/internal/fastcgi/fastcgi.go
+++ b/internal/fastcgi/fastcgi.go
@@ -82,8 +82,8 @@
 	ErrRecord  = errors.New("fastcgi: malformed record")
 )
 
-// ErrTooBig says why a request was rejected.
-var ErrTooBig = errors.New("fastcgi: request exceeds its limit")
+// ErrTooLarge says why a request was rejected.
+var ErrTooLarge = errors.New("fastcgi: request exceeds its limit")
 
 type partial struct {
 	req        Request
@@ -101,11 +101,11 @@
 // Done tells the decoder that the request has been answered or abandoned, so its number may be used again.
 func (d *Decoder) Done(id uint16) { delete(d.answered, id) }
 
-// Held is how many bytes of requests that have not come whole the decoder keeps.
-func (d *Decoder) Held() int { return d.held }
+// BufferedBytes is how many bytes of requests that have not come whole the decoder keeps.
+func (d *Decoder) BufferedBytes() int { return d.held }
 
-// Drop forgets the requests that have come in part, and returns their numbers.
-func (d *Decoder) Drop() []uint16 {
+// DropPartial forgets the requests that have come in part, and returns their numbers.
+func (d *Decoder) DropPartial() []uint16 {
 	numbers := slices.Sorted(maps.Keys(d.open))
 	clear(d.open)
 	d.held = 0
@@ -136,8 +136,8 @@
 	return used, ev, err
 }
 
-// Missing is how many bytes the record that data begins with still lacks; 0: it is whole, or its header is not.
-func Missing(data []byte) int {
+// MissingBytes is how many bytes the record that data begins with still lacks; 0: it is whole, or its header is not.
+func MissingBytes(data []byte) int {
 	if len(data) < headerLen {
 		return 0
 	}
@@ -209,7 +209,7 @@
 func (d *Decoder) reject(p *partial) Rejected {
 	delete(d.open, p.req.ID)
 	d.held -= len(p.params) + len(p.req.Body)
-	return Rejected{ID: p.req.ID, KeepConn: p.req.KeepConn, Err: ErrTooBig}
+	return Rejected{ID: p.req.ID, KeepConn: p.req.KeepConn, Err: ErrTooLarge}
 }
 
 func (d *Decoder) addParams(p *partial, content []byte) (Event, error) {
--- a/internal/fastcgi/fastcgi_test.go
+++ b/internal/fastcgi/fastcgi_test.go
@@ -134,9 +134,9 @@
 		in   []byte
 		want Event
 	}{
-		"params too big": {join(begin(1, 1, 1), record(typeParams, 1, big)), Rejected{1, true, ErrTooBig}},
-		"params twice":   {join(begin(1, 1, 1), record(typeParams, 1, ""), record(typeParams, 1, "x")), Rejected{1, true, ErrTooBig}},
-		"body too big":   {join(begin(1, 1, 0), record(typeStdin, 1, big), record(typeStdin, 1, big)), Rejected{1, false, ErrTooBig}},
+		"params too big": {join(begin(1, 1, 1), record(typeParams, 1, big)), Rejected{1, true, ErrTooLarge}},
+		"params twice":   {join(begin(1, 1, 1), record(typeParams, 1, ""), record(typeParams, 1, "x")), Rejected{1, true, ErrTooLarge}},
+		"body too big":   {join(begin(1, 1, 0), record(typeStdin, 1, big), record(typeStdin, 1, big)), Rejected{1, false, ErrTooLarge}},
 		"too many":       {join(many, begin(1, 1, 1)), Reply{Data: AppendEnd(nil, 1, 0, Overloaded)}},
 	} {
 		var d Decoder
@@ -153,10 +153,10 @@
 		if len(events) != 1 || !reflect.DeepEqual(events[0], c.want) {
 			t.Errorf("%s: %+v", name, events)
 		}
-		if name != "too many" && (d.Held() != 0 || d.Busy()) {
-			t.Errorf("%s: %d bytes are held", name, d.Held())
+		if name != "too many" && (d.BufferedBytes() != 0 || d.Busy()) {
+			t.Errorf("%s: %d bytes are held", name, d.BufferedBytes())
 		}
-		if dropped := len(d.Drop()); d.Busy() || (dropped > 0) != (name == "too many") {
+		if dropped := len(d.DropPartial()); d.Busy() || (dropped > 0) != (name == "too many") {
 			t.Errorf("%s: %d dropped", name, dropped)
 		}
 	}
@@ -173,8 +173,8 @@
 			}
 			data = data[used:]
 		}
-		if !d.Busy() || d.Held() != 0 {
-			t.Fatalf("busy %v, held %d", d.Busy(), d.Held())
+		if !d.Busy() || d.BufferedBytes() != 0 {
+			t.Fatalf("busy %v, held %d", d.Busy(), d.BufferedBytes())
 		}
 		d.Done(1)
 	}
@@ -206,8 +206,8 @@
 		var d Decoder
 		for len(data) > 0 {
 			used, _, err := d.Decode(data)
-			if used < 0 || used > len(data) || d.Held() < 0 {
-				t.Fatalf("used %d of %d, held %d", used, len(data), d.Held())
+			if used < 0 || used > len(data) || d.BufferedBytes() < 0 {
+				t.Fatalf("used %d of %d, held %d", used, len(data), d.BufferedBytes())
 			}
 			if err != nil || used == 0 {
 				return
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -16,7 +16,7 @@
 // Errors of a call that can't be read.
 var (
 	ErrMalformed = errors.New("http: malformed call")
-	ErrTooBig    = errors.New("http: head of a call exceeds its limit")
+	ErrTooLarge  = errors.New("http: head of a call exceeds its limit")
 )
 
 // Request is what a call asks for.
@@ -46,7 +46,7 @@
 	end := bytes.Index(data[used:], []byte("\r\n\r\n"))
 	switch {
 	case end > maxHead || end < 0 && len(data) > maxHead:
-		return 0, r, ErrTooBig
+		return 0, r, ErrTooLarge
 	case end < 0:
 		return 0, r, nil
 	}
--- a/internal/proxy/admin.go
+++ b/internal/proxy/admin.go
@@ -87,7 +87,7 @@
 func (c *adminConn) Receive(data []byte) (used int, err error) {
 	used, call, err := http1.Decode(data)
 	switch {
-	case errors.Is(err, http1.ErrTooBig):
+	case errors.Is(err, http1.ErrTooLarge):
 		c.respond(http1.Response{Status: 431})
 	case err != nil:
 		c.respond(http1.Response{Status: 400, Body: err.Error() + "\n"})
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -112,8 +112,8 @@
 	}
 	c := resp.Call{
 		ID: a.req.ID, Class: a.req.Name, Object: a.req.Object, Part: strconv.Itoa(a.req.Part),
-		Wait: max(a.req.deadline-now, time.Millisecond), Keep: f.RetentionRank, MaxAge: f.MaxAge, Have: a.req.Version, Token: a.req.Token,
-		Coalesce: f.CoalesceFill, Shallow: f.CachedOnly, Freshen: f.StaleWhileRevalidate, Body: a.req.Body,
+		Timeout: max(a.req.deadline-now, time.Millisecond), RetentionRank: f.RetentionRank, MaxAge: f.MaxAge, KnownVersion: a.req.Version, IdempotencyKey: a.req.Token,
+		CoalesceFill: f.CoalesceFill, CachedOnly: f.CachedOnly, StaleWhileRevalidate: f.StaleWhileRevalidate, Body: a.req.Body,
 	}
 	if f.Source != f.Target {
 		c.Source = f.Source
@@ -167,34 +167,36 @@
 
 // answered takes the answer to an attempt. The first good one is the request's.
 func (p *Proxy) answered(a *attempt, ans resp.Answer) {
-	result := results[ans.Word]
+	result := results[ans.Status]
 	// A fill that was joined may have begun before a purge. Its copy is not passed on; another attempt follows.
 	if result == policy.ResultOK && a.tooOld(ans) {
 		result = policy.ResultError
 	}
 	// Otherwise the client would take a copy for current that nobody has named. The answer is well formed all the same:
 	// what else is out on the connection is not harmed.
-	if ans.Word == resp.StillGood && (a.req.Version == "" || ans.Tag != a.req.Version) {
+	if ans.Status == resp.StatusNotModified && (a.req.Version == "" || ans.Version != a.req.Version) {
 		result = policy.ResultError
 	}
 	if result == policy.ResultOK {
 		p.audit.served(a, ans)
 		status := Served
-		if ans.Word == resp.StillGood {
+		if ans.Status == resp.StatusNotModified {
 			status, ans.Body = Unchanged, nil
 		}
-		p.answer(a.req, Answer{Status: status, Tag: ans.Tag, Body: ans.Body})
+		p.answer(a.req, Answer{Status: status, Tag: ans.Version, Body: ans.Body})
 	}
 	p.end(a, ans, result)
 }
 
 // tooOld says that a copy was made before what the call asked for. Answers that do not say when are trusted.
-func (a *attempt) tooOld(ans resp.Answer) bool { return ans.Made > 0 && ans.Made < a.oldest }
+func (a *attempt) tooOld(ans resp.Answer) bool {
+	return ans.CreatedAtMillis > 0 && ans.CreatedAtMillis < a.oldest
+}
 
 // A word without a result counts as an error: it may have run.
-var results = map[resp.Word]policy.Result{
-	resp.Served: policy.ResultOK, resp.StillGood: policy.ResultOK, resp.NotHere: policy.ResultNotFound,
-	resp.Overload: policy.ResultRejected, resp.Crashed: policy.ResultError, resp.Nobody: policy.ResultNotSent,
+var results = map[resp.Status]policy.Result{
+	resp.StatusServed: policy.ResultOK, resp.StatusNotModified: policy.ResultOK, resp.StatusNotFound: policy.ResultNotFound,
+	resp.StatusOverloaded: policy.ResultRejected, resp.StatusCrashed: policy.ResultError, resp.StatusNotRun: policy.ResultNotSent,
 }
 
 // mustClose says that a call is given up so that another may follow, where no second one may be out: a
@@ -217,9 +219,9 @@
 	a.ended = true
 	a.req.pending--
 	if a.on != nil {
-		a.on.leave(a, ans.Word == 0)
+		a.on.leave(a, ans.Status == 0)
 	}
-	if a.neverRan() && ans.Word == 0 { // whatever ended it
+	if a.neverRan() && ans.Status == 0 { // whatever ended it
 		switch result {
 		case policy.ResultCancelled:
 			result = policy.ResultNotSent
@@ -229,8 +231,8 @@
 	}
 	a.result = result
 	p.audit.ended(a, result)
-	p.notify(policy.Outcome{ID: a.req.number, Attempt: a.number, Result: result, CacheStatus: policy.CacheStatus(ans.Note),
-		Elapsed: p.loop.Now() - a.created, SourceFirstByte: ans.SourceWait, TransferTime: p.sending(ans), RequestFinished: a.req.finished})
+	p.notify(policy.Outcome{ID: a.req.number, Attempt: a.number, Result: result, CacheStatus: policy.CacheStatus(ans.CacheStatus),
+		Elapsed: p.loop.Now() - a.created, SourceFirstByte: ans.SourceFirstByte, TransferTime: p.sending(ans), RequestFinished: a.req.finished})
 	p.forget(a.req)
 }
 
--- a/internal/proxy/audit.go
+++ b/internal/proxy/audit.go
@@ -153,13 +153,13 @@
 
 // served looks at a good answer.
 func (u *audit) served(a *attempt, ans resp.Answer) {
-	if ans.Made == 0 {
+	if ans.CreatedAtMillis == 0 {
 		return
 	}
 	for _, key := range []any{a.req.Object, a.req.Group} {
 		purge, known := u.purges[key]
-		if known && a.began-purge.told > u.p.set.Policy.PurgeGrace+auditSlack && ans.Made < purge.at {
-			u.report(servedPurged, a.req, fmt.Sprintf("%d ms older than the purge", purge.at-ans.Made))
+		if known && a.began-purge.told > u.p.set.Policy.PurgeGrace+auditSlack && ans.CreatedAtMillis < purge.at {
+			u.report(servedPurged, a.req, fmt.Sprintf("%d ms older than the purge", purge.at-ans.CreatedAtMillis))
 		}
 	}
 }
--- a/internal/proxy/client.go
+++ b/internal/proxy/client.go
@@ -101,7 +101,7 @@
 	c.conn.StopReading()
 	c.last = true
 	c.incompleteSince = 0
-	c.decoder.Drop()
+	c.decoder.DropPartial()
 	c.recount()
 	c.closeIfLast()
 }
@@ -109,11 +109,11 @@
 // turnAwayPartial gives back the memory of requests that have come in part: they are refused, and what still comes of them is passed
 // over. It returns how much of a record that has begun is used up: the rest of it is skipped.
 func (c *clientConn) turnAwayPartial(record []byte) (used int) {
-	for _, id := range c.decoder.Drop() {
+	for _, id := range c.decoder.DropPartial() {
 		c.asked++
 		c.conn.Write(fastcgi.AppendEnd(nil, id, 0, fastcgi.Overloaded))
 	}
-	rest := fastcgi.Missing(record)
+	rest := fastcgi.MissingBytes(record)
 	if rest == 0 || len(record) < leastSkipped {
 		return 0
 	}
@@ -132,7 +132,7 @@
 }
 
 func (c *clientConn) recount() {
-	held := c.decoder.Held()
+	held := c.decoder.BufferedBytes()
 	for _, r := range c.parked {
 		held += len(r.request.Body)
 	}
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -25,57 +25,57 @@
 
 // Call is one request to a cache, a parent or the origin.
 type Call struct {
-	ID     string
-	Class  string
-	Object string
-	Part   string
-	Wait   time.Duration // how long the answer is waited for
-	Source string        // empty: no fill
-	Keep   int
-	MaxAge time.Duration // 0: the fresh time of the class
-	Have   string        // tag of the client's copy; empty: none
-	Token  string        // idempotency key; empty: none
-
-	Coalesce, Shallow, Transit, Freshen bool
+	ID             string
+	Class          string
+	Object         string
+	Part           string
+	Timeout        time.Duration // how long the answer is waited for
+	Source         string        // empty: no fill
+	RetentionRank  int
+	MaxAge         time.Duration // 0: the fresh time of the class
+	KnownVersion   string        // tag of the client's copy; empty: none
+	IdempotencyKey string        // idempotency key; empty: none
+
+	CoalesceFill, CachedOnly, Transit, StaleWhileRevalidate bool
 
 	Body []byte
 }
 
-// Word is how an answer ended.
-type Word int
+// Status is how an answer ended.
+type Status int
 
 // The words of an answer.
 const (
-	Served Word = iota + 1
-	StillGood
-	NotHere
-	Overload
-	Crashed
-	Nobody
+	StatusServed Status = iota + 1
+	StatusNotModified
+	StatusNotFound
+	StatusOverloaded
+	StatusCrashed
+	StatusNotRun
 )
 
-var words = map[string]Word{
-	"served": Served, "still_good": StillGood, "not_here": NotHere,
-	"overload": Overload, "crashed": Crashed, "nobody": Nobody,
+var words = map[string]Status{
+	"served": StatusServed, "still_good": StatusNotModified, "not_here": StatusNotFound,
+	"overload": StatusOverloaded, "crashed": StatusCrashed, "nobody": StatusNotRun,
 }
 
-// Note tells how an answer was had or why a fill failed, numbered as the simulator numbers them; 0: none.
-type Note int
+// CacheStatus tells how an answer was had or why a fill failed, numbered as the simulator numbers them; 0: none.
+type CacheStatus int
 
-var notes = map[string]Note{
+var notes = map[string]CacheStatus{
 	"TCP_HIT": 1, "TCP_MISS": 2, "TCP_MISS_ROOT": 3, "TCP_JOIN": 4, "TCP_STALE": 5,
 	"PEER_DENY": 6, "PEER_DEAD": 7, "PEER_MISS": 8, "FILL_FULL": 9, "ROOT_FAIL": 10,
 }
 
 // Answer is one decoded answer. Its Body is a copy of its own.
 type Answer struct {
-	ID         string
-	Word       Word
-	Note       Note
-	SourceWait time.Duration
-	Tag        string
-	Made       int64 // Unix millisecond at which the origin gave the copy out; 0: not told
-	Body       []byte
+	ID              string
+	Status          Status
+	CacheStatus     CacheStatus
+	SourceFirstByte time.Duration
+	Version         string
+	CreatedAtMillis int64 // Unix millisecond at which the origin gave the copy out; 0: not told
+	Body            []byte
 }
 
 // AppendCall encodes a call.
@@ -98,12 +98,12 @@
 	millis := func(d time.Duration) string { return strconv.FormatInt(d.Milliseconds(), 10) }
 	add("k", c.Object)
 	add("p", c.Part)
-	add("w", millis(c.Wait))
+	add("w", millis(c.Timeout))
 	if c.Source != "" {
 		add("src", c.Source)
 	}
-	if c.Keep != 0 {
-		add("keep", strconv.Itoa(c.Keep))
+	if c.RetentionRank != 0 {
+		add("keep", strconv.Itoa(c.RetentionRank))
 	}
 	if c.MaxAge > 0 {
 		// Rounded down, as an older copy may be from before a purge; but 0 would mean any fresh copy.
@@ -112,11 +112,11 @@
 	if flags := callFlags(c); flags != "" {
 		add("flags", flags)
 	}
-	if c.Have != "" {
-		add("have", c.Have)
+	if c.KnownVersion != "" {
+		add("have", c.KnownVersion)
 	}
-	if c.Token != "" {
-		add("i", c.Token)
+	if c.IdempotencyKey != "" {
+		add("i", c.IdempotencyKey)
 	}
 	return f
 }
@@ -125,7 +125,7 @@
 	for _, flag := range []struct {
 		on   bool
 		name string
-	}{{c.Coalesce, "coalesce"}, {c.Shallow, "shallow"}, {c.Transit, "transit"}, {c.Freshen, "freshen"}} {
+	}{{c.CoalesceFill, "coalesce"}, {c.CachedOnly, "shallow"}, {c.Transit, "transit"}, {c.StaleWhileRevalidate, "freshen"}} {
 		if flag.on && flags != "" {
 			flags += "+"
 		}
@@ -165,8 +165,8 @@
 }
 
 func answer(parts [answerSize][]byte) (Answer, error) {
-	a := Answer{ID: string(parts[0]), Word: words[string(parts[1])]}
-	if a.Word == 0 {
+	a := Answer{ID: string(parts[0]), Status: words[string(parts[1])]}
+	if a.Status == 0 {
 		return a, fmt.Errorf("%w: word %q", ErrMalformed, parts[1])
 	}
 	if err := a.fields(parts[2]); err != nil {
@@ -188,16 +188,16 @@
 		}
 		switch string(name) {
 		case "note":
-			a.Note = notes[string(value)]
+			a.CacheStatus = notes[string(value)]
 		case "ttfb":
 			var ms float64
 			if ms, err = strconv.ParseFloat(string(value), 64); err == nil && ms >= 0 && ms < 1e9 {
-				a.SourceWait = time.Duration(ms * float64(time.Millisecond))
+				a.SourceFirstByte = time.Duration(ms * float64(time.Millisecond))
 			}
 		case "etag":
-			a.Tag = string(value)
+			a.Version = string(value)
 		case "made":
-			a.Made, err = strconv.ParseInt(string(value), 10, 64)
+			a.CreatedAtMillis, err = strconv.ParseInt(string(value), 10, 64)
 		}
 		if err != nil {
 			return fmt.Errorf("%w: field %q", ErrMalformed, field)
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -17,9 +17,9 @@
 }
 
 func TestCalls(t *testing.T) {
-	full := Call{ID: "9b1f", Class: "artes", Object: "7f3a", Part: "3", Wait: 1500 * time.Millisecond, Source: "s-1",
-		Keep: 2, MaxAge: 2500 * time.Microsecond, Have: "4be0", Coalesce: true, Freshen: true, Body: []byte("B")}
-	tiny := Call{ID: "1", Class: "c", Object: "k", Part: "0", MaxAge: time.Microsecond, Shallow: true}
+	full := Call{ID: "9b1f", Class: "artes", Object: "7f3a", Part: "3", Timeout: 1500 * time.Millisecond, Source: "s-1",
+		RetentionRank: 2, MaxAge: 2500 * time.Microsecond, KnownVersion: "4be0", CoalesceFill: true, StaleWhileRevalidate: true, Body: []byte("B")}
+	tiny := Call{ID: "1", Class: "c", Object: "k", Part: "0", MaxAge: time.Microsecond, CachedOnly: true}
 	for _, c := range []struct{ got, want string }{
 		{string(AppendCall(nil, &full)), raw("REQ", "9b1f",
 			"c=artes,k=7f3a,p=3,w=1500,src=s-1,keep=2,maxage=2,flags=coalesce+freshen,have=4be0", "B")},
@@ -37,8 +37,8 @@
 	text := raw("9b1f", "served", "etag=4be0,made=1764576000123,note=TCP_MISS_ROOT,ttfb=12.5,load=util:0.6;inflight:7", "bytes\r\n") +
 		raw("2", "overload", "-", "")
 	want := []Answer{
-		{ID: "9b1f", Word: Served, Note: 3, SourceWait: 12500 * time.Microsecond, Tag: "4be0", Made: 1764576000123, Body: []byte("bytes\r\n")},
-		{ID: "2", Word: Overload, Body: []byte{}},
+		{ID: "9b1f", Status: StatusServed, CacheStatus: 3, SourceFirstByte: 12500 * time.Microsecond, Version: "4be0", CreatedAtMillis: 1764576000123, Body: []byte("bytes\r\n")},
+		{ID: "2", Status: StatusOverloaded, Body: []byte{}},
 	}
 	for piece := 1; piece <= len(text); piece += 13 {
 		var got []Answer
@@ -80,7 +80,7 @@
 	f.Add([]byte(raw("9b1f", "still_good", "etag=4be0,made=1", "")))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		used, a, err := Decode(data)
-		if used < 0 || used > len(data) || err == nil && used > 0 && a.Word == 0 {
+		if used < 0 || used > len(data) || err == nil && used > 0 && a.Status == 0 {
 			t.Fatalf("used %d of %d, %+v", used, len(data), a)
 		}
 	})
