--- a/cmd/edgeproxy/main.go
+++ b/cmd/edgeproxy/main.go
@@ -133,7 +133,7 @@
 		if name == "known" { // each of its events is of another form
 			continue
 		}
-		path, err := settings.Missing(was, is)
+		path, err := settings.MissingKey(was, is)
 		if err == nil && path != "" {
 			err = fmt.Errorf("%s%s is missing or of another type", name, path)
 		}
--- a/internal/proxy/phase.go
+++ b/internal/proxy/phase.go
@@ -75,7 +75,7 @@
 	if p.handsOver() {
 		p.leaveAt = p.loop.Now()
 	}
-	p.endBy = p.loop.Now() + min(maxDeadline, cmp.Or(p.set.Longest, maxDeadline)) + killTime - killLeft
+	p.endBy = p.loop.Now() + min(maxDeadline, cmp.Or(p.set.MaxDeadline, maxDeadline)) + killTime - killLeft
 	p.lateAt = p.endBy - lateTime
 	for _, q := range p.requests {
 		p.shorten(q, p.endBy)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -143,19 +143,19 @@
 		p.class[c.Name] = i
 		p.tallies.add(c.Name)
 	}
-	p.maxOpen = min(maxOpen, cmp.Or(set.MaxOpen, maxOpen))
+	p.maxOpen = min(maxOpen, cmp.Or(set.MaxOpenRequests, maxOpen))
 	shared := 0
-	if set.DearHandshakes {
+	if set.HandshakesPriced {
 		shared = sharedCalls
 	}
 	p.pools.SetLimits(connpool.Limits{
-		MaxUsesPerConn: max(1, set.StreamsPerConn),
+		MaxUsesPerConn: max(1, set.MaxStreamsPerConn),
 		SharedUses:     shared,
 		MaxConns:       p.sockets,
 		DedicatedConns: p.sockets / 2,
 		ConnectTimeout: cmp.Or(set.ConnectTimeout, defaultConnect),
 		// Before the server closes it: a call that crosses the server's close would be lost.
-		IdleTimeout: cmp.Or(set.ConnIdle, defaultIdle) * 2 / 3,
+		IdleTimeout: cmp.Or(set.ServerIdleTimeout, defaultIdle) * 2 / 3,
 	})
 }
 
@@ -341,7 +341,7 @@
 
 // advised leaves the advice to stay away out of an answer where the settings do not allow it.
 func (p *Proxy) advised(a Answer) Answer {
-	if p.set.NoAdvice {
+	if p.set.RetryAfterDisabled {
 		a.ComeBack = 0
 	}
 	return a
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -77,10 +77,10 @@
 	return len(list) >= len(with) && slices.Equal(list[:len(with)], with)
 }
 
-// Missing returns the path of a value of an earlier JSON text that a later one lacks, or has with another type; ""
+// MissingKey returns the path of a value of an earlier JSON text that a later one lacks, or has with another type; ""
 // if there is none. The elements of a list must have what all elements of the earlier one have: classes differ in
 // what they are told. Keys that are new, and longer or shorter lists, are no fault.
-func Missing(earlier, later json.RawMessage) (string, error) {
+func MissingKey(earlier, later json.RawMessage) (string, error) {
 	var values [2]any
 	for i, text := range []json.RawMessage{earlier, later} {
 		if err := json.Unmarshal(text, &values[i]); err != nil {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -17,13 +17,13 @@
 	Zones []string // names, by the index that the module uses
 	Kinds []string
 
-	Longest        time.Duration // deadline of all classes; 0: not told
-	ConnIdle       time.Duration // a cache closes a connection left idle for this long
-	ConnectTimeout time.Duration
-	DearHandshakes bool // new connections are priced
-	MaxOpen        int  // requests that may be open at once; 0: not told
-	StreamsPerConn int  // attempts that one connection carries together; 0: not told
-	NoAdvice       bool // refused clients are not told when to come again
+	MaxDeadline        time.Duration // deadline of all classes; 0: not told
+	ServerIdleTimeout  time.Duration // a cache closes a connection left idle for this long
+	ConnectTimeout     time.Duration
+	HandshakesPriced   bool // new connections are priced
+	MaxOpenRequests    int  // requests that may be open at once; 0: not told
+	MaxStreamsPerConn  int  // attempts that one connection carries together; 0: not told
+	RetryAfterDisabled bool // refused clients are not told when to come again
 
 	read conf
 }
@@ -154,10 +154,10 @@
 	}
 	return Settings{
 		Policy: s, Zones: c.Areas, Kinds: c.HostTypes,
-		Longest: longest, ConnIdle: us(c.Limits.ConnIdle), ConnectTimeout: us(c.Limits.ConnectTimeout),
-		DearHandshakes: c.Costs.Handshake > 0,
-		MaxOpen:        c.Limits.MaxOpen, StreamsPerConn: c.Limits.StreamsPerConn,
-		NoAdvice: c.Limits.RetryAfter != nil && !*c.Limits.RetryAfter,
-		read:     c,
+		MaxDeadline: longest, ServerIdleTimeout: us(c.Limits.ConnIdle), ConnectTimeout: us(c.Limits.ConnectTimeout),
+		HandshakesPriced: c.Costs.Handshake > 0,
+		MaxOpenRequests:  c.Limits.MaxOpen, MaxStreamsPerConn: c.Limits.StreamsPerConn,
+		RetryAfterDisabled: c.Limits.RetryAfter != nil && !*c.Limits.RetryAfter,
+		read:               c,
 	}, nil
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -23,8 +23,8 @@
 // Connections are dear where their handshakes are priced.
 func TestHandshakePriceIsDecoded(t *testing.T) {
 	for conf, want := range map[string]bool{`{"costs":{"handshake":0.2}}`: true, `{"costs":{"handshake":0.0}}`: false, `{}`: false} {
-		if s, err := Decode([]byte(conf)); err != nil || s.DearHandshakes != want {
-			t.Errorf("%s: %v, %v", conf, s.DearHandshakes, err)
+		if s, err := Decode([]byte(conf)); err != nil || s.HandshakesPriced != want {
+			t.Errorf("%s: %v, %v", conf, s.HandshakesPriced, err)
 		}
 	}
 }
@@ -80,11 +80,11 @@
 		`{"a":{"b":1},"l":[7],"s":[],"e":[]}`:                                ".l[0].",
 		`null`:                                                               ".",
 	} {
-		if got, err := Missing([]byte(was), []byte(later)); err != nil || got != want {
+		if got, err := MissingKey([]byte(was), []byte(later)); err != nil || got != want {
 			t.Errorf("%s: %q %v, want %q", later, got, err, want)
 		}
 	}
-	if _, err := Missing([]byte(was), []byte(was[:20])); err == nil {
+	if _, err := MissingKey([]byte(was), []byte(was[:20])); err == nil {
 		t.Error("a text that was cut off has passed")
 	}
 }
