--- a/cmd/edgeproxy/main.go
+++ b/cmd/edgeproxy/main.go
@@ -90,18 +90,18 @@
 
 func run(cfg *config, clock eventloop.TimeSource, s signals, logger *slog.Logger, out *logging.Writer) error {
 	// A garbage collector that knows the limit works harder near it; the platform would kill the process.
-	debug.SetMemoryLimit(int64(cfg.proxy.Memory) * 6 / 10)
+	debug.SetMemoryLimit(int64(cfg.proxy.MaxMemoryBytes) * 6 / 10)
 	var loop *eventloop.Loop
 	if err := patiently(func() (err error) { loop, err = eventloop.NewLoop(clock); return err }); err != nil {
 		return err
 	}
-	cfg.proxy.LogDropped, cfg.proxy.Violated = out.Dropped, violated
+	cfg.proxy.DroppedLogLines, cfg.proxy.OnViolation = out.Dropped, violated
 	p := proxy.New(loop, cfg.proxy, logger)
 	if err := openAddresses(p, cfg); err != nil {
 		return err
 	}
-	p.Follow(cfg.coordinator, cfg.Known.Index)
-	return p.Run(proxy.Orders{Stop: s.stop, Reload: s.reload, Load: func() (proxy.Apply, error) {
+	p.WatchCoordinator(cfg.coordinator, cfg.Known.Index)
+	return p.Run(proxy.Signals{Stop: s.stop, Reload: s.reload, Load: func() (proxy.Apply, error) {
 		now, err := load(os.Getenv)
 		if err != nil {
 			return nil, err
@@ -119,7 +119,7 @@
 		logger.Warn("changed in the configuration, and taken over at the next start only", "fields", kept)
 	}
 	c.fields, c.proxy.Settings = now.fields, now.proxy.Settings
-	return proxy.Update{Coordinator: now.coordinator, Settings: now.proxy.Settings, Flow: now.Flow}, nil
+	return proxy.Update{Coordinator: now.coordinator, Settings: now.proxy.Settings, TransferBytesPerSecond: now.Flow}, nil
 }
 
 // checkAfter says whether a configuration read later may be taken over. Half of one, such as a file that was cut off
@@ -252,10 +252,10 @@
 	if err != nil {
 		return err
 	}
-	c.proxy = proxy.Config{Settings: set, Seed: seed, Known: c.Known, Sockets: c.Limits.Sockets,
-		Memory: c.Limits.MemoryMB << 20, Flow: c.Flow}
+	c.proxy = proxy.Config{Settings: set, Seed: seed, InitialState: c.Known, MaxDescriptors: c.Limits.Sockets,
+		MaxMemoryBytes: c.Limits.MemoryMB << 20, TransferBytesPerSecond: c.Flow}
 	if c.inherited != 0 { // for a while, two processes share the limits
-		c.proxy.Sockets, c.proxy.Memory = c.proxy.Sockets/2, c.proxy.Memory/2
+		c.proxy.MaxDescriptors, c.proxy.MaxMemoryBytes = c.proxy.MaxDescriptors/2, c.proxy.MaxMemoryBytes/2
 		c.proxy.Settings.Policy.ProcessesPerRouter = 2
 	}
 	return nil
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -111,8 +111,8 @@
 		a.oldest = (a.p.clock.unix(now) - f.MaxAge - ageSlack).Milliseconds()
 	}
 	c := resp.Call{
-		ID: a.req.ID, Class: a.req.Name, Object: a.req.Object, Part: strconv.Itoa(a.req.Part),
-		Timeout: max(a.req.deadline-now, time.Millisecond), RetentionRank: f.RetentionRank, MaxAge: f.MaxAge, KnownVersion: a.req.Version, IdempotencyKey: a.req.Token,
+		ID: a.req.ID, Class: a.req.ClassName, Object: a.req.Object, Part: strconv.Itoa(a.req.Part),
+		Timeout: max(a.req.deadline-now, time.Millisecond), RetentionRank: f.RetentionRank, MaxAge: f.MaxAge, KnownVersion: a.req.KnownVersion, IdempotencyKey: a.req.IdempotencyKey,
 		CoalesceFill: f.CoalesceFill, CachedOnly: f.CachedOnly, StaleWhileRevalidate: f.StaleWhileRevalidate, Body: a.req.Body,
 	}
 	if f.Source != f.Target {
@@ -123,8 +123,8 @@
 
 // maySend asks the module once more whether the call may begin, and with which orders.
 func (a *attempt) maySend(now eventloop.Timestamp) (policy.Fetch, bool) {
-	a.req.to.Look()
-	_, left := a.req.to.Left()
+	a.req.to.PollClient()
+	_, left := a.req.to.ClientDisconnected()
 	if a.req.finished { // answered or given up since, perhaps in this very turn
 		a.p.denied.allows(actionSend, policy.Verdict{Rule: policy.RuleAnswer, Reason: policy.ReasonAnswered})
 		return policy.Fetch{}, false
@@ -133,7 +133,7 @@
 	if !a.p.denied.allows(actionSend, verdict) {
 		a.p.log.Info("call not sent", "request", a.req.ID, "attempt", a.number, "server", a.target, "rule", verdict.Rule, "reason", verdict.Reason)
 		if verdict.Rule == policy.RuleClientDisconnected {
-			a.p.GiveUp(a.req.number)
+			a.p.CancelAfterDisconnect(a.req.number)
 		}
 		return policy.Fetch{}, false
 	}
@@ -155,7 +155,7 @@
 func (a *attempt) Written() {
 	a.written = true
 	a.p.audit.wrote(a)
-	a.p.tallies.count(a.req.Name, relayed)
+	a.p.tallies.count(a.req.ClassName, relayed)
 }
 
 // giveUpHalfWritten ends the connection of a call of which the peer still has not taken the last byte.
@@ -174,16 +174,16 @@
 	}
 	// Otherwise the client would take a copy for current that nobody has named. The answer is well formed all the same:
 	// what else is out on the connection is not harmed.
-	if ans.Status == resp.StatusNotModified && (a.req.Version == "" || ans.Version != a.req.Version) {
+	if ans.Status == resp.StatusNotModified && (a.req.KnownVersion == "" || ans.Version != a.req.KnownVersion) {
 		result = policy.ResultError
 	}
 	if result == policy.ResultOK {
 		p.audit.served(a, ans)
 		status := Served
 		if ans.Status == resp.StatusNotModified {
-			status, ans.Body = Unchanged, nil
+			status, ans.Body = NotModified, nil
 		}
-		p.answer(a.req, Answer{Status: status, Tag: ans.Version, Body: ans.Body})
+		p.answer(a.req, Answer{Status: status, Version: ans.Version, Body: ans.Body})
 	}
 	p.end(a, ans, result)
 }
--- a/internal/proxy/audit.go
+++ b/internal/proxy/audit.go
@@ -65,9 +65,9 @@
 // report counts a violation.
 func (u *audit) report(v violation, q *request, detail string) {
 	u.counts[v]++
-	u.p.log.Error("rule broken", "violation", violationNames[v], "request", q.ID, "class", q.Name, "detail", detail)
+	u.p.log.Error("rule broken", "violation", violationNames[v], "request", q.ID, "class", q.ClassName, "detail", detail)
 	if u.violated != nil {
-		u.violated(fmt.Sprintf("%s: request %s of class %s: %s", violationNames[v], q.ID, q.Name, detail))
+		u.violated(fmt.Sprintf("%s: request %s of class %s: %s", violationNames[v], q.ID, q.ClassName, detail))
 	}
 }
 
@@ -127,7 +127,7 @@
 			u.report(sentToLeaving, a.req, id)
 		}
 	}
-	if since, _ := a.req.to.Left(); since != 0 && now-since > leftGrace+auditSlack {
+	if since, _ := a.req.to.ClientDisconnected(); since != 0 && now-since > leftGrace+auditSlack {
 		u.report(begunAfterLeft, a.req, fmt.Sprintf("%v after", now-since))
 	}
 	a.began = now
@@ -169,7 +169,7 @@
 	if q.answers++; q.answers > 1 {
 		u.report(secondAnswer, q, "")
 	}
-	refused := status == Refused || status == Overloaded
+	refused := status == Rejected || status == Overloaded
 	if refused && q.effect == policy.NonIdempotent && q.mayHaveRun {
 		u.report(refusedAfterRun, q, "")
 	}
--- a/internal/proxy/client.go
+++ b/internal/proxy/client.go
@@ -11,7 +11,7 @@
 
 // clientConn is one connection of a client.
 type clientConn struct {
-	front   *Front
+	front   *FastCGIServer
 	number  int64 // of the connection, in the log
 	conn    *eventloop.Conn
 	decoder fastcgi.Decoder
@@ -171,7 +171,7 @@
 		if q := c.front.p.requests[number]; q != nil {
 			c.front.p.audit.closed(q, err != nil)
 		}
-		c.front.p.Abandon(number)
+		c.front.p.HandleDisconnect(number)
 	}
 	c.open, c.parked = nil, nil
 	delete(c.front.parking, c)
@@ -201,7 +201,7 @@
 func (c *clientConn) giveUp() {
 	c.refuseParked(math.MaxInt64)
 	for _, number := range c.open {
-		c.front.p.GiveUp(number)
+		c.front.p.CancelAfterDisconnect(number)
 	}
 }
 
@@ -233,9 +233,9 @@
 
 // refuseParked refuses the parked requests that have waited for half of their time: later, a refusal costs more.
 func (c *clientConn) refuseParked(now eventloop.Timestamp) {
-	for len(c.parked) > 0 && now-c.parked[0].at >= c.parked[0].in.Wait/2 {
+	for len(c.parked) > 0 && now-c.parked[0].at >= c.parked[0].in.Timeout/2 {
 		r := c.unpark()
-		c.front.p.turnAway(r.in, &responder{conn: c, id: r.request.ID}, Answer{Status: Refused, ComeBack: goneIn})
+		c.front.p.turnAway(r.in, &responder{conn: c, id: r.request.ID}, Answer{Status: Rejected, RetryAfter: goneIn})
 	}
 }
 
@@ -272,7 +272,7 @@
 	case (c.full() || len(c.parked) > 0) && !c.gone() && !c.front.p.late():
 		c.park(r, in)
 	default:
-		in.Wait -= max(c.front.p.loop.SchedulingDelay(longestNap), c.conn.QueueingDelay()) // its client has been waiting for it
+		in.Timeout -= max(c.front.p.loop.SchedulingDelay(longestNap), c.conn.QueueingDelay()) // its client has been waiting for it
 		c.serve(in, to)
 	}
 }
@@ -291,7 +291,7 @@
 	if c.parked = slices.DeleteFunc(c.parked, func(r parked) bool { return r.request.ID == id }); len(c.parked) == 0 {
 		delete(c.front.parking, c)
 	}
-	c.front.p.Abandon(c.open[id])
+	c.front.p.HandleDisconnect(c.open[id])
 	c.done(id, fastcgi.AppendEnd(nil, id, 1, fastcgi.Complete))
 }
 
--- a/internal/proxy/coordinator.go
+++ b/internal/proxy/coordinator.go
@@ -67,16 +67,16 @@
 	over     int64               // events that may be missing, as lines were passed over since the last one
 }
 
-// Follow keeps the proxy up to date with the coordinator at addr from event last on.
-func (p *Proxy) Follow(addr netip.AddrPort, last int64) {
+// WatchCoordinator keeps the proxy up to date with the coordinator at addr from event last on.
+func (p *Proxy) WatchCoordinator(addr netip.AddrPort, last int64) {
 	p.follower = &follower{p: p, addr: addr, last: last, pause: refollowAfter, heard: p.loop.Now()}
 	p.follower.connect()
 	p.follower.watch()
 }
 
-// Refollow goes over to the coordinator at addr; its events are numbered on from those of the one before. That
+// SwitchCoordinator goes over to the coordinator at addr; its events are numbered on from those of the one before. That
 // one is left at once: it may keep its connection open for a while and tell nothing more on it.
-func (p *Proxy) Refollow(addr netip.AddrPort) {
+func (p *Proxy) SwitchCoordinator(addr netip.AddrPort) {
 	f := p.follower
 	if addr == f.addr {
 		return
--- a/internal/proxy/fields.go
+++ b/internal/proxy/fields.go
@@ -11,14 +11,14 @@
 )
 
 // parse decodes the fields of a request.
-func (f *Front) parse(r *fastcgi.Request) (Request, error) {
+func (f *FastCGIServer) parse(r *fastcgi.Request) (Request, error) {
 	name, ok := strings.CutPrefix(r.Script, opsPath)
 	class, known := f.p.class[name]
 	if !ok || !known {
 		return Request{}, fmt.Errorf("no such operation: %q", r.Script)
 	}
 	in := Request{
-		ID: r.Params["HTTP_REQ_ID"], Class: class, Name: name, Object: r.Params["HTTP_REQ_KEY"], Body: r.Body,
+		ID: r.Params["HTTP_REQ_ID"], Class: class, ClassName: name, Object: r.Params["HTTP_REQ_KEY"], Body: r.Body,
 	}
 	if !isHex(in.ID) || !isHex(in.Object) {
 		return Request{}, errors.New("Req-Id and Req-Key must be 16 hex digits")
@@ -30,12 +30,12 @@
 	if err := errors.Join(err1, err2, err3, err4); err != nil {
 		return Request{}, fmt.Errorf("Req-Wait-Ms, X-Piece, X-Lot or Req-Kb: %w", err)
 	}
-	if in.Token = r.Params["HTTP_REQ_TOKEN"]; !isToken(in.Token) {
+	if in.IdempotencyKey = r.Params["HTTP_REQ_TOKEN"]; !isToken(in.IdempotencyKey) {
 		return Request{}, errors.New("Req-Token must be up to 64 letters, digits and -._~")
 	}
-	in.Wait, in.Part, in.Group, in.SizeKB = time.Duration(wait)*time.Millisecond, part, group, size
+	in.Timeout, in.Part, in.Group, in.SizeKB = time.Duration(wait)*time.Millisecond, part, group, size
 	if tag := r.Params["HTTP_X_VER"]; isHex(tag) {
-		in.Version = tag // any other could not be passed on; the whole object is always right
+		in.KnownVersion = tag // any other could not be passed on; the whole object is always right
 	}
 	return in, nil
 }
--- a/internal/proxy/front.go
+++ b/internal/proxy/front.go
@@ -47,9 +47,9 @@
 
 var errFull = errors.New("memory for clients is used up")
 
-// Front speaks FastCGI with the clients. A front for a second protocol would stand beside it and hand the same
+// FastCGIServer speaks FastCGI with the clients. A front for a second protocol would stand beside it and hand the same
 // Requests to Submit.
-type Front struct {
+type FastCGIServer struct {
 	p        *Proxy
 	listener *eventloop.Listener
 	shared   bool // another process may accept from the same socket
@@ -75,11 +75,11 @@
 	return f.open(ln, err)
 }
 
-func (p *Proxy) newFront(most int) *Front {
-	return &Front{p: p, conns: map[*clientConn]bool{}, parking: map[*clientConn]bool{}, most: most}
+func (p *Proxy) newFront(most int) *FastCGIServer {
+	return &FastCGIServer{p: p, conns: map[*clientConn]bool{}, parking: map[*clientConn]bool{}, most: most}
 }
 
-func (f *Front) open(ln *eventloop.Listener, err error) error {
+func (f *FastCGIServer) open(ln *eventloop.Listener, err error) error {
 	if err != nil {
 		return err
 	}
@@ -93,7 +93,7 @@
 // missed least has to go: one that has said nothing yet for a while, else the one longest idle, as a request
 // that crosses the close is sent again. Otherwise clients that connect and say nothing, or ask once and
 // stay, would keep out all others.
-func (f *Front) room() bool {
+func (f *FastCGIServer) room() bool {
 	if len(f.conns) < f.most {
 		return true
 	}
@@ -119,7 +119,7 @@
 	return true
 }
 
-func (f *Front) accept(c *eventloop.Conn) eventloop.Handler {
+func (f *FastCGIServer) accept(c *eventloop.Conn) eventloop.Handler {
 	f.accepted++
 	cc := &clientConn{front: f, number: f.accepted, conn: c, open: map[uint16]int64{}, incompleteSince: f.p.loop.Now()}
 	f.conns[cc] = true
@@ -128,7 +128,7 @@
 
 // watch looks after connections now and then: those whose peer takes nothing, asks nothing or has vanished are
 // closed.
-func (f *Front) watch() {
+func (f *FastCGIServer) watch() {
 	f.leave()
 	for c := range f.conns {
 		c.refuseParked(f.p.loop.Now())
@@ -148,7 +148,7 @@
 // leave lets no further clients in once they have stopped coming. A shared socket is left at once: what still comes to it waits
 // for the process that takes over. On its own one, what waits to be accepted would be reset: that is taken first, also when
 // accepting fails for a while.
-func (f *Front) leave() {
+func (f *FastCGIServer) leave() {
 	if f.p.Phase() != Stopping || !f.p.Leaving() {
 		return
 	}
@@ -161,17 +161,17 @@
 }
 
 // memoryFull says that clients and caches hold more than may be: what only holds memory has to go.
-func (f *Front) memoryFull() bool { return f.p.held() > 2*f.p.maxHeld }
+func (f *FastCGIServer) memoryFull() bool { return f.p.held() > 2*f.p.maxHeld }
 
 // mayClose says whether a connection can be closed now, and counts where it can't.
-func (f *Front) mayClose(c policy.CloseInfo) bool {
+func (f *FastCGIServer) mayClose(c policy.CloseInfo) bool {
 	return f.p.denied.allows(actionClose, policy.MayClose(c))
 }
 
 // closeDrained closes, while clients are to leave, the connections that are empty now. It comes at the end of a turn, when
 // all that has come was taken and all answers have been written and have arrived: what a client sends while its
 // connection is closed but still brings output would be lost.
-func (f *Front) closeDrained() {
+func (f *FastCGIServer) closeDrained() {
 	for c := range f.conns {
 		if c.conn.Ended() {
 			continue
@@ -186,20 +186,22 @@
 }
 
 // Idle says whether no client is connected any more, or waits to be.
-func (f *Front) Idle() bool { return len(f.conns) == 0 && (f.shared || !f.listener.HasPending()) }
+func (f *FastCGIServer) Idle() bool {
+	return len(f.conns) == 0 && (f.shared || !f.listener.HasPending())
+}
 
 // unpark takes on what was parked, as far as clients have read meanwhile.
-func (f *Front) unpark() {
+func (f *FastCGIServer) unpark() {
 	for c := range f.parking {
 		for len(c.parked) > 0 && !c.full() {
 			r := c.unpark()
 			to := &responder{conn: c, id: r.request.ID}
 			in, err := f.parse(r.request) // once more: classes may have changed
 			if err != nil {
-				f.p.turnAway(r.in, to, Answer{Status: Refused, ComeBack: goneIn})
+				f.p.turnAway(r.in, to, Answer{Status: Rejected, RetryAfter: goneIn})
 				continue
 			}
-			in.Wait -= f.p.loop.Now() - r.at
+			in.Timeout -= f.p.loop.Now() - r.at
 			c.serve(in, to)
 		}
 	}
--- a/internal/proxy/front_test.go
+++ b/internal/proxy/front_test.go
@@ -4,7 +4,7 @@
 
 // What a closed connection held is given back, also when it is counted once more after its end.
 func TestClosedConnectionHoldsNothing(t *testing.T) {
-	f := &Front{p: &Proxy{}, conns: map[*clientConn]bool{}}
+	f := &FastCGIServer{p: &Proxy{}, conns: map[*clientConn]bool{}}
 	c := &clientConn{front: f, open: map[uint16]int64{}}
 	f.conns[c] = true
 	c.count(1000)
--- a/internal/proxy/left_test.go
+++ b/internal/proxy/left_test.go
@@ -67,7 +67,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		p := New(loop, Config{Settings: set, Sockets: 100, Memory: 1 << 26, Known: watch.InitialState{Index: 1, Events: []watch.Event{{Index: 1,
+		p := New(loop, Config{Settings: set, MaxDescriptors: 100, MaxMemoryBytes: 1 << 26, InitialState: watch.InitialState{Index: 1, Events: []watch.Event{{Index: 1,
 			Endpoints: &watch.EndpointUpdate{Full: true, Endpoints: []watch.Endpoint{{ID: "o", Addr: origin.Addr().String(), Zone: "hub", Kind: "origin",
 				State: watch.StateServing, Weight: 100}}}}}}}, slog.New(slog.DiscardHandler))
 		free, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/proxy/phase.go
+++ b/internal/proxy/phase.go
@@ -94,7 +94,7 @@
 
 // handsOver says that another process may take clients from the sockets of this one: none has to come here any more.
 func (p *Proxy) handsOver() bool {
-	return !slices.ContainsFunc(p.fronts, func(f *Front) bool { return !f.shared })
+	return !slices.ContainsFunc(p.fronts, func(f *FastCGIServer) bool { return !f.shared })
 }
 
 // drain begins to send clients away.
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -35,15 +35,15 @@
 
 // Config is what a proxy is told at its start.
 type Config struct {
-	Settings settings.Settings
-	Seed     uint64
-	Known    watch.InitialState
-	Sockets  int     // descriptors that the process may hold
-	Memory   int     // bytes that the process may use
-	Flow     float64 // bytes a second of one transfer; 0: not told
-
-	LogDropped func() int64 // how many lines of the log were dropped; nil: not known
-	Violated   func(string) // called when the program finds that it has broken a rule; nil: it is only counted
+	Settings               settings.Settings
+	Seed                   uint64
+	InitialState           watch.InitialState
+	MaxDescriptors         int     // descriptors that the process may hold
+	MaxMemoryBytes         int     // bytes that the process may use
+	TransferBytesPerSecond float64 // bytes a second of one transfer; 0: not told
+
+	DroppedLogLines func() int64 // how many lines of the log were dropped; nil: not known
+	OnViolation     func(string) // called when the program finds that it has broken a rule; nil: it is only counted
 }
 
 // Proxy is one edge proxy. Everything in it runs on the loop's goroutine.
@@ -68,7 +68,7 @@
 
 	servers  map[string]int64 // by id: when it started
 	pools    *connpool.Pools
-	fronts   []*Front
+	fronts   []*FastCGIServer
 	follower *follower
 
 	// While draining or stopping:
@@ -113,12 +113,12 @@
 		loop: loop, router: policy.New(cfg.Settings.Policy, cfg.Seed), log: logger,
 		rng:      rand.New(rand.NewPCG(cfg.Seed, 1)),
 		requests: map[int64]*request{}, servers: map[string]int64{},
-		sockets: UpstreamSockets(cfg.Sockets), maxHeld: cfg.Memory / 4, logDropped: cfg.LogDropped,
+		sockets: UpstreamSockets(cfg.MaxDescriptors), maxHeld: cfg.MaxMemoryBytes / 4, logDropped: cfg.DroppedLogLines,
 	}
-	p.denied, p.audit = denials{}, newAudit(p, cfg.Violated)
+	p.denied, p.audit = denials{}, newAudit(p, cfg.OnViolation)
 	p.pools = connpool.New(loop, connpool.Limits{}, p.openUpstream)
-	p.apply(cfg.Settings, cfg.Flow)
-	p.applyKnown(cfg.Known.Events)
+	p.apply(cfg.Settings, cfg.TransferBytesPerSecond)
+	p.applyKnown(cfg.InitialState.Events)
 	p.settle()
 	p.sweep()
 	return p
@@ -167,7 +167,7 @@
 func UpstreamSockets(all int) int { return max(1, all/2-20) }
 
 // Run serves until it has been stopped. Orders are looked at between turns.
-func (p *Proxy) Run(orders Orders) error {
+func (p *Proxy) Run(orders Signals) error {
 	for p.phase != Stopped {
 		if err := p.loop.Wait(longestNap); err != nil {
 			return fmt.Errorf("event loop: %w", err)
@@ -232,7 +232,7 @@
 			p.attempt(q, a)
 		}
 	case policy.Reject:
-		p.answer(p.requests[a.ID], Answer{Status: Refused, ComeBack: a.RetryAfter})
+		p.answer(p.requests[a.ID], Answer{Status: Rejected, RetryAfter: a.RetryAfter})
 	case policy.Fail:
 		p.answer(p.requests[a.ID], Answer{Status: Failed})
 	case policy.Cancel:
@@ -248,11 +248,11 @@
 // Submit takes a request whose last byte has just come. It returns the request's number, for Abandon, or 0
 // when it was answered at once.
 func (p *Proxy) Submit(in Request, to Responder) int64 {
-	_, left := to.Left()
-	verdict := policy.MayAdmit(policy.AdmitInfo{ClientDisconnected: left, Stopping: p.late(), Remaining: in.Wait,
+	_, left := to.ClientDisconnected()
+	verdict := policy.MayAdmit(policy.AdmitInfo{ClientDisconnected: left, Stopping: p.late(), Remaining: in.Timeout,
 		OpenRequests: len(p.requests), MaxOpenRequests: p.maxOpen, MemoryFull: p.held() >= p.maxHeld})
 	if !p.denied.allows(actionStart, verdict) {
-		answer := Answer{Status: Refused, ComeBack: goneIn}
+		answer := Answer{Status: Rejected, RetryAfter: goneIn}
 		if verdict.Rule == policy.RuleLimits { // a refusal is all that memory allows; clients come again
 			answer = Answer{Status: Overloaded}
 		}
@@ -262,7 +262,7 @@
 	}
 	p.lastID++
 	now := p.loop.Now()
-	q := &request{Request: in, number: p.lastID, to: to, deadline: now + in.Wait - min(answerTime, in.Wait/answerPart),
+	q := &request{Request: in, number: p.lastID, to: to, deadline: now + in.Timeout - min(answerTime, in.Timeout/answerPart),
 		effect: p.set.Policy.Classes[in.Class].Idempotency}
 	if p.phase == Stopping {
 		q.deadline = max(now, min(q.deadline, p.endBy))
@@ -278,30 +278,30 @@
 
 // turnAway refuses a request that the module does not hear of.
 func (p *Proxy) turnAway(in Request, to Responder, a Answer) {
-	p.tallies.count(in.Name, a.Status.counted())
+	p.tallies.count(in.ClassName, a.Status.counted())
 	to.Respond(p.advised(a))
 }
 
 // held is how many bytes are kept for clients and caches together.
 func (p *Proxy) held() int { return p.loop.BufferedBytes() + p.bodies + p.partial }
 
-// Abandon takes note that the client has given a request up; it gets no answer.
-func (p *Proxy) Abandon(number int64) {
+// HandleDisconnect takes note that the client has given a request up; it gets no answer.
+func (p *Proxy) HandleDisconnect(number int64) {
 	if q := p.requests[number]; q != nil && !q.finished {
 		p.finish(q)
-		p.tallies.count(q.Name, faulted)
+		p.tallies.count(q.ClassName, faulted)
 		p.notify(policy.ClientDisconnected{ID: number})
 	}
 }
 
-// GiveUp answers a request whose client has probably left, and stops what is out for it. A client that has only ended
+// CancelAfterDisconnect answers a request whose client has probably left, and stops what is out for it. A client that has only ended
 // its own side learns what to make of it.
-func (p *Proxy) GiveUp(number int64) {
+func (p *Proxy) CancelAfterDisconnect(number int64) {
 	q := p.requests[number]
 	if q == nil || q.finished {
 		return
 	}
-	status := Refused
+	status := Rejected
 	for _, a := range q.attempts {
 		if a.started && !q.safe() { // it may have run
 			status = Failed
@@ -330,19 +330,19 @@
 	if q == nil || q.finished {
 		return
 	}
-	if a.Status != Served && a.Status != Unchanged {
-		p.log.Info("request not served", "request", q.ID, "class", q.Name, "answer", a.Status.counted(), "attempts", len(q.attempts))
+	if a.Status != Served && a.Status != NotModified {
+		p.log.Info("request not served", "request", q.ID, "class", q.ClassName, "answer", a.Status.counted(), "attempts", len(q.attempts))
 	}
 	p.finish(q)
 	p.audit.answered(q, a.Status)
-	p.tallies.count(q.Name, a.Status.counted())
+	p.tallies.count(q.ClassName, a.Status.counted())
 	q.to.Respond(p.advised(a))
 }
 
 // advised leaves the advice to stay away out of an answer where the settings do not allow it.
 func (p *Proxy) advised(a Answer) Answer {
 	if p.set.RetryAfterDisabled {
-		a.ComeBack = 0
+		a.RetryAfter = 0
 	}
 	return a
 }
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -15,8 +15,8 @@
 
 var errLoadTimeout = errors.New("the file could not be read in time")
 
-// Orders are what the program is told from outside while it runs.
-type Orders struct {
+// Signals are what the program is told from outside while it runs.
+type Signals struct {
 	Stop   <-chan os.Signal // drain, then end
 	Reload <-chan os.Signal // read the configuration again
 	// Load reads the configuration. It may block, and is called on a goroutine of its own.
@@ -29,9 +29,9 @@
 
 // Update is what a running proxy takes over from a configuration read again.
 type Update struct {
-	Coordinator netip.AddrPort
-	Settings    settings.Settings
-	Flow        float64 // bytes a second of one transfer
+	Coordinator            netip.AddrPort
+	Settings               settings.Settings
+	TransferBytesPerSecond float64 // bytes a second of one transfer
 }
 
 // loader reads the configuration off the loop: a slow disk must not hold up requests.
@@ -48,7 +48,7 @@
 
 // reload carries out orders to read the configuration again. One that can't be used changes nothing: the proxy goes on
 // serving with the one it has.
-func (p *Proxy) reload(orders Orders) {
+func (p *Proxy) reload(orders Signals) {
 	select {
 	case <-orders.Reload:
 		p.loader.again = true
@@ -94,7 +94,7 @@
 	}
 	p.accepted++
 	p.log.Info("configuration read again", "coordinator", update.Coordinator, "classes", len(update.Settings.Policy.Classes))
-	p.apply(update.Settings, update.Flow)
+	p.apply(update.Settings, update.TransferBytesPerSecond)
 	p.notify(update.Settings.Policy) // before any request by the new classes: none has come since the last turn
-	p.Refollow(update.Coordinator)
+	p.SwitchCoordinator(update.Coordinator)
 }
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -11,17 +11,17 @@
 
 // Request is a client's request, whatever protocol brought it. What passes on to a cache is kept as it came.
 type Request struct {
-	ID      string // the client's own, passed on
-	Class   int    // index among the settings' classes
-	Name    string // of the class
-	Object  string
-	Part    int
-	Group   int
-	SizeKB  float64       // size of the object, by the settings' measure; 0: not told
-	Version string        // tag of the copy that the client holds; empty: none
-	Token   string        // idempotency key, by which caches know a repeat; empty: none
-	Wait    time.Duration // how long the client waits, from its last byte
-	Body    []byte
+	ID             string // the client's own, passed on
+	Class          int    // index among the settings' classes
+	ClassName      string // of the class
+	Object         string
+	Part           int
+	Group          int
+	SizeKB         float64       // size of the object, by the settings' measure; 0: not told
+	KnownVersion   string        // tag of the copy that the client holds; empty: none
+	IdempotencyKey string        // idempotency key, by which caches know a repeat; empty: none
+	Timeout        time.Duration // how long the client waits, from its last byte
+	Body           []byte
 }
 
 // Status is how a request ended.
@@ -29,27 +29,27 @@
 
 // The final answers.
 const (
-	Served     Status = iota
-	Unchanged         // served: the client's copy is the one
-	Refused           // not done; trying again is harmless
-	Overloaded        // refused before the module heard of it
+	Served      Status = iota
+	NotModified        // served: the client's copy is the one
+	Rejected           // not done; trying again is harmless
+	Overloaded         // refused before the module heard of it
 	Failed
 )
 
 // Answer is the final answer to a request.
 type Answer struct {
-	Status   Status
-	Tag      string // of the copy served
-	Body     []byte
-	ComeBack time.Duration // with a refusal: how long the client should stay away; 0: no advice
+	Status     Status
+	Version    string // of the copy served
+	Body       []byte
+	RetryAfter time.Duration // with a refusal: how long the client should stay away; 0: no advice
 }
 
 // Responder takes the one final answer to a request back to its client.
 type Responder interface {
 	Respond(Answer)
-	// Look reads what has come from the client since the turn began, if that is long ago. It may bring the request's end.
-	Look()
-	// Left tells since when the client may have left, 0 while it is there, and whether that is so long ago that nothing may
+	// PollClient reads what has come from the client since the turn began, if that is long ago. It may bring the request's end.
+	PollClient()
+	// ClientDisconnected tells since when the client may have left, 0 while it is there, and whether that is so long ago that nothing may
 	// begin for it any more.
-	Left() (since eventloop.Timestamp, long bool)
+	ClientDisconnected() (since eventloop.Timestamp, long bool)
 }
--- a/internal/proxy/responder.go
+++ b/internal/proxy/responder.go
@@ -13,11 +13,11 @@
 	id   uint16
 }
 
-// Look reads what has come since the turn began.
-func (r *responder) Look() { r.conn.lookAgain() }
+// PollClient reads what has come since the turn began.
+func (r *responder) PollClient() { r.conn.lookAgain() }
 
-// Left tells since when the client may have left.
-func (r *responder) Left() (since eventloop.Timestamp, long bool) {
+// ClientDisconnected tells since when the client may have left.
+func (r *responder) ClientDisconnected() (since eventloop.Timestamp, long bool) {
 	c := r.conn
 	if c.goneBy == 0 {
 		return 0, false
@@ -29,12 +29,12 @@
 func (r *responder) Respond(a Answer) {
 	switch a.Status {
 	case Served:
-		r.write(fastcgi.Response{Status: 200, Headers: tagHeader(a.Tag), Body: a.Body})
-	case Unchanged:
-		r.write(fastcgi.Response{Status: 200, Headers: append(tagHeader(a.Tag), [2]string{"X-Unchanged", "1"})})
-	case Refused:
+		r.write(fastcgi.Response{Status: 200, Headers: tagHeader(a.Version), Body: a.Body})
+	case NotModified:
+		r.write(fastcgi.Response{Status: 200, Headers: append(tagHeader(a.Version), [2]string{"X-Unchanged", "1"})})
+	case Rejected:
 		var headers [][2]string
-		if ms := a.ComeBack.Milliseconds(); ms > 0 {
+		if ms := a.RetryAfter.Milliseconds(); ms > 0 {
 			headers = [][2]string{{"Srv-Wait-Ms", strconv.FormatInt(ms, 10)}}
 		}
 		r.write(fastcgi.Response{Status: 503, Headers: headers})
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -46,9 +46,9 @@
 // counted says what a final answer counts as.
 func (s Status) counted() outcome {
 	switch s {
-	case Served, Unchanged:
+	case Served, NotModified:
 		return fulfilled
-	case Refused, Overloaded:
+	case Rejected, Overloaded:
 		return throttled
 	}
 	return faulted
