--- a/internal/proxy/admin.go
+++ b/internal/proxy/admin.go
@@ -132,23 +132,23 @@
 
 func (p *Proxy) readiness() http1.Response {
 	status := 200
-	if p.phase != Serving {
+	if p.lifecycle.phase != Serving {
 		status = 503
 	}
-	return http1.Response{Status: status, Body: p.phase.String() + "\n"}
+	return http1.Response{Status: status, Body: p.lifecycle.phase.String() + "\n"}
 }
 
 // startDrain empties the proxy of clients; it goes on running, and may be taken back.
 func (p *Proxy) startDrain() http1.Response {
-	if p.phase == Serving {
-		p.drain()
+	if p.lifecycle.phase == Serving {
+		p.lifecycle.beginDrain(p.open)
 	}
 	return p.inPhase(Draining)
 }
 
 func (p *Proxy) stopDrain() http1.Response {
-	if p.phase == Draining {
-		p.enter(Serving)
+	if p.lifecycle.phase == Draining {
+		p.lifecycle.enter(Serving, p.open)
 	}
 	return p.inPhase(Serving)
 }
@@ -156,8 +156,8 @@
 // inPhase says whether an order has brought the phase it is to bring.
 func (p *Proxy) inPhase(want Phase) http1.Response {
 	status := 200
-	if p.phase != want {
+	if p.lifecycle.phase != want {
 		status = 409
 	}
-	return http1.Response{Status: status, Body: p.phase.String() + "\n"}
+	return http1.Response{Status: status, Body: p.lifecycle.phase.String() + "\n"}
 }
--- a/internal/proxy/client.go
+++ b/internal/proxy/client.go
@@ -127,7 +127,7 @@
 	if c.open == nil {
 		held = 0
 	}
-	c.front.p.partial += held - c.partial
+	c.front.p.memory.partial += held - c.partial
 	c.partial = held
 }
 
@@ -259,7 +259,7 @@
 	to := &responder{conn: c, id: r.ID}
 	if r.Script == healthPath {
 		status := 503
-		if c.front.p.Phase() == Serving {
+		if c.front.p.lifecycle.phase == Serving {
 			status = 200
 		}
 		to.write(fastcgi.Response{Status: status})
@@ -269,7 +269,7 @@
 	switch {
 	case err != nil:
 		to.write(fastcgi.Response{Status: 400, Body: []byte(err.Error() + "\n")})
-	case (c.full() || len(c.parked) > 0) && !c.gone() && !c.front.p.late():
+	case (c.full() || len(c.parked) > 0) && !c.gone() && !c.front.p.lifecycle.rejecting():
 		c.park(r, in)
 	default:
 		in.Timeout -= max(c.front.p.loop.SchedulingDelay(longestNap), c.conn.QueueingDelay()) // its client has been waiting for it
--- a/internal/proxy/front.go
+++ b/internal/proxy/front.go
@@ -149,19 +149,19 @@
 // for the process that takes over. On its own one, what waits to be accepted would be reset: that is taken first, also when
 // accepting fails for a while.
 func (f *FastCGIServer) leave() {
-	if f.p.Phase() != Stopping || !f.p.Leaving() {
+	if f.p.lifecycle.phase != Stopping || !f.p.lifecycle.disconnecting() {
 		return
 	}
 	if !f.shared {
 		f.listener.AcceptPending()
 	}
-	if f.shared || !f.listener.HasPending() || f.p.late() {
+	if f.shared || !f.listener.HasPending() || f.p.lifecycle.rejecting() {
 		f.listener.Close()
 	}
 }
 
 // memoryFull says that clients and caches hold more than may be: what only holds memory has to go.
-func (f *FastCGIServer) memoryFull() bool { return f.p.held() > 2*f.p.maxHeld }
+func (f *FastCGIServer) memoryFull() bool { return f.p.memory.critical() }
 
 // mayClose says whether a connection can be closed now, and counts where it can't.
 func (f *FastCGIServer) mayClose(c policy.CloseInfo) bool {
--- a/internal/proxy/membership.go
+++ b/internal/proxy/membership.go
@@ -76,8 +76,8 @@
 		}
 	}
 	p.notify(members)
-	if p.phase == Starting {
-		p.enter(Serving)
+	if p.lifecycle.phase == Starting {
+		p.lifecycle.enter(Serving, p.open)
 	}
 }
 
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -48,34 +48,27 @@
 
 // Proxy is one edge proxy. Everything in it runs on the loop's goroutine.
 type Proxy struct {
-	loop   *eventloop.Loop
-	router *policy.Router
-	set    settings.Settings
-	class  map[string]int // by name: its number in the settings
-	flow   float64        // bytes a second of one transfer; 0: not told
-	log    *slog.Logger
-	rng    *rand.Rand
-	phase  Phase
+	loop      *eventloop.Loop
+	router    *policy.Router
+	set       settings.Settings
+	class     map[string]int // by name: its number in the settings
+	flow      float64        // bytes a second of one transfer; 0: not told
+	log       *slog.Logger
+	rng       *rand.Rand
+	lifecycle *lifecycle
 
 	inbox    []policy.Event // of this turn, for the module
 	requests map[int64]*request
 	lastID   int64
 	maxOpen  int
 	sockets  int // connections to caches
-	maxHeld  int // bytes held at which requests are refused
-	bodies   int // bytes of the open requests' bodies
-	partial  int // bytes of requests that have not come whole
+	memory   *memoryBudget
 
 	servers  map[string]int64 // by id: when it started
 	pools    *connpool.Pools
 	fronts   []*FastCGIServer
 	follower *follower
 
-	// While draining or stopping:
-	leaveAt eventloop.Timestamp // new clients have stopped coming
-	lateAt  eventloop.Timestamp // no request is taken any more
-	endBy   eventloop.Timestamp // all must be answered; 0: at their deadlines
-
 	open              int // requests taken and not ended
 	tallies           tallies
 	accepted, invalid int // configurations read again
@@ -113,7 +106,8 @@
 		loop: loop, router: policy.New(cfg.Settings.Policy, cfg.Seed), log: logger,
 		rng:      rand.New(rand.NewPCG(cfg.Seed, 1)),
 		requests: map[int64]*request{}, servers: map[string]int64{},
-		sockets: UpstreamSockets(cfg.MaxDescriptors), maxHeld: cfg.MaxMemoryBytes / 4, logDropped: cfg.DroppedLogLines,
+		sockets: UpstreamSockets(cfg.MaxDescriptors), memory: newMemoryBudget(loop, cfg.MaxMemoryBytes),
+		lifecycle: &lifecycle{loop: loop, log: logger}, logDropped: cfg.DroppedLogLines,
 	}
 	p.denied, p.audit = denials{}, newAudit(p, cfg.OnViolation)
 	p.pools = connpool.New(loop, connpool.Limits{}, p.openUpstream)
@@ -168,7 +162,7 @@
 
 // Run serves until it has been stopped. Orders are looked at between turns.
 func (p *Proxy) Run(orders Signals) error {
-	for p.phase != Stopped {
+	for p.lifecycle.phase != Stopped {
 		if err := p.loop.Wait(longestNap); err != nil {
 			return fmt.Errorf("event loop: %w", err)
 		}
@@ -191,7 +185,7 @@
 			break
 		}
 	}
-	if p.Leaving() {
+	if p.lifecycle.disconnecting() {
 		for _, f := range p.fronts {
 			f.closeDrained()
 		}
@@ -249,8 +243,8 @@
 // when it was answered at once.
 func (p *Proxy) Submit(in Request, to Responder) int64 {
 	_, left := to.ClientDisconnected()
-	verdict := policy.MayAdmit(policy.AdmitInfo{ClientDisconnected: left, Stopping: p.late(), Remaining: in.Timeout,
-		OpenRequests: len(p.requests), MaxOpenRequests: p.maxOpen, MemoryFull: p.held() >= p.maxHeld})
+	verdict := policy.MayAdmit(policy.AdmitInfo{ClientDisconnected: left, Stopping: p.lifecycle.rejecting(), Remaining: in.Timeout,
+		OpenRequests: len(p.requests), MaxOpenRequests: p.maxOpen, MemoryFull: p.memory.full()})
 	if !p.denied.allows(actionStart, verdict) {
 		answer := Answer{Status: Rejected, RetryAfter: goneIn}
 		if verdict.Rule == policy.RuleLimits { // a refusal is all that memory allows; clients come again
@@ -264,12 +258,12 @@
 	now := p.loop.Now()
 	q := &request{Request: in, number: p.lastID, to: to, deadline: now + in.Timeout - min(answerTime, in.Timeout/answerPart),
 		effect: p.set.Policy.Classes[in.Class].Idempotency}
-	if p.phase == Stopping {
-		q.deadline = max(now, min(q.deadline, p.endBy))
+	if p.lifecycle.phase == Stopping {
+		q.deadline = max(now, min(q.deadline, p.lifecycle.answerBy))
 	}
 	p.requests[q.number] = q
 	p.open++
-	p.bodies += len(q.Body)
+	p.memory.requestBodies += len(q.Body)
 	q.timer = p.loop.At(q.deadline, func() { p.expire(q) })
 	p.notify(policy.Request{ID: q.number, Object: in.Object, Part: in.Part, Group: in.Group, Class: in.Class,
 		SizeKB: in.SizeKB, Remaining: q.deadline - now})
@@ -282,9 +276,6 @@
 	to.Respond(p.advised(a))
 }
 
-// held is how many bytes are kept for clients and caches together.
-func (p *Proxy) held() int { return p.loop.BufferedBytes() + p.bodies + p.partial }
-
 // HandleDisconnect takes note that the client has given a request up; it gets no answer.
 func (p *Proxy) HandleDisconnect(number int64) {
 	if q := p.requests[number]; q != nil && !q.finished {
@@ -360,7 +351,7 @@
 func (p *Proxy) forget(q *request) {
 	if q.registered && q.finished && q.pending == 0 && p.requests[q.number] == q {
 		p.loop.Stop(q.timer)
-		p.bodies -= len(q.Body)
+		p.memory.requestBodies -= len(q.Body)
 		delete(p.requests, q.number)
 	}
 }
--- /dev/null
+++ b/internal/proxy/shutdown.go
@@ -0,0 +1,62 @@
+package proxy
+
+import (
+	"os"
+	"slices"
+
+	"cloverdoor/internal/eventloop"
+)
+
+// advance moves to the phase that is due. A shutdown ends when clients have stopped coming and every request has been
+// answered.
+func (p *Proxy) advance(stop <-chan os.Signal) {
+	select {
+	case <-stop:
+		if p.lifecycle.phase < Stopping {
+			p.beginStop()
+		}
+	default:
+	}
+	if p.lifecycle.phase == Stopping && p.lifecycle.disconnecting() && !p.hasOpenWork() {
+		p.lifecycle.enter(Stopped, p.open)
+	}
+}
+
+// beginStop begins a graceful shutdown. Requests that are open get no more time than the platform leaves to the process: one
+// that a kill finds unanswered is lost.
+func (p *Proxy) beginStop() {
+	p.lifecycle.beginStop(p.set.MaxDeadline, p.isTakenOver(), p.open)
+	for _, q := range p.requests {
+		p.shorten(q, p.lifecycle.answerBy)
+	}
+}
+
+// shorten moves a request's deadline forward to deadline; an earlier one stays.
+func (p *Proxy) shorten(q *request, deadline eventloop.Timestamp) {
+	if q.deadline <= deadline {
+		return
+	}
+	q.deadline = deadline
+	p.loop.Stop(q.timer)
+	q.timer = p.loop.At(deadline, func() { p.expire(q) })
+}
+
+// isTakenOver reports whether another process may accept from all listening sockets of this one.
+func (p *Proxy) isTakenOver() bool {
+	return !slices.ContainsFunc(p.fronts, func(f *FastCGIServer) bool { return !f.shared })
+}
+
+// hasOpenWork reports whether any client still waits for an answer, or for the rest of one.
+func (p *Proxy) hasOpenWork() bool {
+	for _, f := range p.fronts {
+		if !f.Idle() {
+			return true
+		}
+	}
+	for _, q := range p.requests {
+		if !q.finished {
+			return true
+		}
+	}
+	return false
+}
