--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -126,11 +126,11 @@
 	a.req.to.PollClient()
 	_, left := a.req.to.ClientDisconnected()
 	if a.req.finished { // answered or given up since, perhaps in this very turn
-		a.p.denied.allows(actionSend, policy.Verdict{Rule: policy.RuleAnswer, Reason: policy.ReasonAnswered})
+		a.p.counters.allows(actionSend, policy.Verdict{Rule: policy.RuleAnswer, Reason: policy.ReasonAnswered})
 		return policy.Fetch{}, false
 	}
 	f, verdict := a.p.router.MaySend(now, policy.SendInfo{ID: a.req.number, Attempt: a.number, Remaining: a.req.deadline - now, ClientDisconnected: left})
-	if !a.p.denied.allows(actionSend, verdict) {
+	if !a.p.counters.allows(actionSend, verdict) {
 		a.p.log.Info("call not sent", "request", a.req.ID, "attempt", a.number, "server", a.target, "rule", verdict.Rule, "reason", verdict.Reason)
 		if verdict.Rule == policy.RuleClientDisconnected {
 			a.p.CancelAfterDisconnect(a.req.number)
@@ -155,7 +155,7 @@
 func (a *attempt) Written() {
 	a.written = true
 	a.p.audit.wrote(a)
-	a.p.tallies.count(a.req.ClassName, relayed)
+	a.p.counters.count(a.req.ClassName, relayed)
 }
 
 // giveUpHalfWritten ends the connection of a call of which the peer still has not taken the last byte.
--- a/internal/proxy/coordinator.go
+++ b/internal/proxy/coordinator.go
@@ -209,7 +209,7 @@
 func (s *stream) passOver(size int) {
 	f := s.f
 	s.over++
-	f.p.unreadable++
+	f.p.counters.unreadableParts++
 	f.p.log.Error("coordinator's line can't be read and is passed over", "event", f.last, "bytes", size)
 }
 
@@ -243,7 +243,7 @@
 	case ev.Index > most && ev.IsHeartbeat(): // the missing ones may still come
 		return nil
 	case ev.Index > most:
-		f.p.unreadable++
+		f.p.counters.unreadableParts++
 		f.p.log.Error("events are missing for good", "after", f.last, "before", ev.Index)
 	}
 	f.last, s.over = ev.Index, 0
--- /dev/null
+++ b/internal/proxy/counters.go
@@ -0,0 +1,111 @@
+package proxy
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+
+	"cloverdoor/policy"
+)
+
+// outcome is how a request ended, or that an attempt was forwarded, under the names of the figures.
+type outcome int
+
+// The outcomes that are counted for each class.
+const (
+	fulfilled outcome = iota
+	throttled
+	faulted
+	relayed // attempts, not requests
+	outcomeCount
+)
+
+var outcomeNames = [outcomeCount]string{"fulfilled", "throttled", "faulted", "relayed"}
+
+// String is the outcome's name in the figures and in the log.
+func (o outcome) String() string { return outcomeNames[o] }
+
+// outcome is what a final answer counts as.
+func (s Status) outcome() outcome {
+	switch s {
+	case Served, NotModified:
+		return fulfilled
+	case Rejected, Overloaded:
+		return throttled
+	}
+	return faulted
+}
+
+// action is what a guard was asked about, under the names of the figures.
+type action string
+
+// The actions that guards look at.
+const (
+	actionSend  action = "send"
+	actionStart action = "start"
+	actionClose action = "close"
+)
+
+// denial is an action that a guard has denied, and why.
+type denial struct {
+	action action
+	policy.Verdict
+}
+
+func (d denial) label() string {
+	return fmt.Sprintf("action=%q,rule=%q,reason=%q", d.action, d.Rule, d.Reason)
+}
+
+// counters are what the process has counted since its start. None of them ever falls.
+type counters struct {
+	classNames []string // in the order in which the classes became known
+	outcomes   map[string]*[outcomeCount]int64
+	denials    map[denial]int64
+
+	configsAccepted, configsRejected int // configurations read again
+	unreadableParts                  int // parts of the coordinator's events that could not be read
+}
+
+func newCounters() *counters {
+	return &counters{outcomes: map[string]*[outcomeCount]int64{}, denials: map[denial]int64{}}
+}
+
+// addClass makes a class known, so that its figures are listed from now on. A class that is removed keeps its counts.
+func (c *counters) addClass(class string) *[outcomeCount]int64 {
+	counts := c.outcomes[class]
+	if counts == nil {
+		counts = new([outcomeCount]int64)
+		c.outcomes[class] = counts
+		c.classNames = append(c.classNames, class)
+	}
+	return counts
+}
+
+func (c *counters) count(class string, o outcome) { c.addClass(class)[o]++ }
+
+// allows reports whether a verdict allows an action, and counts one that denies it.
+func (c *counters) allows(a action, verdict policy.Verdict) bool {
+	if verdict.Allowed() {
+		return true
+	}
+	c.denials[denial{a, verdict}]++
+	return false
+}
+
+// writeOutcomes adds the figures of each class.
+func (c *counters) writeOutcomes(b *strings.Builder) {
+	for _, class := range c.classNames {
+		for o, n := range c.outcomes[class] {
+			fmt.Fprintf(b, "svc_operations{priority=%q,status=%q} %d\n", class, outcome(o), n)
+		}
+	}
+}
+
+// writeDenials adds the figures of the guards, in a fixed order.
+func (c *counters) writeDenials(b *strings.Builder) {
+	byLabel := func(x, y denial) int { return strings.Compare(x.label(), y.label()) }
+	for _, d := range slices.SortedFunc(maps.Keys(c.denials), byLabel) {
+		fmt.Fprintf(b, "svc_denied{%s} %d\n", d.label(), c.denials[d])
+	}
+}
--- a/internal/proxy/front.go
+++ b/internal/proxy/front.go
@@ -165,7 +165,7 @@
 
 // mayClose says whether a connection can be closed now, and counts where it can't.
 func (f *FastCGIServer) mayClose(c policy.CloseInfo) bool {
-	return f.p.denied.allows(actionClose, policy.MayClose(c))
+	return f.p.counters.allows(actionClose, policy.MayClose(c))
 }
 
 // closeDrained closes, while clients are to leave, the connections that are empty now. It comes at the end of a turn, when
--- a/internal/proxy/membership.go
+++ b/internal/proxy/membership.go
@@ -26,7 +26,7 @@
 		p.applyServers(ev.Endpoints)
 	}
 	if ev.Unreadable > 0 {
-		p.unreadable += ev.Unreadable
+		p.counters.unreadableParts += ev.Unreadable
 		p.log.Error("parts of an event can't be read: servers named in them count as gone", "event", ev.Index, "parts", ev.Unreadable)
 	}
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -69,16 +69,13 @@
 	fronts   []*FastCGIServer
 	follower *follower
 
-	open              int // requests taken and not ended
-	tallies           tallies
-	accepted, invalid int // configurations read again
-	logDropped        func() int64
-	loader            loader
-	clock             peerClock
-	newestKnown       eventloop.Timestamp // the latest time that the configuration's purges tell; 0: none
-	audit             *audit
-	denied            denials
-	unreadable        int // parts of the coordinator's events that could not be read
+	open        int // requests taken and not ended
+	counters    *counters
+	logDropped  func() int64
+	loader      loader
+	clock       peerClock
+	newestKnown eventloop.Timestamp // the latest time that the configuration's purges tell; 0: none
+	audit       *audit
 }
 
 // request is one client request until its answer is given and its last attempt has ended.
@@ -107,9 +104,10 @@
 		rng:      rand.New(rand.NewPCG(cfg.Seed, 1)),
 		requests: map[int64]*request{}, servers: map[string]int64{},
 		sockets: UpstreamSockets(cfg.MaxDescriptors), memory: newMemoryBudget(loop, cfg.MaxMemoryBytes),
+		counters:  newCounters(),
 		lifecycle: &lifecycle{loop: loop, log: logger}, logDropped: cfg.DroppedLogLines,
 	}
-	p.denied, p.audit = denials{}, newAudit(p, cfg.OnViolation)
+	p.audit = newAudit(p, cfg.OnViolation)
 	p.pools = connpool.New(loop, connpool.Limits{}, p.openUpstream)
 	p.apply(cfg.Settings, cfg.TransferBytesPerSecond)
 	p.applyKnown(cfg.InitialState.Events)
@@ -135,7 +133,7 @@
 	p.set, p.flow, p.class = set, flow, map[string]int{}
 	for i, c := range set.Policy.Classes {
 		p.class[c.Name] = i
-		p.tallies.add(c.Name)
+		p.counters.addClass(c.Name)
 	}
 	p.maxOpen = min(maxOpen, cmp.Or(set.MaxOpenRequests, maxOpen))
 	shared := 0
@@ -245,7 +243,7 @@
 	_, left := to.ClientDisconnected()
 	verdict := policy.MayAdmit(policy.AdmitInfo{ClientDisconnected: left, Stopping: p.lifecycle.rejecting(), Remaining: in.Timeout,
 		OpenRequests: len(p.requests), MaxOpenRequests: p.maxOpen, MemoryFull: p.memory.full()})
-	if !p.denied.allows(actionStart, verdict) {
+	if !p.counters.allows(actionStart, verdict) {
 		answer := Answer{Status: Rejected, RetryAfter: goneIn}
 		if verdict.Rule == policy.RuleLimits { // a refusal is all that memory allows; clients come again
 			answer = Answer{Status: Overloaded}
@@ -272,7 +270,7 @@
 
 // turnAway refuses a request that the module does not hear of.
 func (p *Proxy) turnAway(in Request, to Responder, a Answer) {
-	p.tallies.count(in.ClassName, a.Status.counted())
+	p.counters.count(in.ClassName, a.Status.outcome())
 	to.Respond(p.advised(a))
 }
 
@@ -280,7 +278,7 @@
 func (p *Proxy) HandleDisconnect(number int64) {
 	if q := p.requests[number]; q != nil && !q.finished {
 		p.finish(q)
-		p.tallies.count(q.ClassName, faulted)
+		p.counters.count(q.ClassName, faulted)
 		p.notify(policy.ClientDisconnected{ID: number})
 	}
 }
@@ -322,11 +320,11 @@
 		return
 	}
 	if a.Status != Served && a.Status != NotModified {
-		p.log.Info("request not served", "request", q.ID, "class", q.ClassName, "answer", a.Status.counted(), "attempts", len(q.attempts))
+		p.log.Info("request not served", "request", q.ID, "class", q.ClassName, "answer", a.Status.outcome(), "attempts", len(q.attempts))
 	}
 	p.finish(q)
 	p.audit.answered(q, a.Status)
-	p.tallies.count(q.ClassName, a.Status.counted())
+	p.counters.count(q.ClassName, a.Status.outcome())
 	q.to.Respond(p.advised(a))
 }
 
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -88,11 +88,11 @@
 		update, result.err = result.apply()
 	}
 	if result.err != nil {
-		p.invalid++
+		p.counters.configsRejected++
 		p.log.Warn("not taken over", "error", result.err)
 		return
 	}
-	p.accepted++
+	p.counters.configsAccepted++
 	p.log.Info("configuration read again", "coordinator", update.Coordinator, "classes", len(update.Settings.Policy.Classes))
 	p.apply(update.Settings, update.TransferBytesPerSecond)
 	p.notify(update.Settings.Policy) // before any request by the new classes: none has come since the last turn
