--- a/internal/proxy/client.go
+++ b/internal/proxy/client.go
@@ -168,10 +168,7 @@
 func (c *clientConn) Closed(err error) {
 	delete(c.front.conns, c)
 	for _, number := range c.open {
-		if q := c.front.p.requests[number]; q != nil {
-			c.front.p.audit.closed(q, err != nil)
-		}
-		c.front.p.HandleDisconnect(number)
+		c.front.p.handleConnectionClosed(number, err != nil)
 	}
 	c.open, c.parked = nil, nil
 	delete(c.front.parking, c)
@@ -235,7 +232,7 @@
 func (c *clientConn) refuseParked(now eventloop.Timestamp) {
 	for len(c.parked) > 0 && now-c.parked[0].at >= c.parked[0].in.Timeout/2 {
 		r := c.unpark()
-		c.front.p.turnAway(r.in, &responder{conn: c, id: r.request.ID}, Answer{Status: Rejected, RetryAfter: goneIn})
+		c.front.p.rejectUnsubmitted(r.in, &responder{conn: c, id: r.request.ID}, Answer{Status: Rejected, RetryAfter: goneIn})
 	}
 }
 
--- a/internal/proxy/fields.go
+++ b/internal/proxy/fields.go
@@ -13,7 +13,7 @@
 // parse decodes the fields of a request.
 func (f *FastCGIServer) parse(r *fastcgi.Request) (Request, error) {
 	name, ok := strings.CutPrefix(r.Script, opsPath)
-	class, known := f.p.class[name]
+	class, known := f.p.classIndex(name)
 	if !ok || !known {
 		return Request{}, fmt.Errorf("no such operation: %q", r.Script)
 	}
--- a/internal/proxy/front.go
+++ b/internal/proxy/front.go
@@ -198,7 +198,7 @@
 			to := &responder{conn: c, id: r.request.ID}
 			in, err := f.parse(r.request) // once more: classes may have changed
 			if err != nil {
-				f.p.turnAway(r.in, to, Answer{Status: Rejected, RetryAfter: goneIn})
+				f.p.rejectUnsubmitted(r.in, to, Answer{Status: Rejected, RetryAfter: goneIn})
 				continue
 			}
 			in.Timeout -= f.p.loop.Now() - r.at
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -249,7 +249,7 @@
 			answer = Answer{Status: Overloaded}
 		}
 		p.log.Info("request not taken", "request", in.ID, "rule", verdict.Rule, "reason", verdict.Reason)
-		p.turnAway(in, to, answer)
+		p.rejectUnsubmitted(in, to, answer)
 		return 0
 	}
 	p.lastID++
@@ -268,8 +268,8 @@
 	return q.number
 }
 
-// turnAway refuses a request that the module does not hear of.
-func (p *Proxy) turnAway(in Request, to Responder, a Answer) {
+// rejectUnsubmitted answers a request that has not been submitted to the decision module.
+func (p *Proxy) rejectUnsubmitted(in Request, to Responder, a Answer) {
 	p.counters.count(in.ClassName, a.Status.outcome())
 	to.Respond(p.advised(a))
 }
@@ -283,6 +283,20 @@
 	}
 }
 
+// handleConnectionClosed ends an open request whose client connection has closed. byPeer says that the client closed it.
+func (p *Proxy) handleConnectionClosed(number int64, byPeer bool) {
+	if q := p.requests[number]; q != nil {
+		p.audit.closed(q, byPeer)
+	}
+	p.HandleDisconnect(number)
+}
+
+// classIndex is a class's number in the settings.
+func (p *Proxy) classIndex(name string) (index int, known bool) {
+	index, known = p.class[name]
+	return index, known
+}
+
 // CancelAfterDisconnect answers a request whose client has probably left, and stops what is out for it. A client that has only ended
 // its own side learns what to make of it.
 func (p *Proxy) CancelAfterDisconnect(number int64) {
