--- a/policy/membership.go
+++ b/policy/endpoints.go
@@ -10,11 +10,6 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-const (
-	defaultCapacity = 4.0  // transfers that a cache's link carries at full pace, until it is measured
-	fillShare       = 0.33 // share of what caches carry that the tier above fills: two of three are hits
-)
-
 type member struct {
 	Endpoint
 	hash                    uint64
@@ -54,11 +49,6 @@
 	r.sortMembers()
 }
 
-// ClockCorrection says that the clock times of starts and purges that were told so far were off: each is
-// later by By.
-// A purge is never moved to earlier, also where By is under 0: it must not count as older than it is.
-type ClockCorrection struct{ Offset time.Duration }
-
 func (c ClockCorrection) apply(r *Router) {
 	for _, m := range r.members {
 		if m.Started != 0 {
@@ -105,13 +95,6 @@
 	r.zoneLink.resize(max(cmp.Or(r.settings.ZoneLinkTransfers, zoneFills), 1), zoneRouters, told)
 }
 
-func (r *Router) linkSize(m *member, otherwise float64) float64 {
-	if r.settings.WeightsConfigured && m.Weight > 0 {
-		return m.Weight
-	}
-	return otherwise
-}
-
 func (r *Router) isCache(m *member) bool {
 	return m.Kind != r.settings.ParentKind && m.Kind != r.settings.OriginKind
 }
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -12,33 +12,6 @@
 	minComeBack = 300 * time.Millisecond // least advice to a refused client
 )
 
-// A timer tells of an overdue attempt: its member was silent, or later attempts overtook it and it was lost.
-func (timer TimerFired) apply(r *Router) {
-	a := r.pendingAttempt(int64(timer.Token>>8), int(timer.Token&255))
-	if a == nil || a.request.finished {
-		return
-	}
-	req, lost := a.request, a.target.lastAnswerSent > a.sent
-	if lost { // its transfer is over and loads no link any more
-		a.leaveLinks(r.now)
-		req.avoid[a.source] = a.source != a.target // or its source does not answer
-	}
-	if !lost && a.target.lastHeard <= a.sent {
-		a.target.markSuspect(r.now)
-	} else if a.source.lastHeard <= a.sent && !a.expectHit {
-		a.source.markSuspect(r.now)
-	}
-	silent := !r.healthy(a.target) || !r.healthy(a.source)
-	inTime := r.now+time.Duration(req.work*float64(time.Second)) < req.aim
-	switch {
-	case !lost && !(silent && inTime) || req.class.Idempotency != Idempotent || r.retryBudget < 1:
-	case r.settings.Hedging:
-		r.decide(req)
-	case r.settings.MayCancel:
-		r.actions = append(r.actions, Cancel{ID: req.ID, Attempt: a.number})
-	}
-}
-
 func (r *Router) retry(a *attempt, o Outcome) {
 	req := a.request
 	switch {
@@ -71,24 +44,3 @@
 	r.actions = append(r.actions, answer)
 	r.finishID(req.ID)
 }
-
-func (started StreamStarted) apply(r *Router) { r.finishID(started.ID) }
-
-func (gone ClientDisconnected) apply(r *Router) { r.finishID(gone.ID) }
-
-// finishID marks a request as finished; it is forgotten when its last attempt has ended.
-func (r *Router) finishID(id int64) {
-	req := r.requests[id]
-	if req == nil {
-		return
-	}
-	req.finished = true
-	for _, a := range req.attempts {
-		if a.pending && r.settings.MayCancel && !req.class.Stream {
-			r.actions = append(r.actions, Cancel{ID: req.ID, Attempt: a.number})
-		}
-	}
-	if req.pending == 0 {
-		delete(r.requests, id)
-	}
-}
--- a/policy/placement.go
+++ b/policy/selection.go
@@ -11,24 +11,6 @@
 	hopWeight = 0.25 // weight of a parent for each hub on the way: bytes cost more and take longer
 )
 
-func (r *Router) decide(req *request) {
-	target := r.firstWithRoom(req, r.ranked(r.caches, req))
-	switch {
-	case req.class.Uncacheable && !r.usable(r.origin, req):
-		r.finishUnserved(req)
-	case req.class.Uncacheable && r.settings.DirectRequests:
-		r.startAttempt(req, r.origin, r.origin)
-	case req.class.Uncacheable && target != nil:
-		r.startAttempt(req, target, r.origin)
-	case target != nil && (r.healthy(target) || !r.settings.DirectRequests):
-		r.startAttempt(req, target, r.chooseSource(req, target))
-	case r.settings.DirectRequests && r.chooseParent(req) != nil && r.usable(r.origin, req): // no cache is up
-		r.startAttempt(req, r.chooseParent(req), r.origin)
-	default:
-		r.finishUnserved(req)
-	}
-}
-
 func (r *Router) ranked(list []*member, req *request) []*member {
 	return slices.SortedStableFunc(slices.Values(list), func(a, b *member) int {
 		return cmp.Compare(r.rendezvousScore(b, req), r.rendezvousScore(a, req))
@@ -74,6 +56,10 @@
 	return cmp.Or(best, fallback)
 }
 
+func (r *Router) usable(m *member, req *request) bool {
+	return m != nil && m.State == Ready && r.withinColdBudget(m, req)
+}
+
 func (r *Router) excessTime(m *member, req *request) float64 {
 	seconds := m.link.transferTime(r.now, req.work, r.warmShare(m))
 	if !r.isCache(m) {
--- a/policy/coldbudget.go
+++ b/policy/slowstart.go
@@ -27,6 +27,31 @@
 	return share + (1-share)*max(0, age.Seconds())/within.Seconds()
 }
 
+// weighsOn reports whether an attempt counts in a member's budget: it is cold, and is the target or a parent
+// that fills.
+func (r *Router) weighsOn(m *member, a *attempt) bool {
+	return r.warmShare(m) < 1 && (m == a.target || m.Kind == r.settings.ParentKind)
+}
+
+// joinsColdBudget counts an attempt in the budgets of cold members that it is not counted in: they have
+// started anew since it was decided on, or it has waited for longer than the window.
+func (r *Router) joinsColdBudget(a *attempt) bool {
+	var joins []*member
+	for _, m := range []*member{a.target, a.source} {
+		if !r.weighsOn(m, a) || slices.Contains(m.coldAttempts, a) || slices.Contains(joins, m) {
+			continue
+		}
+		if !r.withinColdBudget(m, a.request) {
+			return false
+		}
+		joins = append(joins, m)
+	}
+	for _, m := range joins {
+		m.coldAttempts = append(m.coldAttempts, a)
+	}
+	return true
+}
+
 // withinColdBudget keeps to this router's part, and waits for a window after the router's own start.
 func (r *Router) withinColdBudget(m *member, req *request) bool {
 	warm := r.warmShare(m)
