--- /dev/null
+++ b/policy/admission_test.go
@@ -0,0 +1,26 @@
+package policy
+
+import (
+	"testing"
+	"time"
+)
+
+// A full link refuses the long request before the short one.
+func TestAdmissionByWorthPerSendingTime(t *testing.T) {
+	g := newRig(t)
+	ask := func(id int64, kb float64) *Fetch {
+		return fetchOf(g.do(Request{ID: id, Object: "x", SizeKB: kb, Remaining: 5 * time.Second}))
+	}
+	short, long := 0, 0
+	for i := int64(1); i < 400; i++ {
+		if ask(i*2, 100) == nil {
+			short++
+		}
+		if ask(i*2+1, 2000) == nil {
+			long++
+		}
+	}
+	if long == 0 || short >= long {
+		t.Fatalf("refused %d short and %d long ones", short, long)
+	}
+}
--- a/policy/fleet_test.go
+++ b/policy/fillorders_test.go
@@ -6,33 +6,6 @@
 	"time"
 )
 
-// When a zone is lost, all routers refuse at once, and clients come back when they are told to. Over the fleet they come
-// back evenly: no 20 ms of the time that is advised bring more than twice their part, and none comes too soon.
-func TestFleetSpreadsItsRefusals(t *testing.T) {
-	const routers, each, bin = 300, 5, 20 * time.Millisecond
-	comeBack := map[time.Duration]int{}
-	for i := range routers {
-		set := world()
-		set.Routers, set.RoutersInZone, set.RouterIndex = routers, routers, i
-		r := New(set, uint64(i))
-		r.Handle(time.Hour, EndpointUpdate{Full: true})
-		for id := range int64(each) {
-			acts := r.Handle(time.Hour, Request{ID: id + 1, Object: fmt.Sprint(id), Remaining: 3 * time.Second})
-			refusal, ok := acts[len(acts)-1].(Reject)
-			if !ok || refusal.RetryAfter < minComeBack || refusal.RetryAfter >= 2*minComeBack {
-				t.Fatalf("router %d: %+v", i, acts)
-			}
-			comeBack[refusal.RetryAfter/bin]++
-		}
-	}
-	part := float64(routers*each) / float64(minComeBack/bin)
-	for i, n := range comeBack {
-		if float64(n) > 2*part {
-			t.Errorf("%d come back in the 20 ms from %v on, %.1f are its part", n, i*bin, part)
-		}
-	}
-}
-
 // When all copies go void, each of many routers asks for the same objects at once. Their first attempts join the fill that
 // is under way at the cache that all of them pick, and go to no more than one cache and one parent for an object.
 func TestFleetJoinsFillsAfterAFlush(t *testing.T) {
--- /dev/null
+++ b/policy/fillsource_test.go
@@ -0,0 +1,72 @@
+package policy
+
+import (
+	"math"
+	"testing"
+	"time"
+)
+
+// Routers rank siblings alike: one whose link is full is not asked to fill too.
+func TestHerdingGuard(t *testing.T) {
+	g := newRig(t)
+	r := g.r
+	req := &request{Request: Request{Object: "x"}, class: &r.settings.Classes[0], key: 7, work: 0.1, aim: g.n + 500*ms}
+	holder := r.members["b"]
+	r.recordCopy(holder, req, true)
+	if r.chooseSibling(req, r.members["a"]) != holder {
+		t.Fatal("an idle holder is named")
+	}
+	for i := 0; i < 30; i++ {
+		holder.link.inFlight = append(holder.link.inFlight, &attempt{request: req, target: holder})
+	}
+	if s := r.chooseSibling(req, r.members["a"]); s != nil {
+		t.Fatalf("%s is full and is named", s.ID)
+	}
+}
+
+// A cache that joins owns objects that a sibling still holds: the sibling fills.
+func TestReturnedCacheIsFilledFromSibling(t *testing.T) {
+	g := newRig(t)
+	home := g.serve(1, "x", CacheStatusFilled).Target
+	g.do(EndpointUpdate{Endpoints: []Endpoint{{ID: home, State: Removed, Zone: 1, Weight: 5}}})
+	next := g.serve(2, "x", CacheStatusFilled).Target
+	g.do(EndpointUpdate{Endpoints: []Endpoint{{ID: home, State: Ready, Zone: 1, Weight: 5}}})
+	f := fetchOf(g.request(3, "x", 0))
+	if f.Target != home || f.Source != next {
+		t.Fatalf("want %s filled from %s, got %+v", home, next, f)
+	}
+	acts := g.do(Outcome{ID: 3, Result: ResultNotFound, CacheStatus: CacheStatusSourceMissing, Elapsed: 10 * ms})
+	if f = fetchOf(acts); f == nil || f.Source != "p" && f.Source != "q" {
+		t.Fatalf("after 'lacks it' want the parent, got %+v", acts)
+	}
+}
+
+// The choice names a sibling when 1 + beta*rho < beta: with beta 4 that is rho < 0.75.
+func TestChoiceRule(t *testing.T) {
+	for _, c := range []struct {
+		rho  float64
+		want bool
+	}{{0.74, true}, {0.76, false}} {
+		g := newRig(t)
+		r := g.r
+		r.parentWait.value, r.siblingWait.value = 0.040, 0.010
+		req := &request{Request: Request{Object: "x"}, class: &r.settings.Classes[0], key: 7, work: 0.1,
+			aim: g.n + time.Second}
+		r.recordCopy(r.members["b"], req, true)
+		r.members["b"].misindication = ratio{asked: 1, value: c.rho}
+		if got := r.chooseSibling(req, r.members["a"]) != nil; got != c.want {
+			t.Errorf("rho %v: sibling named %v, want %v", c.rho, got, c.want)
+		}
+	}
+}
+
+func TestBetaFromWaits(t *testing.T) {
+	g := newRig(t)
+	if b := g.r.missPenalty(); b != initialMissPenalty {
+		t.Fatalf("beta starts at %v", b)
+	}
+	g.r.parentWait.value, g.r.siblingWait.value = 0.06, 0.02
+	if b := g.r.missPenalty(); math.Abs(b-3) > 1e-9 {
+		t.Fatalf("beta %v, want 3", b)
+	}
+}
--- /dev/null
+++ b/policy/guard_test.go
@@ -0,0 +1,73 @@
+package policy
+
+import (
+	"testing"
+	"time"
+)
+
+// The time for repeats is looked at again when a repeat's first byte goes: it may have waited for its connection.
+func TestRepeatIsNotBegunAfterItsWindow(t *testing.T) {
+	for _, late := range []bool{false, true} {
+		set := world()
+		set.Classes[0] = Class{Idempotency: IdempotencyKey, DeduplicationScope: ScopeAll, DeduplicationWindow: time.Second, LatencyObjective: 2 * time.Second, PriorityWeight: 1}
+		g := &rig{t: t, r: New(set, 1), n: time.Hour}
+		g.do(everybody())
+		if fetchOf(g.request(1, "x", 0)) == nil {
+			t.Fatal("not sent")
+		}
+		if _, verdict := g.r.MaySend(g.n, SendInfo{ID: 1, Remaining: time.Second}); !verdict.Allowed() {
+			t.Fatal("the first attempt may go at any time")
+		}
+		g.n += 900 * ms
+		if fetchOf(g.do(Outcome{ID: 1, Attempt: 0, Result: ResultReset})) == nil {
+			t.Fatal("not repeated within its window")
+		}
+		if late {
+			g.n += 200 * ms
+		}
+		_, verdict := g.r.MaySend(g.n, SendInfo{ID: 1, Attempt: 1, Remaining: time.Second})
+		if verdict.Allowed() == late || late && verdict != (Verdict{RuleDuplicate, ReasonWindowExpired}) {
+			t.Errorf("late %v: %+v", late, verdict)
+		}
+	}
+}
+
+// What was decided while a connection came up is looked at again when the first byte goes.
+func TestGuardBeforeTheFirstByte(t *testing.T) {
+	drain := func(id string) Event {
+		return EndpointUpdate{Endpoints: []Endpoint{{ID: id, State: Draining, Zone: 1}}}
+	}
+	for name, c := range map[string]struct {
+		event func(Fetch) Event
+		want  Verdict
+		age   time.Duration
+		join  bool
+	}{
+		"nothing new":         {func(Fetch) Event { return TimerFired{} }, Verdict{}, 0, true},
+		"its target drains":   {func(f Fetch) Event { return drain(f.Target) }, Verdict{RuleDrain, ReasonTargetDraining}, 0, false},
+		"its source drains":   {func(f Fetch) Event { return drain(f.Source) }, Verdict{RuleDrain, ReasonSourceDraining}, 0, false},
+		"its object purged":   {func(Fetch) Event { return Purge{Object: "x", Age: 70 * ms} }, Verdict{}, 90 * ms, true},
+		"its group purged":    {func(Fetch) Event { return Purge{Age: 70 * ms} }, Verdict{}, 90 * ms, true},
+		"the client has left": {func(Fetch) Event { return ClientDisconnected{ID: 1} }, Verdict{RuleAnswer, ReasonAnswered}, 0, false},
+	} {
+		g := newRig(t)
+		f := fetchOf(g.request(1, "x", 0))
+		g.n += 10 * ms
+		g.do(c.event(*f))
+		now, verdict := g.r.MaySend(g.n+20*ms, SendInfo{ID: 1, Remaining: time.Second})
+		if verdict != c.want || now.MaxAge != c.age || now.CoalesceFill != c.join {
+			t.Errorf("%s: %v %+v", name, verdict, now)
+		}
+	}
+	for want, s := range map[Verdict]SendInfo{
+		{RuleAnswer, ReasonAttemptEnded}:                   {ID: 9, Remaining: time.Second},
+		{RuleClientDisconnected, ReasonClientDisconnected}: {ID: 1, Remaining: time.Second, ClientDisconnected: true},
+		{RuleDeadline, ReasonDeadlineExceeded}:             {ID: 1},
+	} {
+		g := newRig(t)
+		g.request(1, "x", 0)
+		if _, verdict := g.r.MaySend(g.n, s); verdict != want {
+			t.Errorf("%+v: %+v, want %+v", s, verdict, want)
+		}
+	}
+}
--- /dev/null
+++ b/policy/idempotency_test.go
@@ -0,0 +1,58 @@
+package policy
+
+import (
+	"testing"
+	"time"
+)
+
+// An unsafe request that may have run gets no second attempt and no refusal.
+func TestUnsafeFailsOnce(t *testing.T) {
+	for _, c := range []struct {
+		result Result
+		again  bool
+	}{{ResultReset, false}, {ResultTimeout, false}, {ResultError, false}, {ResultRejected, true},
+		{ResultConnectFailed, true}} {
+		g := newRig(t)
+		if f := fetchOf(g.request(1, "w", 2)); f == nil || f.Target != "o" {
+			t.Fatalf("a write goes to the origin, got %+v", f)
+		}
+		acts := g.do(Outcome{ID: 1, Result: c.result, Elapsed: 10 * ms})
+		if again := fetchOf(acts) != nil; again != c.again {
+			t.Errorf("result %v: sent again %v", c.result, again)
+		}
+		if !c.again {
+			if len(acts) != 1 || acts[0] != (Fail{ID: 1}) {
+				t.Errorf("result %v: %+v, want one Fail", c.result, acts)
+			}
+		}
+	}
+}
+
+// A keyed request that may have run is repeated only in its scope and within its window.
+func TestKeyedScopeAndWindow(t *testing.T) {
+	first := &member{Endpoint: Endpoint{ID: "a", Zone: 1, Cell: 3}}
+	for _, c := range []struct {
+		scope DeduplicationScope
+		to    Endpoint
+		after time.Duration
+		want  bool
+	}{
+		{ScopeAll, Endpoint{Zone: 2}, time.Second, true},
+		{ScopeAll, Endpoint{Zone: 2}, 5 * time.Second, false},
+		{ScopeZone, Endpoint{Zone: 1}, time.Second, true},
+		{ScopeZone, Endpoint{Zone: 2}, time.Second, false},
+		{ScopeCell, Endpoint{Zone: 1, Cell: 3}, time.Second, true},
+		{ScopeCell, Endpoint{Zone: 1, Cell: 4}, time.Second, false},
+	} {
+		r := New(world(), 1)
+		req := &request{class: &Class{Idempotency: IdempotencyKey, DeduplicationScope: c.scope, DeduplicationWindow: 5 * time.Second}}
+		req.mayHaveRun = &attempt{target: first, sent: time.Hour}
+		r.now = time.Hour + c.after
+		if got := r.mayRepeat(req, &member{Endpoint: c.to}); got != c.want {
+			t.Errorf("%+v: %v", c, got)
+		}
+		if got := r.mayRefuse(req); got != (c.scope == ScopeAll) {
+			t.Errorf("scope %v: may refuse %v", c.scope, got)
+		}
+	}
+}
--- /dev/null
+++ b/policy/links_test.go
@@ -0,0 +1,39 @@
+package policy
+
+import (
+	"testing"
+	"time"
+)
+
+// With many routers a share of a link is under one transfer; an idle link must not look full for it. i0f9a26.
+func TestManyRoutersShareALink(t *testing.T) {
+	set := world()
+	set.Routers, set.RoutersInZone = 200, 5
+	g := &rig{t: t, r: New(set, 1), n: time.Hour}
+	g.do(everybody())
+	f := fetchOf(g.do(Request{ID: 1, Object: "x", SizeKB: 300, Remaining: 3 * time.Second}))
+	if f == nil || f.Source == "o" {
+		t.Fatalf("nothing is under way and the first miss is not filled from a parent: %+v", f)
+	}
+	link := &g.r.members["a"].link
+	for i := 0; i < 4; i++ {
+		link.enter(&attempt{request: &request{work: 0.1}, target: g.r.members["a"]}, g.n)
+	}
+	if now, later := link.transferTime(g.n, 0.1, 1), link.transferTime(g.n+20*time.Second, 0.1, 1); later < 3*now {
+		t.Fatalf("lasting use by one router tells of the others: %v then %v", now, later)
+	}
+}
+
+// What answers taught of a link bounds the cold budget after a restart too.
+func TestLearnedShareOutlivesRestart(t *testing.T) {
+	g := newRig(t)
+	m := g.r.members["a"]
+	for i := 0; i < 20; i++ {
+		m.link.learnCapacity(0.5)
+	}
+	learned := m.link.capacity
+	g.do(EndpointUpdate{Endpoints: []Endpoint{{ID: "a", State: Ready, Zone: 1, Weight: 5, Started: g.n}}})
+	if m.link.capacity != learned || learned >= m.link.nominal {
+		t.Fatalf("share %v after the restart, %v before", m.link.capacity, learned)
+	}
+}
--- /dev/null
+++ b/policy/request_test.go
@@ -0,0 +1,30 @@
+package policy
+
+import "testing"
+
+func TestEveryRequestIsFinishedOnce(t *testing.T) {
+	for _, result := range []Result{ResultError, ResultRejected, ResultTimeout, ResultConnectFailed, ResultReset,
+		ResultCancelled, ResultNotSent, ResultNotFound} {
+		for class := 0; class < 3; class++ {
+			g := newRig(t)
+			acts := g.request(1, "x", class)
+			ends := finals(acts)
+			for try := 0; fetchOf(acts) != nil; try++ {
+				g.n += 600 * ms
+				acts = g.do(Outcome{ID: 1, Attempt: try, Result: result, Elapsed: 600 * ms})
+				ends += finals(acts)
+			}
+			if ends != 1 || len(g.r.requests) != 0 {
+				t.Errorf("result %v class %d: %d final answers, %d open", result, class, ends, len(g.r.requests))
+			}
+		}
+	}
+}
+
+// A request of a class that was never told still gets its one final answer.
+func TestUnknownClassIsAnswered(t *testing.T) {
+	g := newRig(t)
+	if acts := g.request(1, "x", 9); len(acts) != 1 || acts[0] != (Fail{ID: 1}) {
+		t.Fatalf("%+v", acts)
+	}
+}
--- a/policy/router_test.go
+++ b/policy/router_test.go
@@ -6,25 +6,6 @@
 	"time"
 )
 
-func TestEveryRequestIsFinishedOnce(t *testing.T) {
-	for _, result := range []Result{ResultError, ResultRejected, ResultTimeout, ResultConnectFailed, ResultReset,
-		ResultCancelled, ResultNotSent, ResultNotFound} {
-		for class := 0; class < 3; class++ {
-			g := newRig(t)
-			acts := g.request(1, "x", class)
-			ends := finals(acts)
-			for try := 0; fetchOf(acts) != nil; try++ {
-				g.n += 600 * ms
-				acts = g.do(Outcome{ID: 1, Attempt: try, Result: result, Elapsed: 600 * ms})
-				ends += finals(acts)
-			}
-			if ends != 1 || len(g.r.requests) != 0 {
-				t.Errorf("result %v class %d: %d final answers, %d open", result, class, ends, len(g.r.requests))
-			}
-		}
-	}
-}
-
 func TestDeterministic(t *testing.T) {
 	run := func() (all [][]Action) {
 		g := newRig(t)
@@ -42,74 +23,6 @@
 	}
 }
 
-// A full link refuses the long request before the short one.
-func TestAdmissionByWorthPerSendingTime(t *testing.T) {
-	g := newRig(t)
-	ask := func(id int64, kb float64) *Fetch {
-		return fetchOf(g.do(Request{ID: id, Object: "x", SizeKB: kb, Remaining: 5 * time.Second}))
-	}
-	short, long := 0, 0
-	for i := int64(1); i < 400; i++ {
-		if ask(i*2, 100) == nil {
-			short++
-		}
-		if ask(i*2+1, 2000) == nil {
-			long++
-		}
-	}
-	if long == 0 || short >= long {
-		t.Fatalf("refused %d short and %d long ones", short, long)
-	}
-}
-
-// A request of a class that was never told still gets its one final answer.
-func TestUnknownClassIsAnswered(t *testing.T) {
-	g := newRig(t)
-	if acts := g.request(1, "x", 9); len(acts) != 1 || acts[0] != (Fail{ID: 1}) {
-		t.Fatalf("%+v", acts)
-	}
-}
-
-// What was decided while a connection came up is looked at again when the first byte goes.
-func TestGuardBeforeTheFirstByte(t *testing.T) {
-	drain := func(id string) Event {
-		return EndpointUpdate{Endpoints: []Endpoint{{ID: id, State: Draining, Zone: 1}}}
-	}
-	for name, c := range map[string]struct {
-		event func(Fetch) Event
-		want  Verdict
-		age   time.Duration
-		join  bool
-	}{
-		"nothing new":         {func(Fetch) Event { return TimerFired{} }, Verdict{}, 0, true},
-		"its target drains":   {func(f Fetch) Event { return drain(f.Target) }, Verdict{RuleDrain, ReasonTargetDraining}, 0, false},
-		"its source drains":   {func(f Fetch) Event { return drain(f.Source) }, Verdict{RuleDrain, ReasonSourceDraining}, 0, false},
-		"its object purged":   {func(Fetch) Event { return Purge{Object: "x", Age: 70 * ms} }, Verdict{}, 90 * ms, true},
-		"its group purged":    {func(Fetch) Event { return Purge{Age: 70 * ms} }, Verdict{}, 90 * ms, true},
-		"the client has left": {func(Fetch) Event { return ClientDisconnected{ID: 1} }, Verdict{RuleAnswer, ReasonAnswered}, 0, false},
-	} {
-		g := newRig(t)
-		f := fetchOf(g.request(1, "x", 0))
-		g.n += 10 * ms
-		g.do(c.event(*f))
-		now, verdict := g.r.MaySend(g.n+20*ms, SendInfo{ID: 1, Remaining: time.Second})
-		if verdict != c.want || now.MaxAge != c.age || now.CoalesceFill != c.join {
-			t.Errorf("%s: %v %+v", name, verdict, now)
-		}
-	}
-	for want, s := range map[Verdict]SendInfo{
-		{RuleAnswer, ReasonAttemptEnded}:                   {ID: 9, Remaining: time.Second},
-		{RuleClientDisconnected, ReasonClientDisconnected}: {ID: 1, Remaining: time.Second, ClientDisconnected: true},
-		{RuleDeadline, ReasonDeadlineExceeded}:             {ID: 1},
-	} {
-		g := newRig(t)
-		g.request(1, "x", 0)
-		if _, verdict := g.r.MaySend(g.n, s); verdict != want {
-			t.Errorf("%+v: %+v, want %+v", s, verdict, want)
-		}
-	}
-}
-
 // New settings may give a class's number to another. What is under way keeps its class, what was learned of a class
 // stays with its name, and fewer attempts hold at once.
 func TestNewSettings(t *testing.T) {
--- a/policy/placement_test.go
+++ b/policy/selection_test.go
@@ -28,35 +28,6 @@
 	}
 }
 
-// With every cache of the zone suspect a request goes straight to a parent.
-func TestDeadZoneGoesToParent(t *testing.T) {
-	g := newRig(t)
-	for _, id := range []string{"a", "b", "c"} {
-		g.r.members[id].markSuspect(g.n)
-	}
-	if f := fetchOf(g.request(1, "x", 0)); f.Target != "p" && f.Target != "q" || f.Source != "o" {
-		t.Fatalf("%+v", f)
-	}
-}
-
-// Routers rank siblings alike: one whose link is full is not asked to fill too.
-func TestHerdingGuard(t *testing.T) {
-	g := newRig(t)
-	r := g.r
-	req := &request{Request: Request{Object: "x"}, class: &r.settings.Classes[0], key: 7, work: 0.1, aim: g.n + 500*ms}
-	holder := r.members["b"]
-	r.recordCopy(holder, req, true)
-	if r.chooseSibling(req, r.members["a"]) != holder {
-		t.Fatal("an idle holder is named")
-	}
-	for i := 0; i < 30; i++ {
-		holder.link.inFlight = append(holder.link.inFlight, &attempt{request: req, target: holder})
-	}
-	if s := r.chooseSibling(req, r.members["a"]); s != nil {
-		t.Fatalf("%s is full and is named", s.ID)
-	}
-}
-
 // A cache with too many bytes under way is passed over for the next in hash order (bounded load).
 func TestBoundedLoadPassesOver(t *testing.T) {
 	g := newRig(t)
