--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -6,7 +6,7 @@
 )
 
 // A full link refuses the long request before the short one.
-func TestAdmissionByWorthPerSendingTime(t *testing.T) {
+func TestSheddingByWeightPerTransferTime(t *testing.T) {
 	g := newRig(t)
 	ask := func(id int64, kb float64) *Fetch {
 		return fetchOf(g.do(Request{ID: id, Object: "x", SizeKB: kb, Remaining: 5 * time.Second}))
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -7,19 +7,19 @@
 )
 
 type attempt struct {
-	request             *request
-	number              int
-	target, source      *member
-	links               []*link
-	sent, begun         time.Duration // when it was decided, and when its first byte was written, if known
-	targetTime          float64       // expected sending time on the target's link, seconds
-	expected            float64       // and on the slowest link of the way, if it has to be filled
-	slowest             *link
-	congested           bool    // a link of the way was expected to be
-	missChance          float64 // how likely a fill is
-	pending, failed     bool    // failed: it may have run, and brought no answer
-	limited             bool    // it counts in the origin's limiter
-	heldOnly, expectHit bool    // the source gives only what it holds; the target likely holds a copy
+	request               *request
+	number                int
+	target, source        *endpointState
+	links                 []*link
+	decidedAt, startedAt  time.Duration // when it was decided, and when its first byte was written, if known
+	targetSeconds         float64       // expected sending time on the target's link, seconds
+	expectedSeconds       float64       // and on the slowest link of the way, if it has to be filled
+	slowestLink           *link
+	congested             bool    // a link of the way was expected to be
+	missProbability       float64 // how likely a fill is
+	pending, failed       bool    // failed: it may have run, and brought no answer
+	countsAtOrigin        bool    // it counts in the origin's limiter
+	cachedOnly, expectHit bool    // the source gives only what it holds; the target likely holds a copy
 }
 
 func (r *Router) pendingAttempt(id int64, number int) *attempt {
@@ -30,69 +30,69 @@
 	return req.attempts[number]
 }
 
-func (r *Router) startAttempt(req *request, target, source *member) {
+func (r *Router) startAttempt(req *request, target, source *endpointState) {
 	a := &attempt{request: req, number: len(req.attempts), target: target, source: source,
-		slowest: &target.link, sent: r.now, begun: r.now}
+		slowestLink: &target.link, decidedAt: r.now, startedAt: r.now}
 	wait := r.estimate(a)
 	if !r.isCache(source) && !a.expectHit && !req.class.Uncacheable { // it may load the origin
-		a.limited = r.originLimiter.admits(r.rng.Float64)
-		a.heldOnly = !a.limited
+		a.countsAtOrigin = r.originLimit.admits(r.rng.Float64)
+		a.cachedOnly = !a.countsAtOrigin
 	}
-	if a.heldOnly && source == r.origin && !req.class.Uncacheable || r.shouldShed(a, wait) {
-		r.finishUnserved(req)
+	if a.cachedOnly && source == r.origin && !req.class.Uncacheable || r.shouldShed(a, wait) {
+		r.rejectOrFail(req)
 		return
 	}
 	for _, l := range a.links {
-		l.enter(a, r.now)
+		l.add(a, r.now)
 	}
-	for _, m := range []*member{target, source} {
-		if r.weighsOn(m, a) && !slices.Contains(m.coldAttempts, a) {
-			m.coldAttempts = append(m.coldAttempts, a)
+	for _, m := range []*endpointState{target, source} {
+		if r.countsInSlowStart(m, a) && !slices.Contains(m.slowStartAttempts, a) {
+			m.slowStartAttempts = append(m.slowStartAttempts, a)
 		}
 	}
-	if a.limited {
-		r.originLimiter.inFlight++
+	if a.countsAtOrigin {
+		r.originLimit.inFlight++
 	}
 	if a.number > 0 {
 		r.retryBudget--
 	}
 	a.pending = true
 	req.attempts = append(req.attempts, a)
-	req.pending++
+	req.pendingAttempts++
 	req.mayHaveRun = cmp.Or(req.mayHaveRun, a)
 	token := uint64(req.ID)<<8 | uint64(a.number&255)
-	patience := time.Duration(overdueFactor*(wait+a.expected)*float64(time.Second)) + overdueSlack
-	r.actions = append(r.actions, r.fetch(a), StartTimer{patience, token})
+	patience := time.Duration(overdueFactor*(wait+a.expectedSeconds)*float64(time.Second)) + overdueMargin
+	r.actions = append(r.actions, r.fetchAction(a), StartTimer{patience, token})
 }
 
 // estimate works out what an attempt takes on each link, and returns the wait for the first byte of a fill.
 func (r *Router) estimate(a *attempt) (wait float64) {
-	work := a.request.work
+	work := a.request.transferSeconds
 	use := func(l *link, warm float64) (seconds float64) {
 		a.links = append(a.links, l)
-		a.congested = a.congested || l.congestion(r.now, work, warm) >= congestedFrom
-		if seconds = l.transferTime(r.now, work, warm); seconds > a.expected {
-			a.slowest, a.expected = l, seconds
+		a.congested = a.congested || l.congestion(r.now, work, warm) >= congestedMultiple
+		if seconds = l.expectedSeconds(r.now, work, warm); seconds > a.expectedSeconds {
+			a.slowestLink, a.expectedSeconds = l, seconds
 		}
 		return seconds
 	}
-	a.targetTime = use(&a.target.link, r.warmShare(a.target))
-	a.expectHit = r.isCache(a.target) && r.likelyHolds(a.target, a.request)
+	a.targetSeconds = use(&a.target.link, r.slowStartFraction(a.target))
+	a.expectHit = r.isCache(a.target) && r.likelyCached(a.target, a.request)
 	if a.request.class.Uncacheable || a.expectHit {
 		return 0
 	}
-	a.missChance = 1
-	if r.isCache(a.target) && r.missShare.count > 0 {
-		a.missChance = r.missShare.value
+	a.missProbability = 1
+	if r.isCache(a.target) && r.missFraction.count > 0 {
+		a.missProbability = r.missFraction.value
 	}
 	if !r.isCache(a.target) || !r.isCache(a.source) {
 		use(&r.zoneLink, 1)
 	}
 	if a.source != a.target {
-		use(&a.source.link, r.warmShare(a.source))
-		wait = a.source.firstByteWait.value
+		use(&a.source.link, r.slowStartFraction(a.source))
+		wait = a.source.firstByteSeconds.value
 		if !r.isCache(a.source) {
-			wait = r.parentWait.value
+			wait = r.parentFirstByteSeconds.value
 		}
 	}
 	return wait
--- a/policy/cacheindex.go
+++ b/policy/cacheindex.go
@@ -3,20 +3,20 @@
 import "time"
 
 const (
-	copyTableSize = 8192 // copies remembered for a cache: more parts than one keeps
-	copyMemory    = 30 * time.Second
+	cacheIndexSize      = 8192 // copies remembered for a cache: more parts than one keeps
+	cacheRecordLifetime = 30 * time.Second
 )
 
-type copyRecord struct{ filled, seen time.Duration } // when it was filled, and last shown by an answer
+type cacheRecord struct{ filledAt, seenAt time.Duration } // when it was filled, and last shown by an answer
 
-func (o Outcome) fromCopy() bool {
+func (o Outcome) servedFromCache() bool {
 	return o.CacheStatus == CacheStatusHit || o.CacheStatus == CacheStatusStale
 }
 
-func (r *Router) observeCopy(a *attempt, o Outcome) {
+func (r *Router) updateFillKnowledge(a *attempt, o Outcome) {
 	req, sibling := a.request, a.source != a.target && r.isCache(a.source)
 	if o.Result == ResultOK && o.CacheStatus != CacheStatusNone && r.isCache(a.target) && !req.class.Uncacheable {
-		r.recordCopy(a.target, req, !o.fromCopy())
+		r.recordCached(a.target, req, !o.servedFromCache())
 	}
 	filled := o.Result == ResultOK && (o.CacheStatus == CacheStatusFilled || o.CacheStatus == CacheStatusFilledByOrigin)
 	if sibling && (filled || o.CacheStatus == CacheStatusSourceMissing) {
@@ -25,35 +25,35 @@
 	if o.CacheStatus == CacheStatusSourceMissing {
 		req.avoid[a.source] = true
 		if sibling {
-			a.source.copies.Remove(req.key)
+			a.source.cacheIndex.Remove(req.key)
 		}
 	}
 	if !filled || o.SourceFirstByte <= 0 {
 		return
 	}
-	source, tier := a.source, &r.parentWait
+	source, tier := a.source, &r.parentFirstByteSeconds
 	if o.CacheStatus == CacheStatusFilledByOrigin && r.origin != nil {
 		source = r.origin // the parent itself was waiting for it
 	}
 	if sibling {
-		tier = &r.siblingWait
+		tier = &r.siblingFirstByteSeconds
 	}
-	source.firstByteWait.add(o.SourceFirstByte.Seconds(), waitSamples)
-	tier.add(o.SourceFirstByte.Seconds(), waitSamples)
+	source.firstByteSeconds.add(o.SourceFirstByte.Seconds(), firstByteSamples)
+	tier.add(o.SourceFirstByte.Seconds(), firstByteSamples)
 }
 
-func (r *Router) recordCopy(m *member, req *request, filled bool) {
-	record, known := m.copies.Peek(req.key)
+func (r *Router) recordCached(m *endpointState, req *request, filled bool) {
+	record, known := m.cacheIndex.Peek(req.key)
 	if !known || filled {
-		record.filled = r.now
+		record.filledAt = r.now
 	}
-	record.seen = r.now
-	m.copies.Add(req.key, record)
+	record.seenAt = r.now
+	m.cacheIndex.Add(req.key, record)
 }
 
-func (r *Router) likelyHolds(m *member, req *request) bool {
-	record, known := m.copies.Peek(req.key)
+func (r *Router) likelyCached(m *endpointState, req *request) bool {
+	record, known := m.cacheIndex.Peek(req.key)
 	at, purged := r.purgedAt(req)
-	return known && (!purged || at < record.filled) && r.now-record.seen < copyMemory &&
-		(req.class.FreshFor == 0 || r.now-record.filled < req.class.FreshFor)
+	return known && (!purged || at < record.filledAt) && r.now-record.seenAt < cacheRecordLifetime &&
+		(req.class.FreshFor == 0 || r.now-record.filledAt < req.class.FreshFor)
 }
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -10,47 +10,47 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-type member struct {
+type endpointState struct {
 	Endpoint
-	hash                    uint64
-	link                    link
-	firstByteWait           mean // as a source, seconds
-	misindication           ratio
-	copies                  *simplelru.LRU[uint64, copyRecord]
-	coldAttempts            []*attempt    // sent lately, kept while the member is cold
-	suspicions              int           // in a row
-	failures                int           // requests in a row that it failed and another member answered
-	lastAnswerSent          time.Duration // when the latest of its answered attempts was sent
-	lastHeard, suspectUntil time.Duration
+	hash                         uint64
+	link                         link
+	firstByteSeconds             mean // as a source, seconds
+	misindication                ratio
+	cacheIndex                   *simplelru.LRU[uint64, cacheRecord]
+	slowStartAttempts            []*attempt    // sent lately, kept while the member is cold
+	ejections                    int           // in a row
+	consecutiveFailures          int           // requests in a row that it failed and another member answered
+	lastAnsweredDecidedAt        time.Duration // when the latest of its answered attempts was sent
+	lastResponseAt, ejectedUntil time.Duration
 }
 
 func (list EndpointUpdate) apply(r *Router) {
-	for _, m := range r.members {
+	for _, m := range r.endpoints {
 		if list.Full { // members not named again are gone
 			m.State = Removed
 		}
 	}
 	for _, entry := range list.Endpoints {
-		m := r.members[entry.ID]
+		m := r.endpoints[entry.ID]
 		if m == nil {
-			m = &member{hash: xxhash.Sum64String(entry.ID), link: newLink()}
-			r.members[entry.ID] = m
+			m = &endpointState{hash: xxhash.Sum64String(entry.ID), link: newLink()}
+			r.endpoints[entry.ID] = m
 		}
-		if m.copies == nil || m.Started != entry.Started || entry.State == Removed { // it is empty
-			m.copies, _ = simplelru.NewLRU[uint64, copyRecord](copyTableSize, nil)
+		if m.cacheIndex == nil || m.Started != entry.Started || entry.State == Removed { // it is empty
+			m.cacheIndex, _ = simplelru.NewLRU[uint64, cacheRecord](cacheIndexSize, nil)
 			m.misindication, m.link.slowdown = ratio{}, 0
-			m.suspicions, m.suspectUntil = 0, 0
+			m.ejections, m.ejectedUntil = 0, 0
 		}
 		if m.Started != entry.Started { // what one life was sent does not weigh on the next
-			m.coldAttempts = nil
+			m.slowStartAttempts = nil
 		}
 		m.Endpoint = entry
 	}
-	r.sortMembers()
+	r.updateTopology()
 }
 
 func (c ClockCorrection) apply(r *Router) {
-	for _, m := range r.members {
+	for _, m := range r.endpoints {
 		if m.Started != 0 {
 			m.Started += c.Offset
 		}
@@ -60,15 +60,15 @@
 	}
 }
 
-// sortMembers lists who is not gone, and sizes links: as told, else each tier for its share of the one below.
-func (r *Router) sortMembers() {
+// updateTopology lists who is not gone, and sizes links: as told, else each tier for its share of the one below.
+func (r *Router) updateTopology() {
 	r.caches, r.parents, r.origin = nil, nil, nil
 	allCaches, zoneFills := 0.0, 0.0
 	instances := float64(max(1, r.settings.Routers))
 	zoneRouters := float64(cmp.Or(r.settings.RoutersInZone, int(instances)))
-	for _, id := range slices.Sorted(maps.Keys(r.members)) {
-		m := r.members[id]
-		switch size := r.linkSize(m, defaultCapacity); {
+	for _, id := range slices.Sorted(maps.Keys(r.endpoints)) {
+		m := r.endpoints[id]
+		switch size := r.linkCapacity(m, defaultLinkCapacity); {
 		case m.State == Removed:
 		case m.Kind == r.settings.OriginKind && (r.origin == nil || m.State > r.origin.State):
 			r.origin = m
@@ -79,22 +79,22 @@
 			if m.Zone == r.settings.Zone {
 				m.link.resize(size, zoneRouters, r.settings.WeightsConfigured)
 				r.caches = append(r.caches, m)
-				zoneFills += size * fillShare
+				zoneFills += size * fillFraction
 			}
 		}
 	}
 	for _, m := range r.parents {
-		even := max(fillShare*allCaches/float64(len(r.parents)), defaultCapacity)
-		m.link.resize(r.linkSize(m, even), instances, r.settings.WeightsConfigured)
+		even := max(fillFraction*allCaches/float64(len(r.parents)), defaultLinkCapacity)
+		m.link.resize(r.linkCapacity(m, even), instances, r.settings.WeightsConfigured)
 	}
 	if r.origin != nil {
-		r.origin.link.resize(max(fillShare*fillShare*allCaches, defaultCapacity), instances, false)
-		r.originLimiter.minimum = min(1, r.origin.link.nominal/instances)
+		r.origin.link.resize(max(fillFraction*fillFraction*allCaches, defaultLinkCapacity), instances, false)
+		r.originLimit.minimum = min(1, r.origin.link.nominalCapacity/instances)
 	}
 	told := r.settings.WeightsConfigured || r.settings.ZoneLinkTransfers > 0
 	r.zoneLink.resize(max(cmp.Or(r.settings.ZoneLinkTransfers, zoneFills), 1), zoneRouters, told)
 }
 
-func (r *Router) isCache(m *member) bool {
+func (r *Router) isCache(m *endpointState) bool {
 	return m.Kind != r.settings.ParentKind && m.Kind != r.settings.OriginKind
 }
--- a/policy/fillorders.go
+++ b/policy/fillorders.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-func (r *Router) fetch(a *attempt) Fetch {
+func (r *Router) fetchAction(a *attempt) Fetch {
 	req, f := a.request, Fetch{ID: a.request.ID, Target: a.target.ID, Source: a.source.ID}
 	if req.class.Uncacheable {
 		return f
 	}
-	f.RetentionRank, f.CoalesceFill, f.CachedOnly = 1, r.settings.CoalesceFills, a.heldOnly
-	if slices.ContainsFunc(r.caches, func(m *member) bool { return m.copies.Contains(req.key) }) {
+	f.RetentionRank, f.CoalesceFill, f.CachedOnly = 1, r.settings.CoalesceFills, a.cachedOnly
+	if slices.ContainsFunc(r.caches, func(m *endpointState) bool { return m.cacheIndex.Contains(req.key) }) {
 		f.RetentionRank = 2 // it was asked for before: kept longer than what came once
 	}
-	f.StaleWhileRevalidate = req.class.FreshFor > 0 && !a.heldOnly
-	if (a.number > 0 || a.heldOnly) && req.class.FreshFor > 0 {
+	f.StaleWhileRevalidate = req.class.FreshFor > 0 && !a.cachedOnly
+	if (a.number > 0 || a.cachedOnly) && req.class.FreshFor > 0 {
 		f.MaxAge = req.class.FreshFor + req.class.StaleFor
 	}
 	// A copy from before a purge may still exist: its age is bounded. A further attempt joins no fill.
--- a/policy/fillorders_test.go
+++ b/policy/fillorders_test.go
@@ -8,7 +8,7 @@
 
 // When all copies go void, each of many routers asks for the same objects at once. Their first attempts join the fill that
 // is under way at the cache that all of them pick, and go to no more than one cache and one parent for an object.
-func TestFleetJoinsFillsAfterAFlush(t *testing.T) {
+func TestFleetCoalescesFillsAfterPurge(t *testing.T) {
 	const routers = 80
 	for object := range 20 {
 		targets, sources := map[string]bool{}, map[string]bool{}
--- a/policy/fillsource.go
+++ b/policy/fillsource.go
@@ -9,19 +9,19 @@
 	initialMissPenalty = 100.0 // of the paper, until waits have been measured
 )
 
-func (r *Router) chooseSource(req *request, target *member) *member {
+func (r *Router) chooseSource(req *request, target *endpointState) *endpointState {
 	return cmp.Or(r.chooseSibling(req, target), r.chooseParent(req), target)
 }
 
-func (r *Router) chooseSibling(req *request, target *member) *member {
+func (r *Router) chooseSibling(req *request, target *endpointState) *endpointState {
 	if r.settings.Siblings == SiblingsNone {
 		return nil
 	}
-	var best *member
+	var best *endpointState
 	lowest, average := math.Inf(1), r.meanMisindication()
 	for _, m := range r.ranked(r.caches, req) {
-		if m == target || req.avoid[m] || !r.likelyHolds(m, req) || !r.usable(m, req) || !r.healthy(m) ||
-			r.excessTime(m, req) > 0 {
+		if m == target || req.avoid[m] || !r.likelyCached(m, req) || !r.eligible(m, req) || !r.inRotation(m) ||
+			r.secondsOverObjective(m, req) > 0 {
 			continue
 		}
 		misindication := m.misindication.value
@@ -50,12 +50,12 @@
 
 // missPenalty is the paper's beta: the wait for a parent in units of the wait for a sibling.
 func (r *Router) missPenalty() float64 {
-	if r.parentWait.value == 0 || r.siblingWait.value == 0 {
+	if r.parentFirstByteSeconds.value == 0 || r.siblingFirstByteSeconds.value == 0 {
 		return initialMissPenalty
 	}
-	return r.parentWait.value / r.siblingWait.value
+	return r.parentFirstByteSeconds.value / r.siblingFirstByteSeconds.value
 }
 
-func (r *Router) chooseParent(req *request) *member {
-	return r.firstWithRoom(req, append(r.ranked(r.parents, req), r.origin))
+func (r *Router) chooseParent(req *request) *endpointState {
+	return r.firstWithCapacity(req, append(r.ranked(r.parents, req), r.origin))
 }
--- a/policy/fillsource_test.go
+++ b/policy/fillsource_test.go
@@ -7,19 +7,19 @@
 )
 
 // Routers rank siblings alike: one whose link is full is not asked to fill too.
-func TestHerdingGuard(t *testing.T) {
+func TestFullSiblingIsNotASource(t *testing.T) {
 	g := newRig(t)
 	r := g.r
-	req := &request{Request: Request{Object: "x"}, class: &r.settings.Classes[0], key: 7, work: 0.1, aim: g.n + 500*ms}
-	holder := r.members["b"]
-	r.recordCopy(holder, req, true)
-	if r.chooseSibling(req, r.members["a"]) != holder {
+	req := &request{Request: Request{Object: "x"}, class: &r.settings.Classes[0], key: 7, transferSeconds: 0.1, objectiveAt: g.n + 500*ms}
+	holder := r.endpoints["b"]
+	r.recordCached(holder, req, true)
+	if r.chooseSibling(req, r.endpoints["a"]) != holder {
 		t.Fatal("an idle holder is named")
 	}
 	for i := 0; i < 30; i++ {
 		holder.link.inFlight = append(holder.link.inFlight, &attempt{request: req, target: holder})
 	}
-	if s := r.chooseSibling(req, r.members["a"]); s != nil {
+	if s := r.chooseSibling(req, r.endpoints["a"]); s != nil {
 		t.Fatalf("%s is full and is named", s.ID)
 	}
 }
@@ -49,23 +49,23 @@
 	}{{0.74, true}, {0.76, false}} {
 		g := newRig(t)
 		r := g.r
-		r.parentWait.value, r.siblingWait.value = 0.040, 0.010
-		req := &request{Request: Request{Object: "x"}, class: &r.settings.Classes[0], key: 7, work: 0.1,
-			aim: g.n + time.Second}
-		r.recordCopy(r.members["b"], req, true)
-		r.members["b"].misindication = ratio{asked: 1, value: c.rho}
-		if got := r.chooseSibling(req, r.members["a"]) != nil; got != c.want {
+		r.parentFirstByteSeconds.value, r.siblingFirstByteSeconds.value = 0.040, 0.010
+		req := &request{Request: Request{Object: "x"}, class: &r.settings.Classes[0], key: 7, transferSeconds: 0.1,
+			objectiveAt: g.n + time.Second}
+		r.recordCached(r.endpoints["b"], req, true)
+		r.endpoints["b"].misindication = ratio{fills: 1, value: c.rho}
+		if got := r.chooseSibling(req, r.endpoints["a"]) != nil; got != c.want {
 			t.Errorf("rho %v: sibling named %v, want %v", c.rho, got, c.want)
 		}
 	}
 }
 
-func TestBetaFromWaits(t *testing.T) {
+func TestMissPenaltyFromFirstByteTimes(t *testing.T) {
 	g := newRig(t)
 	if b := g.r.missPenalty(); b != initialMissPenalty {
 		t.Fatalf("beta starts at %v", b)
 	}
-	g.r.parentWait.value, g.r.siblingWait.value = 0.06, 0.02
+	g.r.parentFirstByteSeconds.value, g.r.siblingFirstByteSeconds.value = 0.06, 0.02
 	if b := g.r.missPenalty(); math.Abs(b-3) > 1e-9 {
 		t.Fatalf("beta %v, want 3", b)
 	}
--- a/policy/guard.go
+++ b/policy/guard.go
@@ -19,8 +19,8 @@
 	if verdict := r.sendVerdict(a, s); !verdict.Allowed() {
 		return Fetch{}, verdict
 	}
-	a.begun = now
-	return r.fetch(a), Verdict{}
+	a.startedAt = now
+	return r.fetchAction(a), Verdict{}
 }
 
 func (r *Router) sendVerdict(a *attempt, s SendInfo) Verdict {
@@ -37,7 +37,7 @@
 		return Verdict{RuleDrain, ReasonTargetDraining}
 	case a.source.State != Ready:
 		return Verdict{RuleDrain, ReasonSourceDraining}
-	case !r.joinsColdBudget(a):
+	case !r.enterSlowStartBudgets(a):
 		return Verdict{RuleSlowStart, ReasonOverBudget}
 	case a.request.mayHaveRun != a:
 		return r.repeatVerdict(a.request, a.target)
--- a/policy/guard_test.go
+++ b/policy/guard_test.go
@@ -6,7 +6,7 @@
 )
 
 // The time for repeats is looked at again when a repeat's first byte goes: it may have waited for its connection.
-func TestRepeatIsNotBegunAfterItsWindow(t *testing.T) {
+func TestRetryDoesNotStartAfterWindow(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		set := world()
 		set.Classes[0] = Class{Idempotency: IdempotencyKey, DeduplicationScope: ScopeAll, DeduplicationWindow: time.Second, LatencyObjective: 2 * time.Second, PriorityWeight: 1}
@@ -33,7 +33,7 @@
 }
 
 // What was decided while a connection came up is looked at again when the first byte goes.
-func TestGuardBeforeTheFirstByte(t *testing.T) {
+func TestMaySendChecksAtFirstByte(t *testing.T) {
 	drain := func(id string) Event {
 		return EndpointUpdate{Endpoints: []Endpoint{{ID: id, State: Draining, Zone: 1}}}
 	}
--- a/policy/idempotency.go
+++ b/policy/idempotency.go
@@ -2,14 +2,14 @@
 
 // repeatVerdict decides whether a further attempt is harmless at a member: keyed ones are where repeats are
 // known.
-func (r *Router) repeatVerdict(req *request, m *member) Verdict {
+func (r *Router) repeatVerdict(req *request, m *endpointState) Verdict {
 	first := req.mayHaveRun
 	switch {
 	case first == nil || req.class.Idempotency == Idempotent:
 		return Verdict{}
 	case req.class.Idempotency == NonIdempotent:
 		return Verdict{RuleDuplicate, ReasonMayHaveRun}
-	case r.now-first.sent >= req.class.DeduplicationWindow:
+	case r.now-first.decidedAt >= req.class.DeduplicationWindow:
 		return Verdict{RuleDuplicate, ReasonWindowExpired}
 	case req.class.DeduplicationScope == ScopeAll,
 		req.class.DeduplicationScope == ScopeZone && m.Zone == first.target.Zone,
@@ -19,10 +19,12 @@
 	return Verdict{RuleDuplicate, ReasonMayHaveRun}
 }
 
-func (r *Router) mayRepeat(req *request, m *member) bool { return r.repeatVerdict(req, m).Allowed() }
+func (r *Router) mayRepeat(req *request, m *endpointState) bool {
+	return r.repeatVerdict(req, m).Allowed()
+}
 
-// mayRefuse reports whether it may be said that trying again is harmless.
-func (r *Router) mayRefuse(req *request) bool {
+// mayReject reports whether it may be said that trying again is harmless.
+func (r *Router) mayReject(req *request) bool {
 	class := req.class
 	return class.Idempotency == Idempotent || req.mayHaveRun == nil || class.Idempotency == IdempotencyKey && class.DeduplicationScope == ScopeAll
 }
--- a/policy/idempotency_test.go
+++ b/policy/idempotency_test.go
@@ -6,7 +6,7 @@
 )
 
 // An unsafe request that may have run gets no second attempt and no refusal.
-func TestUnsafeFailsOnce(t *testing.T) {
+func TestNonIdempotentRequestRunsOnce(t *testing.T) {
 	for _, c := range []struct {
 		result Result
 		again  bool
@@ -29,8 +29,8 @@
 }
 
 // A keyed request that may have run is repeated only in its scope and within its window.
-func TestKeyedScopeAndWindow(t *testing.T) {
-	first := &member{Endpoint: Endpoint{ID: "a", Zone: 1, Cell: 3}}
+func TestIdempotencyKeyScopeAndWindow(t *testing.T) {
+	first := &endpointState{Endpoint: Endpoint{ID: "a", Zone: 1, Cell: 3}}
 	for _, c := range []struct {
 		scope DeduplicationScope
 		to    Endpoint
@@ -46,12 +46,12 @@
 	} {
 		r := New(world(), 1)
 		req := &request{class: &Class{Idempotency: IdempotencyKey, DeduplicationScope: c.scope, DeduplicationWindow: 5 * time.Second}}
-		req.mayHaveRun = &attempt{target: first, sent: time.Hour}
+		req.mayHaveRun = &attempt{target: first, decidedAt: time.Hour}
 		r.now = time.Hour + c.after
-		if got := r.mayRepeat(req, &member{Endpoint: c.to}); got != c.want {
+		if got := r.mayRepeat(req, &endpointState{Endpoint: c.to}); got != c.want {
 			t.Errorf("%+v: %v", c, got)
 		}
-		if got := r.mayRefuse(req); got != (c.scope == ScopeAll) {
+		if got := r.mayReject(req); got != (c.scope == ScopeAll) {
 			t.Errorf("scope %v: may refuse %v", c.scope, got)
 		}
 	}
--- a/policy/linkpace_test.go
+++ b/policy/linkpace_test.go
@@ -7,7 +7,7 @@
 
 // A link whose size is told keeps it where answers come of unknown size: what is not known then is the load that others
 // put on it. One whose size is a guess follows its answers, and so does any link where their sizes are known.
-func TestToldLinksDoNotFollowAnswersOfUnknownSize(t *testing.T) {
+func TestConfiguredLinksIgnoreAnswersOfUnknownSize(t *testing.T) {
 	for _, c := range []struct {
 		told    bool
 		sending time.Duration
@@ -29,7 +29,7 @@
 			if req == nil || !req.attempts[0].congested {
 				continue
 			}
-			full = req.attempts[0].slowest
+			full = req.attempts[0].slowestLink
 			g.n += ms
 			g.do(Outcome{ID: id + 1, Result: ResultOK, CacheStatus: CacheStatusFilled, Elapsed: 2 * time.Second, TransferTime: c.sending, RequestFinished: true})
 			break
@@ -37,8 +37,8 @@
 		if full == nil {
 			t.Fatalf("%+v: no link was full", c)
 		}
-		if moved := full.capacity != full.nominal; moved != c.moves {
-			t.Errorf("%+v: the link is taken for %v of %v transfers", c, full.capacity, full.nominal)
+		if moved := full.capacity != full.nominalCapacity; moved != c.moves {
+			t.Errorf("%+v: the link is taken for %v of %v transfers", c, full.capacity, full.nominalCapacity)
 		}
 	}
 }
--- a/policy/links_test.go
+++ b/policy/links_test.go
@@ -15,25 +15,25 @@
 	if f == nil || f.Source == "o" {
 		t.Fatalf("nothing is under way and the first miss is not filled from a parent: %+v", f)
 	}
-	link := &g.r.members["a"].link
+	link := &g.r.endpoints["a"].link
 	for i := 0; i < 4; i++ {
-		link.enter(&attempt{request: &request{work: 0.1}, target: g.r.members["a"]}, g.n)
+		link.add(&attempt{request: &request{transferSeconds: 0.1}, target: g.r.endpoints["a"]}, g.n)
 	}
-	if now, later := link.transferTime(g.n, 0.1, 1), link.transferTime(g.n+20*time.Second, 0.1, 1); later < 3*now {
+	if now, later := link.expectedSeconds(g.n, 0.1, 1), link.expectedSeconds(g.n+20*time.Second, 0.1, 1); later < 3*now {
 		t.Fatalf("lasting use by one router tells of the others: %v then %v", now, later)
 	}
 }
 
 // What answers taught of a link bounds the cold budget after a restart too.
-func TestLearnedShareOutlivesRestart(t *testing.T) {
+func TestLearnedCapacitySurvivesRestart(t *testing.T) {
 	g := newRig(t)
-	m := g.r.members["a"]
+	m := g.r.endpoints["a"]
 	for i := 0; i < 20; i++ {
-		m.link.learnCapacity(0.5)
+		m.link.updateCapacity(0.5)
 	}
 	learned := m.link.capacity
 	g.do(EndpointUpdate{Endpoints: []Endpoint{{ID: "a", State: Ready, Zone: 1, Weight: 5, Started: g.n}}})
-	if m.link.capacity != learned || learned >= m.link.nominal {
+	if m.link.capacity != learned || learned >= m.link.nominalCapacity {
 		t.Fatalf("share %v after the restart, %v before", m.link.capacity, learned)
 	}
 }
--- a/policy/outliers_test.go
+++ b/policy/outliers_test.go
@@ -4,7 +4,7 @@
 
 // A cache that fails what others answer is left alone, and comes back by a good answer. A request that fails
 // wherever it goes is given up, and no cache is suspected for it.
-func TestFailuresCountOnceOthersAnswer(t *testing.T) {
+func TestFailuresEjectOnceOthersAnswer(t *testing.T) {
 	g := newRig(t)
 	home := g.serve(1, "x", CacheStatusFilled).Target
 	for id := int64(2); id < 4; id++ {
@@ -26,9 +26,9 @@
 		t.Fatalf("%s failed two requests that others answered, and gets a third", home)
 	}
 	g.do(Outcome{ID: 4, Result: ResultOK, CacheStatus: CacheStatusHit, Elapsed: 100 * ms, RequestFinished: true})
-	g.n += firstSuspicion
+	g.n += baseEjectionTime
 	g.serve(5, "x", CacheStatusHit)
-	if !g.r.healthy(g.r.members[home]) {
+	if !g.r.inRotation(g.r.endpoints[home]) {
 		t.Fatal("a good answer must bring it back")
 	}
 
@@ -37,32 +37,32 @@
 	for ; finals(acts) == 0; attempts++ {
 		acts = g.do(Outcome{ID: 6, Attempt: attempts - 1, Result: ResultError, Elapsed: ms})
 	}
-	if attempts-1 != maxFailures {
+	if attempts-1 != maxFailedAttempts {
 		t.Errorf("%d attempts", attempts-1)
 	}
-	for id, m := range g.r.members {
-		if !g.r.healthy(m) {
+	for id, m := range g.r.endpoints {
+		if !g.r.inRotation(m) {
 			t.Errorf("%s is suspected for a request that no cache can use", id)
 		}
 	}
 }
 
 // A parent that keeps failing is trusted again one doubt for each answer, not all at once. Incident ia695e1.
-func TestTrustComesBackSlowly(t *testing.T) {
+func TestEjectionsDecayOneByOne(t *testing.T) {
 	g := newRig(t)
-	m := g.r.members["p"]
+	m := g.r.endpoints["p"]
 	for i := 0; i < 3; i++ {
-		m.markSuspect(g.n)
-		g.n = m.suspectUntil
+		m.eject(g.n)
+		g.n = m.ejectedUntil
 	}
-	m.markHealthy(g.n)
+	m.recordResponse(g.n)
 	m.link.inFlight = []*attempt{{request: &request{}}}
-	if g.r.healthy(m) {
+	if g.r.inRotation(m) {
 		t.Fatal("one good answer after three doubts must not bring full trust")
 	}
-	m.markHealthy(g.n)
-	m.markHealthy(g.n)
-	if !g.r.healthy(m) {
+	m.recordResponse(g.n)
+	m.recordResponse(g.n)
+	if !g.r.inRotation(m) {
 		t.Fatal("three good answers must")
 	}
 }
--- a/policy/overdue.go
+++ b/policy/overdue.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	overdueSlack  = 200 * time.Millisecond // what an answer may take beyond its expected time
+	overdueMargin = 200 * time.Millisecond // what an answer may take beyond its expected time
 	overdueFactor = 8.0                    // and the multiple of that: sizes are often not known
 )
 
@@ -13,22 +13,22 @@
 	if a == nil || a.request.finished {
 		return
 	}
-	req, lost := a.request, a.target.lastAnswerSent > a.sent
+	req, lost := a.request, a.target.lastAnsweredDecidedAt > a.decidedAt
 	if lost { // its transfer is over and loads no link any more
 		a.leaveLinks(r.now)
 		req.avoid[a.source] = a.source != a.target // or its source does not answer
 	}
-	if !lost && a.target.lastHeard <= a.sent {
-		a.target.markSuspect(r.now)
-	} else if a.source.lastHeard <= a.sent && !a.expectHit {
-		a.source.markSuspect(r.now)
+	if !lost && a.target.lastResponseAt <= a.decidedAt {
+		a.target.eject(r.now)
+	} else if a.source.lastResponseAt <= a.decidedAt && !a.expectHit {
+		a.source.eject(r.now)
 	}
-	silent := !r.healthy(a.target) || !r.healthy(a.source)
-	inTime := r.now+time.Duration(req.work*float64(time.Second)) < req.aim
+	silent := !r.inRotation(a.target) || !r.inRotation(a.source)
+	inTime := r.now+time.Duration(req.transferSeconds*float64(time.Second)) < req.objectiveAt
 	switch {
 	case !lost && !(silent && inTime) || req.class.Idempotency != Idempotent || r.retryBudget < 1:
 	case r.settings.Hedging:
-		r.decide(req)
+		r.route(req)
 	case r.settings.MayCancel:
 		r.actions = append(r.actions, Cancel{ID: req.ID, Attempt: a.number})
 	}
--- a/policy/overdue_test.go
+++ b/policy/overdue_test.go
@@ -7,7 +7,7 @@
 
 // Lost answers: a cache that does the work and answers others is heard all the time. An attempt that later ones
 // overtook is asked for again where the copy is, beside the first where the site allows that.
-func TestLostAnswerIsAskedForAgain(t *testing.T) {
+func TestLostAnswerIsRetried(t *testing.T) {
 	for _, second := range []bool{true, false} {
 		set := world()
 		set.Hedging = second
@@ -29,7 +29,7 @@
 		if f := fetchOf(acts); f == nil || f.Target != home {
 			t.Fatalf("want %s asked again, got %+v", home, acts)
 		}
-		if n := len(g.r.members[home].link.inFlight); n != 1 {
+		if n := len(g.r.endpoints[home].link.inFlight); n != 1 {
 			t.Fatalf("%d on the link: the lost one must not make it look full", n)
 		}
 	}
@@ -37,7 +37,7 @@
 
 // An object far larger than most is no lost answer, though smaller ones that were asked for later have come: it
 // would be sent twice, and fetched from afar twice, which no other request pays as much for.
-func TestLargeObjectIsNotTakenForLost(t *testing.T) {
+func TestLargeObjectIsNotOverdue(t *testing.T) {
 	g := newRig(t)
 	ask := func(id int64, object string) []Action {
 		return g.do(Request{ID: id, Object: object, Remaining: 6 * time.Second})
@@ -54,7 +54,7 @@
 }
 
 // A write whose answer is lost is not sent again, nor given up.
-func TestLostWriteIsLeft(t *testing.T) {
+func TestLostWriteIsNotRetried(t *testing.T) {
 	g := newRig(t)
 	due := g.request(1, "w", 2)[1].(StartTimer)
 	g.n += ms
--- a/policy/purges.go
+++ b/policy/purges.go
@@ -7,7 +7,7 @@
 
 // A purge is remembered for as long as an older copy, or a record of one, may exist.
 func (purge Purge) apply(r *Router) {
-	memory := max(copyMemory, r.settings.PurgeCompletedWithin+r.settings.PurgeGrace)
+	memory := max(cacheRecordLifetime, r.settings.PurgeCompletedWithin+r.settings.PurgeGrace)
 	maps.DeleteFunc(r.purges, func(_ any, at time.Duration) bool { return r.now-at > memory })
 	key := any(purge.Object)
 	if purge.Object == "" {
--- a/policy/purges_test.go
+++ b/policy/purges_test.go
@@ -29,25 +29,25 @@
 }
 
 // A purge of the object, or of its group, ends the records of its copies; others stay.
-func TestPurgeClearsCopyRecords(t *testing.T) {
+func TestPurgeClearsCacheRecords(t *testing.T) {
 	for _, purge := range []Purge{{Object: "x", Group: 0}, {Group: 0}} {
 		g := newRig(t)
-		m := g.r.members[g.serve(1, "x", CacheStatusFilled).Target]
-		req := &request{Request: Request{Object: "x"}, class: &g.r.settings.Classes[0], key: m.copies.Keys()[0]}
+		m := g.r.endpoints[g.serve(1, "x", CacheStatusFilled).Target]
+		req := &request{Request: Request{Object: "x"}, class: &g.r.settings.Classes[0], key: m.cacheIndex.Keys()[0]}
 		g.n += 10 * time.Second
 		g.do(Purge{Object: "y", Group: 0})
 		g.do(Purge{Group: 9})
-		if !g.r.likelyHolds(m, req) {
+		if !g.r.likelyCached(m, req) {
 			t.Fatal("another purge took the belief")
 		}
 		g.do(purge)
 		g.n += 10 * time.Second
 		g.do(Purge{Group: 7}) // news of another forgets none that a belief may predate
-		if g.r.likelyHolds(m, req) {
+		if g.r.likelyCached(m, req) {
 			t.Fatalf("%+v left the belief", purge)
 		}
-		g.r.recordCopy(m, req, true)
-		if !g.r.likelyHolds(m, req) {
+		g.r.recordCached(m, req, true)
+		if !g.r.likelyCached(m, req) {
 			t.Fatal("a copy filled after the purge is not expected to be there")
 		}
 	}
--- a/policy/request.go
+++ b/policy/request.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	clientTime = 30 * time.Millisecond // taken off the aim for the answer's way to the client
+	clientDeliveryTime = 30 * time.Millisecond // taken off the aim for the answer's way to the client
 )
 
 type request struct {
 	Request
-	class           *Class
-	key             uint64  // hash of object and part
-	work            float64 // sending time of one transfer, seconds
-	sized           bool    // work is known; else it is the mean of the class
-	aim, deadline   time.Duration
-	attempts        []*attempt
-	pending, failed int      // numbers of attempts
-	mayHaveRun      *attempt // the first attempt that is not proven not to have run
-	finished        bool
-	avoid           map[*member]bool // members that lack the object, failed or did not answer
+	class                           *Class
+	key                             uint64  // hash of object and part
+	transferSeconds                 float64 // sending time of one transfer, seconds
+	sizeKnown                       bool    // work is known; else it is the mean of the class
+	objectiveAt, deadline           time.Duration
+	attempts                        []*attempt
+	pendingAttempts, failedAttempts int      // numbers of attempts
+	mayHaveRun                      *attempt // the first attempt that is not proven not to have run
+	finished                        bool
+	avoid                           map[*endpointState]bool // members that lack the object, failed or did not answer
 }
 
 func (arrived Request) apply(r *Router) {
@@ -32,22 +32,22 @@
 		return
 	}
 	class := &r.settings.Classes[arrived.Class]
-	req := &request{Request: arrived, class: class, avoid: map[*member]bool{}, deadline: r.now + arrived.Remaining}
+	req := &request{Request: arrived, class: class, avoid: map[*endpointState]bool{}, deadline: r.now + arrived.Remaining}
 	req.key = mixHash(xxhash.Sum64String(arrived.Object) + uint64(arrived.Part)*0x9e3779b97f4a7c15)
-	learned, known := r.partWork.Get(req.key)
-	req.sized = known || arrived.SizeKB > 0
-	req.work = cmp.Or(learned, r.classWork[class.Name].value, class.LatencyObjective.Seconds()/4)
+	learned, known := r.partTransferSeconds.Get(req.key)
+	req.sizeKnown = known || arrived.SizeKB > 0
+	req.transferSeconds = cmp.Or(learned, r.classTransferSeconds[class.Name].value, class.LatencyObjective.Seconds()/4)
 	if arrived.SizeKB > 0 && r.settings.TransferKBPerSecond > 0 {
-		req.work = arrived.SizeKB / r.settings.TransferKBPerSecond
-		r.classWork[class.Name].add(req.work, requestSamples)
+		req.transferSeconds = arrived.SizeKB / r.settings.TransferKBPerSecond
+		r.classTransferSeconds[class.Name].add(req.transferSeconds, requestSamples)
 	}
-	stretch := time.Duration(class.LatencyObjectiveStretch * req.work * float64(time.Second))
-	req.aim = min(r.now+class.LatencyObjective+stretch-clientTime, req.deadline)
+	stretch := time.Duration(class.LatencyObjectiveStretch * req.transferSeconds * float64(time.Second))
+	req.objectiveAt = min(r.now+class.LatencyObjective+stretch-clientDeliveryTime, req.deadline)
 	r.requests[arrived.ID] = req
-	r.meanWork.add(req.work, requestSamples)
-	r.meanWorth.add(class.PriorityWeight, requestSamples)
-	r.retryBudget = min(r.retryBudget+retryShare, retryBurst)
-	r.decide(req)
+	r.meanTransferSeconds.add(req.transferSeconds, requestSamples)
+	r.meanPriorityWeight.add(class.PriorityWeight, requestSamples)
+	r.retryBudget = min(r.retryBudget+retriesPerRequest, maxRetryBudget)
+	r.route(req)
 }
 
 func (o Outcome) apply(r *Router) {
@@ -57,37 +57,37 @@
 	}
 	req := a.request
 	a.pending = false
-	req.pending--
+	req.pendingAttempts--
 	a.leaveLinks(r.now)
 	if o.Result == ResultOK {
-		a.target.lastAnswerSent = max(a.target.lastAnswerSent, a.sent)
-		r.attributeFailures(req, a.target)
+		a.target.lastAnsweredDecidedAt = max(a.target.lastAnsweredDecidedAt, a.decidedAt)
+		r.countFailures(req, a.target)
 	}
 	if a.failed = o.Result == ResultError || o.Result == ResultReset; a.failed {
-		req.failed++
+		req.failedAttempts++
 	}
-	r.observeHealth(a, o)
-	r.observeOrigin(a, o)
-	r.observeCopy(a, o)
-	r.observePace(a, o)
-	r.observeSize(a, o)
+	r.updateOutliers(a, o)
+	r.updateOriginLimit(a, o)
+	r.updateFillKnowledge(a, o)
+	r.updateLinks(a, o)
+	r.updateTransferTimes(a, o)
 	neverRan := []Result{ResultRejected, ResultConnectFailed, ResultNotSent, ResultNotFound}
 	if req.mayHaveRun == a && slices.Contains(neverRan, o.Result) {
 		req.mayHaveRun = nil
 	}
 	if o.RequestFinished || req.finished {
-		r.finishID(req.ID)
+		r.finishRequest(req.ID)
 	} else if o.Result != ResultOK {
 		r.retry(a, o)
 	}
 }
 
-func (started StreamStarted) apply(r *Router) { r.finishID(started.ID) }
+func (started StreamStarted) apply(r *Router) { r.finishRequest(started.ID) }
 
-func (gone ClientDisconnected) apply(r *Router) { r.finishID(gone.ID) }
+func (gone ClientDisconnected) apply(r *Router) { r.finishRequest(gone.ID) }
 
-// finishID marks a request as finished; it is forgotten when its last attempt has ended.
-func (r *Router) finishID(id int64) {
+// finishRequest marks a request as finished; it is forgotten when its last attempt has ended.
+func (r *Router) finishRequest(id int64) {
 	req := r.requests[id]
 	if req == nil {
 		return
@@ -98,7 +98,7 @@
 			r.actions = append(r.actions, Cancel{ID: req.ID, Attempt: a.number})
 		}
 	}
-	if req.pending == 0 {
+	if req.pendingAttempts == 0 {
 		delete(r.requests, id)
 	}
 }
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -7,7 +7,7 @@
 )
 
 // One reset is the connection's, not the cache's: the next attempt goes to the same cache. Incident i39a6ba.
-func TestOneResetIsNoDeath(t *testing.T) {
+func TestOneResetDoesNotAvoidCache(t *testing.T) {
 	g := newRig(t)
 	home := g.serve(1, "x", CacheStatusFilled).Target
 	g.request(2, "x", 0)
@@ -44,7 +44,7 @@
 
 // When a zone is lost, all routers refuse at once, and clients come back when they are told to. Over the fleet they come
 // back evenly: no 20 ms of the time that is advised bring more than twice their part, and none comes too soon.
-func TestFleetSpreadsItsRefusals(t *testing.T) {
+func TestFleetSpreadsRetryAfter(t *testing.T) {
 	const routers, each, bin = 300, 5, 20 * time.Millisecond
 	comeBack := map[time.Duration]int{}
 	for i := range routers {
@@ -55,13 +55,13 @@
 		for id := range int64(each) {
 			acts := r.Handle(time.Hour, Request{ID: id + 1, Object: fmt.Sprint(id), Remaining: 3 * time.Second})
 			refusal, ok := acts[len(acts)-1].(Reject)
-			if !ok || refusal.RetryAfter < minComeBack || refusal.RetryAfter >= 2*minComeBack {
+			if !ok || refusal.RetryAfter < minRetryAfter || refusal.RetryAfter >= 2*minRetryAfter {
 				t.Fatalf("router %d: %+v", i, acts)
 			}
 			comeBack[refusal.RetryAfter/bin]++
 		}
 	}
-	part := float64(routers*each) / float64(minComeBack/bin)
+	part := float64(routers*each) / float64(minRetryAfter/bin)
 	for i, n := range comeBack {
 		if float64(n) > 2*part {
 			t.Errorf("%d come back in the 20 ms from %v on, %.1f are its part", n, i*bin, part)
--- a/policy/router.go
+++ b/policy/router.go
@@ -20,30 +20,30 @@
 	now, startedAt time.Duration // of this event, and of the first one
 	actions        []Action
 
-	members         map[string]*member
-	caches, parents []*member // of this router's zone, and of all; by id
-	origin          *member
-	originLimiter   limiter
+	endpoints       map[string]*endpointState
+	caches, parents []*endpointState // of this router's zone, and of all; by id
+	origin          *endpointState
+	originLimit     originConcurrencyLimit
 	zoneLink        link // the zone's inbound link
 
-	requests    map[int64]*request
-	retryBudget float64                         // further attempts that may still be made
-	purges      map[any]time.Duration           // time of each remembered purge, by object or group
-	partWork    *simplelru.LRU[uint64, float64] // sending times of single parts, seconds
-	classWork   map[string]*mean                // mean sending time by class name, seconds
+	requests             map[int64]*request
+	retryBudget          float64                         // further attempts that may still be made
+	purges               map[any]time.Duration           // time of each remembered purge, by object or group
+	partTransferSeconds  *simplelru.LRU[uint64, float64] // sending times of single parts, seconds
+	classTransferSeconds map[string]*mean                // mean sending time by class name, seconds
 
-	meanWork, meanWorth     mean // over all requests
-	missShare               mean // share of fills among answers of caches not expected to hold a copy
-	parentWait, siblingWait mean // first-byte waits, seconds
+	meanTransferSeconds, meanPriorityWeight         mean // over all requests
+	missFraction                                    mean // share of fills among answers of caches not expected to hold a copy
+	parentFirstByteSeconds, siblingFirstByteSeconds mean // first-byte waits, seconds
 }
 
 // New returns a router that knows nothing but its settings.
 func New(settings Settings, seed uint64) *Router {
-	partWork, _ := simplelru.NewLRU[uint64, float64](copyTableSize, nil)
+	partWork, _ := simplelru.NewLRU[uint64, float64](cacheIndexSize, nil)
 	r := &Router{
-		rng: rand.New(rand.NewPCG(seed, 0)), members: map[string]*member{}, requests: map[int64]*request{},
-		purges: map[any]time.Duration{}, partWork: partWork, classWork: map[string]*mean{},
-		zoneLink: newLink(), originLimiter: limiter{limit: originMaxInFlight}, retryBudget: retryBurst,
+		rng: rand.New(rand.NewPCG(seed, 0)), endpoints: map[string]*endpointState{}, requests: map[int64]*request{},
+		purges: map[any]time.Duration{}, partTransferSeconds: partWork, classTransferSeconds: map[string]*mean{},
+		zoneLink: newLink(), originLimit: originConcurrencyLimit{limit: maxOriginLimit}, retryBudget: maxRetryBudget,
 	}
 	settings.apply(r)
 	return r
@@ -60,7 +60,7 @@
 func (settings Settings) apply(r *Router) {
 	r.settings = settings
 	for _, class := range settings.Classes {
-		r.classWork[class.Name] = cmp.Or(r.classWork[class.Name], &mean{})
+		r.classTransferSeconds[class.Name] = cmp.Or(r.classTransferSeconds[class.Name], &mean{})
 	}
-	r.sortMembers()
+	r.updateTopology()
 }
--- a/policy/router_test.go
+++ b/policy/router_test.go
@@ -33,7 +33,7 @@
 	g := &rig{t: t, r: New(set, 1), n: time.Hour}
 	g.do(everybody())
 	g.serve(1, "x", CacheStatusHit)
-	learned := g.r.classWork["old"].value
+	learned := g.r.classTransferSeconds["old"].value
 	write := fetchOf(g.request(2, "y", 2))
 
 	later := set
@@ -43,7 +43,7 @@
 	if f := fetchOf(g.request(3, "z", 0)); f == nil || f.Target != "o" || f.Target != write.Target {
 		t.Errorf("the write, by its new number: %+v", f)
 	}
-	if g.r.classWork["old"].value != learned || learned == 0 || g.r.requests[2].class.Name != "write" || g.r.requests[2].Class != 2 {
+	if g.r.classTransferSeconds["old"].value != learned || learned == 0 || g.r.requests[2].class.Name != "write" || g.r.requests[2].Class != 2 {
 		t.Error("what was learned is gone, or a request has changed its class")
 	}
 	f := fetchOf(g.request(4, "x", 1))
--- a/policy/routing_test.go
+++ b/policy/routing_test.go
@@ -3,10 +3,10 @@
 import "testing"
 
 // With every cache of the zone suspect a request goes straight to a parent.
-func TestDeadZoneGoesToParent(t *testing.T) {
+func TestRequestGoesToParentWhenAllCachesAreEjected(t *testing.T) {
 	g := newRig(t)
 	for _, id := range []string{"a", "b", "c"} {
-		g.r.members[id].markSuspect(g.n)
+		g.r.endpoints[id].eject(g.n)
 	}
 	if f := fetchOf(g.request(1, "x", 0)); f.Target != "p" && f.Target != "q" || f.Source != "o" {
 		t.Fatalf("%+v", f)
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -7,22 +7,22 @@
 )
 
 const (
-	aimShare  = 0.7  // share of the time to the aim that a transfer may take before its member is passed over
-	hopWeight = 0.25 // weight of a parent for each hub on the way: bytes cost more and take longer
+	objectiveFraction = 0.7  // share of the time to the aim that a transfer may take before its member is passed over
+	hubDistanceWeight = 0.25 // weight of a parent for each hub on the way: bytes cost more and take longer
 )
 
-func (r *Router) ranked(list []*member, req *request) []*member {
-	return slices.SortedStableFunc(slices.Values(list), func(a, b *member) int {
+func (r *Router) ranked(list []*endpointState, req *request) []*endpointState {
+	return slices.SortedStableFunc(slices.Values(list), func(a, b *endpointState) int {
 		return cmp.Compare(r.rendezvousScore(b, req), r.rendezvousScore(a, req))
 	})
 }
 
 // rendezvousScore weighs a parent down for each hub on the way, where the ring of hubs is known.
-func (r *Router) rendezvousScore(m *member, req *request) float64 {
-	weight, hubs, zone := r.linkSize(m, 1), r.settings.ZoneHubs, r.settings.Zone
+func (r *Router) rendezvousScore(m *endpointState, req *request) float64 {
+	weight, hubs, zone := r.linkCapacity(m, 1), r.settings.ZoneHubs, r.settings.Zone
 	if m.Kind == r.settings.ParentKind && max(zone, m.Zone) < len(hubs) && min(zone, m.Zone) >= 0 {
 		distance, ring := math.Abs(float64(hubs[zone]-hubs[m.Zone])), float64(slices.Max(hubs)+1)
-		weight *= math.Pow(hopWeight, max(0, min(distance, ring-distance)))
+		weight *= math.Pow(hubDistanceWeight, max(0, min(distance, ring-distance)))
 	}
 	return -weight / math.Log((float64(mixHash(m.hash^req.key)>>11)+0.5)/(1<<53))
 }
@@ -34,19 +34,19 @@
 	return x ^ x>>31
 }
 
-// firstWithRoom returns the first healthy candidate with room, else the one with most room, else a suspect.
-func (r *Router) firstWithRoom(req *request, candidates []*member) *member {
-	var best, fallback *member
+// firstWithCapacity returns the first healthy candidate with room, else the one with most room, else a suspect.
+func (r *Router) firstWithCapacity(req *request, candidates []*endpointState) *endpointState {
+	var best, fallback *endpointState
 	least := math.Inf(1)
 	for _, m := range candidates {
-		if !r.usable(m, req) || !r.mayRepeat(req, m) {
+		if !r.eligible(m, req) || !r.mayRepeat(req, m) {
 			continue
 		}
 		fallback = cmp.Or(fallback, m)
-		if !r.healthy(m) || req.avoid[m] {
+		if !r.inRotation(m) || req.avoid[m] {
 			continue
 		}
-		if excess := r.excessTime(m, req); excess < least {
+		if excess := r.secondsOverObjective(m, req); excess < least {
 			best, least = m, excess
 		}
 		if least <= 0 {
@@ -56,14 +56,14 @@
 	return cmp.Or(best, fallback)
 }
 
-func (r *Router) usable(m *member, req *request) bool {
-	return m != nil && m.State == Ready && r.withinColdBudget(m, req)
+func (r *Router) eligible(m *endpointState, req *request) bool {
+	return m != nil && m.State == Ready && r.withinSlowStartBudget(m, req)
 }
 
-func (r *Router) excessTime(m *member, req *request) float64 {
-	seconds := m.link.transferTime(r.now, req.work, r.warmShare(m))
+func (r *Router) secondsOverObjective(m *endpointState, req *request) float64 {
+	seconds := m.link.expectedSeconds(r.now, req.transferSeconds, r.slowStartFraction(m))
 	if !r.isCache(m) {
-		seconds += m.firstByteWait.value
+		seconds += m.firstByteSeconds.value
 	}
-	return seconds - max(aimShare*(req.aim-r.now).Seconds(), req.work)
+	return seconds - max(objectiveFraction*(req.objectiveAt-r.now).Seconds(), req.transferSeconds)
 }
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -18,7 +18,7 @@
 }
 
 // A cache that drains hands its objects to the next in hash order, which fills from it no more.
-func TestDrainedIsNeitherTargetNorSource(t *testing.T) {
+func TestDrainingCacheIsNeitherTargetNorSource(t *testing.T) {
 	g := newRig(t)
 	home := g.serve(1, "x", CacheStatusFilled).Target
 	g.do(EndpointUpdate{Endpoints: []Endpoint{{ID: home, State: Draining, Zone: 1, Weight: 5}}})
@@ -29,12 +29,12 @@
 }
 
 // A cache with too many bytes under way is passed over for the next in hash order (bounded load).
-func TestBoundedLoadPassesOver(t *testing.T) {
+func TestFullCacheIsPassedOver(t *testing.T) {
 	g := newRig(t)
 	home := g.serve(1, "x", CacheStatusFilled).Target
-	m := g.r.members[home]
+	m := g.r.endpoints[home]
 	for i := 0; i < 40; i++ {
-		m.link.inFlight = append(m.link.inFlight, &attempt{request: &request{work: 0.1}, target: m})
+		m.link.inFlight = append(m.link.inFlight, &attempt{request: &request{transferSeconds: 0.1}, target: m})
 	}
 	if f := fetchOf(g.request(2, "x", 0)); f == nil || f.Target == home {
 		t.Fatalf("%s is full: %+v", home, f)
@@ -42,7 +42,7 @@
 }
 
 // A parent at the own hub is asked far more than one further off; a lost hub still fails over to others.
-func TestNearParentsFirst(t *testing.T) {
+func TestNearParentsArePreferred(t *testing.T) {
 	for _, c := range []struct {
 		hubs       []int
 		near, most int
@@ -55,8 +55,8 @@
 		g.do(list)
 		near := 0
 		for i := range 100 {
-			req := &request{Request: Request{Object: "x"}, class: &g.r.settings.Classes[0], key: mixHash(uint64(i)), work: 0.1,
-				aim: g.n + time.Second}
+			req := &request{Request: Request{Object: "x"}, class: &g.r.settings.Classes[0], key: mixHash(uint64(i)), transferSeconds: 0.1,
+				objectiveAt: g.n + time.Second}
 			if g.r.chooseParent(req).ID == "p" {
 				near++
 			}
@@ -99,10 +99,10 @@
 	if got := fill(); got != "q" {
 		t.Errorf("filled from %s, which takes four times as long", got)
 	}
-	if g.r.zoneLink.capacity != g.r.zoneLink.nominal {
-		t.Errorf("the link is held to be congested: %v of %v", g.r.zoneLink.capacity, g.r.zoneLink.nominal)
+	if g.r.zoneLink.capacity != g.r.zoneLink.nominalCapacity {
+		t.Errorf("the link is held to be congested: %v of %v", g.r.zoneLink.capacity, g.r.zoneLink.nominalCapacity)
 	}
-	g.n += 6 * slowdownMemory
+	g.n += 6 * slowdownDecayTime
 	if got := fill(); got != "p" {
 		t.Errorf("%s: the slow one is not tried again", got)
 	}
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -7,7 +7,7 @@
 )
 
 // A cold cache gets no more than its budget.
-func TestColdCacheBudget(t *testing.T) {
+func TestSlowStartBudgetOfCache(t *testing.T) {
 	g := newRig(t)
 	home := g.serve(1, "x", CacheStatusFilled).Target
 	g.do(EndpointUpdate{Endpoints: []Endpoint{{ID: home, State: Ready, Zone: 1, Weight: 5, Started: g.n}}})
@@ -25,7 +25,7 @@
 
 // A parent whose size is not told does not grow with the number of routers: the cold budgets of all of them
 // together stay inside what it can bear. Incident iddf016.
-func TestColdParentBudgetOfAllRouters(t *testing.T) {
+func TestSlowStartBudgetOfParentAcrossRouters(t *testing.T) {
 	set := world()
 	set.Routers, set.RoutersInZone, set.WeightsConfigured = 100, 5, false
 	sent := 0
@@ -41,7 +41,7 @@
 		}
 	}
 	// 0.1 s each; three caches of unknownCap transfers draw 6, a tenth of them cold, twice that for 2 s.
-	if most := fillShare * 3 * defaultCapacity * 0.1 * 2 * 2; float64(sent)*0.1 > most {
+	if most := fillFraction * 3 * defaultLinkCapacity * 0.1 * 2 * 2; float64(sent)*0.1 > most {
 		t.Fatalf("%d sent to a cold parent by 100 routers", sent)
 	}
 }
@@ -96,7 +96,7 @@
 
 // However many routers there are, a cold member gets some work and all of them together push it no further than it
 // surely bears: also when it is told late, settings come anew, and routers restart and forget what they sent.
-func TestColdBudgetOfAFleet(t *testing.T) {
+func TestSlowStartBudgetAcrossFleet(t *testing.T) {
 	for _, routers := range []int{3, 20, 30, 300} {
 		for _, cold := range []string{"a", "p"} {
 			f := &fleet{set: world(), list: everybody(), routers: make([]*Router, routers), now: time.Hour}
@@ -152,7 +152,7 @@
 
 // Calls that wait for their connections count until they go, however long that takes: all may go at once. One that was decided
 // on before its member started anew is looked at again.
-func TestCallsThatWaitedKeepTheColdBudget(t *testing.T) {
+func TestDelayedAttemptsKeepSlowStartBudget(t *testing.T) {
 	for _, startsAnew := range []bool{false, true} {
 		set := world()
 		set.SlowStartCapacity, set.OverloadWindow = 0.05, time.Second
@@ -182,7 +182,7 @@
 			}
 		}
 		// 0.1 s each; 2 times the warm share of 5 transfers for 1 s.
-		share := g.r.warmShare(g.r.members[home])
+		share := g.r.slowStartFraction(g.r.endpoints[home])
 		if most := 2 * share * 5; sent == 0 || float64(sent)*0.1 > most {
 			t.Errorf("started anew %v: %d of %d sent at once, %.1f s allowed", startsAnew, sent, len(waiting), most)
 		}
@@ -190,7 +190,7 @@
 }
 
 // Two processes that stand for one router while one takes over from the other send together what one may.
-func TestTwoProcessesShareAColdBudget(t *testing.T) {
+func TestTwoProcessesShareSlowStartBudget(t *testing.T) {
 	sent := map[int]int{}
 	for _, processes := range []int{1, 2} {
 		set := world()
--- a/policy/transfertime_test.go
+++ b/policy/transfertime_test.go
@@ -21,7 +21,7 @@
 	}
 	for object, want := range map[string]float64{"small": 0.05, "large": 0.75, "unknown": 0.4} {
 		g.do(Request{ID: 99, Object: object, Remaining: 6 * time.Second})
-		if got := g.r.requests[99].work; math.Abs(got-want) > 0.01 {
+		if got := g.r.requests[99].transferSeconds; math.Abs(got-want) > 0.01 {
 			t.Errorf("%s is expected to take %v s, want %v", object, got, want)
 		}
 		g.do(ClientDisconnected{ID: 99})
@@ -31,27 +31,27 @@
 
 // Where sizes are not told, the sending time is learned from hits on free links, and a large object on a free
 // link must not pass for a full link: small requests would be refused more and more.
-func TestUntoldSizesAreLearned(t *testing.T) {
+func TestUnknownSizesAreLearned(t *testing.T) {
 	g := newRig(t)
-	guess := newRig(t).r.classWork[""].value
-	ask := func(id int64, took time.Duration) *member {
+	guess := newRig(t).r.classTransferSeconds[""].value
+	ask := func(id int64, took time.Duration) *endpointState {
 		f := fetchOf(g.do(Request{ID: id, Object: "x", Class: 0, Remaining: 3 * time.Second}))
 		if f == nil {
 			t.Fatalf("request %d was not sent", id)
 		}
 		g.n += took
 		g.do(Outcome{ID: id, Result: ResultOK, CacheStatus: CacheStatusHit, Elapsed: took, RequestFinished: true})
-		return g.r.members[f.Target]
+		return g.r.endpoints[f.Target]
 	}
-	var m *member
+	var m *endpointState
 	for id := range int64(50) {
 		m = ask(id+1, 300*ms)
 	}
-	if got := g.r.classWork[""].value; guess != 0 || math.Abs(got-0.3) > 0.01 {
+	if got := g.r.classTransferSeconds[""].value; guess != 0 || math.Abs(got-0.3) > 0.01 {
 		t.Errorf("%v s learned from answers of 0.3 s, %v before", got, guess)
 	}
-	if m.link.capacity != m.link.nominal {
-		t.Errorf("the link is taken for %v of %v transfers", m.link.capacity, m.link.nominal)
+	if m.link.capacity != m.link.nominalCapacity {
+		t.Errorf("the link is taken for %v of %v transfers", m.link.capacity, m.link.nominalCapacity)
 	}
 	ask(60, 2500*ms) // no size explains this one
 	if m.link.currentSlowdown(g.n) < minSlowdown {
