--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"slices"
 	"time"
 )
 
@@ -45,11 +44,7 @@
 	for _, l := range a.links {
 		l.add(a, r.now)
 	}
-	for _, m := range []*endpointState{target, source} {
-		if r.countsInSlowStart(m, a) && !slices.Contains(m.slowStartAttempts, a) {
-			m.slowStartAttempts = append(m.slowStartAttempts, a)
-		}
-	}
+	r.addToSlowStartBudgets(a)
 	if a.countsAtOrigin {
 		r.originLimit.inFlight++
 	}
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -1,5 +1,16 @@
 package policy
 
+// Slow start limits the load on an endpoint that has just started: an empty cache or parent has only a part
+// of its capacity, and fails when it receives more than a multiple of that part within a window.
+//
+// Inputs: the endpoint's start time, its kind's rules (see slowStartRules) and the attempts that this router
+// has sent to it within the window. Result: the fraction of its capacity that an endpoint has now (0 to 1),
+// and whether one more attempt fits this router's quota. Quotas are in transfer seconds, the time that one
+// transfer takes at full pace.
+//
+// Routers do not coordinate. Each keeps to an equal quota of what the endpoint can take, so that all of them
+// together stay within it. Where a quota is smaller than one request, the routers take turns.
+
 import (
 	"math"
 	"slices"
@@ -7,83 +18,146 @@
 )
 
 const (
-	slowStartUtilization = 0.9  // share of a cold member's budget that is used: chance may bring more of it at once
-	rotationUtilization  = 0.33 // share of it that is given out in turns: turns of two windows may meet in one
+	// slowStartUtilization is the fraction of the quota that is used. The rest absorbs simultaneous bursts.
+	slowStartUtilization = 0.9
+
+	// rotationUtilization is the fraction of the quota that is used in rotation. Turns of two windows may
+	// overlap.
+	rotationUtilization = 0.33
+
+	// minOverloadWindow replaces an OverloadWindow that is shorter or not configured.
+	minOverloadWindow = time.Second
 )
 
-func (r *Router) slowStartRules(m *endpointState) (share float64, warmWithin time.Duration, multiple float64) {
-	if m.Kind == r.settings.ParentKind {
-		return r.settings.ParentSlowStartCapacity, r.settings.ParentSlowStartDuration, r.settings.ParentOverloadMultiple
+// slowStartRules are the limits that apply to endpoints of one kind after a start.
+type slowStartRules struct {
+	initialCapacity  float64       // fraction of its capacity that an endpoint has at its start
+	duration         time.Duration // until it has its full capacity; 0: there is no slow start
+	overloadMultiple float64       // multiple of its present capacity at which it fails
+}
+
+// slowStartRules returns the rules of the endpoint's kind.
+func (r *Router) slowStartRules(e *endpointState) slowStartRules {
+	if e.Kind == r.settings.ParentKind {
+		return slowStartRules{
+			initialCapacity:  r.settings.ParentSlowStartCapacity,
+			duration:         r.settings.ParentSlowStartDuration,
+			overloadMultiple: r.settings.ParentOverloadMultiple,
+		}
+	}
+	return slowStartRules{
+		initialCapacity:  r.settings.SlowStartCapacity,
+		duration:         r.settings.SlowStartDuration,
+		overloadMultiple: r.settings.OverloadMultiple,
 	}
-	return r.settings.SlowStartCapacity, r.settings.SlowStartDuration, r.settings.OverloadMultiple
 }
 
-func (r *Router) slowStartFraction(m *endpointState) float64 {
-	share, within, _ := r.slowStartRules(m)
-	age := r.now - m.Started
-	if m.Started == 0 || age >= within || within == 0 || m.Kind == r.settings.OriginKind {
+// slowStartFraction is the fraction of its capacity that an endpoint has now. It rises linearly from the
+// initial capacity to 1; the origin has no slow start.
+func (r *Router) slowStartFraction(e *endpointState) float64 {
+	rules := r.slowStartRules(e)
+	age := r.now - e.Started
+	if e.Started == 0 || age >= rules.duration || rules.duration == 0 || e.Kind == r.settings.OriginKind {
 		return 1
 	}
-	return share + (1-share)*max(0, age.Seconds())/within.Seconds()
+	return rules.initialCapacity + (1-rules.initialCapacity)*max(0, age.Seconds())/rules.duration.Seconds()
 }
 
-// countsInSlowStart reports whether an attempt counts in a member's budget: it is cold, and is the target or a parent
-// that fills.
-func (r *Router) countsInSlowStart(m *endpointState, a *attempt) bool {
-	return r.slowStartFraction(m) < 1 && (m == a.target || m.Kind == r.settings.ParentKind)
+// countsInSlowStart reports whether an attempt loads an endpoint that is in slow start: as the target, or as
+// the parent that fills. A sibling cache that fills sends what it has cached already.
+func (r *Router) countsInSlowStart(e *endpointState, a *attempt) bool {
+	return r.slowStartFraction(e) < 1 && (e == a.target || e.Kind == r.settings.ParentKind)
 }
 
-// enterSlowStartBudgets counts an attempt in the budgets of cold members that it is not counted in: they have
-// started anew since it was decided on, or it has waited for longer than the window.
+// enterSlowStartBudgets counts an attempt that is about to be sent in the budgets of its endpoints, and
+// reports whether it fits them. It is already counted unless an endpoint has restarted since the attempt was
+// created, or the attempt has waited for a connection for longer than the window.
 func (r *Router) enterSlowStartBudgets(a *attempt) bool {
-	var joins []*endpointState
-	for _, m := range []*endpointState{a.target, a.source} {
-		if !r.countsInSlowStart(m, a) || slices.Contains(m.slowStartAttempts, a) || slices.Contains(joins, m) {
+	for _, e := range []*endpointState{a.target, a.source} {
+		alreadyCounted := slices.Contains(e.slowStartAttempts, a)
+		if alreadyCounted || !r.countsInSlowStart(e, a) {
 			continue
 		}
-		if !r.withinSlowStartBudget(m, a.request) {
+		if !r.withinSlowStartBudget(e, a.request) {
 			return false
 		}
-		joins = append(joins, m)
-	}
-	for _, m := range joins {
-		m.slowStartAttempts = append(m.slowStartAttempts, a)
 	}
+	r.addToSlowStartBudgets(a)
 	return true
 }
 
-// withinSlowStartBudget keeps to this router's part, and waits for a window after the router's own start.
-func (r *Router) withinSlowStartBudget(m *endpointState, req *request) bool {
-	warm := r.slowStartFraction(m)
-	if warm >= 1 {
-		m.slowStartAttempts = nil
+// addToSlowStartBudgets counts an attempt once in the budget of each endpoint in slow start that it loads.
+func (r *Router) addToSlowStartBudgets(a *attempt) {
+	for _, e := range []*endpointState{a.target, a.source} {
+		if r.countsInSlowStart(e, a) && !slices.Contains(e.slowStartAttempts, a) {
+			e.slowStartAttempts = append(e.slowStartAttempts, a)
+		}
+	}
+}
+
+// withinSlowStartBudget reports whether one more attempt of a request fits this router's quota at an
+// endpoint.
+func (r *Router) withinSlowStartBudget(e *endpointState, req *request) bool {
+	fraction := r.slowStartFraction(e)
+	if fraction >= 1 {
+		e.slowStartAttempts = nil
 		return true
 	}
-	_, _, multiple := r.slowStartRules(m)
-	window, cost := max(r.settings.OverloadWindow, time.Second), r.slowStartCostSeconds(req)
+	window := max(r.settings.OverloadWindow, minOverloadWindow)
 	expired := func(a *attempt) bool { return r.now-a.startedAt > window }
-	m.slowStartAttempts = slices.DeleteFunc(m.slowStartAttempts, expired)
-	sum := cost
-	for _, a := range m.slowStartAttempts {
-		sum += r.slowStartCostSeconds(a.request)
+	e.slowStartAttempts = slices.DeleteFunc(e.slowStartAttempts, expired)
+	if !r.knowsOwnLoad(e, window) {
+		return false
+	}
+	cost := r.slowStartCostSeconds(req)
+	total := cost
+	for _, a := range e.slowStartAttempts {
+		total += r.slowStartCostSeconds(a.request)
 	}
-	sharers := m.link.routers * float64(max(1, r.settings.ProcessesPerRouter))
-	part := slowStartUtilization * multiple * min(m.link.capacity, m.link.nominalCapacity) / sharers
-	return (m.Started >= r.startedAt || r.now-r.startedAt >= window) &&
-		(sum <= part*warm*window.Seconds() || sum == cost && r.hasQuotaTurn(m, window, cost/(part*rotationUtilization)))
+	quota := r.slowStartQuota(e)
+	if total <= quota*fraction*window.Seconds() {
+		return true
+	}
+	onlyOneInWindow := total == cost
+	return onlyOneInWindow && r.hasQuotaTurn(e, window, cost/(quota*rotationUtilization))
+}
+
+// knowsOwnLoad reports whether this router knows all that it has sent to an endpoint within the window. After
+// a restart of its own it does not, until a window has passed.
+func (r *Router) knowsOwnLoad(e *endpointState, window time.Duration) bool {
+	return e.Started >= r.startedAt || r.now-r.startedAt >= window
+}
+
+// slowStartQuota is the part of an endpoint's full capacity that this process may use, in transfer seconds
+// per second.
+func (r *Router) slowStartQuota(e *endpointState) float64 {
+	processes := e.link.routers * float64(max(1, r.settings.ProcessesPerRouter))
+	capacity := min(e.link.capacity, e.link.nominalCapacity)
+	return slowStartUtilization * r.slowStartRules(e).overloadMultiple * capacity / processes
 }
 
-// hasQuotaTurn gives out turns where one request takes up this router's part of several windows.
-func (r *Router) hasQuotaTurn(m *endpointState, window time.Duration, seconds float64) bool {
-	share, within, _ := r.slowStartRules(m)
-	turns := func(at time.Duration) float64 {
-		age := max(at-m.Started, 0).Seconds()
-		warmed := age * (share + (1-share)*age/within.Seconds()/2)
-		return math.Floor(math.Mod(float64(r.settings.RouterIndex)*math.Phi, 1) + warmed/seconds)
+// hasQuotaTurn rotates the quotas where one request takes several windows of a quota. A turn comes each time
+// the endpoint has offered turnSeconds of its full capacity since its start; routers start at different
+// points of a turn.
+func (r *Router) hasQuotaTurn(e *endpointState, window time.Duration, turnSeconds float64) bool {
+	rules := r.slowStartRules(e)
+	offset := math.Mod(float64(r.settings.RouterIndex)*math.Phi, 1)
+	turnsAt := func(at time.Duration) float64 {
+		return math.Floor(offset + rules.offeredSeconds(at-e.Started)/turnSeconds)
 	}
-	return turns(r.now) > turns(r.now-window)
+	return turnsAt(r.now) > turnsAt(r.now-window)
+}
+
+// offeredSeconds is the integral of the slow-start fraction from the start to an age: how many seconds at
+// full capacity would have offered as much.
+func (rules slowStartRules) offeredSeconds(age time.Duration) float64 {
+	seconds := max(age, 0).Seconds()
+	risen := (1 - rules.initialCapacity) * seconds / rules.duration.Seconds() / 2
+	return seconds * (rules.initialCapacity + risen)
 }
 
+// slowStartCostSeconds is what a request takes of a quota: its own transfer time, or the mean of its class if
+// that is longer: the size of an object that was seen once or never is uncertain.
 func (r *Router) slowStartCostSeconds(req *request) float64 {
 	return max(req.transferSeconds, r.classTransferSeconds[req.class.Name].value)
 }
