--- /dev/null
+++ b/policy/fillorders_test.go
@@ -0,0 +1,33 @@
+package policy
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// When all copies go void, each of many routers asks for the same objects at once. Their first attempts join the fill that
+// is under way at the cache that all of them pick, and go to no more than one cache and one parent for an object.
+func TestFleetCoalescesFillsAfterPurge(t *testing.T) {
+	const routers = 80
+	for object := range 20 {
+		targets, sources := map[string]bool{}, map[string]bool{}
+		for i := range routers {
+			set := world()
+			set.Routers, set.RoutersInZone, set.RouterIndex = routers, routers, i
+			r := New(set, uint64(i))
+			r.Handle(time.Hour, everybody())
+			for group := range 32 {
+				r.Handle(time.Hour, Purge{Group: group, Age: 50 * ms})
+			}
+			f := fetchOf(r.Handle(time.Hour+ms, Request{ID: 1, Object: fmt.Sprint(object), Group: object, SizeKB: 10, Remaining: 3 * time.Second}))
+			if f == nil || !f.CoalesceFill || f.MaxAge != 51*ms {
+				t.Fatalf("router %d, object %d: %+v", i, object, f)
+			}
+			targets[f.Target], sources[f.Source] = true, true
+		}
+		if len(targets) != 1 || len(sources) != 1 {
+			t.Errorf("object %d is filled at %v from %v", object, targets, sources)
+		}
+	}
+}
