--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -40,65 +40,65 @@
 var ErrWriteStalled = errors.New("peer takes no output")
 
 const (
-	mostQueued = 16 << 20 // queued output at which the connection is given up
-	mostJoined = 16 << 10 // bytes up to which small outputs are kept as one: each apart would cost more than it holds
-	muchInput  = 64 << 10 // bytes read in one turn behind which more may have waited for as long
-	mostReads  = 16       // of one connection in one turn, while each fills the buffer
-
-	retryPause = 20 * time.Millisecond  // before a call that failed for lack of memory is tried again
-	lingerFor  = 200 * time.Millisecond // how long the peer's end of a closed connection is waited for
-	lingerMost = 10 * time.Second       // and how long at most, while it still takes what it is owed
+	maxQueuedBytes  = 16 << 20 // queued output at which the connection is given up
+	maxJoinedBytes  = 16 << 10 // bytes up to which small outputs are kept as one: each apart would cost more than it holds
+	largeInputBytes = 64 << 10 // bytes read in one turn behind which more may have waited for as long
+	maxReadsPerTurn = 16       // of one connection in one turn, while each fills the buffer
+
+	retryInterval  = 20 * time.Millisecond  // before a call that failed for lack of memory is tried again
+	lingerInterval = 200 * time.Millisecond // how long the peer's end of a closed connection is waited for
+	maxLinger      = 10 * time.Second       // and how long at most, while it still takes what it is owed
 )
 
 // Conn is one non-blocking TCP connection.
 type Conn struct {
-	loop       *Loop
-	fd         int
-	handler    Handler
-	in         []byte
-	queue      []output
-	queued     int // bytes in queue
-	events     uint32
-	timeout    *Timer // of the connect
-	up         bool
-	closed     bool
-	dirty      bool
-	closing    bool          // no more is taken either way; closed when the peer has closed too
-	deaf       bool          // no more is read, until it is closing
-	registered bool          // with epoll
-	rdhup      bool          // the peer has been seen to send no more
-	eof        bool          // and all that it sent has been handed over
-	came       Timestamp     // an accepted connection was made after this; 0: not known
-	since      Timestamp     // when it was begun or accepted
-	queuedLong bool          // it may have waited to be accepted for long
-	inQueue    time.Duration // for how long the process was held up before
-	behind     Timestamp     // since when what comes next may have waited, as there was much before it; 0: it is new
-	waited     time.Duration // see Waited
-	took       time.Duration // to come up
-	heard      Timestamp
-	wrote      Timestamp
+	loop              *Loop
+	fd                int
+	handler           Handler
+	unparsed          []byte
+	outputQueue       []output
+	queuedBytes       int // bytes in queue
+	interest          uint32
+	connectTimer      *Timer // of the connect
+	connected         bool
+	closed            bool
+	flushScheduled    bool
+	closing           bool          // no more is taken either way; closed when the peer has closed too
+	readingStopped    bool          // no more is read, until it is closing
+	registered        bool          // with epoll
+	peerHalfClosed    bool          // the peer has been seen to send no more
+	inputEnded        bool          // and all that it sent has been handed over
+	connectedAfter    Timestamp     // an accepted connection was made after this; 0: not known
+	createdAt         Timestamp     // when it was begun or accepted
+	waitedForAccept   bool          // it may have waited to be accepted for long
+	delayBeforeAccept time.Duration // for how long the process was held up before
+	inputWaitingSince Timestamp     // since when what comes next may have waited, as there was much before it; 0: it is new
+	queueingDelay     time.Duration // see Waited
+	connectDuration   time.Duration // to come up
+	lastReceivedAt    Timestamp
+	lastWrittenAt     Timestamp
 }
 
 // Connected says whether the connection has been made.
-func (c *Conn) Connected() bool { return c.up }
+func (c *Conn) Connected() bool { return c.connected }
 
 // Age is for how long the connection has existed.
-func (c *Conn) Age() time.Duration { return c.loop.now - c.since }
+func (c *Conn) Age() time.Duration { return c.loop.now - c.createdAt }
 
 // CreatedAt is when the connection was begun or accepted.
-func (c *Conn) CreatedAt() Timestamp { return c.since }
+func (c *Conn) CreatedAt() Timestamp { return c.createdAt }
 
 // ConnectDuration is how long the connection took to come up; 0: it has not yet, or was accepted.
-func (c *Conn) ConnectDuration() time.Duration { return c.took }
+func (c *Conn) ConnectDuration() time.Duration { return c.connectDuration }
 
 // Ended says whether the connection has ended or is about to.
 func (c *Conn) Ended() bool { return c.closed || c.closing }
 
 // LastReceived is when the peer was last heard of: made the connection or sent something.
-func (c *Conn) LastReceived() Timestamp { return c.heard }
+func (c *Conn) LastReceived() Timestamp { return c.lastReceivedAt }
 
 // UnparsedBytes is how many bytes have been received and not used yet: part of a message.
-func (c *Conn) UnparsedBytes() int { return len(c.in) }
+func (c *Conn) UnparsedBytes() int { return len(c.unparsed) }
 
 // Close ends the connection at once. Its handler is not called any more.
 func (c *Conn) Close() {
@@ -106,10 +106,10 @@
 		return
 	}
 	c.closed = true
-	c.loop.Stop(c.timeout)
-	c.loop.held -= c.queued + len(c.in)
-	c.queued, c.in, c.queue = 0, nil, nil
-	c.loop.remove(c.fd)
+	c.loop.Stop(c.connectTimer)
+	c.loop.bufferedBytes -= c.queuedBytes + len(c.unparsed)
+	c.queuedBytes, c.unparsed, c.outputQueue = 0, nil, nil
+	c.loop.closeDescriptor(c.fd)
 }
 
 // CloseAfterFlush ends the connection in good order: what is queued is written, the peer is told that no more
@@ -120,15 +120,15 @@
 		return
 	}
 	c.closing = true
-	if len(c.queue) == 0 {
-		c.shutdown()
+	if len(c.outputQueue) == 0 {
+		c.shutdownOutput()
 	}
 }
 
-// shutdown begins the wait for the peer's end only when all that was queued has gone: a peer that reads slowly
+// shutdownOutput begins the wait for the peer's end only when all that was queued has gone: a peer that reads slowly
 // would else lose the rest of an answer.
-func (c *Conn) shutdown() {
-	if c.eof { // nothing can be unread
+func (c *Conn) shutdownOutput() {
+	if c.inputEnded { // nothing can be unread
 		c.Fail(io.EOF)
 		return
 	}
@@ -136,14 +136,14 @@
 		c.Fail(fmt.Errorf("shutdown: %w", err))
 		return
 	}
-	c.linger(c.loop.now + lingerMost)
-	c.watch()
+	c.linger(c.loop.now + maxLinger)
+	c.updateInterest()
 }
 
 // linger closes after a while, though the peer has not closed: a close over unread bytes resets the connection,
 // and a peer that still takes its answers would lose the rest of them.
 func (c *Conn) linger(end Timestamp) {
-	c.loop.At(c.loop.now+lingerFor, func() {
+	c.loop.At(c.loop.now+lingerInterval, func() {
 		switch {
 		case c.closed:
 		case c.UnackedBytes() > 0 && c.loop.now < end:
@@ -161,78 +161,78 @@
 	if c.closed {
 		return
 	}
-	if !c.up {
+	if !c.connected {
 		err = fmt.Errorf("%w: %w", ErrNotConnected, err)
 	}
 	c.Close()
 	c.handler.Closed(err)
 }
 
-func (c *Conn) ready(events uint32) {
-	if !c.up {
-		c.connected()
+func (c *Conn) handleEvents(events uint32) {
+	if !c.connected {
+		c.finishConnect()
 	}
 	const broken = unix.EPOLLHUP | unix.EPOLLERR
 	half, isHalf := c.handler.(HalfCloser)
 	switch {
-	case !c.up || c.closed:
-	case (c.eof || c.deaf) && events&broken != 0, isHalf && events&unix.EPOLLERR != 0:
+	case !c.connected || c.closed:
+	case (c.inputEnded || c.readingStopped) && events&broken != 0, isHalf && events&unix.EPOLLERR != 0:
 		c.Fail(unix.ECONNRESET) // what it sent before is not wanted any more
 	case isHalf && !c.closing && events&unix.EPOLLRDHUP != 0:
-		c.peerClosing(half)
+		c.notifyPeerClosing(half)
 	}
-	if c.up && !c.closed && !c.eof && (!c.deaf || c.closing) && events&(unix.EPOLLIN|unix.EPOLLRDHUP|broken) != 0 {
+	if c.connected && !c.closed && !c.inputEnded && (!c.readingStopped || c.closing) && events&(unix.EPOLLIN|unix.EPOLLRDHUP|broken) != 0 {
 		c.receive()
 	}
-	if c.up && !c.closed && events&unix.EPOLLOUT != 0 {
+	if c.connected && !c.closed && events&unix.EPOLLOUT != 0 {
 		c.scheduleFlush()
 	}
 }
 
-// peerClosing tells the handler, once, that the peer sends no more. One that did so before the last look at it would have
+// notifyPeerClosing tells the handler, once, that the peer sends no more. One that did so before the last look at it would have
 // been seen then, unless it was not looked at yet.
-func (c *Conn) peerClosing(half HalfCloser) {
-	if c.rdhup {
+func (c *Conn) notifyPeerClosing(half HalfCloser) {
+	if c.peerHalfClosed {
 		return
 	}
-	c.rdhup = true
-	after := c.loop.lastPoll
-	if c.since >= after {
-		after = c.came
+	c.peerHalfClosed = true
+	after := c.loop.previousPollEnd
+	if c.createdAt >= after {
+		after = c.connectedAfter
 	}
 	half.PeerClosing(after)
 }
 
-// watch asks epoll for what the connection waits for: input and the peer's end, until that has come, and room for
+// updateInterest asks epoll for what the connection waits for: input and the peer's end, until that has come, and room for
 // output. Input is waited for also when the peer leaves ours unread: it may take back what it asked for, or leave.
-func (c *Conn) watch() {
+func (c *Conn) updateInterest() {
 	events := uint32(unix.EPOLLIN | unix.EPOLLRDHUP)
-	if c.eof {
+	if c.inputEnded {
 		events = 0
-	} else if c.closing || c.rdhup && !c.deaf {
+	} else if c.closing || c.peerHalfClosed && !c.readingStopped {
 		events = unix.EPOLLIN
-	} else if c.deaf && c.rdhup {
+	} else if c.readingStopped && c.peerHalfClosed {
 		events = 0
-	} else if c.deaf {
+	} else if c.readingStopped {
 		events = unix.EPOLLRDHUP
 	}
-	if !c.up || len(c.queue) > 0 {
+	if !c.connected || len(c.outputQueue) > 0 {
 		events |= unix.EPOLLOUT
 	}
-	if events == c.events {
+	if events == c.interest {
 		return
 	}
 	if !c.registered { // register brings them
-		c.events = events
+		c.interest = events
 		return
 	}
-	if err := c.loop.change(c.fd, events); err != nil { // for lack of memory; what it waits for now still wakes it
-		c.loop.At(c.loop.now+retryPause, func() {
+	if err := c.loop.modify(c.fd, events); err != nil { // for lack of memory; what it waits for now still wakes it
+		c.loop.At(c.loop.now+retryInterval, func() {
 			if !c.closed {
-				c.watch()
+				c.updateInterest()
 			}
 		})
 		return
 	}
-	c.events = events
+	c.interest = events
 }
--- a/internal/eventloop/conn_test.go
+++ b/internal/eventloop/conn_test.go
@@ -37,7 +37,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &Conn{loop: l, fd: pair[0], handler: nobody{}, up: true, events: unix.EPOLLIN}
+	c := &Conn{loop: l, fd: pair[0], handler: nobody{}, connected: true, interest: unix.EPOLLIN}
 	defer c.Close()
 	if c.HasUnreadInput() {
 		t.Error("nothing was sent")
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -8,8 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// connected looks at how a connect ended.
-func (c *Conn) connected() {
+// finishConnect looks at how a connect ended.
+func (c *Conn) finishConnect() {
 	code, err := System.GetOption(c.fd, unix.SOL_SOCKET, unix.SO_ERROR)
 	if err == nil && code != 0 {
 		err = unix.Errno(code)
@@ -21,8 +21,8 @@
 	if err := System.PeerName(c.fd); err != nil {
 		return // not yet, or not known: it is looked at again, until the connect times out
 	}
-	c.loop.Stop(c.timeout)
-	c.up, c.heard, c.wrote, c.took = true, c.loop.now, c.loop.now, c.Age()
+	c.loop.Stop(c.connectTimer)
+	c.connected, c.lastReceivedAt, c.lastWrittenAt, c.connectDuration = true, c.loop.now, c.loop.now, c.Age()
 	c.scheduleFlush()
 }
 
@@ -33,24 +33,24 @@
 	if err != nil {
 		return nil, connectError(addr, err)
 	}
-	c := &Conn{loop: l, fd: fd, handler: h, events: unix.EPOLLOUT, since: l.now, heard: l.now, wrote: l.now}
+	c := &Conn{loop: l, fd: fd, handler: h, interest: unix.EPOLLOUT, createdAt: l.now, lastReceivedAt: l.now, lastWrittenAt: l.now}
 	err = System.Connect(fd, sockaddr(addr))
-	if err != nil && !isAny(err, unix.EINPROGRESS, unix.EINTR) { // an interrupted connect goes on as well
+	if err != nil && !isOneOf(err, unix.EINPROGRESS, unix.EINTR) { // an interrupted connect goes on as well
 		unix.Close(fd) //nolint:errcheck // the connect's error is what counts
 		return nil, connectError(addr, err)
 	}
-	if err := l.add(fd, c.events, c); err != nil {
+	if err := l.register(fd, c.interest, c); err != nil {
 		unix.Close(fd) //nolint:errcheck // as above
 		return nil, connectError(addr, err)
 	}
 	c.registered = true
-	c.timeout = l.At(l.now+timeout, func() { c.Fail(ErrConnectTimeout) })
+	c.connectTimer = l.At(l.now+timeout, func() { c.Fail(ErrConnectTimeout) })
 	return c, nil
 }
 
 // connectError is how a connect failed.
 func connectError(addr netip.AddrPort, err error) error {
-	if isLocal(err) {
+	if isLocalError(err) {
 		err = fmt.Errorf("%w: %w", ErrLocalResources, err)
 	}
 	return fmt.Errorf("%w: connect %s: %w", ErrNotConnected, addr, err)
--- a/internal/eventloop/input.go
+++ b/internal/eventloop/input.go
@@ -11,11 +11,11 @@
 
 // QueueingDelay is for how long what is being handed over may have waited to be read, besides the time between two turns: in the
 // queue of connections to accept, or behind what one turn reads of a connection.
-func (c *Conn) QueueingDelay() time.Duration { return c.waited }
+func (c *Conn) QueueingDelay() time.Duration { return c.queueingDelay }
 
 // PollNow takes what has come since the turn began, in the middle of it.
 func (c *Conn) PollNow() {
-	if c.closed || !c.up {
+	if c.closed || !c.connected {
 		return
 	}
 	fds := []unix.PollFd{{Fd: int32(c.fd), Events: unix.POLLIN | unix.POLLRDHUP}}
@@ -23,86 +23,86 @@
 	if err != nil || n == 0 {
 		return
 	}
-	before := c.loop.lastPoll
-	if c.loop.polledAll { // its end would have been seen as the turn began
-		c.loop.lastPoll = c.loop.looked
+	before := c.loop.previousPollEnd
+	if c.loop.pollComplete { // its end would have been seen as the turn began
+		c.loop.previousPollEnd = c.loop.pollEnd
 	}
-	c.ready(uint32(fds[0].Revents))
-	c.loop.lastPoll = before
+	c.handleEvents(uint32(fds[0].Revents))
+	c.loop.previousPollEnd = before
 }
 
-// measureWait works out Waited for what is about to be read.
-func (c *Conn) measureWait() {
+// measureQueueingDelay works out Waited for what is about to be read.
+func (c *Conn) measureQueueingDelay() {
 	switch {
-	case c.queuedLong:
-		c.queuedLong = false
-		c.waited = c.sinceMade()
-	case c.behind != 0:
-		c.waited = c.loop.now - c.behind
+	case c.waitedForAccept:
+		c.waitedForAccept = false
+		c.queueingDelay = c.timeSinceHandshake()
+	case c.inputWaitingSince != 0:
+		c.queueingDelay = c.loop.now - c.inputWaitingSince
 	default:
-		c.waited = 0
+		c.queueingDelay = 0
 	}
 }
 
-// sinceMade is how long ago the connection was made, before anything is written: what the peer sent first may have waited for
+// timeSinceHandshake is how long ago the connection was made, before anything is written: what the peer sent first may have waited for
 // as long. Where the system does not tell, it is for how long the process was held up before it accepted the connection.
-func (c *Conn) sinceMade() time.Duration {
+func (c *Conn) timeSinceHandshake() time.Duration {
 	info, err := unix.GetsockoptTCPInfo(c.fd, unix.IPPROTO_TCP, unix.TCP_INFO)
 	if err == nil {
 		return time.Duration(info.Last_data_sent) * time.Millisecond // counted from the handshake
 	}
-	return c.inQueue
+	return c.delayBeforeAccept
 }
 
 // receive takes what has come. A connection that brings much is read on, within bounds: a client may have taken back
 // further on what it asks for first.
 func (c *Conn) receive() {
-	c.measureWait()
+	c.measureQueueingDelay()
 	total := 0
-	defer func() { c.markBehind(total) }()
-	for range mostReads {
-		n, err := System.Read(c.fd, c.loop.read)
+	defer func() { c.markInputWaiting(total) }()
+	for range maxReadsPerTurn {
+		n, err := System.Read(c.fd, c.loop.readBuffer)
 		switch {
-		case err != nil && retry(err):
+		case err != nil && isTransient(err):
 			return
 		case err != nil:
 			c.Fail(fmt.Errorf("read: %w", err))
 			return
 		case n == 0:
-			c.end()
+			c.handleInputEnd()
 			return
 		}
 		total += n
 		if !c.closing { // else it crossed the close
-			c.take(c.loop.read[:n])
+			c.addInput(c.loop.readBuffer[:n])
 		}
-		if c.closed || c.deaf && !c.closing || n < len(c.loop.read) {
+		if c.closed || c.readingStopped && !c.closing || n < len(c.loop.readBuffer) {
 			return
 		}
 	}
 }
 
-// markBehind notes that what comes next may have been sent together with what has been read now: there was much of it, and the
+// markInputWaiting notes that what comes next may have been sent together with what has been read now: there was much of it, and the
 // rest may have waited here or in the peer's system.
-func (c *Conn) markBehind(total int) {
-	if c.behind = 0; total >= muchInput {
-		c.behind = c.loop.now - max(c.waited, c.loop.SchedulingDelay(c.loop.napped))
+func (c *Conn) markInputWaiting(total int) {
+	if c.inputWaitingSince = 0; total >= largeInputBytes {
+		c.inputWaitingSince = c.loop.now - max(c.queueingDelay, c.loop.SchedulingDelay(c.loop.pollTimeout))
 	}
 }
 
-// end takes the peer's end of a conversation.
-func (c *Conn) end() {
-	if c.closing && len(c.queue) > 0 { // it still takes what it is owed
-		c.eof = true
+// handleInputEnd takes the peer's handleInputEnd of a conversation.
+func (c *Conn) handleInputEnd() {
+	if c.closing && len(c.outputQueue) > 0 { // it still takes what it is owed
+		c.inputEnded = true
 		c.scheduleFlush()
 		return
 	}
 	if half, ok := c.handler.(HalfCloser); ok && !c.closing {
-		if c.peerClosing(half); c.closed {
+		if c.notifyPeerClosing(half); c.closed {
 			return
 		}
 		if half.PeerClosed() {
-			c.eof = true
+			c.inputEnded = true
 			c.scheduleFlush()
 			return
 		}
@@ -112,17 +112,17 @@
 	}
 }
 
-func (c *Conn) take(data []byte) {
-	c.heard = c.loop.now
-	if len(c.in) > 0 {
-		c.in = append(c.in, data...)
-		c.loop.held += len(data)
-		data = c.in
-	}
-	c.handOver(data)
+func (c *Conn) addInput(data []byte) {
+	c.lastReceivedAt = c.loop.now
+	if len(c.unparsed) > 0 {
+		c.unparsed = append(c.unparsed, data...)
+		c.loop.bufferedBytes += len(data)
+		data = c.unparsed
+	}
+	c.deliver(data)
 }
 
-func (c *Conn) handOver(data []byte) {
+func (c *Conn) deliver(data []byte) {
 	used, err := c.handler.Receive(data)
 	if c.closed {
 		return
@@ -131,13 +131,13 @@
 		c.Fail(err)
 		return
 	}
-	if c.deaf {
+	if c.readingStopped {
 		return
 	}
 	rest := data[used:]
-	c.loop.held += len(rest) - len(c.in)
-	if used > 0 || len(c.in) == 0 {
-		c.in = append([]byte(nil), rest...)
+	c.loop.bufferedBytes += len(rest) - len(c.unparsed)
+	if used > 0 || len(c.unparsed) == 0 {
+		c.unparsed = append([]byte(nil), rest...)
 	}
 }
 
@@ -147,7 +147,7 @@
 	var first [1]byte
 	n, err := System.Peek(c.fd, first[:])
 	if err != nil {
-		return retry(err) && !errors.Is(err, unix.EAGAIN) // it is not known
+		return isTransient(err) && !errors.Is(err, unix.EAGAIN) // it is not known
 	}
 	return n > 0
 }
@@ -158,8 +158,8 @@
 	if c.Ended() {
 		return
 	}
-	c.deaf = true
-	c.loop.held -= len(c.in)
-	c.in = nil
+	c.readingStopped = true
+	c.loop.bufferedBytes -= len(c.unparsed)
+	c.unparsed = nil
 	c.scheduleFlush() // which asks epoll anew
 }
--- a/internal/eventloop/listen.go
+++ b/internal/eventloop/listen.go
@@ -9,25 +9,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// acceptPause is how long a listener rests when there is no room or the process is out of descriptors: the
+// acceptBackoff is how long a listener rests when there is no room or the process is out of descriptors: the
 // connections that wait would else wake the loop without end.
-const acceptPause = 20 * time.Millisecond
+const acceptBackoff = 20 * time.Millisecond
 
-// queuedAfter is the time in a queue that counts.
-const queuedAfter = 20 * time.Millisecond
+// acceptDelayThreshold is the time in a queue that counts.
+const acceptDelayThreshold = 20 * time.Millisecond
 
-// mostAborted is how many connections in a row may turn out to be gone before the listener rests.
-const mostAborted = 64
+// maxAbortedAccepts is how many connections in a row may turn out to be gone before the listener rests.
+const maxAbortedAccepts = 64
 
 // Listener accepts connections.
 type Listener struct {
-	loop   *Loop
-	fd     int
-	room   func() bool
-	accept func(*Conn) Handler
-	closed bool
-	paused bool
-	behind bool // connections have been left waiting: it is not known since when
+	loop           *Loop
+	fd             int
+	hasCapacity    func() bool
+	accept         func(*Conn) Handler
+	closed         bool
+	paused         bool
+	backlogRemains bool // connections have been left waiting: it is not known since when
 }
 
 // Listen accepts connections on addr alone, as long as room finds room for one more; the others wait to be
@@ -47,7 +47,7 @@
 		unix.Close(fd) //nolint:errcheck // the first error is what counts
 		return nil, fmt.Errorf("listen on %s: %w", addr, startError(err))
 	}
-	ln, err := l.listener(fd, room, accept)
+	ln, err := l.newListener(fd, room, accept)
 	if err != nil {
 		unix.Close(fd) //nolint:errcheck // the first error is what counts
 	}
@@ -67,46 +67,46 @@
 		return nil, fmt.Errorf("listen on descriptor %d: %w", fd, startError(err))
 	}
 	unix.CloseOnExec(fd)
-	ln, err := l.listener(fd, room, accept)
+	ln, err := l.newListener(fd, room, accept)
 	if err == nil {
-		ln.behind = true // since before this process was started
+		ln.backlogRemains = true // since before this process was started
 	}
 	return ln, err
 }
 
-func (l *Loop) listener(fd int, room func() bool, accept func(*Conn) Handler) (*Listener, error) {
-	ln := &Listener{loop: l, fd: fd, room: room, accept: accept}
-	if err := l.add(fd, unix.EPOLLIN, ln); err != nil {
+func (l *Loop) newListener(fd int, room func() bool, accept func(*Conn) Handler) (*Listener, error) {
+	ln := &Listener{loop: l, fd: fd, hasCapacity: room, accept: accept}
+	if err := l.register(fd, unix.EPOLLIN, ln); err != nil {
 		return nil, startError(err)
 	}
 	return ln, nil
 }
 
 // AcceptPending takes what waits now.
-func (ln *Listener) AcceptPending() { ln.ready(0) }
+func (ln *Listener) AcceptPending() { ln.handleEvents(0) }
 
 // HasPending says whether a connection waits to be accepted.
-func (ln *Listener) HasPending() bool { return !ln.closed && ln.waiting() }
+func (ln *Listener) HasPending() bool { return !ln.closed && ln.backlogNonEmpty() }
 
 // Close stops accepting.
 func (ln *Listener) Close() {
 	if !ln.closed {
 		ln.closed = true
-		ln.loop.remove(ln.fd)
+		ln.loop.closeDescriptor(ln.fd)
 	}
 }
 
-func (ln *Listener) ready(uint32) {
-	defer func() { ln.behind = !ln.closed && ln.waiting() }()
-	for failures := 0; !ln.closed && ln.waiting(); {
-		if failures == mostAborted || !ln.room() {
+func (ln *Listener) handleEvents(uint32) {
+	defer func() { ln.backlogRemains = !ln.closed && ln.backlogNonEmpty() }()
+	for failures := 0; !ln.closed && ln.backlogNonEmpty(); {
+		if failures == maxAbortedAccepts || !ln.hasCapacity() {
 			ln.pause()
 			return
 		}
 		fd, err := System.Accept(ln.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 		switch {
 		case err == nil:
-			ln.take(fd)
+			ln.addConn(fd)
 		case errors.Is(err, unix.EAGAIN): // another process took it
 			return
 		case isAborted(err):
@@ -120,13 +120,13 @@
 
 // isAborted reports errors of accept that concern one connection alone, which is gone by then: the next one may be sound.
 func isAborted(err error) bool {
-	return isAny(err, unix.ECONNABORTED, unix.EINTR, unix.EPROTO, unix.ENETDOWN, unix.ENOPROTOOPT, unix.EHOSTDOWN, unix.ENONET,
+	return isOneOf(err, unix.ECONNABORTED, unix.EINTR, unix.EPROTO, unix.ENETDOWN, unix.ENOPROTOOPT, unix.EHOSTDOWN, unix.ENONET,
 		unix.EHOSTUNREACH, unix.EOPNOTSUPP, unix.ENETUNREACH, unix.ETIMEDOUT)
 }
 
-// waiting says whether a connection waits to be accepted: room must not be made for none. Another process that shares
+// backlogNonEmpty says whether a connection waits to be accepted: room must not be made for none. Another process that shares
 // the socket may have taken the one that woke this one.
-func (ln *Listener) waiting() bool {
+func (ln *Listener) backlogNonEmpty() bool {
 	fds := []unix.PollFd{{Fd: int32(ln.fd), Events: unix.POLLIN}}
 	n, err := unix.Poll(fds, 0)
 	return err == nil && n > 0
@@ -135,10 +135,10 @@
 // pause leaves connections waiting for a while. The timer comes back until the listener is watched again: nobody would be
 // let in otherwise.
 func (ln *Listener) pause() {
-	ln.loop.change(ln.fd, 0) //nolint:errcheck // it is woken more often then
+	ln.loop.modify(ln.fd, 0) //nolint:errcheck // it is woken more often then
 	if !ln.paused {
 		ln.paused = true
-		ln.loop.At(ln.loop.now+acceptPause, ln.resume)
+		ln.loop.At(ln.loop.now+acceptBackoff, ln.resume)
 	}
 }
 
@@ -147,18 +147,18 @@
 	if ln.closed {
 		return
 	}
-	if err := ln.loop.change(ln.fd, unix.EPOLLIN); err != nil {
+	if err := ln.loop.modify(ln.fd, unix.EPOLLIN); err != nil {
 		ln.pause()
 	}
 }
 
-func (ln *Listener) take(fd int) {
+func (ln *Listener) addConn(fd int) {
 	l := ln.loop
-	c := &Conn{loop: l, fd: fd, up: true, events: unix.EPOLLIN | unix.EPOLLRDHUP, since: l.now, heard: l.now, wrote: l.now}
-	c.inQueue = l.SchedulingDelay(l.napped)
-	c.queuedLong = ln.behind || c.inQueue > queuedAfter
-	if !ln.behind {
-		c.came = l.lastPoll
+	c := &Conn{loop: l, fd: fd, connected: true, interest: unix.EPOLLIN | unix.EPOLLRDHUP, createdAt: l.now, lastReceivedAt: l.now, lastWrittenAt: l.now}
+	c.delayBeforeAccept = l.SchedulingDelay(l.pollTimeout)
+	c.waitedForAccept = ln.backlogRemains || c.delayBeforeAccept > acceptDelayThreshold
+	if !ln.backlogRemains {
+		c.connectedAfter = l.previousPollEnd
 	}
 	c.handler = ln.accept(c)
 	c.setOptions()
@@ -174,8 +174,8 @@
 	err := errors.Join(
 		System.SetOption(c.fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1),
 		System.SetOption(c.fd, unix.SOL_SOCKET, unix.SO_KEEPALIVE, 1))
-	if isLocal(err) {
-		c.loop.At(c.loop.now+retryPause, c.setOptions)
+	if isLocalError(err) {
+		c.loop.At(c.loop.now+retryInterval, c.setOptions)
 	}
 }
 
@@ -184,8 +184,8 @@
 	if c.closed {
 		return
 	}
-	if err := c.loop.add(c.fd, c.events, c); err != nil {
-		c.loop.At(c.loop.now+retryPause, c.register)
+	if err := c.loop.register(c.fd, c.interest, c); err != nil {
+		c.loop.At(c.loop.now+retryInterval, c.register)
 		return
 	}
 	c.registered = true
--- a/internal/eventloop/output.go
+++ b/internal/eventloop/output.go
@@ -20,55 +20,55 @@
 // output is bytes, or a message that has not been encoded yet.
 type output struct {
 	data    []byte
-	msg     Message
+	message Message
 	written func() // of a message that has been encoded
 }
 
 // QueuedOutput is how many bytes wait to be written, and since when none was.
-func (c *Conn) QueuedOutput() (bytes int, since Timestamp) { return c.queued, c.wrote }
+func (c *Conn) QueuedOutput() (bytes int, since Timestamp) { return c.queuedBytes, c.lastWrittenAt }
 
 // Write queues bytes; the connection keeps them.
 func (c *Conn) Write(data []byte) {
 	if c.Ended() || len(data) == 0 {
 		return
 	}
-	c.push(output{data: data})
+	c.enqueue(output{data: data})
 }
 
 // Send queues a message.
 func (c *Conn) Send(m Message) {
 	if !c.Ended() {
-		c.push(output{msg: m})
+		c.enqueue(output{message: m})
 	}
 }
 
-func (c *Conn) push(o output) {
-	if c.queued == 0 {
-		c.wrote = c.loop.now
+func (c *Conn) enqueue(o output) {
+	if c.queuedBytes == 0 {
+		c.lastWrittenAt = c.loop.now
 	}
-	c.count(len(o.data))
+	c.addQueuedBytes(len(o.data))
 	c.scheduleFlush()
-	if n := len(c.queue); n > 0 && o.msg == nil {
-		if last := &c.queue[n-1]; last.msg == nil && last.written == nil && len(last.data)+len(o.data) <= mostJoined {
+	if n := len(c.outputQueue); n > 0 && o.message == nil {
+		if last := &c.outputQueue[n-1]; last.message == nil && last.written == nil && len(last.data)+len(o.data) <= maxJoinedBytes {
 			last.data = append(last.data, o.data...)
 			return
 		}
 	}
-	c.queue = append(c.queue, o)
+	c.outputQueue = append(c.outputQueue, o)
 }
 
 // scheduleFlush has the queue written at the end of the turn: all that has come in it is known by then, and a message
 // may be void.
 func (c *Conn) scheduleFlush() {
-	if !c.dirty {
-		c.dirty = true
-		c.loop.dirty = append(c.loop.dirty, c)
+	if !c.flushScheduled {
+		c.flushScheduled = true
+		c.loop.toFlush = append(c.loop.toFlush, c)
 	}
 }
 
-func (c *Conn) count(n int) {
-	c.queued += n
-	c.loop.held += n
+func (c *Conn) addQueuedBytes(n int) {
+	c.queuedBytes += n
+	c.loop.bufferedBytes += n
 }
 
 // UnackedBytes is how many bytes the peer has not acknowledged of those that were written.
@@ -90,7 +90,7 @@
 
 // flush writes until the peer takes no more.
 func (c *Conn) flush() {
-	for c.up && !c.closed && len(c.queue) > 0 {
+	for c.connected && !c.closed && len(c.outputQueue) > 0 {
 		more, err := c.writeFirst()
 		if err != nil {
 			c.failWrite(err)
@@ -102,19 +102,19 @@
 	}
 	switch {
 	case c.closed:
-	case c.queued > mostQueued:
+	case c.queuedBytes > maxQueuedBytes:
 		c.Fail(ErrWriteStalled)
-	case c.closing && len(c.queue) == 0:
-		c.shutdown()
+	case c.closing && len(c.outputQueue) == 0:
+		c.shutdownOutput()
 	default:
-		c.watch()
+		c.updateInterest()
 	}
 }
 
 // failWrite ends a connection that takes no more. What its peer had sent before is read first: an answer tells more than the
 // loss of its connection. A peer that may close its own side first has left, and wants nothing more.
 func (c *Conn) failWrite(err error) {
-	if _, half := c.handler.(HalfCloser); !half && !c.closing && !c.eof {
+	if _, half := c.handler.(HalfCloser); !half && !c.closing && !c.inputEnded {
 		c.receive()
 	}
 	c.Fail(err)
@@ -123,33 +123,33 @@
 // writeFirst writes from the first output of the queue; more is false when the peer takes no more now. A
 // message that the peer took nothing of stays unmade, as what it says may have to change until it goes.
 func (c *Conn) writeFirst() (more bool, err error) {
-	first := &c.queue[0]
+	first := &c.outputQueue[0]
 	data := first.data
-	if first.msg != nil {
-		made, ok := first.msg.Encode()
+	if first.message != nil {
+		made, ok := first.message.Encode()
 		if c.closed { // it was the last use of a connection that was to be closed
 			return false, nil
 		}
 		if !ok {
-			c.queue = c.queue[1:]
+			c.outputQueue = c.outputQueue[1:]
 			return true, nil
 		}
 		data = made
 	}
 	n, err := System.Write(c.fd, data)
-	if err != nil && !retry(err) {
+	if err != nil && !isTransient(err) {
 		return false, fmt.Errorf("write: %w", err)
 	}
 	if n <= 0 {
 		return false, nil
 	}
-	c.wrote = c.loop.now
-	if msg := first.msg; msg != nil {
-		c.count(len(data))
-		first.msg, first.written = nil, msg.Written
+	c.lastWrittenAt = c.loop.now
+	if msg := first.message; msg != nil {
+		c.addQueuedBytes(len(data))
+		first.message, first.written = nil, msg.Written
 		msg.Started(n == len(data))
 	}
-	c.count(-n)
+	c.addQueuedBytes(-n)
 	if n < len(data) {
 		first.data = data[n:]
 		return false, nil
@@ -157,6 +157,6 @@
 	if first.written != nil {
 		first.written()
 	}
-	c.queue = c.queue[1:]
+	c.outputQueue = c.outputQueue[1:]
 	return true, nil
 }
--- a/internal/eventloop/system.go
+++ b/internal/eventloop/system.go
@@ -61,20 +61,22 @@
 	return err
 }
 
-// isLocal reports errors that say nothing of the peer.
-func isLocal(err error) bool {
-	return isExhausted(err) || isAny(err, unix.EADDRNOTAVAIL, unix.EPERM, unix.EACCES)
+// isLocalError reports errors that say nothing of the peer.
+func isLocalError(err error) bool {
+	return isExhausted(err) || isOneOf(err, unix.EADDRNOTAVAIL, unix.EPERM, unix.EACCES)
 }
 
 // isExhausted reports a lack of descriptors or memory, which may pass.
 func isExhausted(err error) bool {
-	return isAny(err, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.ENOSPC, unix.EAGAIN)
+	return isOneOf(err, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.ENOSPC, unix.EAGAIN)
 }
 
-// retry reports errors after which the same call on the same connection may succeed: nothing has been lost.
-func retry(err error) bool { return isAny(err, unix.EAGAIN, unix.EINTR, unix.ENOBUFS, unix.ENOMEM) }
+// isTransient reports errors after which the same call on the same connection may succeed: nothing has been lost.
+func isTransient(err error) bool {
+	return isOneOf(err, unix.EAGAIN, unix.EINTR, unix.ENOBUFS, unix.ENOMEM)
+}
 
-func isAny(err error, codes ...unix.Errno) bool {
+func isOneOf(err error, codes ...unix.Errno) bool {
 	for _, code := range codes {
 		if errors.Is(err, code) {
 			return true
