--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -1,44 +1,11 @@
 package eventloop
 
 import (
-	"errors"
-	"fmt"
-	"io"
 	"time"
 
 	"golang.org/x/sys/unix"
 )
 
-// Handler owns a connection.
-type Handler interface {
-	// Receive takes what has come in and not been used yet, and returns how much of it is used now. It is
-	// called again when more has come. An error closes the connection.
-	Receive(data []byte) (used int, err error)
-	// Closed is called once, when the connection has ended for any reason but Close. err is io.EOF when the
-	// peer closed it in good order.
-	Closed(err error)
-}
-
-// HalfCloser is a handler whose peer may end its own side first. It hears of that ahead of input that has not been
-// read yet: by the time all is read, the peer may have been gone for long.
-type HalfCloser interface {
-	Handler
-	// PeerClosing is called once, when the peer is seen to send no more. It did so after the given time; 0: not known.
-	PeerClosing(after Timestamp)
-	// PeerClosed is called once, when all that the peer sent has been handed over. It says whether output is still
-	// owed: the handler then closes the connection itself when it is not any more.
-	PeerClosed() (owed bool)
-}
-
-// ErrNotConnected marks a connection that never came up: nothing was sent on it.
-var ErrNotConnected = errors.New("not connected")
-
-// ErrConnectTimeout says that a connection did not come up in the time that it was given.
-var ErrConnectTimeout = errors.New("connect timed out")
-
-// ErrWriteStalled marks a connection whose peer does not take what it is sent.
-var ErrWriteStalled = errors.New("peer takes no output")
-
 const (
 	maxQueuedBytes  = 16 << 20 // queued output at which the connection is given up
 	maxJoinedBytes  = 16 << 10 // bytes up to which small outputs are kept as one: each apart would cost more than it holds
@@ -100,74 +67,6 @@
 // UnparsedBytes is how many bytes have been received and not used yet: part of a message.
 func (c *Conn) UnparsedBytes() int { return len(c.unparsed) }
 
-// Close ends the connection at once. Its handler is not called any more.
-func (c *Conn) Close() {
-	if c.closed {
-		return
-	}
-	c.closed = true
-	c.loop.Stop(c.connectTimer)
-	c.loop.bufferedBytes -= c.queuedBytes + len(c.unparsed)
-	c.queuedBytes, c.unparsed, c.outputQueue = 0, nil, nil
-	c.loop.closeDescriptor(c.fd)
-}
-
-// CloseAfterFlush ends the connection in good order: what is queued is written, the peer is told that no more
-// comes, and its own end is waited for. Closing at once with input unread would reset the connection, and the
-// peer would lose answers still on their way.
-func (c *Conn) CloseAfterFlush() {
-	if c.Ended() {
-		return
-	}
-	c.closing = true
-	if len(c.outputQueue) == 0 {
-		c.shutdownOutput()
-	}
-}
-
-// shutdownOutput begins the wait for the peer's end only when all that was queued has gone: a peer that reads slowly
-// would else lose the rest of an answer.
-func (c *Conn) shutdownOutput() {
-	if c.inputEnded { // nothing can be unread
-		c.Fail(io.EOF)
-		return
-	}
-	if err := System.Shutdown(c.fd, unix.SHUT_WR); err != nil {
-		c.Fail(fmt.Errorf("shutdown: %w", err))
-		return
-	}
-	c.linger(c.loop.now + maxLinger)
-	c.updateInterest()
-}
-
-// linger closes after a while, though the peer has not closed: a close over unread bytes resets the connection,
-// and a peer that still takes its answers would lose the rest of them.
-func (c *Conn) linger(end Timestamp) {
-	c.loop.At(c.loop.now+lingerInterval, func() {
-		switch {
-		case c.closed:
-		case c.UnackedBytes() > 0 && c.loop.now < end:
-			c.linger(end)
-		default:
-			if c.receive(); !c.closed {
-				c.Fail(io.EOF)
-			}
-		}
-	})
-}
-
-// Fail ends the connection with an error, which its handler is told.
-func (c *Conn) Fail(err error) {
-	if c.closed {
-		return
-	}
-	if !c.connected {
-		err = fmt.Errorf("%w: %w", ErrNotConnected, err)
-	}
-	c.Close()
-	c.handler.Closed(err)
-}
-
 func (c *Conn) handleEvents(events uint32) {
 	if !c.connected {
 		c.finishConnect()
@@ -202,37 +101,3 @@
 	}
 	half.PeerClosing(after)
 }
-
-// updateInterest asks epoll for what the connection waits for: input and the peer's end, until that has come, and room for
-// output. Input is waited for also when the peer leaves ours unread: it may take back what it asked for, or leave.
-func (c *Conn) updateInterest() {
-	events := uint32(unix.EPOLLIN | unix.EPOLLRDHUP)
-	if c.inputEnded {
-		events = 0
-	} else if c.closing || c.peerHalfClosed && !c.readingStopped {
-		events = unix.EPOLLIN
-	} else if c.readingStopped && c.peerHalfClosed {
-		events = 0
-	} else if c.readingStopped {
-		events = unix.EPOLLRDHUP
-	}
-	if !c.connected || len(c.outputQueue) > 0 {
-		events |= unix.EPOLLOUT
-	}
-	if events == c.interest {
-		return
-	}
-	if !c.registered { // register brings them
-		c.interest = events
-		return
-	}
-	if err := c.loop.modify(c.fd, events); err != nil { // for lack of memory; what it waits for now still wakes it
-		c.loop.At(c.loop.now+retryInterval, func() {
-			if !c.closed {
-				c.updateInterest()
-			}
-		})
-		return
-	}
-	c.interest = events
-}
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -3,7 +3,6 @@
 package eventloop
 
 import (
-	"container/heap"
 	"errors"
 	"fmt"
 	"time"
@@ -11,16 +10,6 @@
 	"golang.org/x/sys/unix"
 )
 
-// eventHandler is what an epoll event is delivered to.
-type eventHandler interface{ handleEvents(events uint32) }
-
-// registration is what has a descriptor now. Descriptors are used again, also within one turn: an event counts for the owner that
-// it was asked for alone.
-type registration struct {
-	owner      eventHandler
-	generation int32 // of the addition, which epoll keeps beside the descriptor
-}
-
 // Loop waits for readiness and for timers. A turn is: Wait, then what its callbacks queued is carried out,
 // then Flush.
 type Loop struct {
@@ -74,15 +63,6 @@
 // CurrentTime is the clock's time now, where that of the turn may be too old.
 func (l *Loop) CurrentTime() Timestamp { return l.clock.Now() }
 
-// SchedulingDelay is for how much longer than a nap the loop has not looked at what is ready: the process does not always have
-// its core, and what is read in this turn may have waited for as long.
-func (l *Loop) SchedulingDelay(nap time.Duration) time.Duration {
-	if l.previousPollEnd == 0 {
-		return 0
-	}
-	return max(0, l.now-l.previousPollEnd-nap)
-}
-
 // BufferedBytes is how many bytes all connections hold, received and not used or queued and not written.
 func (l *Loop) BufferedBytes() int { return l.bufferedBytes }
 
@@ -146,71 +126,3 @@
 		}
 	}
 }
-
-func (l *Loop) register(fd int, events uint32, p eventHandler) error {
-	l.registrationCount++
-	event := &unix.EpollEvent{Events: events, Fd: int32(fd), Pad: l.registrationCount}
-	if err := System.Control(l.epollFD, unix.EPOLL_CTL_ADD, fd, event); err != nil {
-		return fmt.Errorf("epoll_ctl: %w", err)
-	}
-	l.registrations[fd] = registration{owner: p, generation: l.registrationCount}
-	return nil
-}
-
-func (l *Loop) modify(fd int, events uint32) error {
-	return System.Control(l.epollFD, unix.EPOLL_CTL_MOD, fd, &unix.EpollEvent{Events: events, Fd: int32(fd), Pad: l.registrations[fd].generation})
-}
-
-// closeDescriptor closes fd, which takes it out of epoll too.
-func (l *Loop) closeDescriptor(fd int) {
-	delete(l.registrations, fd)
-	unix.Close(fd) //nolint:errcheck // nothing can be done about it
-}
-
-// Timer calls a function once.
-type Timer struct {
-	due       Timestamp
-	callback  func()
-	heapIndex int // in the heap; -1: not in it
-}
-
-// At calls f at the given time, in the turn that finds it due.
-func (l *Loop) At(at Timestamp, f func()) *Timer {
-	t := &Timer{due: at, callback: f}
-	heap.Push(&l.timers, t)
-	return t
-}
-
-// Stop takes a timer back. A nil, fired or stopped one is left alone.
-func (l *Loop) Stop(t *Timer) {
-	if t != nil && t.heapIndex >= 0 {
-		heap.Remove(&l.timers, t.heapIndex)
-	}
-}
-
-func (l *Loop) fireTimers() {
-	for len(l.timers) > 0 && l.timers[0].due <= l.now {
-		heap.Pop(&l.timers).(*Timer).callback()
-	}
-}
-
-type timerHeap []*Timer
-
-func (t timerHeap) Len() int           { return len(t) }
-func (t timerHeap) Less(i, j int) bool { return t[i].due < t[j].due }
-func (t timerHeap) Swap(i, j int) {
-	t[i], t[j] = t[j], t[i]
-	t[i].heapIndex, t[j].heapIndex = i, j
-}
-func (t *timerHeap) Push(x any) {
-	x.(*Timer).heapIndex = len(*t)
-	*t = append(*t, x.(*Timer))
-}
-func (t *timerHeap) Pop() any {
-	last := len(*t) - 1
-	x := (*t)[last]
-	(*t)[last] = nil
-	*t = (*t)[:last]
-	x.heapIndex = -1
-	return x
-}
