--- a/internal/eventloop/accept.go
+++ b/internal/eventloop/accept.go
@@ -2,20 +2,40 @@
 
 import (
 	"errors"
+	"time"
 
 	"golang.org/x/sys/unix"
 )
 
-// AcceptPending takes what waits now.
-func (ln *Listener) AcceptPending() { ln.handleEvents(0) }
+const (
+	// acceptBackoff is how long a listener pauses when there is no capacity or accept fails: the connections
+	// that wait would otherwise wake the loop continuously.
+	acceptBackoff = 20 * time.Millisecond
 
-// HasPending says whether a connection waits to be accepted.
+	// maxAbortedAccepts is how many connections may turn out to be aborted in one turn before the listener
+	// pauses.
+	maxAbortedAccepts = 64
+)
+
+// AcceptPending accepts the connections that wait now.
+func (ln *Listener) AcceptPending() { ln.acceptAll() }
+
+// HasPending reports whether a connection waits to be accepted.
 func (ln *Listener) HasPending() bool { return !ln.closed && ln.backlogNonEmpty() }
 
-func (ln *Listener) handleEvents(uint32) {
-	defer func() { ln.backlogRemains = !ln.closed && ln.backlogNonEmpty() }()
-	for failures := 0; !ln.closed && ln.backlogNonEmpty(); {
-		if failures == maxAbortedAccepts || !ln.hasCapacity() {
+// handleEvents accepts connections, whatever the events are.
+func (ln *Listener) handleEvents(uint32) { ln.acceptAll() }
+
+// acceptAll accepts the connections that wait, as far as there is capacity.
+func (ln *Listener) acceptAll() {
+	ln.acceptWhilePossible()
+	ln.backlogRemains = ln.HasPending()
+}
+
+func (ln *Listener) acceptWhilePossible() {
+	aborted := 0
+	for ln.HasPending() {
+		if aborted == maxAbortedAccepts || !ln.hasCapacity() {
 			ln.pause()
 			return
 		}
@@ -23,10 +43,10 @@
 		switch {
 		case err == nil:
 			ln.addConn(fd)
-		case errors.Is(err, unix.EAGAIN): // another process took it
+		case errors.Is(err, unix.EAGAIN): // another process that shares the socket accepted the connection
 			return
 		case isAborted(err):
-			failures++
+			aborted++
 		default:
 			ln.pause()
 			return
@@ -34,30 +54,26 @@
 	}
 }
 
-// isAborted reports errors of accept that concern one connection alone, which is gone by then: the next one may be sound.
-func isAborted(err error) bool {
-	return isOneOf(err, unix.ECONNABORTED, unix.EINTR, unix.EPROTO, unix.ENETDOWN, unix.ENOPROTOOPT, unix.EHOSTDOWN, unix.ENONET,
-		unix.EHOSTUNREACH, unix.EOPNOTSUPP, unix.ENETUNREACH, unix.ETIMEDOUT)
-}
-
-// backlogNonEmpty says whether a connection waits to be accepted: room must not be made for none. Another process that shares
-// the socket may have taken the one that woke this one.
+// backlogNonEmpty reports whether a connection waits to be accepted. It is checked before hasCapacity, which
+// may evict another connection: a process that shares the socket may have accepted the one that woke this
+// process.
 func (ln *Listener) backlogNonEmpty() bool {
 	fds := []unix.PollFd{{Fd: int32(ln.fd), Events: unix.POLLIN}}
 	n, err := unix.Poll(fds, 0)
 	return err == nil && n > 0
 }
 
-// pause leaves connections waiting for a while. The timer comes back until the listener is watched again: nobody would be
-// let in otherwise.
+// pause leaves connections waiting until resume.
 func (ln *Listener) pause() {
-	ln.loop.modify(ln.fd, 0) //nolint:errcheck // it is woken more often then
+	ln.loop.modify(ln.fd, 0) //nolint:errcheck // the loop is only woken more often if it fails
 	if !ln.paused {
 		ln.paused = true
 		ln.loop.At(ln.loop.now+acceptBackoff, ln.resume)
 	}
 }
 
+// resume watches the listener again. If epoll refuses that, another pause follows: no connection would be
+// accepted any more otherwise.
 func (ln *Listener) resume() {
 	ln.paused = false
 	if ln.closed {
@@ -68,22 +84,34 @@
 	}
 }
 
+// addConn sets up an accepted connection.
 func (ln *Listener) addConn(fd int) {
 	l := ln.loop
-	c := &Conn{loop: l, fd: fd, connected: true, interest: unix.EPOLLIN | unix.EPOLLRDHUP, createdAt: l.now, lastReceivedAt: l.now, lastWrittenAt: l.now}
-	c.delayBeforeAccept = l.SchedulingDelay(l.pollTimeout)
-	c.waitedForAccept = ln.backlogRemains || c.delayBeforeAccept > acceptDelayThreshold
+	schedulingDelay := l.SchedulingDelay(l.pollTimeout)
+	c := &Conn{
+		loop:           l,
+		fd:             fd,
+		connected:      true,
+		interest:       unix.EPOLLIN | unix.EPOLLRDHUP,
+		createdAt:      l.now,
+		lastReceivedAt: l.now,
+		lastWrittenAt:  l.now,
+		delays: inputDelays{
+			delayBeforeAccept: schedulingDelay,
+			waitedForAccept:   ln.backlogRemains || schedulingDelay > acceptDelayThreshold,
+		},
+	}
 	if !ln.backlogRemains {
-		c.connectedAfter = l.previousPollEnd
+		c.delays.connectedAfter = l.previousPollEnd
 	}
 	c.handler = ln.accept(c)
-	c.setOptions()
-	c.register()
+	c.setAcceptedOptions()
+	c.registerAccepted()
 }
 
-// setOptions has small answers sent at once, and vanished clients noticed. A client is not turned away because that fails: it
-// may have asked already.
-func (c *Conn) setOptions() {
+// setAcceptedOptions has small answers sent without delay and vanished clients detected. It is attempted
+// again when it fails for lack of local resources; the connection is served meanwhile.
+func (c *Conn) setAcceptedOptions() {
 	if c.closed {
 		return
 	}
@@ -91,17 +119,17 @@
 		System.SetOption(c.fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1),
 		System.SetOption(c.fd, unix.SOL_SOCKET, unix.SO_KEEPALIVE, 1))
 	if isLocalError(err) {
-		c.loop.At(c.loop.now+retryInterval, c.setOptions)
+		c.loop.At(c.loop.now+retryInterval, c.setAcceptedOptions)
 	}
 }
 
-// register has epoll watch an accepted connection, as soon as there is memory for it.
-func (c *Conn) register() {
+// registerAccepted has epoll watch an accepted connection. It is attempted again until it succeeds.
+func (c *Conn) registerAccepted() {
 	if c.closed {
 		return
 	}
 	if err := c.loop.register(c.fd, c.interest, c); err != nil {
-		c.loop.At(c.loop.now+retryInterval, c.register)
+		c.loop.At(c.loop.now+retryInterval, c.registerAccepted)
 		return
 	}
 	c.registered = true
--- a/internal/eventloop/clock.go
+++ b/internal/eventloop/clock.go
@@ -2,27 +2,28 @@
 
 import "time"
 
-// Timestamp is time since the Unix epoch, the one origin of all times in the program.
+// Timestamp is the time since the Unix epoch. All points in time of the program use this origin.
 type Timestamp = time.Duration
 
-// TimeSource is where a loop takes its time from.
+// TimeSource is the clock of a loop.
 type TimeSource interface {
-	// Now returns the current time. It never goes back.
+	// Now returns the current time. It never decreases.
 	Now() Timestamp
-	// PollTimeout is called once a turn, before the loop waits for readiness: all that was due up to the previous turn has been
-	// carried out by then. It returns how long the loop may wait in real time, at most wanted.
+	// PollTimeout is called once in each turn, before the loop polls for readiness; everything due up to the
+	// previous turn has been carried out by then. It returns how long the poll may block in real time, at
+	// most wanted.
 	PollTimeout(wanted time.Duration) time.Duration
 }
 
-// systemClock begins at the Unix clock and does not follow a later change of that: deadlines must neither stand still
-// nor all come at once.
+// systemClock starts at the system's Unix time and then follows the monotonic clock: when somebody sets the
+// system's clock, deadlines must neither stop nor all expire at once.
 type systemClock struct{ start time.Time }
 
-// SystemClock returns the time source of a program in service.
+// SystemClock returns the time source for normal operation.
 func SystemClock() TimeSource { return systemClock{start: time.Now()} }
 
-// Now returns the Unix time at the start, moved on by what has passed since.
+// Now returns the Unix time at the start plus the monotonic time since.
 func (c systemClock) Now() Timestamp { return Timestamp(c.start.UnixNano()) + time.Since(c.start) }
 
-// PollTimeout lets the loop wait for as long as it wants.
+// PollTimeout returns wanted unchanged.
 func (c systemClock) PollTimeout(wanted time.Duration) time.Duration { return wanted }
--- a/internal/eventloop/closing.go
+++ b/internal/eventloop/closing.go
@@ -3,10 +3,20 @@
 import (
 	"fmt"
 	"io"
+	"time"
 
 	"golang.org/x/sys/unix"
 )
 
+const (
+	// lingerInterval is how long after the shutdown of its output a connection waits for the peer to close,
+	// and the interval at which that is checked again while the peer still acknowledges output.
+	lingerInterval = 200 * time.Millisecond
+
+	// maxLinger is how long a connection waits in total.
+	maxLinger = 10 * time.Second
+)
+
 // Close ends the connection at once. Its handler is not called any more.
 func (c *Conn) Close() {
 	if c.closed {
@@ -15,13 +25,27 @@
 	c.closed = true
 	c.loop.Stop(c.connectTimer)
 	c.loop.bufferedBytes -= c.queuedBytes + len(c.unparsed)
-	c.queuedBytes, c.unparsed, c.outputQueue = 0, nil, nil
+	c.queuedBytes = 0
+	c.unparsed = nil
+	c.outputQueue = nil
 	c.loop.closeDescriptor(c.fd)
 }
 
-// CloseAfterFlush ends the connection in good order: what is queued is written, the peer is told that no more
-// comes, and its own end is waited for. Closing at once with input unread would reset the connection, and the
-// peer would lose answers still on their way.
+// Fail closes the connection and passes err to its handler.
+func (c *Conn) Fail(err error) {
+	if c.closed {
+		return
+	}
+	if !c.connected {
+		err = fmt.Errorf("%w: %w", ErrNotConnected, err)
+	}
+	c.Close()
+	c.handler.Closed(err)
+}
+
+// CloseAfterFlush ends the connection in an orderly way: it writes the queued output, shuts down the sending
+// side and waits for the peer to close. Closing at once with input unread would reset the connection, and the
+// peer would lose output that is still on its way.
 func (c *Conn) CloseAfterFlush() {
 	if c.Ended() {
 		return
@@ -32,10 +56,10 @@
 	}
 }
 
-// shutdownOutput begins the wait for the peer's end only when all that was queued has gone: a peer that reads slowly
-// would else lose the rest of an answer.
+// shutdownOutput shuts down the sending side and starts the wait for the peer. It is called when the output
+// queue is empty: a peer that reads slowly would otherwise lose the rest of its output.
 func (c *Conn) shutdownOutput() {
-	if c.inputEnded { // nothing can be unread
+	if c.inputEnded { // no input is left that could reset the connection
 		c.Fail(io.EOF)
 		return
 	}
@@ -47,30 +71,25 @@
 	c.updateInterest()
 }
 
-// linger closes after a while, though the peer has not closed: a close over unread bytes resets the connection,
-// and a peer that still takes its answers would lose the rest of them.
-func (c *Conn) linger(end Timestamp) {
+// linger closes the connection after lingerInterval, or at the deadline if the peer still acknowledges output
+// until then.
+func (c *Conn) linger(deadline Timestamp) {
 	c.loop.At(c.loop.now+lingerInterval, func() {
 		switch {
 		case c.closed:
-		case c.UnackedBytes() > 0 && c.loop.now < end:
-			c.linger(end)
+			return
+		case c.UnackedBytes() > 0 && c.loop.now < deadline:
+			c.linger(deadline)
 		default:
-			if c.receive(); !c.closed {
-				c.Fail(io.EOF)
-			}
+			c.closeAfterReading()
 		}
 	})
 }
 
-// Fail ends the connection with an error, which its handler is told.
-func (c *Conn) Fail(err error) {
-	if c.closed {
-		return
-	}
-	if !c.connected {
-		err = fmt.Errorf("%w: %w", ErrNotConnected, err)
+// closeAfterReading discards the input that has arrived and closes the connection.
+func (c *Conn) closeAfterReading() {
+	c.receive()
+	if !c.closed {
+		c.Fail(io.EOF)
 	}
-	c.Close()
-	c.handler.Closed(err)
 }
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -6,98 +6,116 @@
 	"golang.org/x/sys/unix"
 )
 
-const (
-	maxQueuedBytes  = 16 << 20 // queued output at which the connection is given up
-	maxJoinedBytes  = 16 << 10 // bytes up to which small outputs are kept as one: each apart would cost more than it holds
-	largeInputBytes = 64 << 10 // bytes read in one turn behind which more may have waited for as long
-	maxReadsPerTurn = 16       // of one connection in one turn, while each fills the buffer
-
-	retryInterval  = 20 * time.Millisecond  // before a call that failed for lack of memory is tried again
-	lingerInterval = 200 * time.Millisecond // how long the peer's end of a closed connection is waited for
-	maxLinger      = 10 * time.Second       // and how long at most, while it still takes what it is owed
-)
+// retryInterval is the pause before a call that failed for lack of memory is attempted again.
+const retryInterval = 20 * time.Millisecond
+
+// errorEvents are the epoll events of a connection that was reset or whose both directions have ended.
+const errorEvents = unix.EPOLLHUP | unix.EPOLLERR
 
 // Conn is one non-blocking TCP connection.
 type Conn struct {
-	loop              *Loop
-	fd                int
-	handler           Handler
-	unparsed          []byte
-	outputQueue       []output
-	queuedBytes       int // bytes in queue
-	interest          uint32
-	connectTimer      *Timer // of the connect
-	connected         bool
-	closed            bool
-	flushScheduled    bool
-	closing           bool          // no more is taken either way; closed when the peer has closed too
-	readingStopped    bool          // no more is read, until it is closing
-	registered        bool          // with epoll
-	peerHalfClosed    bool          // the peer has been seen to send no more
-	inputEnded        bool          // and all that it sent has been handed over
-	connectedAfter    Timestamp     // an accepted connection was made after this; 0: not known
-	createdAt         Timestamp     // when it was begun or accepted
-	waitedForAccept   bool          // it may have waited to be accepted for long
-	delayBeforeAccept time.Duration // for how long the process was held up before
-	inputWaitingSince Timestamp     // since when what comes next may have waited, as there was much before it; 0: it is new
-	queueingDelay     time.Duration // see Waited
-	connectDuration   time.Duration // to come up
-	lastReceivedAt    Timestamp
-	lastWrittenAt     Timestamp
+	loop    *Loop
+	fd      int
+	handler Handler
+
+	connected      bool // the handshake is complete
+	closing        bool // CloseAfterFlush was called
+	closed         bool // the descriptor is closed
+	registered     bool // with epoll
+	readingStopped bool // StopReading was called
+	peerHalfClosed bool // the peer was seen to have shut down its sending side
+	inputEnded     bool // and all its input has been read
+	flushScheduled bool // the connection is in the loop's toFlush
+	interest       uint32
+
+	unparsed    []byte   // input that the handler has not consumed
+	outputQueue []output // output that has not been written
+	queuedBytes int      // in outputQueue
+
+	connectTimer    *Timer // fires at the connect timeout; nil for an accepted connection
+	createdAt       Timestamp
+	lastReceivedAt  Timestamp     // when the connection was established or input last arrived
+	lastWrittenAt   Timestamp     // when output was last written, or first queued after none was
+	connectDuration time.Duration // see ConnectDuration
+
+	delays inputDelays
 }
 
-// Connected says whether the connection has been made.
+// Connected reports whether the handshake is complete.
 func (c *Conn) Connected() bool { return c.connected }
 
-// Age is for how long the connection has existed.
+// Age is the time since the connection was dialed or accepted.
 func (c *Conn) Age() time.Duration { return c.loop.now - c.createdAt }
 
-// CreatedAt is when the connection was begun or accepted.
+// CreatedAt is when the connection was dialed or accepted.
 func (c *Conn) CreatedAt() Timestamp { return c.createdAt }
 
-// ConnectDuration is how long the connection took to come up; 0: it has not yet, or was accepted.
+// ConnectDuration is how long the handshake took; 0 for a connection that is not established or was accepted.
 func (c *Conn) ConnectDuration() time.Duration { return c.connectDuration }
 
-// Ended says whether the connection has ended or is about to.
+// Ended reports whether the connection is closed or closing.
 func (c *Conn) Ended() bool { return c.closed || c.closing }
 
-// LastReceived is when the peer was last heard of: made the connection or sent something.
+// LastReceived is when the connection was established or input last arrived.
 func (c *Conn) LastReceived() Timestamp { return c.lastReceivedAt }
 
-// UnparsedBytes is how many bytes have been received and not used yet: part of a message.
+// UnparsedBytes is how many bytes of input have been received and not consumed by the handler.
 func (c *Conn) UnparsedBytes() int { return len(c.unparsed) }
 
+// open reports whether the connection can transfer data.
+func (c *Conn) open() bool { return c.connected && !c.closed }
+
+// handleEvents reacts to epoll events. Each step may close the connection.
 func (c *Conn) handleEvents(events uint32) {
 	if !c.connected {
 		c.finishConnect()
 	}
-	const broken = unix.EPOLLHUP | unix.EPOLLERR
-	half, isHalf := c.handler.(HalfCloser)
-	switch {
-	case !c.connected || c.closed:
-	case (c.inputEnded || c.readingStopped) && events&broken != 0, isHalf && events&unix.EPOLLERR != 0:
-		c.Fail(unix.ECONNRESET) // what it sent before is not wanted any more
-	case isHalf && !c.closing && events&unix.EPOLLRDHUP != 0:
-		c.notifyPeerClosing(half)
+	if !c.open() {
+		return
 	}
-	if c.connected && !c.closed && !c.inputEnded && (!c.readingStopped || c.closing) && events&(unix.EPOLLIN|unix.EPOLLRDHUP|broken) != 0 {
+	if c.isReset(events) {
+		c.Fail(unix.ECONNRESET)
+		return
+	}
+	if events&unix.EPOLLRDHUP != 0 {
+		c.notifyPeerClosing()
+	}
+	if c.open() && c.wantsInput() && events&(unix.EPOLLIN|unix.EPOLLRDHUP|errorEvents) != 0 {
 		c.receive()
 	}
-	if c.connected && !c.closed && events&unix.EPOLLOUT != 0 {
+	if c.open() && events&unix.EPOLLOUT != 0 {
 		c.scheduleFlush()
 	}
 }
 
-// notifyPeerClosing tells the handler, once, that the peer sends no more. One that did so before the last look at it would have
-// been seen then, unless it was not looked at yet.
-func (c *Conn) notifyPeerClosing(half HalfCloser) {
-	if c.peerHalfClosed {
+// isReset reports whether events end a connection whose remaining input is of no use: it has been read or is
+// not read any more, or the peer, which may half-close, wants no answer to it.
+func (c *Conn) isReset(events uint32) bool {
+	if (c.inputEnded || c.readingStopped) && events&errorEvents != 0 {
+		return true
+	}
+	_, isHalfCloser := c.handler.(HalfCloser)
+	return isHalfCloser && events&unix.EPOLLERR != 0
+}
+
+// wantsInput reports whether input is read. While closing it is read in order to be discarded.
+func (c *Conn) wantsInput() bool { return !c.inputEnded && (!c.readingStopped || c.closing) }
+
+// notifyPeerClosing tells a HalfCloser, once, that the peer has shut down its sending side.
+func (c *Conn) notifyPeerClosing() {
+	handler, isHalfCloser := c.handler.(HalfCloser)
+	if !isHalfCloser || c.closing || c.peerHalfClosed {
 		return
 	}
 	c.peerHalfClosed = true
-	after := c.loop.previousPollEnd
-	if c.createdAt >= after {
-		after = c.connectedAfter
+	handler.PeerClosing(c.peerClosedAfter())
+}
+
+// peerClosedAfter is a time after which the peer shut down its sending side; 0: unknown. The previous poll
+// would have reported an earlier shutdown, unless the connection is newer than that.
+func (c *Conn) peerClosedAfter() Timestamp {
+	if c.createdAt >= c.loop.previousPollEnd {
+		return c.delays.connectedAfter
 	}
-	half.PeerClosing(after)
+	return c.loop.previousPollEnd
 }
--- a/internal/eventloop/conn_test.go
+++ b/internal/eventloop/conn_test.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// The last use of a connection may end while its message is encoded, and the connection of a server that is gone
-// with it: the rest of the queue is not there any more.
+// The last use of a connection may end while its message is encoded, and the connection of a server that is
+// gone with it: the rest of the queue is not there any more.
 func TestConnClosedWhileAMessageIsEncoded(t *testing.T) {
 	l, err := NewLoop(SystemClock())
 	if err != nil {
--- a/internal/eventloop/delay.go
+++ b/internal/eventloop/delay.go
@@ -6,46 +6,67 @@
 	"golang.org/x/sys/unix"
 )
 
-// QueueingDelay is for how long what is being handed over may have waited to be read, besides the time between two turns: in the
-// queue of connections to accept, or behind what one turn reads of a connection.
-func (c *Conn) QueueingDelay() time.Duration { return c.queueingDelay }
+const (
+	// acceptDelayThreshold is the scheduling delay from which an accepted connection counts as having waited.
+	acceptDelayThreshold = 20 * time.Millisecond
 
-// measureQueueingDelay works out Waited for what is about to be read.
+	// largeInputBytes is how much input in one turn suggests that the input after it has waited for as long.
+	largeInputBytes = 64 << 10
+)
+
+// inputDelays estimates how long a connection's input has waited before it is read, so that the wait can be
+// subtracted from the time that a request has left.
+type inputDelays struct {
+	connectedAfter    Timestamp     // an accepted connection was established after this; 0: unknown
+	waitedForAccept   bool          // the first input may have waited in the accept queue
+	delayBeforeAccept time.Duration // scheduling delay of the turn that accepted the connection
+	inputWaitingSince Timestamp     // since when the next input may have waited, as much came before it; 0: it is new
+	queueingDelay     time.Duration // see QueueingDelay
+}
+
+// SchedulingDelay is how much longer than expectedInterval ago the previous poll ended, at least 0. The
+// process does not always have a CPU; input that is read in this turn may have waited for as long.
+func (l *Loop) SchedulingDelay(expectedInterval time.Duration) time.Duration {
+	if l.previousPollEnd == 0 {
+		return 0
+	}
+	return max(0, l.now-l.previousPollEnd-expectedInterval)
+}
+
+// QueueingDelay is how long the input that is passed to Receive may have waited, apart from the time between
+// two turns: in the accept queue, or behind earlier input of the same connection.
+func (c *Conn) QueueingDelay() time.Duration { return c.delays.queueingDelay }
+
+// measureQueueingDelay sets the queueing delay of the input that is read next.
 func (c *Conn) measureQueueingDelay() {
 	switch {
-	case c.waitedForAccept:
-		c.waitedForAccept = false
-		c.queueingDelay = c.timeSinceHandshake()
-	case c.inputWaitingSince != 0:
-		c.queueingDelay = c.loop.now - c.inputWaitingSince
+	case c.delays.waitedForAccept:
+		c.delays.waitedForAccept = false
+		c.delays.queueingDelay = c.timeSinceHandshake()
+	case c.delays.inputWaitingSince != 0:
+		c.delays.queueingDelay = c.loop.now - c.delays.inputWaitingSince
 	default:
-		c.queueingDelay = 0
+		c.delays.queueingDelay = 0
 	}
 }
 
-// timeSinceHandshake is how long ago the connection was made, before anything is written: what the peer sent first may have waited for
-// as long. Where the system does not tell, it is for how long the process was held up before it accepted the connection.
+// timeSinceHandshake is how long ago an accepted connection on which nothing has been written was
+// established; its first input may have waited for as long. If the system does not report it, it is the
+// scheduling delay before the connection was accepted.
 func (c *Conn) timeSinceHandshake() time.Duration {
 	info, err := unix.GetsockoptTCPInfo(c.fd, unix.IPPROTO_TCP, unix.TCP_INFO)
-	if err == nil {
-		return time.Duration(info.Last_data_sent) * time.Millisecond // counted from the handshake
+	if err != nil {
+		return c.delays.delayBeforeAccept
 	}
-	return c.delayBeforeAccept
+	return time.Duration(info.Last_data_sent) * time.Millisecond // the system counts it from the handshake
 }
 
-// markInputWaiting notes that what comes next may have been sent together with what has been read now: there was much of it, and the
-// rest may have waited here or in the peer's system.
-func (c *Conn) markInputWaiting(total int) {
-	if c.inputWaitingSince = 0; total >= largeInputBytes {
-		c.inputWaitingSince = c.loop.now - max(c.queueingDelay, c.loop.SchedulingDelay(c.loop.pollTimeout))
-	}
-}
-
-// SchedulingDelay is for how much longer than a nap the loop has not looked at what is ready: the process does not always have
-// its core, and what is read in this turn may have waited for as long.
-func (l *Loop) SchedulingDelay(nap time.Duration) time.Duration {
-	if l.previousPollEnd == 0 {
-		return 0
+// markInputWaiting records after a turn's reads whether the next input may have been sent together with the
+// bytes that were read: after much input the rest may have waited in a buffer of either system.
+func (c *Conn) markInputWaiting(bytesRead int) {
+	c.delays.inputWaitingSince = 0
+	if bytesRead >= largeInputBytes {
+		waited := max(c.delays.queueingDelay, c.loop.SchedulingDelay(c.loop.pollTimeout))
+		c.delays.inputWaitingSince = c.loop.now - waited
 	}
-	return max(0, l.now-l.previousPollEnd-nap)
 }
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -8,7 +8,38 @@
 	"golang.org/x/sys/unix"
 )
 
-// finishConnect looks at how a connect ended.
+// Dial starts a connection. Output may be queued at once; it is written when the connection is established. A
+// connection that is not established within timeout fails with ErrConnectTimeout.
+func (l *Loop) Dial(addr netip.AddrPort, timeout time.Duration, h Handler) (*Conn, error) {
+	fd, err := newSocket(addr)
+	if err != nil {
+		return nil, connectError(addr, err)
+	}
+	c := &Conn{
+		loop:           l,
+		fd:             fd,
+		handler:        h,
+		interest:       unix.EPOLLOUT,
+		createdAt:      l.now,
+		lastReceivedAt: l.now,
+		lastWrittenAt:  l.now,
+	}
+	err = System.Connect(fd, socketAddress(addr))
+	if err != nil && !isOneOf(err, unix.EINPROGRESS, unix.EINTR) { // an interrupted connect continues too
+		unix.Close(fd) //nolint:errcheck // the connect's error is returned
+		return nil, connectError(addr, err)
+	}
+	if err := l.register(fd, c.interest, c); err != nil {
+		unix.Close(fd) //nolint:errcheck // the registration's error is returned
+		return nil, connectError(addr, err)
+	}
+	c.registered = true
+	c.connectTimer = l.At(l.now+timeout, func() { c.Fail(ErrConnectTimeout) })
+	return c, nil
+}
+
+// finishConnect checks the result of a connect. If it is still pending or unknown, the connection is left as
+// it is and the next event or the connect timeout decides.
 func (c *Conn) finishConnect() {
 	code, err := System.GetOption(c.fd, unix.SOL_SOCKET, unix.SO_ERROR)
 	if err == nil && code != 0 {
@@ -19,36 +50,17 @@
 		return
 	}
 	if err := System.PeerName(c.fd); err != nil {
-		return // not yet, or not known: it is looked at again, until the connect times out
+		return
 	}
 	c.loop.Stop(c.connectTimer)
-	c.connected, c.lastReceivedAt, c.lastWrittenAt, c.connectDuration = true, c.loop.now, c.loop.now, c.Age()
+	c.connected = true
+	c.lastReceivedAt = c.loop.now
+	c.lastWrittenAt = c.loop.now
+	c.connectDuration = c.Age()
 	c.scheduleFlush()
 }
 
-// Dial starts a connection. Output may be queued at once; it is written when the connection is up. One that is
-// not up within timeout has failed.
-func (l *Loop) Dial(addr netip.AddrPort, timeout time.Duration, h Handler) (*Conn, error) {
-	fd, err := socket(addr)
-	if err != nil {
-		return nil, connectError(addr, err)
-	}
-	c := &Conn{loop: l, fd: fd, handler: h, interest: unix.EPOLLOUT, createdAt: l.now, lastReceivedAt: l.now, lastWrittenAt: l.now}
-	err = System.Connect(fd, sockaddr(addr))
-	if err != nil && !isOneOf(err, unix.EINPROGRESS, unix.EINTR) { // an interrupted connect goes on as well
-		unix.Close(fd) //nolint:errcheck // the connect's error is what counts
-		return nil, connectError(addr, err)
-	}
-	if err := l.register(fd, c.interest, c); err != nil {
-		unix.Close(fd) //nolint:errcheck // as above
-		return nil, connectError(addr, err)
-	}
-	c.registered = true
-	c.connectTimer = l.At(l.now+timeout, func() { c.Fail(ErrConnectTimeout) })
-	return c, nil
-}
-
-// connectError is how a connect failed.
+// connectError wraps the error of a connection attempt to addr.
 func connectError(addr netip.AddrPort, err error) error {
 	if isLocalError(err) {
 		err = fmt.Errorf("%w: %w", ErrLocalResources, err)
@@ -56,7 +68,8 @@
 	return fmt.Errorf("%w: connect %s: %w", ErrNotConnected, addr, err)
 }
 
-func socket(addr netip.AddrPort) (int, error) {
+// newSocket returns a non-blocking TCP socket of addr's family that sends small writes without delay.
+func newSocket(addr netip.AddrPort) (int, error) {
 	family := unix.AF_INET
 	if addr.Addr().Is6() {
 		family = unix.AF_INET6
@@ -66,13 +79,14 @@
 		return -1, fmt.Errorf("socket: %w", err)
 	}
 	if err := System.SetOption(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1); err != nil {
-		unix.Close(fd) //nolint:errcheck // the first error is what counts
+		unix.Close(fd) //nolint:errcheck // the first error is returned
 		return -1, fmt.Errorf("setsockopt: %w", err)
 	}
 	return fd, nil
 }
 
-func sockaddr(addr netip.AddrPort) unix.Sockaddr {
+// socketAddress converts addr for system calls.
+func socketAddress(addr netip.AddrPort) unix.Sockaddr {
 	if addr.Addr().Is4() {
 		return &unix.SockaddrInet4{Port: int(addr.Port()), Addr: addr.Addr().As4()}
 	}
--- a/internal/eventloop/errors.go
+++ b/internal/eventloop/errors.go
@@ -7,11 +7,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrLocalResources marks a failure of this machine or process, such as a lack of descriptors, ports or memory. It says nothing of the
-// peer.
+// ErrNotConnected wraps the error of a connection that was never established: nothing was sent on it.
+var ErrNotConnected = errors.New("not connected")
+
+// ErrConnectTimeout is the error of a connection that was not established within its connect timeout.
+var ErrConnectTimeout = errors.New("connect timed out")
+
+// ErrWriteStalled is the error of a connection whose peer does not read what it is sent.
+var ErrWriteStalled = errors.New("peer takes no output")
+
+// ErrLocalResources wraps failures of this machine or process, such as a lack of descriptors, ports or
+// memory. They say nothing about the peer.
 var ErrLocalResources = errors.New("local resources are used up")
 
-// startError marks an error of the start that may pass.
+// startError wraps an error of setting up the loop or a listener with ErrLocalResources if it may be
+// temporary.
 func startError(err error) error {
 	if isExhausted(err) {
 		return fmt.Errorf("%w: %w", ErrLocalResources, err)
@@ -19,21 +29,28 @@
 	return err
 }
 
-// isLocalError reports errors that say nothing of the peer.
+// isLocalError reports errors that say nothing about the peer.
 func isLocalError(err error) bool {
 	return isExhausted(err) || isOneOf(err, unix.EADDRNOTAVAIL, unix.EPERM, unix.EACCES)
 }
 
-// isExhausted reports a lack of descriptors or memory, which may pass.
+// isExhausted reports a lack of descriptors or memory, which may be temporary.
 func isExhausted(err error) bool {
 	return isOneOf(err, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.ENOSPC, unix.EAGAIN)
 }
 
-// isTransient reports errors after which the same call on the same connection may succeed: nothing has been lost.
+// isTransient reports errors after which the same call on the same connection may succeed. No data is lost.
 func isTransient(err error) bool {
 	return isOneOf(err, unix.EAGAIN, unix.EINTR, unix.ENOBUFS, unix.ENOMEM)
 }
 
+// isAborted reports errors of accept that concern a single connection, which is already gone: the next one
+// may be accepted.
+func isAborted(err error) bool {
+	return isOneOf(err, unix.ECONNABORTED, unix.EINTR, unix.EPROTO, unix.ENETDOWN, unix.ENOPROTOOPT,
+		unix.EHOSTDOWN, unix.ENONET, unix.EHOSTUNREACH, unix.EOPNOTSUPP, unix.ENETUNREACH, unix.ETIMEDOUT)
+}
+
 func isOneOf(err error, codes ...unix.Errno) bool {
 	for _, code := range codes {
 		if errors.Is(err, code) {
@@ -42,12 +59,3 @@
 	}
 	return false
 }
-
-// ErrNotConnected marks a connection that never came up: nothing was sent on it.
-var ErrNotConnected = errors.New("not connected")
-
-// ErrConnectTimeout says that a connection did not come up in the time that it was given.
-var ErrConnectTimeout = errors.New("connect timed out")
-
-// ErrWriteStalled marks a connection whose peer does not take what it is sent.
-var ErrWriteStalled = errors.New("peer takes no output")
--- a/internal/eventloop/handler.go
+++ b/internal/eventloop/handler.go
@@ -1,22 +1,39 @@
 package eventloop
 
-// Handler owns a connection.
+// Handler receives the input and the end of one connection. Its methods run on the loop's goroutine and must
+// not block.
 type Handler interface {
-	// Receive takes what has come in and not been used yet, and returns how much of it is used now. It is
-	// called again when more has come. An error closes the connection.
+	// Receive gets all input that has not been consumed yet and returns how many bytes it consumes now. The
+	// rest is buffered and passed again, together with what arrives next. data is valid during the call only.
+	// An error closes the connection.
 	Receive(data []byte) (used int, err error)
-	// Closed is called once, when the connection has ended for any reason but Close. err is io.EOF when the
-	// peer closed it in good order.
+	// Closed is called once, when the connection ends for any reason but a call of Close. err is io.EOF when
+	// the peer closed it in an orderly way.
 	Closed(err error)
 }
 
-// HalfCloser is a handler whose peer may end its own side first. It hears of that ahead of input that has not been
-// read yet: by the time all is read, the peer may have been gone for long.
+// HalfCloser is a Handler that supports peers which shut down their sending side and still expect output. The
+// connection stays open for output until the handler closes it.
 type HalfCloser interface {
 	Handler
-	// PeerClosing is called once, when the peer is seen to send no more. It did so after the given time; 0: not known.
+	// PeerClosing is called once, when the loop notices that the peer has shut down its sending side. Input
+	// from before that may still be unread. The shutdown took place after the given time; 0: unknown.
 	PeerClosing(after Timestamp)
-	// PeerClosed is called once, when all that the peer sent has been handed over. It says whether output is still
-	// owed: the handler then closes the connection itself when it is not any more.
+	// PeerClosed is called once, when all input from before the shutdown has been passed to Receive. It
+	// reports whether output is still owed; the handler then closes the connection when there is none left.
+	// Otherwise the connection is closed at once.
 	PeerClosed() (owed bool)
 }
+
+// Message is output that is encoded only when its first byte is about to be written, so that its contents may
+// change or the message be dropped until then. Its methods run on the loop's goroutine and must not block.
+type Message interface {
+	// Encode returns the bytes, or false when the message must not be sent any more. It is called again when
+	// the peer accepted no byte of it.
+	Encode() ([]byte, bool)
+	// Started is called once, when the first byte has been written. complete says that the last one has been
+	// too.
+	Started(complete bool)
+	// Written is called once, when the last byte has been written.
+	Written()
+}
--- a/internal/eventloop/input.go
+++ b/internal/eventloop/input.go
@@ -8,9 +8,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// PollNow takes what has come since the turn began, in the middle of it.
+// maxReadsPerTurn bounds the reads of one connection in one turn, so that it does not delay the others.
+const maxReadsPerTurn = 16
+
+// PollNow handles what has happened on the connection since the turn's poll.
 func (c *Conn) PollNow() {
-	if c.closed || !c.connected {
+	if !c.open() {
 		return
 	}
 	fds := []unix.PollFd{{Fd: int32(c.fd), Events: unix.POLLIN | unix.POLLRDHUP}}
@@ -18,64 +21,84 @@
 	if err != nil || n == 0 {
 		return
 	}
-	before := c.loop.previousPollEnd
-	if c.loop.pollComplete { // its end would have been seen as the turn began
+	previousPollEnd := c.loop.previousPollEnd
+	if c.loop.pollComplete { // the turn's poll would have reported an earlier half-close
 		c.loop.previousPollEnd = c.loop.pollEnd
 	}
 	c.handleEvents(uint32(fds[0].Revents))
-	c.loop.previousPollEnd = before
+	c.loop.previousPollEnd = previousPollEnd
 }
 
-// receive takes what has come. A connection that brings much is read on, within bounds: a client may have taken back
-// further on what it asks for first.
+// receive reads the input that has arrived and passes it on. A connection with much input is read several
+// times, within bounds, since requests at its start may be aborted further on.
 func (c *Conn) receive() {
 	c.measureQueueingDelay()
-	total := 0
-	defer func() { c.markInputWaiting(total) }()
+	bytesRead := 0
 	for range maxReadsPerTurn {
-		n, err := System.Read(c.fd, c.loop.readBuffer)
-		switch {
-		case err != nil && isTransient(err):
-			return
-		case err != nil:
-			c.Fail(fmt.Errorf("read: %w", err))
-			return
-		case n == 0:
-			c.handleInputEnd()
-			return
-		}
-		total += n
-		if !c.closing { // else it crossed the close
-			c.addInput(c.loop.readBuffer[:n])
+		n, more := c.readOnce()
+		bytesRead += n
+		if !more {
+			break
 		}
-		if c.closed || c.readingStopped && !c.closing || n < len(c.loop.readBuffer) {
-			return
+	}
+	c.markInputWaiting(bytesRead)
+}
+
+// readOnce reads once and passes the input on. more reports whether there may be more input that is to be
+// read.
+func (c *Conn) readOnce() (n int, more bool) {
+	buffer := c.loop.readBuffer
+	n, err := System.Read(c.fd, buffer)
+	if err != nil {
+		if !isTransient(err) {
+			c.Fail(fmt.Errorf("read: %w", err))
 		}
+		return 0, false
+	}
+	if n == 0 {
+		c.handleInputEnd()
+		return 0, false
 	}
+	if !c.closing { // while closing the input is discarded
+		c.addInput(buffer[:n])
+	}
+	if c.closed || c.readingStopped && !c.closing {
+		return n, false
+	}
+	return n, n == len(buffer)
 }
 
-// handleInputEnd takes the peer's handleInputEnd of a conversation.
+// handleInputEnd handles the end of the peer's input, after the last of it has been passed on.
 func (c *Conn) handleInputEnd() {
-	if c.closing && len(c.outputQueue) > 0 { // it still takes what it is owed
-		c.inputEnded = true
-		c.scheduleFlush()
+	if c.closing && len(c.outputQueue) > 0 { // the peer still gets its output
+		c.stopAtInputEnd()
 		return
 	}
-	if half, ok := c.handler.(HalfCloser); ok && !c.closing {
-		if c.notifyPeerClosing(half); c.closed {
-			return
-		}
-		if half.PeerClosed() {
-			c.inputEnded = true
-			c.scheduleFlush()
-			return
-		}
+	if c.notifyInputEnd() {
+		c.stopAtInputEnd()
+		return
 	}
-	if !c.closed {
-		c.Fail(io.EOF)
+	c.Fail(io.EOF) // nothing, if a callback has closed the connection
+}
+
+// notifyInputEnd tells a HalfCloser that its peer has ended its side and reports whether output is still owed
+// to it.
+func (c *Conn) notifyInputEnd() (owed bool) {
+	handler, isHalfCloser := c.handler.(HalfCloser)
+	if !isHalfCloser || c.closing {
+		return false
 	}
+	c.notifyPeerClosing()
+	return !c.closed && handler.PeerClosed()
+}
+
+// stopAtInputEnd leaves the connection open for output alone.
+func (c *Conn) stopAtInputEnd() {
+	c.inputEnded = true
+	c.scheduleFlush() // which updates the interest
 }
 
+// addInput appends data to the input that was not consumed before and passes all of it to the handler.
 func (c *Conn) addInput(data []byte) {
 	c.lastReceivedAt = c.loop.now
 	if len(c.unparsed) > 0 {
@@ -86,6 +109,7 @@
 	c.deliver(data)
 }
 
+// deliver passes data to the handler and buffers what the handler does not consume.
 func (c *Conn) deliver(data []byte) {
 	used, err := c.handler.Receive(data)
 	if c.closed {
@@ -105,19 +129,21 @@
 	}
 }
 
-// HasUnreadInput says whether the peer has sent something that has not been read. To close now would lose it, and it may
-// have waited for longer than the peer would take for a crossing: the process does not always have its core.
+// HasUnreadInput reports whether the peer has sent something that has not been read. Closing would lose it.
+// It may have waited for long, as the process does not always have a CPU, so the peer would not take it for a
+// request that crossed the close.
 func (c *Conn) HasUnreadInput() bool {
 	var first [1]byte
 	n, err := System.Peek(c.fd, first[:])
 	if err != nil {
-		return isTransient(err) && !errors.Is(err, unix.EAGAIN) // it is not known
+		isUnknown := isTransient(err) && !errors.Is(err, unix.EAGAIN)
+		return isUnknown
 	}
 	return n > 0
 }
 
-// StopReading leaves what still comes unread, and drops what has not been used yet. The peer's end is still heard, and what
-// it is owed is written.
+// StopReading leaves further input unread and drops input that has not been consumed. The peer's half-close
+// is still noticed and queued output is still written.
 func (c *Conn) StopReading() {
 	if c.Ended() {
 		return
@@ -125,5 +151,5 @@
 	c.readingStopped = true
 	c.loop.bufferedBytes -= len(c.unparsed)
 	c.unparsed = nil
-	c.scheduleFlush() // which asks epoll anew
+	c.scheduleFlush() // which updates the interest
 }
--- a/internal/eventloop/listen.go
+++ b/internal/eventloop/listen.go
@@ -4,20 +4,12 @@
 	"errors"
 	"fmt"
 	"net/netip"
-	"time"
 
 	"golang.org/x/sys/unix"
 )
 
-// acceptBackoff is how long a listener rests when there is no room or the process is out of descriptors: the
-// connections that wait would else wake the loop without end.
-const acceptBackoff = 20 * time.Millisecond
-
-// acceptDelayThreshold is the time in a queue that counts.
-const acceptDelayThreshold = 20 * time.Millisecond
-
-// maxAbortedAccepts is how many connections in a row may turn out to be gone before the listener rests.
-const maxAbortedAccepts = 64
+// listenBacklog is how many connections the system queues for accept.
+const listenBacklog = 1024
 
 // Listener accepts connections.
 type Listener struct {
@@ -26,63 +18,73 @@
 	hasCapacity    func() bool
 	accept         func(*Conn) Handler
 	closed         bool
-	paused         bool
-	backlogRemains bool // connections have been left waiting: it is not known since when
+	paused         bool // until a timer resumes accepting
+	backlogRemains bool // connections were left waiting, it is unknown since when
 }
 
-// Listen accepts connections on addr alone, as long as room finds room for one more; the others wait to be
-// accepted. accept gives each its handler.
-func (l *Loop) Listen(addr netip.AddrPort, room func() bool, accept func(*Conn) Handler) (*Listener, error) {
-	fd, err := socket(addr)
+// Listen accepts connections on addr. hasCapacity is called before each accept; while it returns false,
+// connections wait in the system's queue. accept returns the handler of a new connection. Neither must block.
+func (l *Loop) Listen(addr netip.AddrPort, hasCapacity func() bool, accept func(*Conn) Handler) (*Listener, error) {
+	fd, err := newSocket(addr)
 	if err != nil {
 		return nil, fmt.Errorf("listen on %s: %w", addr, startError(err))
 	}
-	err = errors.Join(
-		unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1),
-		unix.Bind(fd, sockaddr(addr)))
-	if err == nil {
-		err = unix.Listen(fd, 1024)
-	}
-	if err != nil {
-		unix.Close(fd) //nolint:errcheck // the first error is what counts
+	if err := bindAndListen(fd, addr); err != nil {
+		unix.Close(fd) //nolint:errcheck // the first error is returned
 		return nil, fmt.Errorf("listen on %s: %w", addr, startError(err))
 	}
-	ln, err := l.newListener(fd, room, accept)
+	ln, err := l.newListener(fd, hasCapacity, accept)
 	if err != nil {
-		unix.Close(fd) //nolint:errcheck // the first error is what counts
+		unix.Close(fd) //nolint:errcheck // the first error is returned
 	}
 	return ln, err
 }
 
-// ListenOn accepts connections on a listening socket that the process was started with, and may share with others.
-func (l *Loop) ListenOn(fd int, room func() bool, accept func(*Conn) Handler) (*Listener, error) {
-	listens, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN)
-	if err == nil && listens == 0 {
-		err = errors.New("not a listening socket")
-	}
-	if err == nil {
-		err = unix.SetNonblock(fd, true)
-	}
+func bindAndListen(fd int, addr netip.AddrPort) error {
+	err := errors.Join(
+		unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1),
+		unix.Bind(fd, socketAddress(addr)))
 	if err != nil {
+		return err
+	}
+	return unix.Listen(fd, listenBacklog)
+}
+
+// ListenOn accepts connections on a listening socket that the process inherited and may share with other
+// processes. The functions are those of Listen.
+func (l *Loop) ListenOn(fd int, hasCapacity func() bool, accept func(*Conn) Handler) (*Listener, error) {
+	if err := prepareInherited(fd); err != nil {
 		return nil, fmt.Errorf("listen on descriptor %d: %w", fd, startError(err))
 	}
 	unix.CloseOnExec(fd)
-	ln, err := l.newListener(fd, room, accept)
+	ln, err := l.newListener(fd, hasCapacity, accept)
 	if err == nil {
-		ln.backlogRemains = true // since before this process was started
+		ln.backlogRemains = true // connections may have waited since before the process started
 	}
 	return ln, err
 }
 
-func (l *Loop) newListener(fd int, room func() bool, accept func(*Conn) Handler) (*Listener, error) {
-	ln := &Listener{loop: l, fd: fd, hasCapacity: room, accept: accept}
+// prepareInherited checks that fd is a listening socket and makes it non-blocking.
+func prepareInherited(fd int) error {
+	listening, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN)
+	if err != nil {
+		return err
+	}
+	if listening == 0 {
+		return errors.New("not a listening socket")
+	}
+	return unix.SetNonblock(fd, true)
+}
+
+func (l *Loop) newListener(fd int, hasCapacity func() bool, accept func(*Conn) Handler) (*Listener, error) {
+	ln := &Listener{loop: l, fd: fd, hasCapacity: hasCapacity, accept: accept}
 	if err := l.register(fd, unix.EPOLLIN, ln); err != nil {
 		return nil, startError(err)
 	}
 	return ln, nil
 }
 
-// Close stops accepting.
+// Close stops accepting and closes the socket.
 func (ln *Listener) Close() {
 	if !ln.closed {
 		ln.closed = true
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,5 +1,9 @@
-// Package eventloop is the project's own event loop: epoll, timers, non-blocking connections with write queues, and
-// pools of connections. Everything in it belongs to one goroutine. It knows bytes only, no protocol.
+// Package eventloop is an epoll event loop with timers and non-blocking TCP connections. It transfers bytes
+// and knows no protocol.
+//
+// A Loop and all that belongs to it are used from a single goroutine; a callback must not block. One turn of
+// the loop is Wait, which polls for readiness and runs the callbacks, then whatever the program does with the
+// results, then Flush, which writes the output that was queued in the turn.
 package eventloop
 
 import (
@@ -10,117 +14,142 @@
 	"golang.org/x/sys/unix"
 )
 
-// Loop waits for readiness and for timers. A turn is: Wait, then what its callbacks queued is carried out,
-// then Flush.
+const (
+	// readBufferBytes is how much one read returns at most.
+	readBufferBytes = 128 << 10
+
+	// maxEventsPerPoll exceeds the number of descriptors that a process has under any usual limit, so that
+	// one poll reports all that is ready: the coordinator's watch event is then handled in the same turn as
+	// requests that arrived with it.
+	maxEventsPerPoll = 4096
+
+	// pollOverrun is how much longer than its timeout a poll may take without counting as delayed.
+	pollOverrun = 10 * time.Millisecond
+
+	// maxPollFailures is how many polls in a row may fail before Wait returns an error.
+	maxPollFailures = 100
+
+	// pollFailurePause is the pause after a failed poll.
+	pollFailurePause = time.Millisecond
+)
+
+// Loop polls for readiness and runs timers.
 type Loop struct {
 	epollFD           int
-	registrations     map[int]registration
-	registrationCount int32 // descriptors so far
+	registrations     map[int]registration // by descriptor
+	registrationCount int32                // registrations so far, for generations
 	timers            timerHeap
 	clock             TimeSource
-	now               Timestamp
-	previousPollEnd   Timestamp // when the last look at all that is ready ended: what is new in this turn came after it
-	pollEnd           Timestamp // when the look of this turn ended, or a time before that
-	pollComplete      bool      // it was at all
-	toFlush           []*Conn   // with output queued in this turn
-	bufferedBytes     int       // bytes held in all buffers and queues
-	readBuffer        []byte    // shared by all reads
-	events            []unix.EpollEvent
-	pollFailures      int           // of the wait, in a row
-	pollTimeout       time.Duration // how long the last wait was to last at the most
-}
+	now               Timestamp // time of this turn
 
-// readBufferBytes is how much one connection may bring in one turn: none holds up the others.
-const readBufferBytes = 128 << 10
+	toFlush       []*Conn // connections with output queued in this turn
+	bufferedBytes int     // in the input buffers and output queues of all connections
+	readBuffer    []byte  // shared by all reads
+	eventBuffer   []unix.EpollEvent
 
-// maxEventsPerPoll is how many descriptors one look finds ready: more than a process holds on any usual limit, so that what the
-// coordinator told is heard in the same turn as the requests that came with it.
-const maxEventsPerPoll = 4096
-
-// pollOverrun is what a look may take beyond the time for which it waits.
-const pollOverrun = 10 * time.Millisecond
-
-// maxPollFailures is how often in a row the wait for readiness may fail.
-const maxPollFailures = 100
+	pollTimeout     time.Duration // of the last poll
+	pollFailures    int           // polls that failed in a row
+	pollComplete    bool          // the last poll reported all that was ready
+	pollEnd         Timestamp     // a time at which or after which the last poll took its result
+	previousPollEnd Timestamp     // pollEnd of the last complete poll before this turn: what is new came after it
+}
 
 // NewLoop returns an empty loop that takes its time from clock.
 func NewLoop(clock TimeSource) (*Loop, error) {
-	epoll, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
+	epollFD, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
 		return nil, startError(fmt.Errorf("epoll_create: %w", err))
 	}
 	l := &Loop{
-		epollFD: epoll, registrations: map[int]registration{}, clock: clock,
-		readBuffer: make([]byte, readBufferBytes), events: make([]unix.EpollEvent, maxEventsPerPoll),
+		epollFD:       epollFD,
+		registrations: map[int]registration{},
+		clock:         clock,
+		readBuffer:    make([]byte, readBufferBytes),
+		eventBuffer:   make([]unix.EpollEvent, maxEventsPerPoll),
 	}
 	l.updateTime()
 	return l, nil
 }
 
-// Now is the clock time of this turn.
+// Now is the clock's time at the start of this turn's callbacks.
 func (l *Loop) Now() Timestamp { return l.now }
 
-// CurrentTime is the clock's time now, where that of the turn may be too old.
+// CurrentTime reads the clock, for uses for which the time of the turn may be too old.
 func (l *Loop) CurrentTime() Timestamp { return l.clock.Now() }
 
-// BufferedBytes is how many bytes all connections hold, received and not used or queued and not written.
+// BufferedBytes is the size of all connections' buffers: input not consumed and output not written.
 func (l *Loop) BufferedBytes() int { return l.bufferedBytes }
 
-// updateTime brings the loop's time up to date.
 func (l *Loop) updateTime() { l.now = l.clock.Now() }
 
-// Wait sleeps until something is ready, the next timer is due or most has passed, and runs the callbacks of all
-// that is ready.
-func (l *Loop) Wait(most time.Duration) error {
+// Wait blocks until a descriptor is ready, the next timer is due or maxWait has passed, and runs the
+// callbacks of all descriptors that are ready and then of all timers that are due. An error means that
+// polling fails permanently.
+func (l *Loop) Wait(maxWait time.Duration) error {
 	if l.pollComplete {
 		l.previousPollEnd = l.pollEnd
 	}
 	l.updateTime()
+	events, err := l.poll(maxWait)
+	if err != nil {
+		return err
+	}
+	l.dispatch(events)
+	l.fireTimers()
+	return nil
+}
+
+// poll waits for readiness and returns the events, which are valid until the next poll.
+func (l *Loop) poll(maxWait time.Duration) ([]unix.EpollEvent, error) {
 	if len(l.timers) > 0 {
-		most = min(most, l.timers[0].due-l.now)
+		maxWait = min(maxWait, l.timers[0].due-l.now)
 	}
-	most = l.clock.PollTimeout(max(most, 0))
-	l.pollTimeout = most
-	millis := int((most + time.Millisecond - 1) / time.Millisecond)
-	n, err := System.Wait(l.epollFD, l.events, millis)
-	if err := l.checkPollError(err); err != nil {
-		return err
+	l.pollTimeout = l.clock.PollTimeout(max(maxWait, 0))
+	timeoutMillis := int((l.pollTimeout + time.Millisecond - 1) / time.Millisecond) // rounded up
+	count, err := System.Wait(l.epollFD, l.eventBuffer, timeoutMillis)
+	err = l.checkPollError(err)
+	if err != nil {
+		return nil, err
 	}
-	began := l.now
+	l.recordPoll(count)
+	return l.eventBuffer[:max(count, 0)], nil
+}
+
+// recordPoll updates the loop's time and notes when the poll ended and whether it was complete. A failed
+// poll, such as one that a signal interrupted, has a negative count. Of a poll that took too long it is
+// unknown whether the process was stopped before or after the system collected the result; the poll then
+// counts as ended when it started.
+func (l *Loop) recordPoll(count int) {
+	pollStart := l.now
 	l.updateTime()
-	if l.pollEnd = l.now; l.now-began > l.pollTimeout+pollOverrun { // it was held up, and nobody knows before the look or behind it
-		l.pollEnd = began
-	}
-	l.pollComplete = n >= 0 && n < len(l.events) // a signal, also one that had stopped the process, cuts the look short
-	for _, ev := range l.events[:max(n, 0)] {
-		// One closed earlier in this turn is not there any more, or has another number.
-		if w, open := l.registrations[int(ev.Fd)]; open && w.generation == ev.Pad {
-			w.owner.handleEvents(ev.Events)
-		}
+	l.pollEnd = l.now
+	if l.now-pollStart > l.pollTimeout+pollOverrun {
+		l.pollEnd = pollStart
 	}
-	l.fireTimers()
-	return nil
+	l.pollComplete = count >= 0 && count < len(l.eventBuffer)
 }
 
-// checkPollError counts failures of the wait itself. One may pass, as for lack of memory; many in a row end the program.
+// checkPollError counts failed polls and returns an error when too many fail in a row. A single failure, such
+// as one for lack of memory, may be temporary. An interrupted poll is none.
 func (l *Loop) checkPollError(err error) error {
 	if err == nil || errors.Is(err, unix.EINTR) {
 		l.pollFailures = 0
 		return nil
 	}
-	if l.pollFailures++; l.pollFailures >= maxPollFailures {
+	l.pollFailures++
+	if l.pollFailures >= maxPollFailures {
 		return fmt.Errorf("epoll_wait: %w", err)
 	}
-	time.Sleep(time.Millisecond)
+	time.Sleep(pollFailurePause)
 	return nil
 }
 
-// Flush writes what was queued in this turn, as far as the peers take it.
+// Flush writes the output that was queued in this turn, as far as the peers accept it.
 func (l *Loop) Flush() {
 	for len(l.toFlush) > 0 {
-		list := l.toFlush
+		conns := l.toFlush
 		l.toFlush = nil
-		for _, c := range list {
+		for _, c := range conns {
 			c.flushScheduled = false
 			c.flush()
 		}
--- a/internal/eventloop/output.go
+++ b/internal/eventloop/output.go
@@ -6,28 +6,29 @@
 	"golang.org/x/sys/unix"
 )
 
-// Message is output that is made only when its first byte is about to be written.
-type Message interface {
-	// Encode returns the bytes, or false when the message is not to be sent any more. It may be called again
-	// when the peer took nothing.
-	Encode() ([]byte, bool)
-	// Started is called once, when the first byte has been written. whole says that it was the last one too.
-	Started(whole bool)
-	// Written is called once, when the last byte has been written.
-	Written()
-}
+const (
+	// maxQueuedBytes is how much queued output a connection may have; beyond it the connection fails.
+	maxQueuedBytes = 16 << 20
+
+	// maxJoinedBytes is the size up to which small outputs are joined in one buffer: each on its own would
+	// need more memory for its bookkeeping than for its contents.
+	maxJoinedBytes = 16 << 10
+)
 
-// output is bytes, or a message that has not been encoded yet.
+// output is an entry of the output queue: bytes, or a message that has not been encoded yet.
 type output struct {
 	data    []byte
-	message Message
-	written func() // of a message that has been encoded
+	message Message // nil once it has been encoded
+	written func()  // Written of a message that has been encoded
 }
 
-// QueuedOutput is how many bytes wait to be written, and since when none was.
+// isPlainBytes reports that the output is no message, neither encoded nor to be encoded.
+func (o *output) isPlainBytes() bool { return o.message == nil && o.written == nil }
+
+// QueuedOutput is how many bytes wait to be written, and the time since which the peer has accepted none.
 func (c *Conn) QueuedOutput() (bytes int, since Timestamp) { return c.queuedBytes, c.lastWrittenAt }
 
-// Write queues bytes; the connection keeps them.
+// Write queues bytes, which the caller must not change any more.
 func (c *Conn) Write(data []byte) {
 	if c.Ended() || len(data) == 0 {
 		return
@@ -48,17 +49,27 @@
 	}
 	c.addQueuedBytes(len(o.data))
 	c.scheduleFlush()
-	if n := len(c.outputQueue); n > 0 && o.message == nil {
-		if last := &c.outputQueue[n-1]; last.message == nil && last.written == nil && len(last.data)+len(o.data) <= maxJoinedBytes {
-			last.data = append(last.data, o.data...)
-			return
-		}
+	if o.message == nil && c.joinWithLast(o.data) {
+		return
 	}
 	c.outputQueue = append(c.outputQueue, o)
 }
 
-// scheduleFlush has the queue written at the end of the turn: all that has come in it is known by then, and a message
-// may be void.
+// joinWithLast appends data to the last entry of the queue, if both are small and that is bytes too.
+func (c *Conn) joinWithLast(data []byte) (joined bool) {
+	if len(c.outputQueue) == 0 {
+		return false
+	}
+	last := &c.outputQueue[len(c.outputQueue)-1]
+	if !last.isPlainBytes() || len(last.data)+len(data) > maxJoinedBytes {
+		return false
+	}
+	last.data = append(last.data, data...)
+	return true
+}
+
+// scheduleFlush has the queue written and the interest updated at the end of the turn: by then all that
+// arrived in the turn is known, and a message may have become void.
 func (c *Conn) scheduleFlush() {
 	if !c.flushScheduled {
 		c.flushScheduled = true
@@ -66,12 +77,13 @@
 	}
 }
 
+// addQueuedBytes accounts for n bytes more, or fewer, of queued output.
 func (c *Conn) addQueuedBytes(n int) {
 	c.queuedBytes += n
 	c.loop.bufferedBytes += n
 }
 
-// UnackedBytes is how many bytes the peer has not acknowledged of those that were written.
+// UnackedBytes is how many written bytes the peer's system has not acknowledged; 0 if that is unknown.
 func (c *Conn) UnackedBytes() int {
 	n, err := unix.IoctlGetInt(c.fd, unix.SIOCOUTQ)
 	if err != nil {
@@ -80,17 +92,17 @@
 	return n
 }
 
-// Flush writes at once what is queued, as far as the peer takes it. It is for connections without messages, whose turn need not be
-// over.
+// Flush writes queued output at once, as far as the peer accepts it. It is for connections without messages:
+// those are decided at the end of the turn.
 func (c *Conn) Flush() {
 	if !c.closed {
 		c.flush()
 	}
 }
 
-// flush writes until the peer takes no more.
+// flush writes until the queue is empty or the peer accepts no more, and then updates the connection's state.
 func (c *Conn) flush() {
-	for c.connected && !c.closed && len(c.outputQueue) > 0 {
+	for c.open() && len(c.outputQueue) > 0 {
 		more, err := c.writeFirst()
 		if err != nil {
 			c.failWrite(err)
@@ -102,6 +114,7 @@
 	}
 	switch {
 	case c.closed:
+		return
 	case c.queuedBytes > maxQueuedBytes:
 		c.Fail(ErrWriteStalled)
 	case c.closing && len(c.outputQueue) == 0:
@@ -111,30 +124,33 @@
 	}
 }
 
-// failWrite ends a connection that takes no more. What its peer had sent before is read first: an answer tells more than the
-// loss of its connection. A peer that may close its own side first has left, and wants nothing more.
+// failWrite ends a connection on which writing failed. Input that arrived before is read first, since an
+// answer says more than the loss of its connection; not from a peer that may half-close, which has
+// disconnected and wants nothing more.
 func (c *Conn) failWrite(err error) {
-	if _, half := c.handler.(HalfCloser); !half && !c.closing && !c.inputEnded {
+	_, isHalfCloser := c.handler.(HalfCloser)
+	if !isHalfCloser && !c.closing && !c.inputEnded {
 		c.receive()
 	}
 	c.Fail(err)
 }
 
-// writeFirst writes from the first output of the queue; more is false when the peer takes no more now. A
-// message that the peer took nothing of stays unmade, as what it says may have to change until it goes.
+// writeFirst writes from the first entry of the queue. more is false when the peer accepts nothing more now
+// or the connection is closed. A message of which the peer accepted no byte is encoded again for the next
+// write, as its contents may have changed by then.
 func (c *Conn) writeFirst() (more bool, err error) {
 	first := &c.outputQueue[0]
 	data := first.data
 	if first.message != nil {
-		made, ok := first.message.Encode()
-		if c.closed { // it was the last use of a connection that was to be closed
+		encoded, wanted := first.message.Encode()
+		if c.closed { // encoding may end the last use of a connection that is then closed
 			return false, nil
 		}
-		if !ok {
+		if !wanted {
 			c.outputQueue = c.outputQueue[1:]
 			return true, nil
 		}
-		data = made
+		data = encoded
 	}
 	n, err := System.Write(c.fd, data)
 	if err != nil && !isTransient(err) {
@@ -143,20 +159,27 @@
 	if n <= 0 {
 		return false, nil
 	}
+	return c.recordWritten(first, data, n), nil
+}
+
+// recordWritten accounts for the first n bytes of data, the contents of the queue's first entry, as written.
+// It reports whether that was all of it.
+func (c *Conn) recordWritten(first *output, data []byte, n int) (complete bool) {
 	c.lastWrittenAt = c.loop.now
-	if msg := first.message; msg != nil {
+	if message := first.message; message != nil {
 		c.addQueuedBytes(len(data))
-		first.message, first.written = nil, msg.Written
-		msg.Started(n == len(data))
+		first.message = nil
+		first.written = message.Written
+		message.Started(n == len(data))
 	}
 	c.addQueuedBytes(-n)
 	if n < len(data) {
 		first.data = data[n:]
-		return false, nil
+		return false
 	}
 	if first.written != nil {
 		first.written()
 	}
 	c.outputQueue = c.outputQueue[1:]
-	return true, nil
+	return true
 }
--- a/internal/eventloop/registration.go
+++ b/internal/eventloop/registration.go
@@ -6,32 +6,46 @@
 	"golang.org/x/sys/unix"
 )
 
-// eventHandler is what an epoll event is delivered to.
+// eventHandler is a descriptor's owner, which gets its epoll events.
 type eventHandler interface{ handleEvents(events uint32) }
 
-// registration is what has a descriptor now. Descriptors are used again, also within one turn: an event counts for the owner that
-// it was asked for alone.
+// registration is the present owner of a descriptor. The system reuses descriptors, also within one turn; the
+// generation tells an event of the present owner from one of an earlier owner.
 type registration struct {
 	owner      eventHandler
-	generation int32 // of the addition, which epoll keeps beside the descriptor
+	generation int32 // unique to each registration; epoll returns it with the event, in Pad
 }
 
-func (l *Loop) register(fd int, events uint32, p eventHandler) error {
+// register has epoll watch fd for events and deliver them to owner.
+func (l *Loop) register(fd int, events uint32, owner eventHandler) error {
 	l.registrationCount++
 	event := &unix.EpollEvent{Events: events, Fd: int32(fd), Pad: l.registrationCount}
 	if err := System.Control(l.epollFD, unix.EPOLL_CTL_ADD, fd, event); err != nil {
 		return fmt.Errorf("epoll_ctl: %w", err)
 	}
-	l.registrations[fd] = registration{owner: p, generation: l.registrationCount}
+	l.registrations[fd] = registration{owner: owner, generation: l.registrationCount}
 	return nil
 }
 
+// modify replaces the events that a registered descriptor is watched for.
 func (l *Loop) modify(fd int, events uint32) error {
-	return System.Control(l.epollFD, unix.EPOLL_CTL_MOD, fd, &unix.EpollEvent{Events: events, Fd: int32(fd), Pad: l.registrations[fd].generation})
+	event := &unix.EpollEvent{Events: events, Fd: int32(fd), Pad: l.registrations[fd].generation}
+	return System.Control(l.epollFD, unix.EPOLL_CTL_MOD, fd, event)
 }
 
-// closeDescriptor closes fd, which takes it out of epoll too.
+// closeDescriptor closes fd, which also removes it from epoll.
 func (l *Loop) closeDescriptor(fd int) {
 	delete(l.registrations, fd)
-	unix.Close(fd) //nolint:errcheck // nothing can be done about it
+	unix.Close(fd) //nolint:errcheck // the descriptor is released whatever close returns
+}
+
+// dispatch delivers epoll events to their owners. An owner whose descriptor was closed earlier in this turn
+// gets none.
+func (l *Loop) dispatch(events []unix.EpollEvent) {
+	for _, event := range events {
+		registered, open := l.registrations[int(event.Fd)]
+		if open && registered.generation == event.Pad {
+			registered.owner.handleEvents(event.Events)
+		}
+	}
 }
--- a/internal/eventloop/system_test.go
+++ b/internal/eventloop/system_test.go
@@ -91,7 +91,8 @@
 	return real()
 }
 
-// A client that connects while a call fails is served once it works again, and the loop does not spin meanwhile.
+// A client that connects while a call fails is served once it works again, and the loop does not spin
+// meanwhile.
 func TestClientIsServedThoughCallsFail(t *testing.T) {
 	const failing = 3
 	failures := map[string]func(*SystemCalls, *int, unix.Errno){
@@ -176,7 +177,8 @@
 	}
 }
 
-// A listener that rested, also because accepting fails again and again, comes back though epoll refuses that at first.
+// A listener that rested, also because accepting fails again and again, comes back though epoll refuses that
+// at first.
 func TestListenerComesBack(t *testing.T) {
 	var server *echo
 	room := false
@@ -261,8 +263,8 @@
 func (h *halfEcho) PeerClosing(Timestamp) { h.closing = true }
 func (h *halfEcho) PeerClosed() bool      { return false }
 
-// A connection that is closed to make room may have an event of its own in the same turn. It is not taken for one of the
-// connection that gets its descriptor.
+// A connection that is closed to make room may have an event of its own in the same turn. It is not taken for
+// one of the connection that gets its descriptor.
 func TestEventOfAClosedDescriptor(t *testing.T) {
 	var servers []*halfEcho
 	room := func() bool {
@@ -313,8 +315,8 @@
 	return min(wanted, time.Millisecond)
 }
 
-// The process is stopped just after it has looked at what is ready. What comes until it goes on has waited, though it is found in
-// the turn after the next look only.
+// The process is stopped just after it has looked at what is ready. What comes until it goes on has waited,
+// though it is found in the turn after the next look only.
 func TestStoppedBehindALook(t *testing.T) {
 	const stopped, nap = 2 * time.Second, 50 * time.Millisecond
 	clock := &testClock{now: Timestamp(time.Now().UnixNano())}
--- a/internal/eventloop/timers.go
+++ b/internal/eventloop/timers.go
@@ -2,54 +2,60 @@
 
 import "container/heap"
 
+// notInHeap is the heap index of a timer that has fired or been stopped.
+const notInHeap = -1
+
 // Timer calls a function once.
 type Timer struct {
 	due       Timestamp
 	callback  func()
-	heapIndex int // in the heap; -1: not in it
+	heapIndex int
 }
 
-// At calls f at the given time, in the turn that finds it due.
+// At calls f in the first turn whose time is not before at. f must not block.
 func (l *Loop) At(at Timestamp, f func()) *Timer {
 	t := &Timer{due: at, callback: f}
 	heap.Push(&l.timers, t)
 	return t
 }
 
-// Stop takes a timer back. A nil, fired or stopped one is left alone.
+// Stop cancels a timer. It does nothing for one that is nil, has fired or has been stopped.
 func (l *Loop) Stop(t *Timer) {
-	if t != nil && t.heapIndex >= 0 {
+	if t != nil && t.heapIndex != notInHeap {
 		heap.Remove(&l.timers, t.heapIndex)
 	}
 }
 
+// fireTimers calls all timers that are due, the earliest first.
 func (l *Loop) fireTimers() {
 	for len(l.timers) > 0 && l.timers[0].due <= l.now {
 		heap.Pop(&l.timers).(*Timer).callback()
 	}
 }
 
+// timerHeap is a container/heap of timers with the earliest first.
 type timerHeap []*Timer
 
-func (t timerHeap) Len() int { return len(t) }
-
+func (t timerHeap) Len() int           { return len(t) }
 func (t timerHeap) Less(i, j int) bool { return t[i].due < t[j].due }
 
 func (t timerHeap) Swap(i, j int) {
 	t[i], t[j] = t[j], t[i]
-	t[i].heapIndex, t[j].heapIndex = i, j
+	t[i].heapIndex = i
+	t[j].heapIndex = j
 }
 
 func (t *timerHeap) Push(x any) {
-	x.(*Timer).heapIndex = len(*t)
-	*t = append(*t, x.(*Timer))
+	timer := x.(*Timer)
+	timer.heapIndex = len(*t)
+	*t = append(*t, timer)
 }
 
 func (t *timerHeap) Pop() any {
 	last := len(*t) - 1
-	x := (*t)[last]
-	(*t)[last] = nil
+	timer := (*t)[last]
+	(*t)[last] = nil // lets the timer be collected
 	*t = (*t)[:last]
-	x.heapIndex = -1
-	return x
+	timer.heapIndex = notInHeap
+	return timer
 }
