--- a/internal/eventloop/conn_test.go
+++ b/internal/eventloop/conn_test.go
@@ -8,26 +8,27 @@
 	"golang.org/x/sys/unix"
 )
 
-// closing is a message that finds, when it is to be encoded, that it is not to go, which ends its connection.
-type closing struct {
-	c    **Conn
-	done *bool
+// closingMessage is a message that closes its connection when it is to be encoded.
+type closingMessage struct {
+	conn    **Conn
+	encoded *bool
 }
 
-func (m closing) Encode() ([]byte, bool) {
-	(*m.c).Close()
-	*m.done = true
+func (m closingMessage) Encode() ([]byte, bool) {
+	(*m.conn).Close()
+	*m.encoded = true
 	return nil, false
 }
-func (closing) Started(bool) {}
-func (closing) Written()     {}
+func (closingMessage) Started(bool) {}
+func (closingMessage) Written()     {}
 
-type nobody struct{}
+// discarder is a handler that discards its input.
+type discarder struct{}
 
-func (nobody) Receive(data []byte) (int, error) { return len(data), nil }
-func (nobody) Closed(error)                     {}
+func (discarder) Receive(data []byte) (int, error) { return len(data), nil }
+func (discarder) Closed(error)                     {}
 
-// What a peer has sent counts as unread until it is taken.
+// What a peer has sent counts as unread until it is read.
 func TestUnread(t *testing.T) {
 	l, err := NewLoop(SystemClock())
 	if err != nil {
@@ -37,7 +38,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &Conn{loop: l, fd: pair[0], handler: nobody{}, connected: true, interest: unix.EPOLLIN}
+	c := &Conn{loop: l, fd: pair[0], handler: discarder{}, connected: true, interest: unix.EPOLLIN}
 	defer c.Close()
 	if c.HasUnreadInput() {
 		t.Error("nothing was sent")
@@ -46,25 +47,29 @@
 		t.Fatal(err)
 	}
 	if !c.HasUnreadInput() {
-		t.Error("what was sent is not seen")
+		t.Error("what was sent does not count as unread")
 	}
 	if c.receive(); c.HasUnreadInput() {
 		t.Error("it was read")
 	}
-	unix.Close(pair[1]) //nolint:errcheck // its end is what counts
+	if err := unix.Close(pair[1]); err != nil {
+		t.Fatal(err)
+	}
 	if c.HasUnreadInput() {
-		t.Error("the peer's end is nothing unread")
+		t.Error("the peer's close counts as unread input")
 	}
 }
 
-// The last use of a connection may end while its message is encoded, and the connection of a server that is
-// gone with it: the rest of the queue is not there any more.
+// Encoding a message may end the last use of a connection, which is then closed. The rest of its queue is
+// dropped.
 func TestConnClosedWhileAMessageIsEncoded(t *testing.T) {
 	l, err := NewLoop(SystemClock())
 	if err != nil {
 		t.Fatal(err)
 	}
-	ln, err := l.Listen(netip.MustParseAddrPort("127.0.0.1:0"), func() bool { return true }, func(*Conn) Handler { return nobody{} })
+	hasCapacity := func() bool { return true }
+	accept := func(*Conn) Handler { return discarder{} }
+	ln, err := l.Listen(netip.MustParseAddrPort("127.0.0.1:0"), hasCapacity, accept)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -73,21 +78,21 @@
 		t.Fatal(err)
 	}
 	port := at.(*unix.SockaddrInet4).Port
-	c, err := l.Dial(netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(port)), time.Minute, nobody{})
+	c, err := l.Dial(netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(port)), time.Minute, discarder{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	done := false
-	c.Send(closing{&c, &done})
+	encoded := false
+	c.Send(closingMessage{&c, &encoded})
 	for range 1000 {
 		if err := l.Wait(10 * time.Millisecond); err != nil {
 			t.Fatal(err)
 		}
-		if l.Flush(); done {
+		if l.Flush(); encoded {
 			break
 		}
 	}
-	if !done || !c.Ended() || l.BufferedBytes() != 0 {
+	if !encoded || !c.Ended() || l.BufferedBytes() != 0 {
 		t.Error("never encoded, or still open")
 	}
 }
--- a/internal/eventloop/system_test.go
+++ b/internal/eventloop/system_test.go
@@ -3,15 +3,17 @@
 import (
 	"cmp"
 	"errors"
+	"io"
 	"net"
 	"net/netip"
+	"os"
 	"testing"
 	"time"
 
 	"golang.org/x/sys/unix"
 )
 
-// substitute puts calls in for one test.
+// substitute replaces system calls until the test ends.
 func substitute(t *testing.T, change func(*SystemCalls)) {
 	t.Helper()
 	before := System
@@ -19,36 +21,36 @@
 	change(&System)
 }
 
-// echo answers with what it gets, and ends with its peer.
+// echo is a handler that answers with what it receives.
 type echo struct {
-	conn   *Conn
-	ended  error
-	passed []byte
+	conn     *Conn
+	ended    error
+	received []byte
 }
 
 func (e *echo) Receive(data []byte) (int, error) {
-	e.passed = append(e.passed, data...)
+	e.received = append(e.received, data...)
 	e.conn.Write(append([]byte(nil), data...))
 	return len(data), nil
 }
 
 func (e *echo) Closed(err error) { e.ended = err }
 
-// port is a listener with a loop of its own.
-type port struct {
+// testListener is a listener on loopback with a loop of its own.
+type testListener struct {
 	*Listener
 	loop *Loop
 	addr string
 }
 
-// newPort listens on loopback, as long as room is found for one more.
-func newPort(t *testing.T, room func() bool, accept func(*Conn) Handler) *port {
+// newTestListener listens on loopback.
+func newTestListener(t *testing.T, hasCapacity func() bool, accept func(*Conn) Handler) *testListener {
 	t.Helper()
 	loop, err := NewLoop(SystemClock())
 	if err != nil {
 		t.Fatal(err)
 	}
-	ln, err := loop.Listen(netip.MustParseAddrPort("127.0.0.1:0"), room, accept)
+	ln, err := loop.Listen(netip.MustParseAddrPort("127.0.0.1:0"), hasCapacity, accept)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,21 +60,40 @@
 		t.Fatal(err)
 	}
 	at := netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(name.(*unix.SockaddrInet4).Port))
-	return &port{ln, loop, at.String()}
+	return &testListener{ln, loop, at.String()}
 }
 
-func (p *port) dial(t *testing.T) net.Conn {
+// dial connects a client.
+func (p *testListener) dial(t *testing.T) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", p.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { conn.Close() })
+	closeAtEnd(t, conn)
 	return conn
 }
 
-// turns runs a loop until done, for a second at most, and returns how many turns that took.
-func turns(t *testing.T, loop *Loop, done func() bool) (count int) {
+// closeAtEnd closes c when the test ends, unless the test has closed it.
+func closeAtEnd(tb testing.TB, c io.Closer) {
+	tb.Helper()
+	tb.Cleanup(func() {
+		err := c.Close()
+		if err != nil && !errors.Is(err, net.ErrClosed) {
+			tb.Errorf("close at the end of the test: %v", err)
+		}
+	})
+}
+
+// waitUntil polls a condition for a second at most, without running a loop.
+func waitUntil(condition func() bool) {
+	for end := time.Now().Add(time.Second); !condition() && time.Now().Before(end); {
+		time.Sleep(time.Millisecond)
+	}
+}
+
+// runTurns runs a loop until done, for a second at most, and returns the number of turns.
+func runTurns(t *testing.T, loop *Loop, done func() bool) (count int) {
 	t.Helper()
 	for end := time.Now().Add(time.Second); !done() && time.Now().Before(end); count++ {
 		if err := loop.Wait(10 * time.Millisecond); err != nil {
@@ -83,54 +104,54 @@
 	return count
 }
 
-// failTimes fails a call so often, then lets it through.
-func failTimes(times int, code unix.Errno, real func() error) error {
+// failTimes fails a call while times is over 0, and makes it otherwise.
+func failTimes(times int, code unix.Errno, original func() error) error {
 	if times > 0 {
 		return code
 	}
-	return real()
+	return original()
 }
 
-// A client that connects while a call fails is served once it works again, and the loop does not spin
-// meanwhile.
+// A client that connects while a system call fails is served once the call works again, and the loop does
+// not spin meanwhile.
 func TestClientIsServedThoughCallsFail(t *testing.T) {
 	const failing = 3
 	failures := map[string]func(*SystemCalls, *int, unix.Errno){
 		"accept": func(s *SystemCalls, calls *int, code unix.Errno) {
-			real := s.Accept
+			original := s.Accept
 			s.Accept = func(fd, flags int) (accepted int, err error) {
 				*calls++
-				err = failTimes(failing+1-*calls, code, func() error { accepted, err = real(fd, flags); return err })
+				err = failTimes(failing+1-*calls, code, func() error { accepted, err = original(fd, flags); return err })
 				return accepted, err
 			}
 		},
 		"setsockopt": func(s *SystemCalls, calls *int, code unix.Errno) {
-			real := s.SetOption
+			original := s.SetOption
 			s.SetOption = func(fd, level, option, value int) error {
 				*calls++
-				return failTimes(failing+1-*calls, code, func() error { return real(fd, level, option, value) })
+				return failTimes(failing+1-*calls, code, func() error { return original(fd, level, option, value) })
 			}
 		},
 		"epoll_ctl": func(s *SystemCalls, calls *int, code unix.Errno) {
-			real := s.Control
+			original := s.Control
 			s.Control = func(epoll, operation, fd int, event *unix.EpollEvent) error {
 				*calls++
-				return failTimes(failing+1-*calls, code, func() error { return real(epoll, operation, fd, event) })
+				return failTimes(failing+1-*calls, code, func() error { return original(epoll, operation, fd, event) })
 			}
 		},
 		"read": func(s *SystemCalls, calls *int, code unix.Errno) {
-			real := s.Read
+			original := s.Read
 			s.Read = func(fd int, data []byte) (n int, err error) {
 				*calls++
-				err = failTimes(failing+1-*calls, code, func() error { n, err = real(fd, data); return err })
+				err = failTimes(failing+1-*calls, code, func() error { n, err = original(fd, data); return err })
 				return n, err
 			}
 		},
 		"write": func(s *SystemCalls, calls *int, code unix.Errno) {
-			real := s.Write
+			original := s.Write
 			s.Write = func(fd int, data []byte) (n int, err error) {
 				*calls++
-				err = failTimes(failing+1-*calls, code, func() error { n, err = real(fd, data); return err })
+				err = failTimes(failing+1-*calls, code, func() error { n, err = original(fd, data); return err })
 				return n, err
 			}
 		},
@@ -147,7 +168,7 @@
 		for _, code := range codes[call] {
 			t.Run(call+" "+code.Error(), func(t *testing.T) {
 				var server *echo
-				p := newPort(t, func() bool { return true }, func(c *Conn) Handler {
+				p := newTestListener(t, func() bool { return true }, func(c *Conn) Handler {
 					server = &echo{conn: c}
 					return server
 				})
@@ -161,7 +182,7 @@
 					_, err := client.Read(make([]byte, 5))
 					answered <- err
 				}()
-				took := turns(t, p.loop, func() bool { return len(answered) > 0 })
+				took := runTurns(t, p.loop, func() bool { return len(answered) > 0 })
 				if err := <-answered; err != nil {
 					t.Errorf("%v; the connection ended with %v", err, server)
 				}
@@ -177,46 +198,46 @@
 	}
 }
 
-// A listener that rested, also because accepting fails again and again, comes back though epoll refuses that
-// at first.
+// A listener that paused, also because accept fails repeatedly, accepts again although epoll refuses that at
+// first.
 func TestListenerComesBack(t *testing.T) {
 	var server *echo
-	room := false
-	p := newPort(t, func() bool { return room }, func(c *Conn) Handler {
+	hasCapacity := false
+	p := newTestListener(t, func() bool { return hasCapacity }, func(c *Conn) Handler {
 		server = &echo{conn: c}
 		return server
 	})
 	p.dial(t)
 	refused := 0
 	substitute(t, func(s *SystemCalls) {
-		real := s.Control
+		original := s.Control
 		s.Control = func(epoll, operation, fd int, event *unix.EpollEvent) error {
 			if fd == p.fd && event.Events != 0 && refused < 3 {
 				refused++
 				return unix.ENOMEM
 			}
-			return real(epoll, operation, fd, event)
+			return original(epoll, operation, fd, event)
 		}
 	})
-	turns(t, p.loop, func() bool { return refused > 0 })
-	room = true
+	runTurns(t, p.loop, func() bool { return refused > 0 })
+	hasCapacity = true
 	calls := 0
 	accept := System.Accept
 	System.Accept = func(int, int) (int, error) { calls++; return -1, unix.ENOBUFS }
 	for end := time.Now().Add(100 * time.Millisecond); time.Now().Before(end); {
-		turns(t, p.loop, func() bool { return !time.Now().Before(end) })
+		runTurns(t, p.loop, func() bool { return !time.Now().Before(end) })
 	}
 	if calls > 10 {
 		t.Errorf("%d calls in 100 ms", calls)
 	}
 	System.Accept = accept
-	turns(t, p.loop, func() bool { return server != nil })
+	runTurns(t, p.loop, func() bool { return server != nil })
 	if server == nil {
-		t.Error("nobody is let in any more")
+		t.Error("no connection is accepted any more")
 	}
 }
 
-// An answer that had come before a write fails is read first: it tells more than the loss of its connection.
+// An answer that arrived before a write fails is read first: it says more than the loss of its connection.
 func TestAnswerIsReadBeforeAFailedWriteCounts(t *testing.T) {
 	for _, code := range []unix.Errno{unix.EPIPE, unix.ECONNRESET, unix.ETIMEDOUT, unix.EHOSTUNREACH} {
 		loop, err := NewLoop(SystemClock())
@@ -227,34 +248,32 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer peer.Close()
+		closeAtEnd(t, peer)
 		caller := &echo{}
 		caller.conn, err = loop.Dial(netip.MustParseAddrPort(peer.Addr().String()), time.Second, caller)
 		if err != nil {
 			t.Fatal(err)
 		}
-		turns(t, loop, caller.conn.Connected)
+		runTurns(t, loop, caller.conn.Connected)
 		other, err := peer.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer other.Close()
+		closeAtEnd(t, other)
 		if _, err := other.Write([]byte("answer")); err != nil {
 			t.Fatal(err)
 		}
-		for end := time.Now().Add(time.Second); !caller.conn.HasUnreadInput() && time.Now().Before(end); {
-			time.Sleep(time.Millisecond)
-		}
+		waitUntil(caller.conn.HasUnreadInput)
 		substitute(t, func(s *SystemCalls) { s.Write = func(int, []byte) (int, error) { return -1, code } })
 		caller.conn.Write([]byte("another call"))
 		loop.Flush()
-		if string(caller.passed) != "answer" || !errors.Is(caller.ended, code) {
-			t.Errorf("%v: %q was read before the end by %v", code, caller.passed, caller.ended)
+		if string(caller.received) != "answer" || !errors.Is(caller.ended, code) {
+			t.Errorf("%v: %q was read before the end by %v", code, caller.received, caller.ended)
 		}
 	}
 }
 
-// halfEcho is an echo that hears of its peer's end.
+// halfEcho is an echo that implements HalfCloser.
 type halfEcho struct {
 	echo
 	closing bool
@@ -263,51 +282,52 @@
 func (h *halfEcho) PeerClosing(Timestamp) { h.closing = true }
 func (h *halfEcho) PeerClosed() bool      { return false }
 
-// A connection that is closed to make room may have an event of its own in the same turn. It is not taken for
-// one of the connection that gets its descriptor.
+// A connection that is evicted may have an event of its own in the same turn. The event is not delivered to
+// the connection that gets its descriptor.
 func TestEventOfAClosedDescriptor(t *testing.T) {
 	var servers []*halfEcho
-	room := func() bool {
+	evictFirst := func() bool {
 		if len(servers) == 1 {
 			servers[0].conn.Close()
 		}
 		return true
 	}
-	p := newPort(t, room, func(c *Conn) Handler {
+	p := newTestListener(t, evictFirst, func(c *Conn) Handler {
 		servers = append(servers, &halfEcho{echo: echo{conn: c}})
 		return servers[len(servers)-1]
 	})
 	first := p.dial(t)
-	turns(t, p.loop, func() bool { return len(servers) == 1 })
+	runTurns(t, p.loop, func() bool { return len(servers) == 1 })
 	p.dial(t) // the listener is ready first
-	first.Close()
-	for end := time.Now().Add(time.Second); !hungUp(servers[0].conn.fd) && time.Now().Before(end); {
-		time.Sleep(time.Millisecond)
+	if err := first.Close(); err != nil {
+		t.Fatal(err)
 	}
+	waitUntil(func() bool { return hungUp(servers[0].conn.fd) })
 	fd := servers[0].conn.fd
-	for filler := -1; filler < fd; { // the next descriptor that is free is the one of the old connection
+	for filler := -1; filler < fd; { // afterwards the lowest free descriptor is that of the old connection
 		var err error
 		if filler, err = unix.Open("/dev/null", unix.O_CLOEXEC, 0); err != nil {
 			t.Fatal(err)
 		}
-		defer unix.Close(filler)
+		closeAtEnd(t, os.NewFile(uintptr(filler), "/dev/null"))
 	}
-	turns(t, p.loop, func() bool { return len(servers) == 2 })
+	runTurns(t, p.loop, func() bool { return len(servers) == 2 })
 	if servers[1].conn.fd != fd {
 		t.Fatalf("descriptor %d in place of %d", servers[1].conn.fd, fd)
 	}
 	if servers[1].closing || servers[1].ended != nil {
-		t.Errorf("the new connection was told of the end of the old one: closing %v, ended %v", servers[1].closing, servers[1].ended)
+		t.Errorf("the new connection was notified of the end of the old one: closing %v, ended %v", servers[1].closing, servers[1].ended)
 	}
 }
 
+// hungUp reports whether the peer has closed its side.
 func hungUp(fd int) bool {
 	fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 	n, err := unix.Poll(fds, 0)
 	return err == nil && n > 0
 }
 
-// testClock is moved on by a test.
+// testClock is a clock that a test advances.
 type testClock struct{ now Timestamp }
 
 func (c *testClock) Now() Timestamp { return c.now }
@@ -315,10 +335,10 @@
 	return min(wanted, time.Millisecond)
 }
 
-// The process is stopped just after it has looked at what is ready. What comes until it goes on has waited,
-// though it is found in the turn after the next look only.
-func TestStoppedBehindALook(t *testing.T) {
-	const stopped, nap = 2 * time.Second, 50 * time.Millisecond
+// The process is stopped just after a poll. Input that arrives until it continues counts as delayed, although
+// only the poll of the next turn reports it.
+func TestSchedulingDelayWhenStoppedAfterAPoll(t *testing.T) {
+	const stopped = 2 * time.Second
 	clock := &testClock{now: Timestamp(time.Now().UnixNano())}
 	loop, err := NewLoop(clock)
 	if err != nil {
@@ -328,63 +348,65 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
-	var waited []time.Duration
+	closeAtEnd(t, ln)
+	var delays []time.Duration
 	var conns []*Conn
 	var peers []net.Conn
 	for range 2 {
-		w := &waiter{loop: loop, waited: &waited}
-		conn, err := loop.Dial(netip.MustParseAddrPort(ln.Addr().String()), time.Minute, w)
+		recorder := &delayRecorder{loop: loop, delays: &delays}
+		conn, err := loop.Dial(netip.MustParseAddrPort(ln.Addr().String()), time.Minute, recorder)
 		if err != nil {
 			t.Fatal(err)
 		}
-		turns(t, loop, conn.Connected)
+		runTurns(t, loop, conn.Connected)
 		peer, err := ln.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer peer.Close()
-		conns, peers = append(conns, conn), append(peers, peer)
+		closeAtEnd(t, peer)
+		conns = append(conns, conn)
+		peers = append(peers, peer)
 	}
-	come := func(i int) { // something comes on a connection
+	sendInput := func(i int) { // and wait until it can be read
 		if _, err := peers[i].Write([]byte("x")); err != nil {
 			t.Fatal(err)
 		}
-		for end := time.Now().Add(time.Second); !conns[i].HasUnreadInput() && time.Now().Before(end); {
-			time.Sleep(time.Millisecond)
-		}
+		waitUntil(conns[i].HasUnreadInput)
 	}
-	come(0)
+	sendInput(0)
 	stop := true
 	substitute(t, func(s *SystemCalls) {
-		real := s.Wait
+		original := s.Wait
 		s.Wait = func(epoll int, events []unix.EpollEvent, millis int) (int, error) {
-			n, err := real(epoll, events, millis)
+			n, err := original(epoll, events, millis)
 			if stop && n > 0 {
 				stop = false
 				clock.now += stopped
-				come(1)
+				sendInput(1)
 			}
 			return n, err
 		}
 	})
-	turns(t, loop, func() bool { return len(waited) == 2 })
-	for i, w := range waited {
-		if w < stopped-nap {
-			t.Errorf("the %d. counts as having waited for %v", i+1, w)
+	runTurns(t, loop, func() bool { return len(delays) == 2 })
+	for i, delay := range delays {
+		if delay < stopped-expectedPollInterval {
+			t.Errorf("input %d counts as delayed by %v", i+1, delay)
 		}
 	}
 }
 
-// waiter notes how long the process had been held up when something was read.
-type waiter struct {
+// expectedPollInterval is what a delayRecorder expects between two polls.
+const expectedPollInterval = 50 * time.Millisecond
+
+// delayRecorder records the scheduling delay whenever it receives input.
+type delayRecorder struct {
 	loop   *Loop
-	waited *[]time.Duration
+	delays *[]time.Duration
 }
 
-func (w *waiter) Receive(data []byte) (int, error) {
-	*w.waited = append(*w.waited, w.loop.SchedulingDelay(50*time.Millisecond))
+func (r *delayRecorder) Receive(data []byte) (int, error) {
+	*r.delays = append(*r.delays, r.loop.SchedulingDelay(expectedPollInterval))
 	return len(data), nil
 }
 
-func (w *waiter) Closed(error) {}
+func (r *delayRecorder) Closed(error) {}
