--- a/internal/connpool/idlerisk.go
+++ b/internal/connpool/idlerisk.go
@@ -3,36 +3,36 @@
 import "time"
 
 const (
-	idleStep = 20 * time.Millisecond  // idle times are told apart from here on, in doublings
-	atOnce   = 100 * time.Millisecond // a connection that breaks so soon after its use began was dead before
-	mostRisk = 0.15                   // share of uses lost from which a connection is not used: two in half a dozen
-	newest   = 0.1                    // weight of the last use
-	keeping  = 0.97                   // of what was learned, after a second
+	minIdleTime   = 20 * time.Millisecond  // idle times are told apart from here on, in doublings
+	immediateLoss = 100 * time.Millisecond // a connection that breaks so soon after its use began was dead before
+	maxLossShare  = 0.15                   // share of uses lost from which a connection is not used: two in half a dozen
+	newestWeight  = 0.1                    // weight of the last use
+	decayFactor   = 0.97                   // of what was learned, after a second
 )
 
-// risks holds what share of uses was lost at once lately, by how long the connection had been idle: the first
+// idleLossEstimates holds what share of uses was lost at once lately, by how long the connection had been idle: the first
 // place is for new ones, the others for idle times that double. Servers, and what stands between, close idle
 // connections sooner than they are said to, some without a word; the next use finds out.
-type risks [12]float64
+type idleLossEstimates [12]float64
 
-func (r *risks) count(place int, lost bool) {
+func (r *idleLossEstimates) count(place int, lost bool) {
 	x := 0.0
 	if lost {
 		x = 1
 	}
-	r[place] += newest * (x - r[place])
+	r[place] += newestWeight * (x - r[place])
 }
 
-// after is the risk of a connection that has been idle so long: no lower than that of a shorter time.
-func (r *risks) after(place int) (most float64) {
+// maxUpTo is the risk of a connection that has been idle so long: no lower than that of a shorter time.
+func (r *idleLossEstimates) maxUpTo(place int) (most float64) {
 	for _, x := range r[1 : place+1] {
 		most = max(most, x)
 	}
 	return most
 }
 
-func (r *risks) fade() {
+func (r *idleLossEstimates) decay() {
 	for i := range r {
-		r[i] *= keeping
+		r[i] *= decayFactor
 	}
 }
--- a/internal/connpool/pools.go
+++ b/internal/connpool/pools.go
@@ -17,10 +17,10 @@
 var ErrConnLimit = errors.New("budget for sockets is used up")
 
 const (
-	startConnect  = 10 * time.Millisecond // to come up, until some have
-	medianStep    = 5                     // part of it by which the usual time follows
-	lateBy        = 3                     // times the usual time after which a connection is late
-	leastPatience = 5 * time.Millisecond
+	initialConnectTime = 10 * time.Millisecond // to come up, until some have
+	medianStepDivisor  = 5                     // part of it by which the usual time follows
+	overdueFactor      = 3                     // times the usual time after which a connection is late
+	minConnectPatience = 5 * time.Millisecond
 )
 
 // ErrEndpointRemoved says that a pool's server is gone.
@@ -39,40 +39,40 @@
 // Pools holds a pool for each server, by the server's id. An address says nothing of who answers there: a new
 // server may take it over, and no connection to the old one may then be used for the new.
 type Pools struct {
-	loop   *eventloop.Loop
-	limits Limits
-	open   func(*PooledConn) eventloop.Handler
-	byID   map[string]*endpointPool
-	count  int // open connections
-	risks  risks
+	loop       *eventloop.Loop
+	limits     Limits
+	newHandler func(*PooledConn) eventloop.Handler
+	endpoints  map[string]*endpointPool
+	connCount  int // open connections
+	idleLoss   idleLossEstimates
 }
 
 // endpointPool is the connections to one server.
 type endpointPool struct {
-	pools         *Pools
-	addr          netip.AddrPort
-	slots         []*PooledConn
-	medianConnect time.Duration // in which about half of its connections come up
+	pools             *Pools
+	addr              netip.AddrPort
+	conns             []*PooledConn
+	medianConnectTime time.Duration // in which about half of its connections come up
 }
 
 // PooledConn is one pooled connection.
 type PooledConn struct {
 	*eventloop.Conn
-	Owner    eventloop.Handler
-	pool     *endpointPool
-	InUse    int  // uses under way
-	Stale    bool // takes no new use; closed when the last one is over
-	used     eventloop.Timestamp
-	recorded bool // how long it took to come up has been counted
+	Owner           eventloop.Handler
+	pool            *endpointPool
+	InUse           int  // uses under way
+	Stale           bool // takes no new use; closed when the last one is over
+	lastReleasedAt  eventloop.Timestamp
+	connectRecorded bool // how long it took to come up has been counted
 
-	trial int                 // how long it had been idle when its last use began, as a place in risks; -1: known by now
-	begun eventloop.Timestamp // when that was
+	trialBucket  int                 // how long it had been idle when its last use began, as a place in risks; -1: known by now
+	useStartedAt eventloop.Timestamp // when that was
 }
 
 // New returns pools without servers. open makes the handler of each new connection; the handler calls
 // Drop when the connection has ended.
 func New(l *eventloop.Loop, limits Limits, open func(*PooledConn) eventloop.Handler) *Pools {
-	return &Pools{loop: l, limits: limits, open: open, byID: map[string]*endpointPool{}}
+	return &Pools{loop: l, limits: limits, newHandler: open, endpoints: map[string]*endpointPool{}}
 }
 
 // SetLimits replaces the limits. Connections beyond them end as they are used up.
@@ -80,39 +80,39 @@
 
 // SetAddress says where a server is to be found. At a new address its old connections take no new use.
 func (ps *Pools) SetAddress(id string, addr netip.AddrPort) {
-	if p := ps.byID[id]; p != nil {
+	if p := ps.endpoints[id]; p != nil {
 		if p.addr == addr {
 			return
 		}
 		ps.RemoveEndpoint(id)
 	}
-	ps.byID[id] = &endpointPool{pools: ps, addr: addr, medianConnect: startConnect}
+	ps.endpoints[id] = &endpointPool{pools: ps, addr: addr, medianConnectTime: initialConnectTime}
 }
 
 // RemoveEndpoint forgets a server. Connections that are not up yet are given up: whoever has taken over the address
 // must not get what was meant for the old server. Uses under way end as they may.
 func (ps *Pools) RemoveEndpoint(id string) {
-	p := ps.byID[id]
+	p := ps.endpoints[id]
 	if p == nil {
 		return
 	}
-	delete(ps.byID, id)
-	for _, s := range slices.Clone(p.slots) {
+	delete(ps.endpoints, id)
+	for _, s := range slices.Clone(p.conns) {
 		s.Stale = true
 		if !s.Connected() {
 			s.Fail(ErrEndpointRemoved)
 		} else {
-			s.closeUnused()
+			s.closeIfStaleAndUnused()
 		}
 	}
 }
 
 // DiscardConns makes connections to a server stale: it has restarted, and those from before are dead.
 func (ps *Pools) DiscardConns(id string) {
-	if p := ps.byID[id]; p != nil {
-		for _, s := range slices.Clone(p.slots) {
+	if p := ps.endpoints[id]; p != nil {
+		for _, s := range slices.Clone(p.conns) {
 			s.Stale = true
-			s.closeUnused()
+			s.closeIfStaleAndUnused()
 		}
 	}
 }
@@ -123,23 +123,23 @@
 // a few that can be repeated share one. A careful use, which can't be, takes a new one if those lately were lost less
 // often.
 func (ps *Pools) Acquire(id string, careful bool, fits func(*PooledConn) bool) (*PooledConn, error) {
-	p := ps.byID[id]
+	p := ps.endpoints[id]
 	if p == nil {
 		return nil, ErrEndpointRemoved
 	}
 	var best *PooledConn
-	for _, s := range slices.Clone(p.slots) {
+	for _, s := range slices.Clone(p.conns) {
 		s.recordConnect()
-		if s.retireIdle(); s.Stale || s.Ended() || s.InUse >= ps.limits.MaxUsesPerConn || s.late() || !fits(s) {
+		if s.closeIfLikelyLost(); s.Stale || s.Ended() || s.InUse >= ps.limits.MaxUsesPerConn || s.overdue() || !fits(s) {
 			continue
 		}
-		if best == nil || s.before(best) {
+		if best == nil || s.preferredTo(best) {
 			best = s
 		}
 	}
-	worse := best != nil && careful && best.InUse == 0 && ps.risks[best.idle()] > ps.risks[0]
+	worse := best != nil && careful && best.InUse == 0 && ps.idleLoss[best.idleBucket()] > ps.idleLoss[0]
 	crowded := best != nil && best.InUse > 0 && (careful || best.InUse >= ps.limits.SharedUses)
-	if best == nil || (crowded || worse) && ps.count < ps.limits.DedicatedConns {
+	if best == nil || (crowded || worse) && ps.connCount < ps.limits.DedicatedConns {
 		fresh, err := p.dial()
 		switch {
 		case err == nil:
@@ -148,13 +148,13 @@
 			return nil, err
 		}
 	}
-	best.use()
+	best.startUse()
 	return best, nil
 }
 
-func (s *PooledConn) use() {
+func (s *PooledConn) startUse() {
 	if s.InUse++; s.InUse == 1 {
-		s.trial, s.begun = s.idle(), s.pool.pools.loop.Now()
+		s.trialBucket, s.useStartedAt = s.idleBucket(), s.pool.pools.loop.Now()
 	}
 }
 
@@ -164,14 +164,14 @@
 func (ps *Pools) Reassign(late *PooledConn, fits func(*PooledConn) bool) (*PooledConn, error) {
 	p := late.pool
 	var best *PooledConn
-	for _, s := range p.slots {
+	for _, s := range p.conns {
 		if !s.Stale && s.Connected() && !s.Ended() && s.InUse < ps.limits.MaxUsesPerConn && s.LastReceived() > late.CreatedAt() && fits(s) &&
-			(best == nil || s.before(best)) {
+			(best == nil || s.preferredTo(best)) {
 			best = s
 		}
 	}
 	if best == nil {
-		if late.Stale || ps.count >= ps.limits.DedicatedConns {
+		if late.Stale || ps.connCount >= ps.limits.DedicatedConns {
 			return nil, ErrConnLimit
 		}
 		fresh, err := p.dial()
@@ -180,95 +180,95 @@
 		}
 		best = fresh
 	}
-	best.use()
+	best.startUse()
 	return best, nil
 }
 
 // ConnectPatience is how long a connection to this server may take to come up before it is late.
 func (s *PooledConn) ConnectPatience() time.Duration {
-	return max(leastPatience, lateBy*s.pool.medianConnect)
+	return max(minConnectPatience, overdueFactor*s.pool.medianConnectTime)
 }
 
-// late says that a connection has not come up in the usual time.
-func (s *PooledConn) late() bool { return !s.Connected() && s.Age() > s.ConnectPatience() }
+// overdue says that a connection has not come up in the usual time.
+func (s *PooledConn) overdue() bool { return !s.Connected() && s.Age() > s.ConnectPatience() }
 
 // recordConnect counts how long the connection took to come up, once: the estimate follows the median in small steps, so that those
 // that come up late, however late, do not make late the rule.
 func (s *PooledConn) recordConnect() {
-	if !s.Connected() || s.recorded {
+	if !s.Connected() || s.connectRecorded {
 		return
 	}
-	s.recorded = true
-	if s.ConnectDuration() > s.pool.medianConnect {
-		s.pool.medianConnect += s.pool.medianConnect / medianStep
+	s.connectRecorded = true
+	if s.ConnectDuration() > s.pool.medianConnectTime {
+		s.pool.medianConnectTime += s.pool.medianConnectTime / medianStepDivisor
 	} else {
-		s.pool.medianConnect -= s.pool.medianConnect / medianStep
+		s.pool.medianConnectTime -= s.pool.medianConnectTime / medianStepDivisor
 	}
 }
 
-// before says whether s is better than other for a new use.
-func (s *PooledConn) before(other *PooledConn) bool {
+// preferredTo says whether s is better than other for a new use.
+func (s *PooledConn) preferredTo(other *PooledConn) bool {
 	switch {
 	case s.Connected() != other.Connected():
 		return s.Connected()
 	case s.InUse != other.InUse:
 		return s.InUse < other.InUse
 	}
-	return s.used > other.used
+	return s.lastReleasedAt > other.lastReleasedAt
 }
 
 func (p *endpointPool) dial() (*PooledConn, error) {
 	ps := p.pools
-	if ps.count >= ps.limits.MaxConns {
+	if ps.connCount >= ps.limits.MaxConns {
 		return nil, fmt.Errorf("%s: %w", p.addr, ErrConnLimit)
 	}
 	s := &PooledConn{pool: p}
-	s.Owner = ps.open(s)
+	s.Owner = ps.newHandler(s)
 	conn, err := ps.loop.Dial(p.addr, ps.limits.ConnectTimeout, s.Owner)
 	if err != nil {
 		return nil, err
 	}
 	s.Conn = conn
-	ps.count++
-	p.slots = append(p.slots, s)
+	ps.connCount++
+	p.conns = append(p.conns, s)
 	return s, nil
 }
 
-// idle is the place in risks for how long a connection without uses has been idle; 0: it is new.
-func (s *PooledConn) idle() int {
-	if s.used == 0 {
+// idleBucket is the place in risks for how long a connection without uses has been idleBucket; 0: it is new.
+func (s *PooledConn) idleBucket() int {
+	if s.lastReleasedAt == 0 {
 		return 0
 	}
-	return 1 + min(bits.Len64(uint64((s.pool.pools.loop.Now()-s.used)/idleStep)), len(s.pool.pools.risks)-2)
+	return 1 + min(bits.Len64(uint64((s.pool.pools.loop.Now()-s.lastReleasedAt)/minIdleTime)), len(s.pool.pools.idleLoss)-2)
 }
 
-// retireIdle closes a connection that has been idle for so long that its next use would be at risk.
-func (s *PooledConn) retireIdle() {
-	if s.InUse == 0 && s.Connected() && s.pool.pools.risks.after(s.idle()) > mostRisk {
+// closeIfLikelyLost closes a connection that has been idle for so long that its next use would be at risk.
+func (s *PooledConn) closeIfLikelyLost() {
+	if s.InUse == 0 && s.Connected() && s.pool.pools.idleLoss.maxUpTo(s.idleBucket()) > maxLossShare {
 		s.Stale = true
-		s.closeUnused()
+		s.closeIfStaleAndUnused()
 	}
 }
 
 // MarkAlive notes that the connection has brought something since its last use began: it was alive.
 func (s *PooledConn) MarkAlive() {
-	if s.trial >= 0 {
-		s.pool.pools.risks.count(s.trial, false)
-		s.trial = -1
+	if s.trialBucket >= 0 {
+		s.pool.pools.idleLoss.count(s.trialBucket, false)
+		s.trialBucket = -1
 	}
 }
 
 // Release ends one use.
 func (s *PooledConn) Release() {
 	s.InUse--
-	s.used = s.pool.pools.loop.Now()
+	s.lastReleasedAt = s.pool.pools.loop.Now()
 	if s.InUse == 0 && !s.Ended() {
-		s.trial = -1 // given up: it tells nothing
+		s.trialBucket = -1 // given up: it tells nothing
 	}
-	s.closeUnused()
+	s.closeIfStaleAndUnused()
 }
 
-func (s *PooledConn) closeUnused() {
+func (s *PooledConn) closeIfStaleAndUnused() {
 	if s.Stale && s.InUse == 0 && !s.Ended() {
 		s.Close()
 		s.RemoveFromPool()
@@ -277,25 +277,25 @@
 
 // RemoveFromPool takes an ended connection out of its pool. One that ended as soon as it was used had ended before.
 func (s *PooledConn) RemoveFromPool() {
-	if s.Connected() && s.InUse > 0 && s.trial >= 0 && s.pool.pools.loop.Now()-s.begun < atOnce {
-		s.pool.pools.risks.count(s.trial, true)
+	if s.Connected() && s.InUse > 0 && s.trialBucket >= 0 && s.pool.pools.loop.Now()-s.useStartedAt < immediateLoss {
+		s.pool.pools.idleLoss.count(s.trialBucket, true)
 	}
-	before := len(s.pool.slots)
-	s.pool.slots = slices.DeleteFunc(s.pool.slots, func(other *PooledConn) bool { return other == s })
-	s.pool.pools.count -= before - len(s.pool.slots)
+	before := len(s.pool.conns)
+	s.pool.conns = slices.DeleteFunc(s.pool.conns, func(other *PooledConn) bool { return other == s })
+	s.pool.pools.connCount -= before - len(s.pool.conns)
 }
 
 // CloseIdle closes what has not been used for the idle time: before the server does, as a use that crosses
 // the server's close would be lost. It also lets what was learned of losses fade, so that it is tried again.
 func (ps *Pools) CloseIdle() {
-	for _, p := range ps.byID {
-		for _, s := range slices.Clone(p.slots) {
-			if s.InUse == 0 && s.used > 0 && ps.loop.Now()-s.used >= ps.limits.IdleTimeout {
+	for _, p := range ps.endpoints {
+		for _, s := range slices.Clone(p.conns) {
+			if s.InUse == 0 && s.lastReleasedAt > 0 && ps.loop.Now()-s.lastReleasedAt >= ps.limits.IdleTimeout {
 				s.Stale = true
-				s.closeUnused()
+				s.closeIfStaleAndUnused()
 			}
-			s.retireIdle()
+			s.closeIfLikelyLost()
 		}
 	}
-	ps.risks.fade()
+	ps.idleLoss.decay()
 }
--- a/internal/connpool/pools_test.go
+++ b/internal/connpool/pools_test.go
@@ -99,7 +99,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for !late.late() {
+	for !late.overdue() {
 		turn(t, l)
 	}
 	if late.Connected() {
@@ -127,7 +127,7 @@
 	if _, err := unix.Write(fd, []byte("x")); err != nil {
 		t.Fatal(err)
 	}
-	for i := 0; other.LastReceived() <= late.CreatedAt() || ps.count == 0; i++ {
+	for i := 0; other.LastReceived() <= late.CreatedAt() || ps.connCount == 0; i++ {
 		if turn(t, l); i == 1000 {
 			t.Fatal("nothing was heard")
 		}
@@ -163,8 +163,8 @@
 				t.Fatal(err)
 			}
 		}
-		if ps.count != c.want {
-			t.Errorf("%+v: %d connections", c, ps.count)
+		if ps.connCount != c.want {
+			t.Errorf("%+v: %d connections", c, ps.connCount)
 		}
 	}
 }
