--- a/internal/eventloop/input.go
+++ b/internal/eventloop/input.go
@@ -4,18 +4,16 @@
 	"errors"
 	"fmt"
 	"io"
-	"time"
 
 	"golang.org/x/sys/unix"
 )
 
-// QueueingDelay is for how long what is being handed over may have waited to be read, besides the time between two turns: in the
-// queue of connections to accept, or behind what one turn reads of a connection.
-func (c *Conn) QueueingDelay() time.Duration { return c.waited }
+// maxReadsPerTurn bounds the reads of one connection in one turn, so that it does not delay the others.
+const maxReadsPerTurn = 16
 
-// PollNow takes what has come since the turn began, in the middle of it.
+// PollNow handles what has happened on the connection since the turn's poll.
 func (c *Conn) PollNow() {
-	if c.closed || !c.up {
+	if !c.open() {
 		return
 	}
 	fds := []unix.PollFd{{Fd: int32(c.fd), Events: unix.POLLIN | unix.POLLRDHUP}}
@@ -23,106 +21,96 @@
 	if err != nil || n == 0 {
 		return
 	}
-	before := c.loop.lastPoll
-	if c.loop.polledAll { // its end would have been seen as the turn began
-		c.loop.lastPoll = c.loop.looked
+	previousPollEnd := c.loop.previousPollEnd
+	if c.loop.pollComplete { // the turn's poll would have reported an earlier half-close
+		c.loop.previousPollEnd = c.loop.pollEnd
 	}
-	c.ready(uint32(fds[0].Revents))
-	c.loop.lastPoll = before
+	c.handleEvents(uint32(fds[0].Revents))
+	c.loop.previousPollEnd = previousPollEnd
 }
 
-// measureWait works out Waited for what is about to be read.
-func (c *Conn) measureWait() {
-	switch {
-	case c.queuedLong:
-		c.queuedLong = false
-		c.waited = c.sinceMade()
-	case c.behind != 0:
-		c.waited = c.loop.now - c.behind
-	default:
-		c.waited = 0
+// receive reads the input that has arrived and passes it on. A connection with much input is read several
+// times, within bounds, since requests at its start may be aborted further on.
+func (c *Conn) receive() {
+	c.measureQueueingDelay()
+	bytesRead := 0
+	for range maxReadsPerTurn {
+		n, more := c.readOnce()
+		bytesRead += n
+		if !more {
+			break
+		}
 	}
+	c.markInputWaiting(bytesRead)
 }
 
-// sinceMade is how long ago the connection was made, before anything is written: what the peer sent first may have waited for
-// as long. Where the system does not tell, it is for how long the process was held up before it accepted the connection.
-func (c *Conn) sinceMade() time.Duration {
-	info, err := unix.GetsockoptTCPInfo(c.fd, unix.IPPROTO_TCP, unix.TCP_INFO)
-	if err == nil {
-		return time.Duration(info.Last_data_sent) * time.Millisecond // counted from the handshake
-	}
-	return c.inQueue
-}
-
-// receive takes what has come. A connection that brings much is read on, within bounds: a client may have taken back
-// further on what it asks for first.
-func (c *Conn) receive() {
-	c.measureWait()
-	total := 0
-	defer func() { c.markBehind(total) }()
-	for range mostReads {
-		n, err := System.Read(c.fd, c.loop.read)
-		switch {
-		case err != nil && retry(err):
-			return
-		case err != nil:
+// readOnce reads once and passes the input on. more reports whether there may be more input that is to be
+// read.
+func (c *Conn) readOnce() (n int, more bool) {
+	buffer := c.loop.readBuffer
+	n, err := System.Read(c.fd, buffer)
+	if err != nil {
+		if !isTransient(err) {
 			c.Fail(fmt.Errorf("read: %w", err))
-			return
-		case n == 0:
-			c.end()
-			return
-		}
-		total += n
-		if !c.closing { // else it crossed the close
-			c.take(c.loop.read[:n])
-		}
-		if c.closed || c.deaf && !c.closing || n < len(c.loop.read) {
-			return
 		}
+		return 0, false
 	}
-}
-
-// markBehind notes that what comes next may have been sent together with what has been read now: there was much of it, and the
-// rest may have waited here or in the peer's system.
-func (c *Conn) markBehind(total int) {
-	if c.behind = 0; total >= muchInput {
-		c.behind = c.loop.now - max(c.waited, c.loop.SchedulingDelay(c.loop.napped))
+	if n == 0 {
+		c.handleInputEnd()
+		return 0, false
 	}
+	if !c.closing { // while closing the input is discarded
+		c.addInput(buffer[:n])
+	}
+	if c.closed || c.readingStopped && !c.closing {
+		return n, false
+	}
+	return n, n == len(buffer)
 }
 
-// end takes the peer's end of a conversation.
-func (c *Conn) end() {
-	if c.closing && len(c.queue) > 0 { // it still takes what it is owed
-		c.eof = true
-		c.scheduleFlush()
+// handleInputEnd handles the end of the peer's input, after the last of it has been passed on.
+func (c *Conn) handleInputEnd() {
+	if c.closing && len(c.outputQueue) > 0 { // the peer still gets its output
+		c.stopAtInputEnd()
 		return
 	}
-	if half, ok := c.handler.(HalfCloser); ok && !c.closing {
-		if c.peerClosing(half); c.closed {
-			return
-		}
-		if half.PeerClosed() {
-			c.eof = true
-			c.scheduleFlush()
-			return
-		}
-	}
-	if !c.closed {
-		c.Fail(io.EOF)
+	if c.notifyInputEnd() {
+		c.stopAtInputEnd()
+		return
 	}
+	c.Fail(io.EOF) // nothing, if a callback has closed the connection
+}
+
+// notifyInputEnd tells a HalfCloser that its peer has ended its side and reports whether output is still owed
+// to it.
+func (c *Conn) notifyInputEnd() (owed bool) {
+	handler, isHalfCloser := c.handler.(HalfCloser)
+	if !isHalfCloser || c.closing {
+		return false
+	}
+	c.notifyPeerClosing()
+	return !c.closed && handler.PeerClosed()
+}
+
+// stopAtInputEnd leaves the connection open for output alone.
+func (c *Conn) stopAtInputEnd() {
+	c.inputEnded = true
+	c.scheduleFlush() // which updates the interest
 }
 
-func (c *Conn) take(data []byte) {
-	c.heard = c.loop.now
-	if len(c.in) > 0 {
-		c.in = append(c.in, data...)
-		c.loop.held += len(data)
-		data = c.in
-	}
-	c.handOver(data)
+// addInput appends data to the input that was not consumed before and passes all of it to the handler.
+func (c *Conn) addInput(data []byte) {
+	c.lastReceivedAt = c.loop.now
+	if len(c.unparsed) > 0 {
+		c.unparsed = append(c.unparsed, data...)
+		c.loop.bufferedBytes += len(data)
+		data = c.unparsed
+	}
+	c.deliver(data)
 }
 
-func (c *Conn) handOver(data []byte) {
+// deliver passes data to the handler and buffers what the handler does not consume.
+func (c *Conn) deliver(data []byte) {
 	used, err := c.handler.Receive(data)
 	if c.closed {
 		return
@@ -131,35 +119,37 @@
 		c.Fail(err)
 		return
 	}
-	if c.deaf {
+	if c.readingStopped {
 		return
 	}
 	rest := data[used:]
-	c.loop.held += len(rest) - len(c.in)
-	if used > 0 || len(c.in) == 0 {
-		c.in = append([]byte(nil), rest...)
+	c.loop.bufferedBytes += len(rest) - len(c.unparsed)
+	if used > 0 || len(c.unparsed) == 0 {
+		c.unparsed = append([]byte(nil), rest...)
 	}
 }
 
-// HasUnreadInput says whether the peer has sent something that has not been read. To close now would lose it, and it may
-// have waited for longer than the peer would take for a crossing: the process does not always have its core.
+// HasUnreadInput reports whether the peer has sent something that has not been read. Closing would lose it.
+// It may have waited for long, as the process does not always have a CPU, so the peer would not take it for a
+// request that crossed the close.
 func (c *Conn) HasUnreadInput() bool {
 	var first [1]byte
 	n, err := System.Peek(c.fd, first[:])
 	if err != nil {
-		return retry(err) && !errors.Is(err, unix.EAGAIN) // it is not known
+		isUnknown := isTransient(err) && !errors.Is(err, unix.EAGAIN)
+		return isUnknown
 	}
 	return n > 0
 }
 
-// StopReading leaves what still comes unread, and drops what has not been used yet. The peer's end is still heard, and what
-// it is owed is written.
+// StopReading leaves further input unread and drops input that has not been consumed. The peer's half-close
+// is still noticed and queued output is still written.
 func (c *Conn) StopReading() {
 	if c.Ended() {
 		return
 	}
-	c.deaf = true
-	c.loop.held -= len(c.in)
-	c.in = nil
-	c.scheduleFlush() // which asks epoll anew
+	c.readingStopped = true
+	c.loop.bufferedBytes -= len(c.unparsed)
+	c.unparsed = nil
+	c.scheduleFlush() // which updates the interest
 }
--- a/internal/eventloop/listen.go
+++ b/internal/eventloop/listen.go
@@ -4,189 +4,90 @@
 	"errors"
 	"fmt"
 	"net/netip"
-	"time"
 
 	"golang.org/x/sys/unix"
 )
 
-// acceptPause is how long a listener rests when there is no room or the process is out of descriptors: the
-// connections that wait would else wake the loop without end.
-const acceptPause = 20 * time.Millisecond
-
-// queuedAfter is the time in a queue that counts.
-const queuedAfter = 20 * time.Millisecond
-
-// mostAborted is how many connections in a row may turn out to be gone before the listener rests.
-const mostAborted = 64
+// listenBacklog is how many connections the system queues for accept.
+const listenBacklog = 1024
 
 // Listener accepts connections.
 type Listener struct {
-	loop   *Loop
-	fd     int
-	room   func() bool
-	accept func(*Conn) Handler
-	closed bool
-	paused bool
-	behind bool // connections have been left waiting: it is not known since when
+	loop           *Loop
+	fd             int
+	hasCapacity    func() bool
+	accept         func(*Conn) Handler
+	closed         bool
+	paused         bool // until a timer resumes accepting
+	backlogRemains bool // connections were left waiting, it is unknown since when
 }
 
-// Listen accepts connections on addr alone, as long as room finds room for one more; the others wait to be
-// accepted. accept gives each its handler.
-func (l *Loop) Listen(addr netip.AddrPort, room func() bool, accept func(*Conn) Handler) (*Listener, error) {
-	fd, err := socket(addr)
+// Listen accepts connections on addr. hasCapacity is called before each accept; while it returns false,
+// connections wait in the system's queue. accept returns the handler of a new connection. Neither must block.
+func (l *Loop) Listen(addr netip.AddrPort, hasCapacity func() bool, accept func(*Conn) Handler) (*Listener, error) {
+	fd, err := newSocket(addr)
 	if err != nil {
 		return nil, fmt.Errorf("listen on %s: %w", addr, startError(err))
 	}
-	err = errors.Join(
-		unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1),
-		unix.Bind(fd, sockaddr(addr)))
-	if err == nil {
-		err = unix.Listen(fd, 1024)
-	}
-	if err != nil {
-		unix.Close(fd) //nolint:errcheck // the first error is what counts
+	if err := bindAndListen(fd, addr); err != nil {
+		unix.Close(fd) //nolint:errcheck // the first error is returned
 		return nil, fmt.Errorf("listen on %s: %w", addr, startError(err))
 	}
-	ln, err := l.listener(fd, room, accept)
+	ln, err := l.newListener(fd, hasCapacity, accept)
 	if err != nil {
-		unix.Close(fd) //nolint:errcheck // the first error is what counts
+		unix.Close(fd) //nolint:errcheck // the first error is returned
 	}
 	return ln, err
 }
 
-// ListenOn accepts connections on a listening socket that the process was started with, and may share with others.
-func (l *Loop) ListenOn(fd int, room func() bool, accept func(*Conn) Handler) (*Listener, error) {
-	listens, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN)
-	if err == nil && listens == 0 {
-		err = errors.New("not a listening socket")
-	}
-	if err == nil {
-		err = unix.SetNonblock(fd, true)
-	}
+func bindAndListen(fd int, addr netip.AddrPort) error {
+	err := errors.Join(
+		unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1),
+		unix.Bind(fd, socketAddress(addr)))
 	if err != nil {
+		return err
+	}
+	return unix.Listen(fd, listenBacklog)
+}
+
+// ListenOn accepts connections on a listening socket that the process inherited and may share with other
+// processes. The functions are those of Listen.
+func (l *Loop) ListenOn(fd int, hasCapacity func() bool, accept func(*Conn) Handler) (*Listener, error) {
+	if err := prepareInherited(fd); err != nil {
 		return nil, fmt.Errorf("listen on descriptor %d: %w", fd, startError(err))
 	}
 	unix.CloseOnExec(fd)
-	ln, err := l.listener(fd, room, accept)
+	ln, err := l.newListener(fd, hasCapacity, accept)
 	if err == nil {
-		ln.behind = true // since before this process was started
+		ln.backlogRemains = true // connections may have waited since before the process started
 	}
 	return ln, err
 }
 
-func (l *Loop) listener(fd int, room func() bool, accept func(*Conn) Handler) (*Listener, error) {
-	ln := &Listener{loop: l, fd: fd, room: room, accept: accept}
-	if err := l.add(fd, unix.EPOLLIN, ln); err != nil {
+// prepareInherited checks that fd is a listening socket and makes it non-blocking.
+func prepareInherited(fd int) error {
+	listening, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN)
+	if err != nil {
+		return err
+	}
+	if listening == 0 {
+		return errors.New("not a listening socket")
+	}
+	return unix.SetNonblock(fd, true)
+}
+
+func (l *Loop) newListener(fd int, hasCapacity func() bool, accept func(*Conn) Handler) (*Listener, error) {
+	ln := &Listener{loop: l, fd: fd, hasCapacity: hasCapacity, accept: accept}
+	if err := l.register(fd, unix.EPOLLIN, ln); err != nil {
 		return nil, startError(err)
 	}
 	return ln, nil
 }
 
-// AcceptPending takes what waits now.
-func (ln *Listener) AcceptPending() { ln.ready(0) }
-
-// HasPending says whether a connection waits to be accepted.
-func (ln *Listener) HasPending() bool { return !ln.closed && ln.waiting() }
-
-// Close stops accepting.
+// Close stops accepting and closes the socket.
 func (ln *Listener) Close() {
 	if !ln.closed {
 		ln.closed = true
-		ln.loop.remove(ln.fd)
-	}
-}
-
-func (ln *Listener) ready(uint32) {
-	defer func() { ln.behind = !ln.closed && ln.waiting() }()
-	for failures := 0; !ln.closed && ln.waiting(); {
-		if failures == mostAborted || !ln.room() {
-			ln.pause()
-			return
-		}
-		fd, err := System.Accept(ln.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
-		switch {
-		case err == nil:
-			ln.take(fd)
-		case errors.Is(err, unix.EAGAIN): // another process took it
-			return
-		case isAborted(err):
-			failures++
-		default:
-			ln.pause()
-			return
-		}
-	}
-}
-
-// isAborted reports errors of accept that concern one connection alone, which is gone by then: the next one may be sound.
-func isAborted(err error) bool {
-	return isAny(err, unix.ECONNABORTED, unix.EINTR, unix.EPROTO, unix.ENETDOWN, unix.ENOPROTOOPT, unix.EHOSTDOWN, unix.ENONET,
-		unix.EHOSTUNREACH, unix.EOPNOTSUPP, unix.ENETUNREACH, unix.ETIMEDOUT)
-}
-
-// waiting says whether a connection waits to be accepted: room must not be made for none. Another process that shares
-// the socket may have taken the one that woke this one.
-func (ln *Listener) waiting() bool {
-	fds := []unix.PollFd{{Fd: int32(ln.fd), Events: unix.POLLIN}}
-	n, err := unix.Poll(fds, 0)
-	return err == nil && n > 0
-}
-
-// pause leaves connections waiting for a while. The timer comes back until the listener is watched again: nobody would be
-// let in otherwise.
-func (ln *Listener) pause() {
-	ln.loop.change(ln.fd, 0) //nolint:errcheck // it is woken more often then
-	if !ln.paused {
-		ln.paused = true
-		ln.loop.At(ln.loop.now+acceptPause, ln.resume)
-	}
-}
-
-func (ln *Listener) resume() {
-	ln.paused = false
-	if ln.closed {
-		return
-	}
-	if err := ln.loop.change(ln.fd, unix.EPOLLIN); err != nil {
-		ln.pause()
-	}
-}
-
-func (ln *Listener) take(fd int) {
-	l := ln.loop
-	c := &Conn{loop: l, fd: fd, up: true, events: unix.EPOLLIN | unix.EPOLLRDHUP, since: l.now, heard: l.now, wrote: l.now}
-	c.inQueue = l.SchedulingDelay(l.napped)
-	c.queuedLong = ln.behind || c.inQueue > queuedAfter
-	if !ln.behind {
-		c.came = l.lastPoll
-	}
-	c.handler = ln.accept(c)
-	c.setOptions()
-	c.register()
-}
-
-// setOptions has small answers sent at once, and vanished clients noticed. A client is not turned away because that fails: it
-// may have asked already.
-func (c *Conn) setOptions() {
-	if c.closed {
-		return
-	}
-	err := errors.Join(
-		System.SetOption(c.fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1),
-		System.SetOption(c.fd, unix.SOL_SOCKET, unix.SO_KEEPALIVE, 1))
-	if isLocal(err) {
-		c.loop.At(c.loop.now+retryPause, c.setOptions)
-	}
-}
-
-// register has epoll watch an accepted connection, as soon as there is memory for it.
-func (c *Conn) register() {
-	if c.closed {
-		return
-	}
-	if err := c.loop.add(c.fd, c.events, c); err != nil {
-		c.loop.At(c.loop.now+retryPause, c.register)
-		return
+		ln.loop.closeDescriptor(ln.fd)
 	}
-	c.registered = true
 }
