--- a/cmd/edgeproxy/admin_test.go
+++ b/cmd/edgeproxy/admin_test.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	defer conn.Close()
+	defer closeOnce(w.t, conn)
 	conn.SetDeadline(time.Now().Add(patience)) //nolint:errcheck // shows in the answer
 	io.WriteString(conn, raw)                  //nolint:errcheck // shows in the answer
 	answer, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -119,7 +119,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer conn.Close()
+		defer closeOnce(t, conn)
 		if i%2 == 0 {
 			io.WriteString(conn, "GET /ops/rea") //nolint:errcheck // may be closed by now
 		}
@@ -196,7 +196,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer conn.Close()
+	defer closeOnce(t, conn)
 	conn.SetReadBuffer(128 << 10) //nolint:errcheck // the machine's own size only makes the test weaker
 	asker := &client{Conn: conn}
 	for id := range uint16(32) {
--- a/cmd/edgeproxy/cache_test.go
+++ b/cmd/edgeproxy/cache_test.go
@@ -59,11 +59,11 @@
 	if got.words[3] != write {
 		t.Errorf("body of %d bytes", len(got.words[3]))
 	}
-	got.conn.Close()
+	closeOnce(t, got.conn)
 	if a := receive(t, c.answers, "answer"); a.status != "502" {
 		t.Errorf("after a reset: %+v", a)
 	}
-	w.origin.Close() // connections are refused from now on
+	closeOnce(t, w.origin) // connections are refused from now on
 	c.ask(2, "registro", longWait, 1, write)
 	if a := receive(t, c.answers, "answer"); a.status != "503" || !strings.Contains(a.headers, "Srv-Wait-Ms: ") {
 		t.Errorf("after a refused connect: %+v", a)
@@ -96,7 +96,7 @@
 			if bad == "still_good" { // there is no copy that could be good
 				got.answer(bad, "-", "")
 			} else {
-				fmt.Fprint(got.conn, bad)
+				mustWrite(t, got.conn, bad)
 			}
 			w.origin.serve("served", "-", "again")
 			w.cache.serve("served", "-", "again")
@@ -116,7 +116,7 @@
 		c.ask(id+1, "registro", longWait, int(id), "x")
 		calls = append(calls, receive(t, w.origin.calls, "call"))
 	}
-	fmt.Fprint(calls[0].conn, "noise\r\n")
+	mustWrite(t, calls[0].conn, "noise\r\n")
 	if a := receive(t, c.answers, "answer"); a.id != 1 || a.status != "502" {
 		t.Errorf("spoilt: %+v", a)
 	}
@@ -137,7 +137,7 @@
 	go func() {
 		for got := range w.origin.calls {
 			if used[got.conn] {
-				got.conn.Close()
+				closeOnce(t, got.conn)
 				continue
 			}
 			used[got.conn] = true
@@ -209,7 +209,7 @@
 	c.ask(1, "registro", longWait, 1, "x")
 	first := receive(t, w.origin.calls, "call")
 	thaw := w.freeze()
-	fmt.Fprintf(first.conn, "*4\r\n$16\r\n%s\r\n$6\r\nserved\r\n$1\r\n-\r\n$900\r\nhalf", first.words[1])
+	mustWrite(t, first.conn, fmt.Sprintf("*4\r\n$16\r\n%s\r\n$6\r\nserved\r\n$1\r\n-\r\n$900\r\nhalf", first.words[1]))
 	c.record(2, 1, "")
 	thaw()
 	receive(t, c.answers, "END_REQUEST")
--- a/cmd/edgeproxy/client_test.go
+++ b/cmd/edgeproxy/client_test.go
@@ -29,7 +29,7 @@
 	}
 	c.ask(2, "artes", longWait, 3, "")
 	receive(t, w.cache.calls, "call")
-	c.Close() // leaves everything
+	closeOnce(t, c) // leaves everything
 	receive(t, w.cache.stops, "STOP")
 }
 
@@ -65,7 +65,7 @@
 	for _, bytes := range []string{"GET / HTTP/1.1\r\n\r\n", "\x01\x01\x00\x01\x00\x00\x00\x00", "\x01\x01\x00\x01\x00\x08\x00\x00\x00\x01\x01\x00\x00\x00\x00\x00" +
 		"\x01\x04\x00\x01\x00\x03\x00\x00\xff\xff\xff\x01\x04\x00\x01\x00\x00\x00\x00"} {
 		c := w.dial()
-		fmt.Fprint(c, bytes)
+		mustWrite(t, c, bytes)
 		if a := receive(t, c.answers, "close"); a.id != 0 {
 			t.Errorf("%q: %+v", bytes, a)
 		}
@@ -250,7 +250,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { stuck.Close() })
+		t.Cleanup(func() { closeOnce(t, stuck) })
 		for id := range requests {
 			(&client{Conn: stuck}).ask(id+1, "artes", longWait, int(id), "")
 		}
@@ -351,7 +351,7 @@
 		t.Errorf("%+v, want OVERLOADED", a)
 	}
 	for _, c := range conns {
-		c.Close()
+		closeOnce(t, c)
 	}
 	w.cache.serve("served", "-", "fine")
 	w.eventually("an answer after the flood", func() bool {
@@ -380,7 +380,7 @@
 			case "half-close":
 				c.closeWrite()
 			case "close":
-				c.Close()
+				closeOnce(t, c)
 			case "abort":
 				c.record(2, 2, "")
 				c.record(2, 3, "")
@@ -429,7 +429,7 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	w.t.Cleanup(func() { conn.Close() })
+	w.t.Cleanup(func() { closeOnce(w.t, conn) })
 	c := &client{Conn: conn}
 	c.ask(99, "artes", longWait, 99, "")
 	out = receive(w.t, w.cache.calls, "call")
@@ -542,7 +542,7 @@
 	w := newWorld(t)
 	w.reload(`"second-copies":true`, `"retry-after":false,"second-copies":true`)
 	w.eventually("taken over", func() bool { return w.figure("svc_cfg_accepted") == 1 })
-	w.origin.Close()
+	closeOnce(t, w.origin)
 	c := w.dial()
 	c.ask(1, "registro", longWait, 1, "x")
 	if a := receive(t, c.answers, "answer"); a.status != "503" || strings.Contains(a.headers, "Srv-Wait-Ms") {
@@ -585,7 +585,7 @@
 			(&client{Conn: out}).record(5, 9, strings.Repeat("x", 60_000))
 		}
 		(&client{Conn: out}).ask(2, "artes", 500, 2, "")
-		_, err := c.Conn.Write(out.out)
+		_, err := c.Write(out.out)
 		written <- err
 	}()
 	if err := receive(t, written, "end of the write"); err != nil {
--- a/cmd/edgeproxy/config_test.go
+++ b/cmd/edgeproxy/config_test.go
@@ -16,8 +16,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Close()
-	defer log.Close()
+	closeOnce(t, r)
+	defer closeOnce(t, log)
 	w.log = log
 	w.start()
 	receive(t, w.follows, "follow")
@@ -35,8 +35,8 @@
 	}
 	read, write = os.NewFile(uintptr(ends[0]), "pipe"), os.NewFile(uintptr(ends[1]), "pipe")
 	t.Cleanup(func() {
-		read.Close()
-		write.Close()
+		closeOnce(t, read)
+		closeOnce(t, write)
 	})
 	if _, err := write.Write(make([]byte, 64<<10)); err != nil {
 		t.Fatal(err)
@@ -91,7 +91,7 @@
 	if _, err := file.WriteString(w.text); err != nil {
 		t.Fatal(err)
 	}
-	file.Close()
+	closeOnce(t, file)
 	w.eventually("taken over", func() bool { return w.figure("svc_cfg_accepted") == 1 })
 }
 
@@ -185,7 +185,8 @@
 	} {
 		cmd, _ := program(t, config)
 		out, err := cmd.CombinedOutput()
-		if _, failed := err.(*exec.ExitError); !failed || strings.Count(string(out), "\n") != 1 || !strings.Contains(string(out), want) {
+		var exit *exec.ExitError
+		if !errors.As(err, &exit) || strings.Count(string(out), "\n") != 1 || !strings.Contains(string(out), want) {
 			t.Errorf("%s: %v %q", want, err, out)
 		}
 	}
--- a/cmd/edgeproxy/coordinator_test.go
+++ b/cmd/edgeproxy/coordinator_test.go
@@ -115,7 +115,7 @@
 	w.tell("3")
 	follow("after a number too high", "follow 2")
 	w.tell(`{"index":3,"evict":{"shard":1,"unix_ms":1}}`)
-	w.feed.(*net.TCPConn).CloseWrite()
+	closeWrite(t, w.feed)
 	follow("after the stream's end", "follow 3")
 	follow("after silence", "follow 3")
 }
@@ -146,8 +146,8 @@
 	drain := `{"index":3,"endpoints":{"version":3,"full":false,"servers":[{"id":"c1","addr":"` + w.cache.Addr().String() +
 		`","zone":"edge","kind":"std","state":"DRAINING","weight":10000}]}}`
 	w.mu.Lock()
-	fmt.Fprint(w.feed, drain[:len(drain)/2])
-	w.feed.Close()
+	mustWrite(t, w.feed, drain[:len(drain)/2])
+	closeOnce(t, w.feed)
 	w.mu.Unlock()
 	if got := receive(t, w.follows, "follow"); got != "follow 2" {
 		t.Errorf("%q", got)
@@ -275,7 +275,7 @@
 	defer s.mu.Unlock()
 	for conn, sent := range s.sent {
 		next := min(sent+bytes, len(s.line))
-		fmt.Fprint(conn, s.line[sent:next]) // one that has left is of no interest
+		fmt.Fprint(conn, s.line[sent:next]) //nolint:errcheck // a follower may have disconnected
 		s.sent[conn] = next
 	}
 }
--- a/cmd/edgeproxy/fastcgi_client_test.go
+++ b/cmd/edgeproxy/fastcgi_client_test.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	w.t.Cleanup(func() { conn.Close() })
+	w.t.Cleanup(func() { closeOnce(w.t, conn) })
 	return newClient(conn)
 }
 
--- a/cmd/edgeproxy/fault_test.go
+++ b/cmd/edgeproxy/fault_test.go
@@ -135,7 +135,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer conn.Close()
+	defer closeOnce(t, conn)
 	newClient(conn).ask(1, "artes", longWait, 1, "")
 	w.eventually("the reset", func() bool { return front.log() != "" })
 	other := w.dial()
@@ -164,7 +164,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer conn.Close()
+	defer closeOnce(t, conn)
 	c := newClient(conn)
 	for id := range uint16(20) {
 		c.ask(id+1, "artes", longWait, int(id), "")
@@ -217,6 +217,7 @@
 // soakTime is how long the script is played, by the program's clock: seconds with the other tests, minutes where
 // FAULT_SOAK says so.
 func soakTime(t *testing.T) time.Duration {
+	t.Helper()
 	text := os.Getenv("FAULT_SOAK")
 	if text == "" {
 		return 5 * time.Second
@@ -233,6 +234,7 @@
 // is open, and moves on by a step between two: how long the machine takes for anything shows nowhere. Where slow is set,
 // some answers take longer than the program waits for one before it asks again.
 func playScript(t *testing.T, length time.Duration, slow bool) (figures, faults string) {
+	t.Helper()
 	w := prepare(t)
 	w.clock = newSteps(t)
 	calls := 0
@@ -266,7 +268,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer conn.Close()
+			defer closeOnce(t, conn)
 			c = newClient(conn)
 		}
 		class := "artes"
--- /dev/null
+++ b/cmd/edgeproxy/helpers_test.go
@@ -0,0 +1,34 @@
+package main
+
+import (
+	"errors"
+	"io"
+	"net"
+	"os"
+	"testing"
+)
+
+// closeOnce closes c. It does not fail if c is closed already.
+func closeOnce(tb testing.TB, c io.Closer) {
+	tb.Helper()
+	err := c.Close()
+	if err != nil && !errors.Is(err, net.ErrClosed) && !errors.Is(err, os.ErrClosed) {
+		tb.Errorf("close: %v", err)
+	}
+}
+
+// closeWrite closes the sending direction of a TCP connection.
+func closeWrite(tb testing.TB, conn net.Conn) {
+	tb.Helper()
+	if err := conn.(*net.TCPConn).CloseWrite(); err != nil {
+		tb.Errorf("close the sending direction: %v", err)
+	}
+}
+
+// mustWrite writes text to a connection that the program still reads.
+func mustWrite(tb testing.TB, conn io.Writer, text string) {
+	tb.Helper()
+	if _, err := io.WriteString(conn, text); err != nil {
+		tb.Errorf("write: %v", err)
+	}
+}
--- a/cmd/edgeproxy/replace_test.go
+++ b/cmd/edgeproxy/replace_test.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer socket.Close()
+	defer closeOnce(t, socket)
 	w.socket = socket
 	w.start(list(1, true, member("c1", "std", "edge", "SERVING", w.cache), member("o1", "origin", "hub", "SERVING", w.origin)))
 	w.addr = held.Addr().String()
@@ -31,7 +31,7 @@
 	w.eventually("the new process is ready", func() bool {
 		conn, err := net.Dial("tcp", w.admin)
 		if err == nil {
-			conn.Close()
+			closeOnce(t, conn)
 		}
 		return err == nil && w.readiness() == 200
 	})
@@ -71,7 +71,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer socket.Close()
+	defer closeOnce(t, socket)
 	w.socket, w.addr = socket, held.Addr().String()
 	late, inTime := w.dial(), w.dial()
 	late.ask(1, "artes", 500, 1, "")
--- a/cmd/edgeproxy/shutdown_test.go
+++ b/cmd/edgeproxy/shutdown_test.go
@@ -24,7 +24,7 @@
 	w.eventually("no more connections taken", func() bool {
 		conn, err := net.Dial("tcp", w.addr)
 		if err == nil {
-			conn.Close()
+			closeOnce(t, conn)
 		}
 		return err != nil
 	})
@@ -78,7 +78,7 @@
 	w.eventually("no more connections taken", func() bool {
 		conn, err := net.Dial("tcp", w.addr)
 		if err == nil {
-			conn.Close()
+			closeOnce(w.t, conn)
 		}
 		return err != nil
 	})
--- a/cmd/edgeproxy/standin_test.go
+++ b/cmd/edgeproxy/standin_test.go
@@ -19,8 +19,9 @@
 }
 
 func (c *call) answer(word, fields, body string) {
-	fmt.Fprintf(c.conn, "*4\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n",
+	text := fmt.Sprintf("*4\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n",
 		len(c.words[1]), c.words[1], len(word), word, len(fields), fields, len(body), body)
+	io.WriteString(c.conn, text) //nolint:errcheck // the program may have closed the connection
 }
 
 // server stands in for a cache, a parent or the origin.
@@ -31,6 +32,7 @@
 }
 
 func newServer(t *testing.T) *server {
+	t.Helper()
 	s := &server{listen(t), make(chan *call, 1000), make(chan *call, 1000)}
 	go serveEach(s, func(conn net.Conn) {
 		in := bufio.NewReader(conn)
@@ -69,7 +71,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
+	t.Cleanup(func() { closeOnce(t, l) })
 	return l
 }
 
@@ -91,7 +93,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		l.Close()
+		closeOnce(t, l)
 		if _, taken := given.LoadOrStore(l.Addr().String(), true); !taken {
 			return l.Addr().String()
 		}
--- a/cmd/edgeproxy/system_test.go
+++ b/cmd/edgeproxy/system_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"os"
@@ -34,7 +35,7 @@
 	if err != nil {
 		return
 	}
-	rng, real, own := rand.New(rand.NewPCG(seed, 5)), eventloop.System, map[int]bool{}
+	rng, system, own := rand.New(rand.NewPCG(seed, 5)), eventloop.System, map[int]bool{}
 	fails := func(codes ...unix.Errno) error {
 		if rng.Float64() < failureChance {
 			return codes[rng.IntN(len(codes))]
@@ -45,7 +46,7 @@
 		if err := fails(unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM); err != nil {
 			return -1, err
 		}
-		fd, err := real.Socket(family, kind, protocol)
+		fd, err := system.Socket(family, kind, protocol)
 		own[fd] = err == nil
 		return fd, err
 	}
@@ -53,8 +54,8 @@
 		if err := fails(unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.EAGAIN); err != nil {
 			return err
 		}
-		err := real.Connect(fd, addr)
-		if err == unix.EINPROGRESS && rng.Float64() < failureChance {
+		err := system.Connect(fd, addr)
+		if errors.Is(err, unix.EINPROGRESS) && rng.Float64() < failureChance {
 			return unix.EINTR
 		}
 		return err
@@ -65,7 +66,7 @@
 		if err != nil {
 			return -1, err
 		}
-		accepted, err := real.Accept(fd, flags)
+		accepted, err := system.Accept(fd, flags)
 		own[accepted] = false
 		return accepted, err
 	}
@@ -83,25 +84,25 @@
 			return call(fd, data)
 		}
 	}
-	eventloop.System.Read = transfer(real.Read, unix.ECONNRESET, unix.ETIMEDOUT, unix.EHOSTUNREACH)
-	eventloop.System.Write = transfer(real.Write, unix.EPIPE, unix.ECONNRESET, unix.ETIMEDOUT, unix.EHOSTUNREACH)
+	eventloop.System.Read = transfer(system.Read, unix.ECONNRESET, unix.ETIMEDOUT, unix.EHOSTUNREACH)
+	eventloop.System.Write = transfer(system.Write, unix.EPIPE, unix.ECONNRESET, unix.ETIMEDOUT, unix.EHOSTUNREACH)
 	eventloop.System.SetOption = func(fd, level, option, value int) error {
 		if err := fails(unix.ENOBUFS, unix.ENOMEM); err != nil {
 			return err
 		}
-		return real.SetOption(fd, level, option, value)
+		return system.SetOption(fd, level, option, value)
 	}
 	eventloop.System.Control = func(epoll, operation, fd int, event *unix.EpollEvent) error {
 		if err := fails(unix.ENOMEM, unix.ENOSPC); err != nil {
 			return err
 		}
-		return real.Control(epoll, operation, fd, event)
+		return system.Control(epoll, operation, fd, event)
 	}
 	eventloop.System.Wait = func(epoll int, events []unix.EpollEvent, millis int) (int, error) {
 		if err := fails(unix.EINTR); err != nil {
 			return -1, err
 		}
-		return real.Wait(epoll, events, millis)
+		return system.Wait(epoll, events, millis)
 	}
 }
 
@@ -139,27 +140,27 @@
 		count++
 		return count >= from && count <= to
 	}
-	switch real := eventloop.System; call {
+	switch system := eventloop.System; call {
 	case "connect":
 		eventloop.System.Connect = func(fd int, addr unix.Sockaddr) error {
 			if fails() {
 				return code
 			}
-			return real.Connect(fd, addr)
+			return system.Connect(fd, addr)
 		}
 	case "socket":
 		eventloop.System.Socket = func(family, kind, protocol int) (int, error) {
 			if fails() {
 				return -1, code
 			}
-			return real.Socket(family, kind, protocol)
+			return system.Socket(family, kind, protocol)
 		}
 	case "accept":
 		eventloop.System.Accept = func(fd, flags int) (int, error) {
 			if fails() {
 				return -1, code
 			}
-			return real.Accept(fd, flags)
+			return system.Accept(fd, flags)
 		}
 	default:
 		panic(call)
@@ -170,7 +171,7 @@
 // sound, also one that gets the same descriptor later.
 func breakWritesBehind(text []byte) {
 	const none, over = -1, -2
-	real, stuck, socket := eventloop.System.Write, none, eventloop.System.Socket
+	write, stuck, socket := eventloop.System.Write, none, eventloop.System.Socket
 	eventloop.System.Socket = func(family, kind, protocol int) (int, error) {
 		fd, err := socket(family, kind, protocol)
 		if fd == stuck {
@@ -184,9 +185,9 @@
 		}
 		if at := bytes.Index(data, text); at >= 0 && stuck == none {
 			stuck = fd
-			return real(fd, data[:at+len(text)])
+			return write(fd, data[:at+len(text)])
 		}
-		return real(fd, data)
+		return write(fd, data)
 	}
 }
 
--- a/cmd/edgeproxy/world_test.go
+++ b/cmd/edgeproxy/world_test.go
@@ -72,6 +72,7 @@
 
 // newWorld starts the program with one cache and the origin known from the start, as event 1.
 func newWorld(t *testing.T) *world {
+	t.Helper()
 	w := prepare(t)
 	w.start(list(1, true, member("c1", "std", "edge", "SERVING", w.cache), member("o1", "origin", "hub", "SERVING", w.origin)))
 	w.awaitAlive("200")
@@ -79,6 +80,7 @@
 }
 
 func prepare(t *testing.T) *world {
+	t.Helper()
 	return &world{t: t, follows: make(chan string, 100), cache: newServer(t), origin: newServer(t), exit: make(chan error, 1), log: os.Stderr, memory: 192}
 }
 
@@ -165,8 +167,8 @@
 func (w *world) silence() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.listener.Close()
-	w.feed.Close()
+	closeOnce(w.t, w.listener)
+	closeOnce(w.t, w.feed)
 }
 
 // resume opens the coordinator again at its address.
@@ -176,7 +178,7 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	w.t.Cleanup(func() { l.Close() })
+	w.t.Cleanup(func() { closeOnce(w.t, l) })
 	w.coordinate(l)
 }
 
@@ -190,7 +192,7 @@
 func (w *world) coordinate(l net.Listener) {
 	if w.listener = l; w.down {
 		w.down = false
-		l.Close()
+		closeOnce(w.t, l)
 		return
 	}
 	go serveEach(l, func(conn net.Conn) {
@@ -206,6 +208,7 @@
 
 // program returns a command that starts the program, and the path of its configuration.
 func program(t *testing.T, config any) (cmd *exec.Cmd, path string) {
+	t.Helper()
 	text, err := json.Marshal(config)
 	if err != nil {
 		t.Fatal(err)
@@ -255,7 +258,7 @@
 			return false
 		}
 		c := newClient(conn)
-		defer conn.Close()
+		defer closeOnce(w.t, conn)
 		c.send(1, map[string]string{"SCRIPT_NAME": "/alive"}, "")
 		got := receive(w.t, c.answers, "answer to /alive")
 		return got.status == status
--- a/cmd/faultproxy/main.go
+++ b/cmd/faultproxy/main.go
@@ -4,6 +4,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"flag"
 	"fmt"
 	"io"
@@ -43,7 +44,7 @@
 	flags.BoolVar(&o.compare, "compare", false, "compare two logs, named as arguments")
 	flags.DurationVar(&o.length, "for", 0, "end after this `time`; else at SIGINT or SIGTERM")
 	flags.Uint64Var(&o.seed, "seed", 0, "`number` that goes before the script's seed")
-	if err = flags.Parse(args); err == flag.ErrHelp {
+	if err = flags.Parse(args); errors.Is(err, flag.ErrHelp) {
 		fmt.Println("faultproxy -script FILE [flags], or faultproxy -compare LOG LOG")
 		flags.SetOutput(os.Stdout)
 		flags.PrintDefaults()
--- a/cmd/faultproxy/main_test.go
+++ b/cmd/faultproxy/main_test.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"errors"
 	"io"
 	"net"
 	"os"
@@ -11,6 +12,14 @@
 	"time"
 )
 
+// closeOnce closes c. It does not fail if c is closed already.
+func closeOnce(tb testing.TB, c io.Closer) {
+	tb.Helper()
+	if err := c.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
+		tb.Errorf("close: %v", err)
+	}
+}
+
 func write(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "file")
@@ -59,13 +68,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer target.Close()
+	defer closeOnce(t, target)
 	free, err := net.Listen("tcp", "127.0.0.3:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	addr, log := free.Addr().String(), filepath.Join(t.TempDir(), "log")
-	free.Close()
+	closeOnce(t, free)
 	script := write(t, "link a listen "+addr+" to "+target.Addr().String()+"\na up byte 3 : close\n")
 	ended := make(chan error, 1)
 	go func() { ended <- run([]string{"-script", script, "-log", log, "-for", "1m"}, io.Discard) }()
@@ -75,13 +84,13 @@
 			t.Fatal(err)
 		}
 	}
-	defer conn.Close()
+	defer closeOnce(t, conn)
 	io.WriteString(conn, "abcdef") //nolint:errcheck // shows at the other end
 	got, err := target.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer got.Close()
+	defer closeOnce(t, got)
 	if text, _ := io.ReadAll(got); string(text) != "abc" { // a reset may follow the close
 		t.Errorf("%q", text)
 	}
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -65,7 +65,7 @@
 			return err
 		}
 		go func() {
-			defer conn.Close()
+			defer conn.Close() //nolint:errcheck // the peer sees the end in any case
 			if err := handle(conn); err != nil && !errors.Is(err, io.EOF) {
 				log.Print(err)
 			}
@@ -117,7 +117,7 @@
 		}
 		held[key] = true
 		h := fnv.New64a()
-		fmt.Fprint(h, key)
+		h.Write([]byte(key)) //nolint:errcheck // a hash takes everything
 		fields := fmt.Sprintf("etag=%016x,made=%d,note=%s,ttfb=0", h.Sum64(), time.Now().UnixMilli(), note)
 		if _, err := conn.Write(array(words[1], "served", fields, "object "+key+" from the "+name+"\n")); err != nil {
 			return err
@@ -158,9 +158,9 @@
 	if err != nil {
 		return err
 	}
-	defer conn.Close()
+	defer conn.Close() //nolint:errcheck // nothing more is written
 	h := fnv.New64a()
-	fmt.Fprint(h, object)
+	h.Write([]byte(object)) //nolint:errcheck // a hash takes everything
 	var params []byte
 	for _, p := range [][2]string{
 		{"SCRIPT_NAME", "/ops/" + class}, {"HTTP_REQ_ID", fmt.Sprintf("%016x", rand.Uint64())},
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -18,6 +18,14 @@
 
 const patience = 20 * time.Second
 
+// closeOnce closes c. It does not fail if c is closed already.
+func closeOnce(tb testing.TB, c io.Closer) {
+	tb.Helper()
+	if err := c.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
+		tb.Errorf("close: %v", err)
+	}
+}
+
 // rig is a relay before a server that sends back what it gets, and the faults that have fired.
 type rig struct {
 	t     *testing.T
@@ -32,7 +40,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { ln.Close() })
+	t.Cleanup(func() { closeOnce(t, ln) })
 	go func() {
 		for {
 			conn, err := ln.Accept()
@@ -41,7 +49,7 @@
 			}
 			go func() {
 				io.Copy(conn, conn) //nolint:errcheck // shows at the other end
-				conn.Close()
+				conn.Close()        //nolint:errcheck // as above
 			}()
 		}
 	}()
@@ -67,7 +75,7 @@
 	if err != nil {
 		g.t.Fatal(err)
 	}
-	g.t.Cleanup(func() { c.Close() })
+	g.t.Cleanup(func() { closeOnce(g.t, c) })
 	c.SetDeadline(time.Now().Add(patience)) //nolint:errcheck // shows in what is read
 	return c.(*net.TCPConn)
 }
@@ -104,7 +112,7 @@
 	}
 	c, err := net.DialTimeout("tcp", newRig(t, "c : reset").relay.Addr("c").String(), patience)
 	if err == nil { // the reset may also come as early as this
-		defer c.Close()
+		defer closeOnce(t, c)
 		c.SetDeadline(time.Now().Add(patience)) //nolint:errcheck // shows in what is read
 		_, err = c.Read(make([]byte, 1))
 	}
@@ -127,13 +135,13 @@
 	for {
 		c, err := net.DialTimeout("tcp", g.relay.Addr("c").String(), patience)
 		if err == nil {
-			g.t.Cleanup(func() { c.Close() })
+			g.t.Cleanup(func() { closeOnce(g.t, c) })
 			break
 		}
 	}
 	g.await("c#3 both - line 4 stall")
 	if c, err := net.DialTimeout("tcp", g.relay.Addr("c").String(), 50*time.Millisecond); err == nil {
-		c.Close()
+		closeOnce(t, c)
 		t.Error("came up while stalled")
 	}
 	if got, err := g.exchange("again"); got != "again" || err != nil {
@@ -202,7 +210,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer taken.Close()
+	defer closeOnce(t, taken)
 	script, err := fault.Parse("link a listen 127.0.0.1:0 to 127.0.0.1:9\nlink b listen " + taken.Addr().String() + " to 127.0.0.1:9\n")
 	if err != nil {
 		t.Fatal(err)
@@ -214,11 +222,12 @@
 
 // echo is a round trip of 64 bytes.
 func echo(b *testing.B, addr string) {
+	b.Helper()
 	c, err := net.DialTimeout("tcp", addr, patience)
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer c.Close()
+	defer closeOnce(b, c)
 	block := make([]byte, 64)
 	for b.Loop() {
 		if _, err := c.Write(block); err != nil {
@@ -236,7 +245,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer ln.Close()
+	defer closeOnce(b, ln)
 	go func() {
 		for {
 			conn, err := ln.Accept()
@@ -276,7 +285,7 @@
 			runtime.ReadMemStats(&after)
 			b.ReportMetric(float64(after.HeapInuse+after.StackInuse-before.HeapInuse-before.StackInuse)/200, "bytes/connection")
 			for _, c := range conns {
-				c.Close()
+				closeOnce(b, c)
 			}
 		}
 	})
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -241,7 +241,9 @@
 		if c == nil {
 			return
 		}
-		time.AfterFunc(time.Second, func() { c.conn.Close() })
+		time.AfterFunc(time.Second, func() {
+			c.conn.Close() //nolint:errcheck // the proxy may have closed it
+		})
 	}
 }
 
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -121,7 +121,7 @@
 
 // readLog takes the log into the timeline. While nobody is to read it, it waits.
 func (p *process) readLog(log io.ReadCloser) {
-	defer log.Close()
+	defer log.Close() //nolint:errcheck // it was only read
 	p.mu.Lock()
 	unread, exited := p.noReader, p.exited
 	p.noReader = false
@@ -188,9 +188,13 @@
 	if err != nil {
 		return 0, err
 	}
-	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(2 * time.Second)) //nolint:errcheck // shows in what is read
-	fmt.Fprintf(conn, "%s %s HTTP/1.1\r\nHost: x\r\n\r\n", method, path)
+	defer conn.Close() //nolint:errcheck // the response has been read
+	if err := conn.SetDeadline(time.Now().Add(2 * time.Second)); err != nil {
+		return 0, err
+	}
+	if _, err := fmt.Fprintf(conn, "%s %s HTTP/1.1\r\nHost: x\r\n\r\n", method, path); err != nil {
+		return 0, err
+	}
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		return 0, err
@@ -278,7 +282,7 @@
 	if err != nil {
 		return err
 	}
-	defer ln.Close()
+	defer ln.Close() //nolint:errcheck // the file keeps the socket open
 	p.socket, err = ln.(*net.TCPListener).File()
 	return err
 }
@@ -292,7 +296,7 @@
 	if err := p.start(); err != nil {
 		return err
 	}
-	p.awaitLife(func(l *Life, age time.Duration) bool { return l.Ready != 0 })
+	p.awaitLife(func(l *Life, _ time.Duration) bool { return l.Ready != 0 })
 	p.r.h.do(func() { old.Termed = p.r.h.Now() })
 	cmd.Process.Signal(syscall.SIGTERM) //nolint:errcheck // it may have ended
 	select {
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -147,7 +147,7 @@
 func (r *run) begin() (err error) {
 	serial := &counter{}
 	r.coordinator = newCoordinator(r.h)
-	make := func(id, kind, zone string) *server {
+	start := func(id, kind, zone string) *server {
 		if err != nil {
 			return nil
 		}
@@ -158,9 +158,9 @@
 		return s
 	}
 	for i := range cacheCount {
-		r.caches = append(r.caches, make(fmt.Sprintf("cache-%d", i), "std", "edge"))
+		r.caches = append(r.caches, start(fmt.Sprintf("cache-%d", i), "std", "edge"))
 	}
-	r.parent, r.origin = make("parent", "parent", "hub"), make("origin", "origin", "hub")
+	r.parent, r.origin = start("parent", "parent", "hub"), start("origin", "origin", "hub")
 	if err != nil {
 		return err
 	}
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -178,7 +178,7 @@
 
 // serve reads the commands of one connection.
 func (s *server) serve(conn net.Conn) {
-	defer conn.Close()
+	defer conn.Close() //nolint:errcheck // the proxy may have closed it
 	in, out := bufio.NewReader(conn), &output{conn: conn}
 	for {
 		s.waitWhileHung()
@@ -303,7 +303,7 @@
 			text = []byte("?nonsense\r\n")
 		case draw < 0.2:
 			text = text[:len(text)/2]
-			defer out.conn.Close()
+			defer out.conn.Close() //nolint:errcheck // as in serve
 		case draw < 0.25:
 			text = text[:len(text)/2] // and the connection stays open
 		case draw < 0.35:
