--- a/cmd/edgeproxy/fault_test.go
+++ b/cmd/edgeproxy/fault_test.go
@@ -42,7 +42,7 @@
 		t.Fatal(err)
 	}
 	b := &broken{}
-	if b.relay, err = relay.Start(script, func(e fault.Event) {
+	if b.relay, err = relay.Start(script, func(e fault.Firing) {
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		b.fired = append(b.fired, e.String())
--- a/cmd/faultproxy/main.go
+++ b/cmd/faultproxy/main.go
@@ -98,7 +98,7 @@
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGINT, syscall.SIGTERM)
 	var failed error
-	r, err := relay.Start(script, func(e fault.Event) {
+	r, err := relay.Start(script, func(e fault.Firing) {
 		if _, err := fmt.Fprintln(out, e); err != nil {
 			failed = err
 		}
--- a/internal/fault/fault_test.go
+++ b/internal/fault/fault_test.go
@@ -66,18 +66,18 @@
 }
 
 // play feeds a stream in reads of the given size and returns what comes out, and how it ends.
-func play(s *Stream, data []byte, size int) (out []byte, end End) {
+func play(s *StreamPlan, data []byte, size int) (out []byte, end Ending) {
 	for len(data) > 0 {
 		n := min(size, len(data))
 		for _, op := range s.Feed(data[:n], 0) {
 			out = append(out, op.Data...)
-			end = max(end, op.End)
+			end = max(end, op.Ending)
 		}
 		data = data[n:]
 	}
-	for _, op := range s.Finish(0) {
+	for _, op := range s.CloseInput(0) {
 		out = append(out, op.Data...)
-		end = max(end, op.End)
+		end = max(end, op.Ending)
 	}
 	return out, end
 }
@@ -97,12 +97,12 @@
 	}
 	for number := 1; number <= 20; number++ {
 		var want []byte
-		var wantEnd End
+		var wantEnd Ending
 		var log string
 		for _, size := range []int{1 << 20, 1, 2, 7, 100} {
-			c := script.Conn("c", number, 0)
+			c := script.PlanConn("c", number, 0)
 			out, end := play(c.Stream(Up), data, size)
-			events := fmt.Sprint(c.Events())
+			events := fmt.Sprint(c.TakeFirings())
 			if size == 1<<20 {
 				want, wantEnd, log = out, end, events
 			} else if !bytes.Equal(out, want) || end != wantEnd || events != log {
@@ -116,27 +116,27 @@
 	const data = "abcdefghij"
 	for rule, want := range map[string]struct {
 		out string
-		end End
+		end Ending
 	}{
-		"c : delay 0s":            {data, HalfClosed},
-		"c byte 3 : reset":        {"abc", WasReset},
-		"c byte 0 : reset":        {"", WasReset},
-		`c match "cd" : close`:    {"abcd", Closed},
-		`c match "x" : close`:     {data, HalfClosed},
-		"c byte 4 : halfclose":    {"abcd", HalfClosed},
-		"c byte 2 : drop 3":       {"abfghij", HalfClosed},
-		"c byte 2 : repeat 2":     {"abcdcdefghij", HalfClosed},
-		"c up byte 8 : drop 99":   {"abcdefgh", HalfClosed},
-		"c down byte 3 : reset":   {data, HalfClosed},
-		"c conn 2 byte 3 : reset": {data, HalfClosed},
-		"d byte 3 : reset":        {data, HalfClosed},
+		"c : delay 0s":            {data, EndHalfClosed},
+		"c byte 3 : reset":        {"abc", EndReset},
+		"c byte 0 : reset":        {"", EndReset},
+		`c match "cd" : close`:    {"abcd", EndClosed},
+		`c match "x" : close`:     {data, EndHalfClosed},
+		"c byte 4 : halfclose":    {"abcd", EndHalfClosed},
+		"c byte 2 : drop 3":       {"abfghij", EndHalfClosed},
+		"c byte 2 : repeat 2":     {"abcdcdefghij", EndHalfClosed},
+		"c up byte 8 : drop 99":   {"abcdefgh", EndHalfClosed},
+		"c down byte 3 : reset":   {data, EndHalfClosed},
+		"c conn 2 byte 3 : reset": {data, EndHalfClosed},
+		"d byte 3 : reset":        {data, EndHalfClosed},
 	} {
-		out, end := play(mustParse(t, rule).Conn("c", 1, 0).Stream(Up), []byte(data), 4)
+		out, end := play(mustParse(t, rule).PlanConn("c", 1, 0).Stream(Up), []byte(data), 4)
 		if string(out) != want.out || end != want.end {
 			t.Errorf("%s: %q %d, want %q %d", rule, out, end, want.out, want.end)
 		}
 	}
-	out, _ := play(mustParse(t, "c byte 2 : garble 3").Conn("c", 1, 0).Stream(Up), []byte(data), 4)
+	out, _ := play(mustParse(t, "c byte 2 : garble 3").PlanConn("c", 1, 0).Stream(Up), []byte(data), 4)
 	for i, b := range out {
 		if changed := b != data[i]; changed != (i >= 2 && i < 5) {
 			t.Errorf("garbled: %q", out)
@@ -148,7 +148,7 @@
 func TestTimes(t *testing.T) {
 	const ms = time.Millisecond
 	due := func(rule string, now time.Duration) (times []time.Duration, sizes []int) {
-		s := mustParse(t, rule).Conn("c", 1, 0).Stream(Up)
+		s := mustParse(t, rule).PlanConn("c", 1, 0).Stream(Up)
 		for _, op := range s.Feed(make([]byte, 100), now) {
 			times, sizes = append(times, op.Due), append(sizes, len(op.Data))
 		}
@@ -172,7 +172,7 @@
 			t.Errorf("%s at %v: %s, want %s", tt.rule, tt.now, got, tt.want)
 		}
 	}
-	s := mustParse(t, "c : delay 10ms jitter 50ms").Conn("c", 1, 0).Stream(Up)
+	s := mustParse(t, "c : delay 10ms jitter 50ms").PlanConn("c", 1, 0).Stream(Up)
 	last := time.Duration(0)
 	for i := range 100 {
 		for _, op := range s.Feed([]byte("x"), time.Duration(i)*ms) {
@@ -195,7 +195,7 @@
 			return
 		}
 		for _, l := range s.Links {
-			play(s.Conn(l.Name, 1, 0).Stream(Up), []byte(text), 5)
+			play(s.PlanConn(l.Name, 1, 0).Stream(Up), []byte(text), 5)
 		}
 	})
 }
--- a/internal/fault/script.go
+++ b/internal/fault/script.go
@@ -23,13 +23,13 @@
 
 func (d Direction) String() string { return [...]string{"up", "down", "both"}[d] }
 
-// Verb is what a fault does.
-type Verb int
+// Kind is what a fault does.
+type Kind int
 
 // The verbs. Those up to Pieces last for a time; Silence holds everything back with the connection open; those from
 // HalfClose to Reset end it; the next three change bytes; the last two are about connections that are yet to come.
 const (
-	Delay Verb = iota
+	Delay Kind = iota
 	Rate
 	Pieces
 	Silence
@@ -43,13 +43,13 @@
 	Stall
 )
 
-var verbs = map[string]Verb{
+var kindsByWord = map[string]Kind{
 	"delay": Delay, "rate": Rate, "pieces": Pieces, "silence": Silence, "halfclose": HalfClose, "close": Close,
 	"reset": Reset, "garble": Garble, "drop": Drop, "repeat": Repeat, "refuse": Refuse, "stall": Stall,
 }
 
-func (v Verb) String() string {
-	for name, verb := range verbs {
+func (v Kind) String() string {
+	for name, verb := range kindsByWord {
 		if verb == v {
 			return name
 		}
@@ -66,26 +66,26 @@
 // Trigger says when a rule fires: at a time since the start, after so many bytes, after the nth match of a pattern;
 // with none of them as soon as its connection begins.
 type Trigger struct {
-	Time    time.Duration // -1: not by time
-	Byte    int64         // -1: not by bytes
-	Pattern string        // empty: not by a pattern
-	Nth     int
+	Time     time.Duration // -1: not by time
+	Byte     int64         // -1: not by bytes
+	Pattern  string        // empty: not by a pattern
+	NthMatch int
 }
 
 // Rule is one line of a script.
 type Rule struct {
-	Line      int
-	Link      string
-	Direction Direction
-	Conn      int     // which connection of the link, from 1; 0: every one
-	Every     int     // each so manieth; 0: not by this
-	Chance    float64 // by chance; 0: not by this
-	When      Trigger
-	Do        Verb
-	For       time.Duration // how long it lasts; 0: for good
-	Amount    int64         // bytes, or bytes a second
-	Delay     time.Duration
-	Jitter    time.Duration
+	ScriptLine  int
+	Link        string
+	Direction   Direction
+	ConnNumber  int     // which connection of the link, from 1; 0: every one
+	EveryNth    int     // each so manieth; 0: not by this
+	Probability float64 // by chance; 0: not by this
+	Trigger     Trigger
+	Kind        Kind
+	Duration    time.Duration // how long it lasts; 0: for good
+	Amount      int64         // bytes, or bytes a second
+	Delay       time.Duration
+	Jitter      time.Duration
 }
 
 // Script is a whole plan as it was written.
@@ -102,9 +102,9 @@
 func Parse(text string) (*Script, error) {
 	s := &Script{Seed: 1}
 	for i, line := range strings.Split(text, "\n") {
-		fields, err := split(line)
+		fields, err := splitFields(line)
 		if err == nil && len(fields) > 0 {
-			err = s.line(i+1, fields)
+			err = s.parseLine(i+1, fields)
 		}
 		if err != nil {
 			return nil, fmt.Errorf("%w: line %d: %w", ErrScript, i+1, err)
@@ -113,11 +113,11 @@
 	if len(s.Links) == 0 {
 		return nil, fmt.Errorf("%w: no link", ErrScript)
 	}
-	return s, s.contradictions()
+	return s, s.checkConflicts()
 }
 
-// split cuts a line into words; a quoted word may hold anything, a # outside of one begins a comment.
-func split(line string) (fields []string, err error) {
+// splitFields cuts a line into words; a quoted word may hold anything, a # outside of one begins a comment.
+func splitFields(line string) (fields []string, err error) {
 	for {
 		line = strings.TrimLeft(line, " \t\r")
 		if line == "" || line[0] == '#' {
@@ -135,7 +135,7 @@
 	}
 }
 
-func (s *Script) line(number int, fields []string) (err error) {
+func (s *Script) parseLine(number int, fields []string) (err error) {
 	switch fields[0] {
 	case "seed":
 		if len(fields) != 2 {
@@ -146,31 +146,31 @@
 		}
 		return nil
 	case "link":
-		return s.link(fields)
+		return s.parseLink(fields)
 	}
-	return s.rule(number, fields)
+	return s.parseRule(number, fields)
 }
 
-func (s *Script) link(f []string) (err error) {
+func (s *Script) parseLink(f []string) (err error) {
 	if len(f) != 6 || f[2] != "listen" || f[4] != "to" {
 		return errors.New("link: wanted is 'link NAME listen ADDRESS to ADDRESS'")
 	}
-	if s.known(f[1]) {
+	if s.hasLink(f[1]) {
 		return fmt.Errorf("link: %s is named twice", f[1])
 	}
 	l := Link{Name: f[1]}
-	if l.Listen, err = loopback("listen", f[3]); err != nil {
+	if l.Listen, err = parseLoopback("listen", f[3]); err != nil {
 		return err
 	}
-	if l.Target, err = loopback("to", f[5]); err != nil {
+	if l.Target, err = parseLoopback("to", f[5]); err != nil {
 		return err
 	}
 	s.Links = append(s.Links, l)
 	return nil
 }
 
-// loopback reads an address; traffic with faults must not reach another machine.
-func loopback(field, text string) (netip.AddrPort, error) {
+// parseLoopback reads an address; traffic with faults must not reach another machine.
+func parseLoopback(field, text string) (netip.AddrPort, error) {
 	addr, err := netip.ParseAddrPort(text)
 	if err != nil {
 		return addr, fmt.Errorf("%s: %q is no address", field, text)
@@ -181,7 +181,7 @@
 	return addr, nil
 }
 
-func (s *Script) known(link string) bool {
+func (s *Script) hasLink(link string) bool {
 	for _, l := range s.Links {
 		if l.Name == link {
 			return true
@@ -190,57 +190,57 @@
 	return false
 }
 
-// rule reads 'LINK [up|down] [conn N|every N|chance P] [time T|byte N|match "P" [nth N]] : VERB …'.
-func (s *Script) rule(number int, f []string) error {
-	r := Rule{Line: number, Link: f[0], Direction: Both, When: Trigger{Time: -1, Byte: -1, Nth: 1}}
-	if !s.known(r.Link) {
+// parseRule reads 'LINK [up|down] [conn N|every N|chance P] [time T|byte N|match "P" [nth N]] : VERB …'.
+func (s *Script) parseRule(number int, f []string) error {
+	r := Rule{ScriptLine: number, Link: f[0], Direction: Both, Trigger: Trigger{Time: -1, Byte: -1, NthMatch: 1}}
+	if !s.hasLink(r.Link) {
 		return fmt.Errorf("%s: no such link, or an unknown word", r.Link)
 	}
-	p := &words{list: f[1:]}
+	p := &fieldReader{fields: f[1:]}
 	for p.more() && p.peek() != ":" {
-		r.condition(p)
+		r.parseCondition(p)
 	}
 	if p.take(); p.err == nil && !p.more() {
 		p.err = errors.New("no fault after ':'")
 	}
 	if p.err == nil {
-		r.action(p)
+		r.parseFault(p)
 	}
 	if p.err == nil && p.more() {
 		p.err = fmt.Errorf("%s: unknown field", p.peek())
 	}
 	if p.err == nil {
-		p.err = r.check()
+		p.err = r.validate()
 	}
 	s.Rules = append(s.Rules, r)
 	return p.err
 }
 
-// words are the fields of a rule that are still to be read. The first error stays.
-type words struct {
-	list []string
-	err  error
+// fieldReader are the fields of a rule that are still to be read. The first error stays.
+type fieldReader struct {
+	fields []string
+	err    error
 }
 
-func (p *words) more() bool   { return p.err == nil && len(p.list) > 0 }
-func (p *words) peek() string { return p.list[0] }
+func (p *fieldReader) more() bool   { return p.err == nil && len(p.fields) > 0 }
+func (p *fieldReader) peek() string { return p.fields[0] }
 
-func (p *words) take() string {
-	if p.err != nil || len(p.list) == 0 {
+func (p *fieldReader) take() string {
+	if p.err != nil || len(p.fields) == 0 {
 		return ""
 	}
-	word := p.list[0]
-	p.list = p.list[1:]
+	word := p.fields[0]
+	p.fields = p.fields[1:]
 	return word
 }
 
-func (p *words) fail(field, format string, args ...any) {
+func (p *fieldReader) fail(field, format string, args ...any) {
 	if p.err == nil {
 		p.err = fmt.Errorf(field+": "+format, args...)
 	}
 }
 
-func (p *words) number(field string, least int64) int64 {
+func (p *fieldReader) number(field string, least int64) int64 {
 	text := p.take()
 	n, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || n < least {
@@ -249,7 +249,7 @@
 	return n
 }
 
-func (p *words) duration(field string) time.Duration {
+func (p *fieldReader) duration(field string) time.Duration {
 	text := p.take()
 	d, err := time.ParseDuration(text)
 	if err != nil || d < 0 {
@@ -258,7 +258,7 @@
 	return d
 }
 
-func (p *words) chance(field string) float64 {
+func (p *fieldReader) chance(field string) float64 {
 	text := p.take()
 	x, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(x > 0 && x <= 1) {
@@ -267,51 +267,51 @@
 	return x
 }
 
-func (r *Rule) condition(p *words) {
+func (r *Rule) parseCondition(p *fieldReader) {
 	switch field := p.take(); field {
 	case "up":
 		r.Direction = Up
 	case "down":
 		r.Direction = Down
 	case "conn":
-		r.Conn = int(p.number(field, 1))
+		r.ConnNumber = int(p.number(field, 1))
 	case "every":
-		r.Every = int(p.number(field, 1))
+		r.EveryNth = int(p.number(field, 1))
 	case "chance":
-		r.Chance = p.chance(field)
+		r.Probability = p.chance(field)
 	case "time":
-		r.When.Time = p.duration(field)
+		r.Trigger.Time = p.duration(field)
 	case "byte":
-		r.When.Byte = p.number(field, 0)
+		r.Trigger.Byte = p.number(field, 0)
 	case "match":
 		text := p.take()
 		pattern, err := strconv.Unquote(text)
 		if err != nil || pattern == "" {
 			p.fail(field, "%s is no quoted pattern", text)
 		}
-		r.When.Pattern = pattern
+		r.Trigger.Pattern = pattern
 	case "nth":
-		r.When.Nth = int(p.number(field, 1))
+		r.Trigger.NthMatch = int(p.number(field, 1))
 	default:
 		p.fail(field, "unknown field")
 	}
 }
 
-func (r *Rule) action(p *words) {
+func (r *Rule) parseFault(p *fieldReader) {
 	name := p.take()
-	verb, known := verbs[name]
+	verb, known := kindsByWord[name]
 	if !known {
 		p.fail(name, "unknown fault")
 		return
 	}
-	switch r.Do = verb; verb {
+	switch r.Kind = verb; verb {
 	case Delay:
 		r.Delay = p.duration(name)
 	case Rate, Pieces, Garble, Drop, Repeat:
 		r.Amount = p.number(name, 1)
 	case Silence, Refuse, Stall:
 		if p.more() {
-			r.For = p.duration(name)
+			r.Duration = p.duration(name)
 		}
 	}
 	for p.more() {
@@ -319,18 +319,18 @@
 		case field == "jitter" && verb == Delay:
 			r.Jitter = p.duration(field)
 		case field == "for" && verb <= Pieces:
-			r.For = p.duration(field)
+			r.Duration = p.duration(field)
 		default:
 			p.fail(field, "unknown field of %s", name)
 		}
 	}
 }
 
-// mostRepeated bounds what a stream keeps to send once more.
-const mostRepeated = 1 << 20
+// maxRepeatBytes bounds what a stream keeps to send once more.
+const maxRepeatBytes = 1 << 20
 
-// check looks for fields that do not go together.
-func (r *Rule) check() error {
+// validate looks for fields that do not go together.
+func (r *Rule) validate() error {
 	set := func(list ...bool) (n int) {
 		for _, on := range list {
 			if on {
@@ -339,26 +339,26 @@
 		}
 		return n
 	}
-	byBytes := r.When.Byte >= 0 || r.When.Pattern != ""
+	byBytes := r.Trigger.Byte >= 0 || r.Trigger.Pattern != ""
 	switch {
-	case set(r.Conn > 0, r.Every > 0, r.Chance > 0) > 1:
+	case set(r.ConnNumber > 0, r.EveryNth > 0, r.Probability > 0) > 1:
 		return errors.New("conn: only one of conn, every and chance can be")
-	case set(r.When.Time >= 0, r.When.Byte >= 0, r.When.Pattern != "") > 1:
+	case set(r.Trigger.Time >= 0, r.Trigger.Byte >= 0, r.Trigger.Pattern != "") > 1:
 		return errors.New("time: only one of time, byte and match can be")
-	case r.When.Nth > 1 && r.When.Pattern == "":
+	case r.Trigger.NthMatch > 1 && r.Trigger.Pattern == "":
 		return errors.New("nth: goes with match")
-	case (r.Do == Refuse || r.Do == Stall) && (byBytes || r.Direction != Both || r.Every > 0 || r.Chance > 0):
-		return fmt.Errorf("%s: goes with conn or time alone", r.Do)
-	case r.Do == Repeat && r.Amount > mostRepeated:
-		return fmt.Errorf("repeat: %d bytes are more than the %d that are kept", r.Amount, mostRepeated)
-	case (r.Do == Refuse || r.Do == Stall) && r.For == 0:
-		return fmt.Errorf("%s: a time is wanted", r.Do)
+	case (r.Kind == Refuse || r.Kind == Stall) && (byBytes || r.Direction != Both || r.EveryNth > 0 || r.Probability > 0):
+		return fmt.Errorf("%s: goes with conn or time alone", r.Kind)
+	case r.Kind == Repeat && r.Amount > maxRepeatBytes:
+		return fmt.Errorf("repeat: %d bytes are more than the %d that are kept", r.Amount, maxRepeatBytes)
+	case (r.Kind == Refuse || r.Kind == Stall) && r.Duration == 0:
+		return fmt.Errorf("%s: a time is wanted", r.Kind)
 	}
 	return nil
 }
 
-// group sorts verbs by what they take hold of: two of one group at one point can't both be carried out.
-func (v Verb) group() int {
+// conflictGroup sorts verbs by what they take hold of: two of one conflictGroup at one point can't both be carried out.
+func (v Kind) conflictGroup() int {
 	switch v {
 	case HalfClose, Close, Reset, Silence:
 		return -1
@@ -370,34 +370,34 @@
 	return int(v)
 }
 
-// contradictions looks for two rules that take hold of the same thing at the same point.
-func (s *Script) contradictions() error {
+// checkConflicts looks for two rules that take hold of the same thing at the same point.
+func (s *Script) checkConflicts() error {
 	for i, a := range s.Rules {
 		for _, b := range s.Rules[:i] {
-			if a.meets(b) {
-				return fmt.Errorf("%w: line %d: %s: contradicts %s in line %d", ErrScript, a.Line, a.Do, b.Do, b.Line)
+			if a.conflictsWith(b) {
+				return fmt.Errorf("%w: line %d: %s: contradicts %s in line %d", ErrScript, a.ScriptLine, a.Kind, b.Kind, b.ScriptLine)
 			}
 		}
 	}
 	return nil
 }
 
-func (r Rule) meets(o Rule) bool {
-	if r.Link != o.Link || r.Do.group() != o.Do.group() || r.Direction != Both && o.Direction != Both && r.Direction != o.Direction {
+func (r Rule) conflictsWith(o Rule) bool {
+	if r.Link != o.Link || r.Kind.conflictGroup() != o.Kind.conflictGroup() || r.Direction != Both && o.Direction != Both && r.Direction != o.Direction {
 		return false
 	}
-	if r.Conn > 0 && o.Conn > 0 && r.Conn != o.Conn {
+	if r.ConnNumber > 0 && o.ConnNumber > 0 && r.ConnNumber != o.ConnNumber {
 		return false
 	}
-	if a, b := r.Conn, o.Every; a > 0 && b > 0 && a%b != 0 {
+	if a, b := r.ConnNumber, o.EveryNth; a > 0 && b > 0 && a%b != 0 {
 		return false
 	}
-	if a, b := o.Conn, r.Every; a > 0 && b > 0 && a%b != 0 {
+	if a, b := o.ConnNumber, r.EveryNth; a > 0 && b > 0 && a%b != 0 {
 		return false
 	}
-	if r.When.Time >= 0 && o.When.Time >= 0 {
-		return !(r.When.Time+r.For <= o.When.Time && r.For > 0 || o.When.Time+o.For <= r.When.Time && o.For > 0) ||
-			r.When.Time == o.When.Time
+	if r.Trigger.Time >= 0 && o.Trigger.Time >= 0 {
+		return !(r.Trigger.Time+r.Duration <= o.Trigger.Time && r.Duration > 0 || o.Trigger.Time+o.Duration <= r.Trigger.Time && o.Duration > 0) ||
+			r.Trigger.Time == o.Trigger.Time
 	}
-	return r.When == o.When
+	return r.Trigger == o.Trigger
 }
--- a/internal/relay/gate.go
+++ b/internal/relay/gate.go
@@ -36,8 +36,8 @@
 	}
 	g.ln, g.addr = ln.(*net.TCPListener), ln.Addr()
 	for _, rule := range r.script.Rules {
-		if rule.Link == link.Name && (rule.Do == fault.Refuse || rule.Do == fault.Stall) && rule.Conn <= 1 {
-			r.at(r.ctx, max(rule.When.Time, 0), func() { g.bar(rule) })
+		if rule.Link == link.Name && (rule.Kind == fault.Refuse || rule.Kind == fault.Stall) && rule.ConnNumber <= 1 {
+			r.at(r.ctx, max(rule.Trigger.Time, 0), func() { g.bar(rule) })
 		}
 	}
 	return g, nil
@@ -46,12 +46,12 @@
 // bar keeps new connections out for a time.
 func (g *gate) bar(rule fault.Rule) {
 	begin, end := g.refuse, g.listen
-	if rule.Do == fault.Stall {
+	if rule.Kind == fault.Stall {
 		begin, end = g.stall, g.unstall
 	}
 	begin()
-	g.relay.log([]fault.Event{{Link: g.link.Name, Conn: rule.Conn, Direction: fault.Both, Offset: -1, Line: rule.Line, Do: rule.Do}})
-	g.relay.at(g.relay.ctx, g.relay.now()+rule.For, end)
+	g.relay.log([]fault.Firing{{Link: g.link.Name, ConnNumber: rule.ConnNumber, Direction: fault.Both, Offset: -1, ScriptLine: rule.ScriptLine, Kind: rule.Kind}})
+	g.relay.at(g.relay.ctx, g.relay.now()+rule.Duration, end)
 }
 
 // set changes the listener.
@@ -184,7 +184,7 @@
 		return
 	}
 	for _, rule := range g.relay.script.Rules {
-		if rule.Link == g.link.Name && (rule.Do == fault.Refuse || rule.Do == fault.Stall) && rule.Conn == number+1 {
+		if rule.Link == g.link.Name && (rule.Kind == fault.Refuse || rule.Kind == fault.Stall) && rule.ConnNumber == number+1 {
 			g.bar(rule) // before anybody can connect next
 		}
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -24,7 +24,7 @@
 // Relay is a script that is being carried out.
 type Relay struct {
 	script *fault.Script
-	record func(fault.Event)
+	record func(fault.Firing)
 	start  time.Time
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -35,7 +35,7 @@
 
 // Start listens on every link of a script. Each fault that fires is recorded, one at a time. Nothing stays open when it
 // fails.
-func Start(script *fault.Script, record func(fault.Event)) (*Relay, error) {
+func Start(script *fault.Script, record func(fault.Firing)) (*Relay, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &Relay{script: script, record: record, start: time.Now(), ctx: ctx, cancel: cancel}
 	for _, link := range script.Links {
@@ -74,7 +74,7 @@
 // now is the time since the start, by which scripts count.
 func (r *Relay) now() time.Duration { return time.Since(r.start) }
 
-func (r *Relay) log(events []fault.Event) {
+func (r *Relay) log(events []fault.Firing) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, e := range events {
@@ -113,7 +113,7 @@
 	ctx    context.Context
 	cancel context.CancelFunc
 	mu     sync.Mutex // of plan
-	plan   *fault.Conn
+	plan   *fault.ConnPlan
 	ends   [2]*net.TCPConn // of whoever connected, of the target
 	once   sync.Once
 }
@@ -127,11 +127,11 @@
 		return
 	}
 	ctx, cancel := context.WithCancel(r.ctx)
-	p := &pair{relay: r, ctx: ctx, cancel: cancel, plan: r.script.Conn(link.Name, number, r.now()),
+	p := &pair{relay: r, ctx: ctx, cancel: cancel, plan: r.script.PlanConn(link.Name, number, r.now()),
 		ends: [2]*net.TCPConn{client, conn.(*net.TCPConn)}}
-	context.AfterFunc(ctx, func() { p.end(fault.Closed) })
+	context.AfterFunc(ctx, func() { p.end(fault.EndClosed) })
 	defer cancel()
-	r.log(p.plan.Events())
+	r.log(p.plan.TakeFirings())
 	var both sync.WaitGroup
 	for _, d := range []fault.Direction{fault.Up, fault.Down} {
 		both.Go(func() { p.carry(d) })
@@ -145,7 +145,7 @@
 	if d == fault.Down {
 		from, to = to, from
 	}
-	ops := make(chan fault.Op, mostPending)
+	ops := make(chan fault.Output, mostPending)
 	stream := p.plan.Stream(d)
 	p.fire(stream, to)
 	for _, at := range p.timed(stream) {
@@ -158,38 +158,38 @@
 	writer.Wait()
 }
 
-func (p *pair) timed(s *fault.Stream) []time.Duration {
+func (p *pair) timed(s *fault.StreamPlan) []time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return s.Timed()
+	return s.PendingTimes()
 }
 
 // fire looks at the rules by time while nothing comes. What ends the stream ends it here: the reader may be blocked.
-func (p *pair) fire(s *fault.Stream, to *net.TCPConn) {
+func (p *pair) fire(s *fault.StreamPlan, to *net.TCPConn) {
 	p.mu.Lock()
-	ops := s.Tick(p.relay.now())
-	events := p.plan.Events()
+	ops := s.Advance(p.relay.now())
+	events := p.plan.TakeFirings()
 	p.mu.Unlock()
 	p.relay.log(events)
 	for _, op := range ops {
-		p.finish(to, op.End)
+		p.finish(to, op.Ending)
 	}
 }
 
-func (p *pair) read(from *net.TCPConn, s *fault.Stream, ops chan<- fault.Op) {
+func (p *pair) read(from *net.TCPConn, s *fault.StreamPlan, ops chan<- fault.Output) {
 	buffer := make([]byte, readSize)
 	for {
 		n, err := from.Read(buffer)
 		p.mu.Lock()
 		out := s.Feed(buffer[:n], p.relay.now())
 		if err != nil {
-			out = append(out, s.Finish(p.relay.now())...)
+			out = append(out, s.CloseInput(p.relay.now())...)
 		}
-		events := p.plan.Events()
+		events := p.plan.TakeFirings()
 		p.mu.Unlock()
 		p.relay.log(events)
 		if err != nil && !errors.Is(err, io.EOF) { // a reset is passed on as one
-			p.end(fault.WasReset)
+			p.end(fault.EndReset)
 			return
 		}
 		for _, op := range out {
@@ -198,7 +198,7 @@
 			case <-p.ctx.Done():
 				return
 			}
-			if op.End != fault.Open {
+			if op.Ending != fault.NotEnded {
 				return
 			}
 		}
@@ -208,26 +208,26 @@
 	}
 }
 
-func (p *pair) write(to *net.TCPConn, ops <-chan fault.Op) {
+func (p *pair) write(to *net.TCPConn, ops <-chan fault.Output) {
 	for op := range ops {
 		if !p.relay.sleep(p.ctx, op.Due) {
 			return
 		}
 		if len(op.Data) > 0 {
 			if _, err := to.Write(op.Data); err != nil {
-				p.end(fault.WasReset)
+				p.end(fault.EndReset)
 				return
 			}
 		}
-		p.finish(to, op.End)
+		p.finish(to, op.Ending)
 	}
 }
 
 // finish ends one direction as the plan has it.
-func (p *pair) finish(to *net.TCPConn, how fault.End) {
+func (p *pair) finish(to *net.TCPConn, how fault.Ending) {
 	switch how {
-	case fault.Open:
-	case fault.HalfClosed:
+	case fault.NotEnded:
+	case fault.EndHalfClosed:
 		to.CloseWrite() //nolint:errcheck // it may have ended
 	default:
 		p.end(how)
@@ -235,10 +235,10 @@
 }
 
 // end ends both sides of the connection, once.
-func (p *pair) end(how fault.End) {
+func (p *pair) end(how fault.Ending) {
 	p.once.Do(func() {
 		for _, c := range p.ends {
-			if how == fault.WasReset {
+			if how == fault.EndReset {
 				reset(c)
 			} else {
 				c.Close() //nolint:errcheck // it may have ended
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -58,7 +58,7 @@
 		t.Fatal(err)
 	}
 	g := &rig{t: t}
-	if g.relay, err = Start(script, func(e fault.Event) {
+	if g.relay, err = Start(script, func(e fault.Firing) {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		g.fired = append(g.fired, e.String())
@@ -215,7 +215,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r, err := Start(script, func(fault.Event) {}); err == nil || !strings.Contains(err.Error(), "link b") {
+	if r, err := Start(script, func(fault.Firing) {}); err == nil || !strings.Contains(err.Error(), "link b") {
 		t.Errorf("%v %v", r, err)
 	}
 }
@@ -259,7 +259,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	r, err := Start(script, func(fault.Event) {})
+	r, err := Start(script, func(fault.Firing) {})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -223,7 +223,7 @@
 	if err != nil {
 		return err
 	}
-	between, err := relay.Start(script, func(e fault.Event) { r.h.Note("relay", "%s %v", s.id, e) })
+	between, err := relay.Start(script, func(e fault.Firing) { r.h.Note("relay", "%s %v", s.id, e) })
 	if err != nil {
 		return err
 	}
