--- a/internal/fault/script.go
+++ b/internal/fault/parse.go
@@ -1,5 +1,3 @@
-// Package fault plans faults on streams of bytes: a script says which, a seed decides what is left to chance, and the
-// same bytes always meet the same faults, however they are cut into reads. It touches no socket and no clock.
 package fault
 
 import (
@@ -11,93 +9,6 @@
 	"time"
 )
 
-// Direction is a side of a relayed connection.
-type Direction int
-
-// The directions: up goes from whoever connected to the target, down comes back. Both stands for either.
-const (
-	Up Direction = iota
-	Down
-	Both
-)
-
-func (d Direction) String() string { return [...]string{"up", "down", "both"}[d] }
-
-// Kind is what a fault does.
-type Kind int
-
-// The verbs. Those up to Pieces last for a time; Silence holds everything back with the connection open; those from
-// HalfClose to Reset end it; the next three change bytes; the last two are about connections that are yet to come.
-const (
-	Delay Kind = iota
-	Rate
-	Pieces
-	Silence
-	HalfClose
-	Close
-	Reset
-	Garble
-	Drop
-	Repeat
-	Refuse
-	Stall
-)
-
-var kindsByWord = map[string]Kind{
-	"delay": Delay, "rate": Rate, "pieces": Pieces, "silence": Silence, "halfclose": HalfClose, "close": Close,
-	"reset": Reset, "garble": Garble, "drop": Drop, "repeat": Repeat, "refuse": Refuse, "stall": Stall,
-}
-
-func (v Kind) String() string {
-	for name, verb := range kindsByWord {
-		if verb == v {
-			return name
-		}
-	}
-	return "none"
-}
-
-// Link is an address to listen on and the one to relay to.
-type Link struct {
-	Name           string
-	Listen, Target netip.AddrPort
-}
-
-// Trigger says when a rule fires: at a time since the start, after so many bytes, after the nth match of a pattern;
-// with none of them as soon as its connection begins.
-type Trigger struct {
-	Time     time.Duration // -1: not by time
-	Byte     int64         // -1: not by bytes
-	Pattern  string        // empty: not by a pattern
-	NthMatch int
-}
-
-// Rule is one line of a script.
-type Rule struct {
-	ScriptLine  int
-	Link        string
-	Direction   Direction
-	ConnNumber  int     // which connection of the link, from 1; 0: every one
-	EveryNth    int     // each so manieth; 0: not by this
-	Probability float64 // by chance; 0: not by this
-	Trigger     Trigger
-	Kind        Kind
-	Duration    time.Duration // how long it lasts; 0: for good
-	Amount      int64         // bytes, or bytes a second
-	Delay       time.Duration
-	Jitter      time.Duration
-}
-
-// Script is a whole plan as it was written.
-type Script struct {
-	Seed  uint64
-	Links []Link
-	Rules []Rule
-}
-
-// ErrScript marks a script that can't be used.
-var ErrScript = errors.New("script")
-
 // Parse reads a script and checks all of it. Errors name the line and the field.
 func Parse(text string) (*Script, error) {
 	s := &Script{Seed: 1}
@@ -222,7 +133,8 @@
 	err    error
 }
 
-func (p *fieldReader) more() bool   { return p.err == nil && len(p.fields) > 0 }
+func (p *fieldReader) more() bool { return p.err == nil && len(p.fields) > 0 }
+
 func (p *fieldReader) peek() string { return p.fields[0] }
 
 func (p *fieldReader) take() string {
@@ -325,79 +237,3 @@
 		}
 	}
 }
-
-// maxRepeatBytes bounds what a stream keeps to send once more.
-const maxRepeatBytes = 1 << 20
-
-// validate looks for fields that do not go together.
-func (r *Rule) validate() error {
-	set := func(list ...bool) (n int) {
-		for _, on := range list {
-			if on {
-				n++
-			}
-		}
-		return n
-	}
-	byBytes := r.Trigger.Byte >= 0 || r.Trigger.Pattern != ""
-	switch {
-	case set(r.ConnNumber > 0, r.EveryNth > 0, r.Probability > 0) > 1:
-		return errors.New("conn: only one of conn, every and chance can be")
-	case set(r.Trigger.Time >= 0, r.Trigger.Byte >= 0, r.Trigger.Pattern != "") > 1:
-		return errors.New("time: only one of time, byte and match can be")
-	case r.Trigger.NthMatch > 1 && r.Trigger.Pattern == "":
-		return errors.New("nth: goes with match")
-	case (r.Kind == Refuse || r.Kind == Stall) && (byBytes || r.Direction != Both || r.EveryNth > 0 || r.Probability > 0):
-		return fmt.Errorf("%s: goes with conn or time alone", r.Kind)
-	case r.Kind == Repeat && r.Amount > maxRepeatBytes:
-		return fmt.Errorf("repeat: %d bytes are more than the %d that are kept", r.Amount, maxRepeatBytes)
-	case (r.Kind == Refuse || r.Kind == Stall) && r.Duration == 0:
-		return fmt.Errorf("%s: a time is wanted", r.Kind)
-	}
-	return nil
-}
-
-// conflictGroup sorts verbs by what they take hold of: two of one conflictGroup at one point can't both be carried out.
-func (v Kind) conflictGroup() int {
-	switch v {
-	case HalfClose, Close, Reset, Silence:
-		return -1
-	case Garble, Drop, Repeat:
-		return -2
-	case Refuse, Stall:
-		return -3
-	}
-	return int(v)
-}
-
-// checkConflicts looks for two rules that take hold of the same thing at the same point.
-func (s *Script) checkConflicts() error {
-	for i, a := range s.Rules {
-		for _, b := range s.Rules[:i] {
-			if a.conflictsWith(b) {
-				return fmt.Errorf("%w: line %d: %s: contradicts %s in line %d", ErrScript, a.ScriptLine, a.Kind, b.Kind, b.ScriptLine)
-			}
-		}
-	}
-	return nil
-}
-
-func (r Rule) conflictsWith(o Rule) bool {
-	if r.Link != o.Link || r.Kind.conflictGroup() != o.Kind.conflictGroup() || r.Direction != Both && o.Direction != Both && r.Direction != o.Direction {
-		return false
-	}
-	if r.ConnNumber > 0 && o.ConnNumber > 0 && r.ConnNumber != o.ConnNumber {
-		return false
-	}
-	if a, b := r.ConnNumber, o.EveryNth; a > 0 && b > 0 && a%b != 0 {
-		return false
-	}
-	if a, b := o.ConnNumber, r.EveryNth; a > 0 && b > 0 && a%b != 0 {
-		return false
-	}
-	if r.Trigger.Time >= 0 && o.Trigger.Time >= 0 {
-		return !(r.Trigger.Time+r.Duration <= o.Trigger.Time && r.Duration > 0 || o.Trigger.Time+o.Duration <= r.Trigger.Time && o.Duration > 0) ||
-			r.Trigger.Time == o.Trigger.Time
-	}
-	return r.Trigger == o.Trigger
-}
