--- /dev/null
+++ b/internal/fault/conflict.go
@@ -0,0 +1,91 @@
+package fault
+
+import (
+	"fmt"
+	"time"
+)
+
+// conflictGroup sorts kinds by what they act on: two rules of one group can't both be carried out at one point.
+type conflictGroup int
+
+const (
+	groupDelay conflictGroup = iota
+	groupRate
+	groupPieces
+	groupEnd      // what ends or blocks the stream
+	groupEdit     // what changes bytes
+	groupConnects // what keeps new connections out
+)
+
+func (k Kind) conflictGroup() conflictGroup {
+	switch k {
+	case Delay:
+		return groupDelay
+	case Rate:
+		return groupRate
+	case Pieces:
+		return groupPieces
+	case Garble, Drop, Repeat:
+		return groupEdit
+	case Refuse, Stall:
+		return groupConnects
+	default:
+		return groupEnd
+	}
+}
+
+// checkConflicts rejects two rules that act on the same thing at the same point.
+func (s *Script) checkConflicts() error {
+	for i, rule := range s.Rules {
+		for _, earlier := range s.Rules[:i] {
+			if rule.conflictsWith(earlier) {
+				return fmt.Errorf("%w: line %d: %s: contradicts %s in line %d",
+					ErrScript, rule.ScriptLine, rule.Kind, earlier.Kind, earlier.ScriptLine)
+			}
+		}
+	}
+	return nil
+}
+
+// conflictsWith reports whether two rules act on the same thing at the same point. Rules that select connections by
+// chance count as selecting all.
+func (r Rule) conflictsWith(other Rule) bool {
+	return r.Link == other.Link &&
+		r.Kind.conflictGroup() == other.Kind.conflictGroup() &&
+		r.Direction.overlaps(other.Direction) &&
+		r.sharesConnections(other) &&
+		r.sharesTrigger(other)
+}
+
+func (d Direction) overlaps(other Direction) bool {
+	return d == Both || other == Both || d == other
+}
+
+// sharesConnections reports whether some connection may meet both rules.
+func (r Rule) sharesConnections(other Rule) bool {
+	if r.ConnNumber > 0 && other.ConnNumber > 0 {
+		return r.ConnNumber == other.ConnNumber
+	}
+	return isMultiple(r.ConnNumber, other.EveryNth) && isMultiple(other.ConnNumber, r.EveryNth)
+}
+
+// isMultiple reports whether a connection's number is a multiple of n. Where either is 0, it does not restrict the rule.
+func isMultiple(connNumber, n int) bool {
+	return connNumber == 0 || n == 0 || connNumber%n == 0
+}
+
+// sharesTrigger reports whether both rules act at one point: at the same bytes, or at times that overlap.
+func (r Rule) sharesTrigger(other Rule) bool {
+	if r.Trigger.Time < 0 || other.Trigger.Time < 0 {
+		return r.Trigger == other.Trigger
+	}
+	if r.Trigger.Time == other.Trigger.Time {
+		return true
+	}
+	return !r.isOverBy(other.Trigger.Time) && !other.isOverBy(r.Trigger.Time)
+}
+
+// isOverBy reports whether a rule by time has ended at a time. A rule without a duration never ends.
+func (r Rule) isOverBy(at time.Duration) bool {
+	return r.Duration > 0 && r.Trigger.Time+r.Duration <= at
+}
--- a/internal/fault/fault_test.go
+++ b/internal/fault/fault_test.go
@@ -19,7 +19,7 @@
 	return s
 }
 
-// Whatever can't be carried out is turned down before anything starts, with its line and field.
+// TestBadScripts checks that scripts that can't be carried out are rejected, with their line and field.
 func TestBadScripts(t *testing.T) {
 	for text, want := range map[string]string{
 		"":       "no link",
@@ -65,7 +65,7 @@
 		"c time 1s : delay 1ms jitter 2ms for 1s\nc time 2s : delay 5ms\nc conn 3 : refuse 1s\nc conn 3 byte 9 : garble 2\n")
 }
 
-// play feeds a stream in reads of the given size and returns what comes out, and how it ends.
+// play feeds data to a stream in reads of the given size, and returns its output and how it ends.
 func play(s *StreamPlan, data []byte, size int) (out []byte, end Ending) {
 	for len(data) > 0 {
 		n := min(size, len(data))
@@ -82,7 +82,7 @@
 	return out, end
 }
 
-// The same bytes meet the same faults, however they are cut into reads; the same seed draws the same connections.
+// TestFaultsDoNotDependOnReads checks that the same bytes meet the same faults, however they are cut into reads.
 func TestFaultsDoNotDependOnReads(t *testing.T) {
 	script := mustParse(t, `seed 9
 c up match "REQ" nth 3 : garble 5
@@ -144,7 +144,7 @@
 	}
 }
 
-// Bytes keep their order and their distance in time by delay, rate, pieces and silence, for as long as those last.
+// TestTimes checks when output is due under delay, rate, pieces and silence, and that times never decrease.
 func TestTimes(t *testing.T) {
 	const ms = time.Millisecond
 	due := func(rule string, now time.Duration) (times []time.Duration, sizes []int) {
--- /dev/null
+++ b/internal/fault/parserule.go
@@ -0,0 +1,162 @@
+package fault
+
+import (
+	"errors"
+	"fmt"
+	"strconv"
+	"time"
+)
+
+// parseRule reads 'LINK [up|down] [conn N|every N|chance P] [time T|byte N|match "P" [nth N]] : FAULT'.
+func (s *Script) parseRule(lineNumber int, fields []string) error {
+	rule := Rule{
+		ScriptLine: lineNumber, Link: fields[0], Direction: Both, Trigger: Trigger{Time: -1, Byte: -1, NthMatch: 1},
+	}
+	if !s.hasLink(rule.Link) {
+		return fmt.Errorf("%s: no such link, or an unknown word", rule.Link)
+	}
+	r := &fieldReader{fields: fields[1:]}
+	for r.more() && r.peek() != ":" {
+		rule.parseCondition(r)
+	}
+	r.take() // the colon
+	if r.err == nil && !r.more() {
+		return errors.New("no fault after ':'")
+	}
+	rule.parseFault(r)
+	if r.err != nil {
+		return r.err
+	}
+	s.Rules = append(s.Rules, rule)
+	return rule.validate()
+}
+
+// parseCondition reads one condition before the colon.
+func (r *Rule) parseCondition(in *fieldReader) {
+	switch field := in.take(); field {
+	case "up":
+		r.Direction = Up
+	case "down":
+		r.Direction = Down
+	case "conn":
+		r.ConnNumber = int(in.number(field, 1))
+	case "every":
+		r.EveryNth = int(in.number(field, 1))
+	case "chance":
+		r.Probability = in.probability(field)
+	case "time":
+		r.Trigger.Time = in.duration(field)
+	case "byte":
+		r.Trigger.Byte = in.number(field, 0)
+	case "match":
+		r.Trigger.Pattern = in.pattern(field)
+	case "nth":
+		r.Trigger.NthMatch = int(in.number(field, 1))
+	default:
+		in.fail(field, "unknown field")
+	}
+}
+
+// parseFault reads the fault after the colon.
+func (r *Rule) parseFault(in *fieldReader) {
+	word := in.take()
+	kind, known := kindsByWord[word]
+	if !known {
+		in.fail(word, "unknown fault")
+		return
+	}
+	r.Kind = kind
+	switch kind {
+	case Delay:
+		r.Delay = in.duration(word)
+	case Rate, Pieces, Garble, Drop, Repeat:
+		r.Amount = in.number(word, 1)
+	case Silence, Refuse, Stall:
+		if in.more() {
+			r.Duration = in.duration(word)
+		}
+	}
+	for in.more() {
+		r.parseOption(in)
+	}
+}
+
+// parseOption reads one option of a fault.
+func (r *Rule) parseOption(in *fieldReader) {
+	field := in.take()
+	switch {
+	case field == "jitter" && r.Kind == Delay:
+		r.Jitter = in.duration(field)
+	case field == "for" && r.Kind.takesFor():
+		r.Duration = in.duration(field)
+	default:
+		in.fail(field, "unknown field of %s", r.Kind)
+	}
+}
+
+// fieldReader reads the fields of a rule one by one. It keeps the first error; after that it reads nothing more.
+type fieldReader struct {
+	fields []string // not read yet
+	err    error
+}
+
+func (r *fieldReader) more() bool { return r.err == nil && len(r.fields) > 0 }
+
+func (r *fieldReader) peek() string { return r.fields[0] }
+
+// take returns the next field, or "" if there is none.
+func (r *fieldReader) take() string {
+	if !r.more() {
+		return ""
+	}
+	field := r.fields[0]
+	r.fields = r.fields[1:]
+	return field
+}
+
+func (r *fieldReader) fail(field, format string, args ...any) {
+	if r.err == nil {
+		r.err = fmt.Errorf(field+": "+format, args...)
+	}
+}
+
+// number reads a whole number of at least lowest.
+func (r *fieldReader) number(field string, lowest int64) int64 {
+	text := r.take()
+	n, err := strconv.ParseInt(text, 10, 64)
+	if err != nil || n < lowest {
+		r.fail(field, "%q is no number from %d on", text, lowest)
+	}
+	return n
+}
+
+// duration reads a duration in Go's syntax, of at least 0.
+func (r *fieldReader) duration(field string) time.Duration {
+	text := r.take()
+	d, err := time.ParseDuration(text)
+	if err != nil || d < 0 {
+		r.fail(field, "%q is no time from 0 on", text)
+	}
+	return d
+}
+
+// probability reads a number over 0, up to 1.
+func (r *fieldReader) probability(field string) float64 {
+	text := r.take()
+	p, err := strconv.ParseFloat(text, 64)
+	inRange := p > 0 && p <= 1 // false for NaN
+	if err != nil || !inRange {
+		r.fail(field, "%q is no share over 0, up to 1", text)
+	}
+	return p
+}
+
+// pattern reads a quoted pattern that is not empty.
+func (r *fieldReader) pattern(field string) string {
+	text := r.take()
+	pattern, err := strconv.Unquote(text)
+	if err != nil || pattern == "" {
+		r.fail(field, "%s is no quoted pattern", text)
+	}
+	return pattern
+}
--- a/internal/fault/plan.go
+++ b/internal/fault/plan.go
@@ -2,44 +2,48 @@
 
 import (
 	"fmt"
+	"strconv"
 	"time"
 )
 
+// NoOffset is the offset of a fault that fired by time, or before its connection.
+const NoOffset = -1
+
 // Firing is a fault that has fired, as the log records it.
 type Firing struct {
 	Link       string
 	ConnNumber int
 	Direction  Direction
-	Offset     int64 // bytes that had passed; -1: it fired by time, or before the connection
+	Offset     int64 // bytes that had passed, or NoOffset
 	ScriptLine int
 	Kind       Kind
 }
 
-// String is the event's line in the log: it holds no time, so that the logs of two runs can be compared.
-func (e Firing) String() string {
-	at := "-"
-	if e.Offset >= 0 {
-		at = fmt.Sprint(e.Offset)
+// String is the line of the log. It holds no time, so that the logs of two runs can be compared.
+func (f Firing) String() string {
+	offset := "-"
+	if f.Offset >= 0 {
+		offset = strconv.FormatInt(f.Offset, 10)
 	}
-	return fmt.Sprintf("%s#%d %s %s line %d %s", e.Link, e.ConnNumber, e.Direction, at, e.ScriptLine, e.Kind)
+	return fmt.Sprintf("%s#%d %s %s line %d %s", f.Link, f.ConnNumber, f.Direction, offset, f.ScriptLine, f.Kind)
 }
 
-// Ending is how a stream ends with a piece of output.
+// Ending is how a stream ends after a piece of output.
 type Ending int
 
-// The ends.
+// The endings; the last two also end the other direction.
 const (
-	NotEnded Ending = iota
-	EndHalfClosed
-	EndClosed
-	EndReset
+	NotEnded      Ending = iota
+	EndHalfClosed        // FIN, the other direction goes on
+	EndClosed            // the connection is closed
+	EndReset             // the connection is closed with RST
 )
 
-// Output is one piece of output: bytes that are due at a time, then perhaps the end.
+// Output is a piece of output.
 type Output struct {
 	Data   []byte
-	Due    time.Duration
-	Ending Ending
+	Due    time.Duration // since the start
+	Ending Ending        // of the stream, after Data
 }
 
 // ConnPlan plans one connection.
@@ -47,9 +51,9 @@
 	script  *Script
 	link    string
 	number  int
-	streams [2]*StreamPlan
+	streams [2]*StreamPlan // by Up and Down
 	firings []Firing
-	ended   bool // closed or reset by a rule: what the other direction brings after that fires nothing
+	ended   bool // by a Close or Reset rule: the other direction fires nothing after that
 }
 
 // PlanConn returns the plan of a link's nth connection, counted from 1, which begins now.
@@ -59,37 +63,50 @@
 		c.streams[d] = &StreamPlan{conn: c, direction: Direction(d)}
 	}
 	for i := range s.Rules {
-		r := &s.Rules[i]
-		if r.Link != link || r.Kind == Refuse || r.Kind == Stall || !c.chosen(r) {
+		rule := &s.Rules[i]
+		if rule.Link != link || rule.Kind.AffectsConnects() || !c.isSelected(rule) {
 			continue
 		}
 		for d, stream := range c.streams {
-			if r.Direction == Both || r.Direction == Direction(d) {
-				stream.add(r, now)
+			if rule.Direction.overlaps(Direction(d)) {
+				stream.add(rule, now)
 			}
 		}
 	}
 	return c
 }
 
-// chosen says whether a rule is about this connection. Chance depends on seed, line and number alone.
-func (c *ConnPlan) chosen(r *Rule) bool {
+// Stream returns the plan of one direction.
+func (c *ConnPlan) Stream(d Direction) *StreamPlan { return c.streams[d] }
+
+// TakeFirings returns the faults that have fired since the last call.
+func (c *ConnPlan) TakeFirings() []Firing {
+	firings := c.firings
+	c.firings = nil
+	return firings
+}
+
+// isSelected reports whether a rule applies to this connection. A draw depends on seed, line and number alone.
+func (c *ConnPlan) isSelected(r *Rule) bool {
 	switch {
 	case r.ConnNumber > 0:
 		return r.ConnNumber == c.number
 	case r.EveryNth > 0:
 		return c.number%r.EveryNth == 0
 	case r.Probability > 0:
-		return float64(c.draw(r.ScriptLine, 0)>>11)/(1<<53) < r.Probability
+		return unitInterval(c.draw(r.ScriptLine, 0)) < r.Probability
+	default:
+		return true
 	}
-	return true
 }
 
-// draw is a number that depends on the seed, the connection, a rule and a place, and on nothing that happened before.
-func (c *ConnPlan) draw(line int, place int64) uint64 {
+// draw returns a number that depends on the seed, the connection, a rule and an offset, and on nothing that happened
+// before.
+func (c *ConnPlan) draw(scriptLine int, offset int64) uint64 {
+	const increment = 0x9e3779b97f4a7c15 // of splitmix64
 	x := c.script.Seed
-	for _, part := range []uint64{uint64(c.number), uint64(line), uint64(place)} {
-		x = mix(x + part + 0x9e3779b97f4a7c15)
+	for _, part := range []uint64{uint64(c.number), uint64(scriptLine), uint64(offset)} {
+		x = mix(x + part + increment)
 	}
 	for _, b := range []byte(c.link) {
 		x = mix(x + uint64(b))
@@ -104,12 +121,8 @@
 	return x ^ x>>31
 }
 
-// Stream returns one direction.
-func (c *ConnPlan) Stream(d Direction) *StreamPlan { return c.streams[d] }
-
-// TakeFirings returns the faults that have fired since the last call.
-func (c *ConnPlan) TakeFirings() []Firing {
-	events := c.firings
-	c.firings = nil
-	return events
+// unitInterval maps a drawn number to [0, 1).
+func unitInterval(x uint64) float64 {
+	const mantissaBits = 53 // of a float64
+	return float64(x>>(64-mantissaBits)) / (1 << mantissaBits)
 }
--- a/internal/fault/stream.go
+++ b/internal/fault/stream.go
@@ -5,156 +5,147 @@
 	"time"
 )
 
-// StreamPlan plans one direction of a connection.
+// StreamPlan plans one direction of a connection: Feed and CloseInput take what was read, and all three of Feed, Advance
+// and CloseInput return what is to be written, each piece with its time. Times never decrease.
 type StreamPlan struct {
 	conn      *ConnPlan
 	direction Direction
-	offset    int64 // bytes taken
+	offset    int64 // bytes read so far
 	pending   []*pendingRule
-	active    []activeRule
-	editing   *activeRule // garble, drop or repeat, with left bytes to go
-	repeated  []byte
-	lastDue   time.Duration // of the last output
+	active    []activeRule  // that change when output is written
+	editing   *activeRule   // that changes bytes; nil: none
+	repeated  []byte        // what a Repeat rule has seen and sends once more
+	lastDue   time.Duration // when the last output is due
 	ended     bool
-	initial   []Output // what is due before anything has come
+	initial   []Output // from rules that fired when the connection began
 }
 
-// activeRule is a rule that has fired and lasts.
+// activeRule is a rule that has fired and is still in force.
 type activeRule struct {
 	rule      *Rule
-	until     time.Duration // 0: for good
-	bytesLeft int64
-}
-
-// PendingTimes returns when the rules by time fire that have yet to.
-func (s *StreamPlan) PendingTimes() (at []time.Duration) {
-	for _, w := range s.pending {
-		if w.rule.Trigger.Time >= 0 {
-			at = append(at, w.rule.Trigger.Time)
-		}
-	}
-	return at
+	until     time.Duration // 0: until the connection ends
+	bytesLeft int64         // that it still changes
 }
 
+// add takes a rule that applies to the connection. One whose trigger has come already fires at once.
 func (s *StreamPlan) add(r *Rule, now time.Duration) {
-	w := &pendingRule{rule: r}
-	switch t := r.Trigger; {
-	case t.Pattern != "":
-		w.failureTable = failureTable(t.Pattern)
-	case t.Time >= 0 && t.Time > now, t.Byte > 0:
-	default:
-		if s.conn.ended {
-			return
-		}
-		if s.fire(r, now); r.Kind.ending() != NotEnded && !s.ended {
-			s.initial = append(s.initial, s.end(nil, now, r.Kind.ending()))
-		}
+	trigger := r.Trigger
+	if trigger.Pattern != "" {
+		s.pending = append(s.pending, &pendingRule{rule: r, failureTable: failureTable(trigger.Pattern)})
+		return
+	}
+	if trigger.Time > now && trigger.Time >= 0 || trigger.Byte > 0 {
+		s.pending = append(s.pending, &pendingRule{rule: r})
+		return
+	}
+	if s.conn.ended {
 		return
 	}
-	s.pending = append(s.pending, w)
+	s.fire(r, now)
+	if r.Kind.ending() != NotEnded && !s.ended {
+		s.initial = append(s.initial, s.end(now, r.Kind.ending()))
+	}
 }
 
-// fire starts a rule.
+// fire logs a rule and puts it in force.
 func (s *StreamPlan) fire(r *Rule, now time.Duration) {
 	offset := s.offset
 	if r.Trigger.Time >= 0 {
-		offset = -1
+		offset = NoOffset
 	}
-	s.conn.firings = append(s.conn.firings, Firing{s.conn.link, s.conn.number, s.direction, offset, r.ScriptLine, r.Kind})
-	e := activeRule{rule: r, bytesLeft: r.Amount}
+	s.conn.firings = append(s.conn.firings, Firing{
+		Link: s.conn.link, ConnNumber: s.conn.number, Direction: s.direction, Offset: offset, ScriptLine: r.ScriptLine, Kind: r.Kind,
+	})
+	fired := activeRule{rule: r, bytesLeft: r.Amount}
 	if r.Duration > 0 {
-		e.until = now + r.Duration
+		fired.until = now + r.Duration
 	}
 	switch r.Kind {
 	case Delay, Rate, Pieces, Silence:
-		s.active = append(s.active, e)
+		s.active = append(s.active, fired)
 	case Garble, Drop, Repeat:
-		s.editing, s.repeated = &e, nil
+		s.editing = &fired
+		s.repeated = nil
 	}
 }
 
-// ending is how a rule ends the stream.
-func (v Kind) ending() Ending {
-	return map[Kind]Ending{HalfClose: EndHalfClosed, Close: EndClosed, Reset: EndReset}[v]
+// PendingTimes returns when the rules by time fire that have not fired yet.
+func (s *StreamPlan) PendingTimes() (times []time.Duration) {
+	for _, p := range s.pending {
+		if p.rule.Trigger.Time >= 0 {
+			times = append(times, p.rule.Trigger.Time)
+		}
+	}
+	return times
 }
 
-// Advance fires the rules by time that are due, and returns what the beginning of the connection brought.
-func (s *StreamPlan) Advance(now time.Duration) (ops []Output) {
-	ops, s.initial = s.initial, nil
+// Advance fires the rules by time that are due. It also returns what rules brought that fired as the connection began.
+func (s *StreamPlan) Advance(now time.Duration) (output []Output) {
+	output = s.initial
+	s.initial = nil
 	s.ended = s.ended || s.conn.ended
-	for _, w := range slices.Clone(s.pending) {
-		if r := w.rule; r.Trigger.Time >= 0 && r.Trigger.Time <= now && !s.ended {
-			s.removePending(w)
-			if s.fire(r, now); r.Kind.ending() != NotEnded {
-				ops = append(ops, s.end(nil, now, r.Kind.ending()))
-			}
+	for _, p := range slices.Clone(s.pending) {
+		due := p.rule.Trigger.Time >= 0 && p.rule.Trigger.Time <= now
+		if !due || s.ended {
+			continue
+		}
+		s.removePending(p)
+		s.fire(p.rule, now)
+		if p.rule.Kind.ending() != NotEnded {
+			output = append(output, s.end(now, p.rule.Kind.ending()))
 		}
 	}
-	return ops
+	return output
 }
 
-func (s *StreamPlan) removePending(w *pendingRule) {
-	s.pending = slices.DeleteFunc(s.pending, func(other *pendingRule) bool { return other == w })
+func (s *StreamPlan) removePending(p *pendingRule) {
+	s.pending = slices.DeleteFunc(s.pending, func(other *pendingRule) bool { return other == p })
 }
 
-// Feed takes bytes and returns what becomes of them. What fires does so after its exact byte.
-func (s *StreamPlan) Feed(data []byte, now time.Duration) (ops []Output) {
-	ops = s.Advance(now)
-	var out []byte
+// Feed takes bytes that were read and returns what becomes of them. A rule takes effect right after the byte that
+// triggers it.
+func (s *StreamPlan) Feed(data []byte, now time.Duration) (output []Output) {
+	output = s.Advance(now)
+	var edited []byte
 	for _, b := range data {
 		if s.ended {
-			return ops
+			return output
 		}
 		s.offset++
-		out = s.edit(out, b)
-		for _, w := range slices.Clone(s.pending) {
-			if w.rule.Trigger.Time >= 0 || !w.advance(b, s.offset) {
+		edited = s.edit(edited, b)
+		for _, p := range slices.Clone(s.pending) {
+			if p.rule.Trigger.Time >= 0 || !p.advance(b, s.offset) {
 				continue
 			}
-			s.removePending(w)
-			ops, out = append(ops, s.shape(out, now)...), nil
-			if s.fire(w.rule, now); w.rule.Kind.ending() != NotEnded {
-				return append(ops, s.end(nil, now, w.rule.Kind.ending()))
+			s.removePending(p)
+			output = append(output, s.shape(edited, now)...)
+			edited = nil
+			s.fire(p.rule, now)
+			if p.rule.Kind.ending() != NotEnded {
+				return append(output, s.end(now, p.rule.Kind.ending()))
 			}
 		}
 	}
-	return append(ops, s.shape(out, now)...)
+	return append(output, s.shape(edited, now)...)
 }
 
-// CloseInput takes the end of the input.
+// CloseInput takes the end of what is read.
 func (s *StreamPlan) CloseInput(now time.Duration) []Output {
-	ops := s.Advance(now)
+	output := s.Advance(now)
 	if s.ended {
-		return ops
+		return output
 	}
-	return append(ops, s.end(nil, now, EndHalfClosed))
+	return append(output, s.end(now, EndHalfClosed))
 }
 
-// end ends the stream. A reset comes at once, other ends after what is on its way.
-func (s *StreamPlan) end(data []byte, now time.Duration, end Ending) Output {
-	s.ended, s.conn.ended = true, s.conn.ended || end > EndHalfClosed
-	if end == EndReset {
-		return Output{Data: data, Due: now, Ending: end}
-	}
-	return Output{Data: data, Due: s.dueTime(now, 0), Ending: end}
-}
-
-// edit passes a byte on, changed where a rule says so.
-func (s *StreamPlan) edit(out []byte, b byte) []byte {
-	e := s.editing
-	if e == nil {
-		return append(out, b)
-	}
-	e.bytesLeft--
-	switch e.rule.Kind {
-	case Garble: // never the same byte
-		out = append(out, b^byte(1+s.conn.draw(e.rule.ScriptLine, s.offset)%255))
-	case Repeat:
-		out, s.repeated = append(out, b), append(s.repeated, b)
+// end ends the stream. A reset comes at once, the other endings after all output so far.
+func (s *StreamPlan) end(now time.Duration, ending Ending) Output {
+	s.ended = true
+	if ending > EndHalfClosed {
+		s.conn.ended = true
 	}
-	if e.bytesLeft == 0 {
-		out = append(out, s.repeated...)
-		s.editing, s.repeated = nil, nil
+	if ending == EndReset {
+		return Output{Due: now, Ending: ending}
 	}
-	return out
+	return Output{Due: s.dueTime(now, 0), Ending: ending}
 }
--- a/internal/fault/timing.go
+++ b/internal/fault/timing.go
@@ -5,49 +5,64 @@
 	"time"
 )
 
-// shape cuts output into pieces and gives each its time.
-func (s *StreamPlan) shape(out []byte, now time.Duration) (ops []Output) {
-	s.active = slices.DeleteFunc(s.active, func(e activeRule) bool { return e.until > 0 && e.until <= now })
-	size := len(out)
-	for _, e := range s.active {
-		if e.rule.Kind == Pieces {
-			size = min(size, int(e.rule.Amount))
+const (
+	// pieceGap is the time between two pieces, so that the receiver does not read them as one.
+	pieceGap = time.Millisecond
+	// unlimitedSilence is when the output of a silence without a duration is due: longer than any run.
+	unlimitedSilence = 365 * 24 * time.Hour
+)
+
+// shape cuts output into pieces and gives each its time, by the rules in force.
+func (s *StreamPlan) shape(data []byte, now time.Duration) (output []Output) {
+	s.active = slices.DeleteFunc(s.active, func(a activeRule) bool { return a.until > 0 && a.until <= now })
+	pieceSize := len(data)
+	for _, a := range s.active {
+		if a.rule.Kind == Pieces {
+			pieceSize = min(pieceSize, int(a.rule.Amount))
 		}
 	}
-	for len(out) > 0 {
-		n := min(size, len(out))
-		ops = append(ops, Output{Data: out[:n:n], Due: s.dueTime(now, n)})
-		out = out[n:]
+	for len(data) > 0 {
+		size := min(pieceSize, len(data))
+		output = append(output, Output{Data: data[:size:size], Due: s.dueTime(now, size)})
+		data = data[size:]
 	}
-	return ops
+	return output
 }
 
-const (
-	pieceGap         = time.Millisecond     // between pieces: they must not be read as one
-	unlimitedSilence = 365 * 24 * time.Hour // longer than any run
-)
-
-// dueTime is the time at which n bytes more are due, by all that lasts. It never goes back: bytes keep their order.
-func (s *StreamPlan) dueTime(now time.Duration, n int) time.Duration {
+// dueTime returns when the next bytes are due: the latest time that a rule in force gives. It never decreases, so that
+// bytes keep their order.
+func (s *StreamPlan) dueTime(now time.Duration, size int) time.Duration {
 	due := now
-	for _, e := range s.active {
-		switch r := e.rule; r.Kind {
-		case Delay:
-			due = max(due, now+r.Delay)
-			if r.Jitter > 0 {
-				due = max(due, now+r.Delay+time.Duration(s.conn.draw(r.ScriptLine, s.offset)%uint64(r.Jitter)))
-			}
-		case Rate:
-			due = max(due, s.lastDue+time.Duration(float64(n)/float64(r.Amount)*float64(time.Second)))
-		case Pieces:
-			due = max(due, s.lastDue+pieceGap)
-		case Silence:
-			if e.until == 0 {
-				due = max(due, unlimitedSilence)
-			}
-			due = max(due, e.until)
-		}
+	for _, a := range s.active {
+		due = max(due, s.dueByRule(a, now, size))
 	}
 	s.lastDue = max(s.lastDue, due)
 	return s.lastDue
 }
+
+func (s *StreamPlan) dueByRule(a activeRule, now time.Duration, size int) time.Duration {
+	switch r := a.rule; r.Kind {
+	case Delay:
+		return now + r.Delay + s.jitter(r)
+	case Rate:
+		transfer := float64(size) / float64(r.Amount) * float64(time.Second)
+		return s.lastDue + time.Duration(transfer)
+	case Pieces:
+		return s.lastDue + pieceGap
+	case Silence:
+		if a.until == 0 {
+			return unlimitedSilence
+		}
+		return a.until
+	default:
+		return now
+	}
+}
+
+// jitter is the drawn part of a delay at the present offset.
+func (s *StreamPlan) jitter(r *Rule) time.Duration {
+	if r.Jitter == 0 {
+		return 0
+	}
+	return time.Duration(s.conn.draw(r.ScriptLine, s.offset) % uint64(r.Jitter))
+}
--- a/internal/fault/trigger.go
+++ b/internal/fault/trigger.go
@@ -1,43 +1,44 @@
 package fault
 
-// pendingRule is a rule that has yet to fire, with how far its pattern has been seen.
+// pendingRule is a rule that has not fired yet, with the state of the search for its pattern.
 type pendingRule struct {
 	rule         *Rule
-	failureTable []int // of Knuth, Morris and Pratt
-	matched      int
-	matches      int
+	failureTable []int // of the Knuth-Morris-Pratt search; nil without a pattern
+	matched      int   // bytes of the pattern that the last bytes of the stream match
+	matches      int   // of the whole pattern so far
 }
 
-// failureTable is the table by which a pattern is looked for in a stream.
+// failureTable returns for each prefix of a pattern the length of the longest proper prefix that is also its suffix.
 func failureTable(pattern string) []int {
 	table := make([]int, len(pattern))
-	for i, k := 1, 0; i < len(pattern); i++ {
-		for k > 0 && pattern[i] != pattern[k] {
-			k = table[k-1]
+	length := 0
+	for i := 1; i < len(pattern); i++ {
+		for length > 0 && pattern[i] != pattern[length] {
+			length = table[length-1]
 		}
-		if pattern[i] == pattern[k] {
-			k++
+		if pattern[i] == pattern[length] {
+			length++
 		}
-		table[i] = k
+		table[i] = length
 	}
 	return table
 }
 
-// advance sees one byte, which is the offset'th, and says whether the rule fires after it.
-func (w *pendingRule) advance(b byte, offset int64) bool {
-	pattern := w.rule.Trigger.Pattern
+// advance takes one byte, the offset'th of the stream, and reports whether the rule fires after it.
+func (p *pendingRule) advance(b byte, offset int64) bool {
+	pattern := p.rule.Trigger.Pattern
 	if pattern == "" {
-		return w.rule.Trigger.Byte == offset
+		return p.rule.Trigger.Byte == offset
 	}
-	for w.matched > 0 && (w.matched == len(pattern) || pattern[w.matched] != b) {
-		w.matched = w.failureTable[w.matched-1]
+	for p.matched > 0 && (p.matched == len(pattern) || pattern[p.matched] != b) {
+		p.matched = p.failureTable[p.matched-1]
 	}
-	if pattern[w.matched] == b {
-		w.matched++
+	if pattern[p.matched] == b {
+		p.matched++
 	}
-	if w.matched < len(pattern) {
+	if p.matched < len(pattern) {
 		return false
 	}
-	w.matches++
-	return w.matches == w.rule.Trigger.NthMatch
+	p.matches++
+	return p.matches == p.rule.Trigger.NthMatch
 }
