--- /dev/null
+++ b/internal/fault/parse.go
@@ -0,0 +1,126 @@
+package fault
+
+import (
+	"errors"
+	"fmt"
+	"net/netip"
+	"slices"
+	"strconv"
+	"strings"
+)
+
+// defaultSeed is the seed of a script that names none.
+const defaultSeed = 1
+
+// blanks separate the fields of a line.
+const blanks = " \t\r"
+
+// Parse reads a script and checks all of it. Errors name the line and the field.
+func Parse(text string) (*Script, error) {
+	s := &Script{Seed: defaultSeed}
+	for i, line := range strings.Split(text, "\n") {
+		lineNumber := i + 1
+		if err := s.parseLine(lineNumber, line); err != nil {
+			return nil, fmt.Errorf("%w: line %d: %w", ErrScript, lineNumber, err)
+		}
+	}
+	if len(s.Links) == 0 {
+		return nil, fmt.Errorf("%w: no link", ErrScript)
+	}
+	return s, s.checkConflicts()
+}
+
+func (s *Script) parseLine(lineNumber int, line string) error {
+	fields, err := splitFields(line)
+	if err != nil || len(fields) == 0 {
+		return err
+	}
+	switch fields[0] {
+	case "seed":
+		return s.parseSeed(fields)
+	case "link":
+		return s.parseLink(fields)
+	default:
+		return s.parseRule(lineNumber, fields)
+	}
+}
+
+// splitFields cuts a line into fields. A quoted field may hold anything; a # outside of one begins a comment.
+func splitFields(line string) (fields []string, err error) {
+	for {
+		line = strings.TrimLeft(line, blanks)
+		if line == "" || line[0] == '#' {
+			return fields, nil
+		}
+		field, err := firstField(line)
+		if err != nil {
+			return nil, err
+		}
+		fields = append(fields, field)
+		line = line[len(field):]
+	}
+}
+
+func firstField(line string) (string, error) {
+	if line[0] == '"' {
+		quoted, err := strconv.QuotedPrefix(line)
+		if err != nil {
+			return "", errors.New("a quoted word does not end")
+		}
+		return quoted, nil
+	}
+	if end := strings.IndexAny(line, blanks); end >= 0 {
+		return line[:end], nil
+	}
+	return line, nil
+}
+
+// parseSeed reads 'seed NUMBER'.
+func (s *Script) parseSeed(fields []string) error {
+	if len(fields) != 2 {
+		return errors.New("seed: one number is wanted")
+	}
+	seed, err := strconv.ParseUint(fields[1], 10, 64)
+	if err != nil {
+		return fmt.Errorf("seed: %q is no number", fields[1])
+	}
+	s.Seed = seed
+	return nil
+}
+
+// parseLink reads 'link NAME listen ADDRESS to ADDRESS'.
+func (s *Script) parseLink(fields []string) (err error) {
+	if len(fields) != 6 || fields[2] != "listen" || fields[4] != "to" {
+		return errors.New("link: wanted is 'link NAME listen ADDRESS to ADDRESS'")
+	}
+	link := Link{Name: fields[1]}
+	if s.hasLink(link.Name) {
+		return fmt.Errorf("link: %s is named twice", link.Name)
+	}
+	link.Listen, err = parseLoopback("listen", fields[3])
+	if err != nil {
+		return err
+	}
+	link.Target, err = parseLoopback("to", fields[5])
+	if err != nil {
+		return err
+	}
+	s.Links = append(s.Links, link)
+	return nil
+}
+
+// parseLoopback reads an address. Only loopback is accepted, so that faulty traffic can't reach another machine.
+func parseLoopback(field, text string) (netip.AddrPort, error) {
+	addr, err := netip.ParseAddrPort(text)
+	if err != nil {
+		return addr, fmt.Errorf("%s: %q is no address", field, text)
+	}
+	if !addr.Addr().IsLoopback() {
+		return addr, fmt.Errorf("%s: %s is not on loopback", field, text)
+	}
+	return addr, nil
+}
+
+func (s *Script) hasLink(name string) bool {
+	return slices.ContainsFunc(s.Links, func(l Link) bool { return l.Name == name })
+}
--- /dev/null
+++ b/internal/fault/stream.go
@@ -0,0 +1,151 @@
+package fault
+
+import (
+	"slices"
+	"time"
+)
+
+// StreamPlan plans one direction of a connection: Feed and CloseInput take what was read, and all three of Feed, Advance
+// and CloseInput return what is to be written, each piece with its time. Times never decrease.
+type StreamPlan struct {
+	conn      *ConnPlan
+	direction Direction
+	offset    int64 // bytes read so far
+	pending   []*pendingRule
+	active    []activeRule  // that change when output is written
+	editing   *activeRule   // that changes bytes; nil: none
+	repeated  []byte        // what a Repeat rule has seen and sends once more
+	lastDue   time.Duration // when the last output is due
+	ended     bool
+	initial   []Output // from rules that fired when the connection began
+}
+
+// activeRule is a rule that has fired and is still in force.
+type activeRule struct {
+	rule      *Rule
+	until     time.Duration // 0: until the connection ends
+	bytesLeft int64         // that it still changes
+}
+
+// add takes a rule that applies to the connection. One whose trigger has come already fires at once.
+func (s *StreamPlan) add(r *Rule, now time.Duration) {
+	trigger := r.Trigger
+	if trigger.Pattern != "" {
+		s.pending = append(s.pending, &pendingRule{rule: r, failureTable: failureTable(trigger.Pattern)})
+		return
+	}
+	if trigger.Time > now && trigger.Time >= 0 || trigger.Byte > 0 {
+		s.pending = append(s.pending, &pendingRule{rule: r})
+		return
+	}
+	if s.conn.ended {
+		return
+	}
+	s.fire(r, now)
+	if r.Kind.ending() != NotEnded && !s.ended {
+		s.initial = append(s.initial, s.end(now, r.Kind.ending()))
+	}
+}
+
+// fire logs a rule and puts it in force.
+func (s *StreamPlan) fire(r *Rule, now time.Duration) {
+	offset := s.offset
+	if r.Trigger.Time >= 0 {
+		offset = NoOffset
+	}
+	s.conn.firings = append(s.conn.firings, Firing{
+		Link: s.conn.link, ConnNumber: s.conn.number, Direction: s.direction, Offset: offset, ScriptLine: r.ScriptLine, Kind: r.Kind,
+	})
+	fired := activeRule{rule: r, bytesLeft: r.Amount}
+	if r.Duration > 0 {
+		fired.until = now + r.Duration
+	}
+	switch r.Kind {
+	case Delay, Rate, Pieces, Silence:
+		s.active = append(s.active, fired)
+	case Garble, Drop, Repeat:
+		s.editing = &fired
+		s.repeated = nil
+	}
+}
+
+// PendingTimes returns when the rules by time fire that have not fired yet.
+func (s *StreamPlan) PendingTimes() (times []time.Duration) {
+	for _, p := range s.pending {
+		if p.rule.Trigger.Time >= 0 {
+			times = append(times, p.rule.Trigger.Time)
+		}
+	}
+	return times
+}
+
+// Advance fires the rules by time that are due. It also returns what rules brought that fired as the connection began.
+func (s *StreamPlan) Advance(now time.Duration) (output []Output) {
+	output = s.initial
+	s.initial = nil
+	s.ended = s.ended || s.conn.ended
+	for _, p := range slices.Clone(s.pending) {
+		due := p.rule.Trigger.Time >= 0 && p.rule.Trigger.Time <= now
+		if !due || s.ended {
+			continue
+		}
+		s.removePending(p)
+		s.fire(p.rule, now)
+		if p.rule.Kind.ending() != NotEnded {
+			output = append(output, s.end(now, p.rule.Kind.ending()))
+		}
+	}
+	return output
+}
+
+func (s *StreamPlan) removePending(p *pendingRule) {
+	s.pending = slices.DeleteFunc(s.pending, func(other *pendingRule) bool { return other == p })
+}
+
+// Feed takes bytes that were read and returns what becomes of them. A rule takes effect right after the byte that
+// triggers it.
+func (s *StreamPlan) Feed(data []byte, now time.Duration) (output []Output) {
+	output = s.Advance(now)
+	var edited []byte
+	for _, b := range data {
+		if s.ended {
+			return output
+		}
+		s.offset++
+		edited = s.edit(edited, b)
+		for _, p := range slices.Clone(s.pending) {
+			if p.rule.Trigger.Time >= 0 || !p.advance(b, s.offset) {
+				continue
+			}
+			s.removePending(p)
+			output = append(output, s.shape(edited, now)...)
+			edited = nil
+			s.fire(p.rule, now)
+			if p.rule.Kind.ending() != NotEnded {
+				return append(output, s.end(now, p.rule.Kind.ending()))
+			}
+		}
+	}
+	return append(output, s.shape(edited, now)...)
+}
+
+// CloseInput takes the end of what is read.
+func (s *StreamPlan) CloseInput(now time.Duration) []Output {
+	output := s.Advance(now)
+	if s.ended {
+		return output
+	}
+	return append(output, s.end(now, EndHalfClosed))
+}
+
+// end ends the stream. A reset comes at once, the other endings after all output so far.
+func (s *StreamPlan) end(now time.Duration, ending Ending) Output {
+	s.ended = true
+	if ending > EndHalfClosed {
+		s.conn.ended = true
+	}
+	if ending == EndReset {
+		return Output{Due: now, Ending: ending}
+	}
+	return Output{Due: s.dueTime(now, 0), Ending: ending}
+}
--- /dev/null
+++ b/internal/fault/trigger.go
@@ -0,0 +1,44 @@
+package fault
+
+// pendingRule is a rule that has not fired yet, with the state of the search for its pattern.
+type pendingRule struct {
+	rule         *Rule
+	failureTable []int // of the Knuth-Morris-Pratt search; nil without a pattern
+	matched      int   // bytes of the pattern that the last bytes of the stream match
+	matches      int   // of the whole pattern so far
+}
+
+// failureTable returns for each prefix of a pattern the length of the longest proper prefix that is also its suffix.
+func failureTable(pattern string) []int {
+	table := make([]int, len(pattern))
+	length := 0
+	for i := 1; i < len(pattern); i++ {
+		for length > 0 && pattern[i] != pattern[length] {
+			length = table[length-1]
+		}
+		if pattern[i] == pattern[length] {
+			length++
+		}
+		table[i] = length
+	}
+	return table
+}
+
+// advance takes one byte, the offset'th of the stream, and reports whether the rule fires after it.
+func (p *pendingRule) advance(b byte, offset int64) bool {
+	pattern := p.rule.Trigger.Pattern
+	if pattern == "" {
+		return p.rule.Trigger.Byte == offset
+	}
+	for p.matched > 0 && (p.matched == len(pattern) || pattern[p.matched] != b) {
+		p.matched = p.failureTable[p.matched-1]
+	}
+	if pattern[p.matched] == b {
+		p.matched++
+	}
+	if p.matched < len(pattern) {
+		return false
+	}
+	p.matches++
+	return p.matches == p.rule.Trigger.NthMatch
+}
--- /dev/null
+++ b/internal/fault/validate.go
@@ -0,0 +1,64 @@
+package fault
+
+import (
+	"errors"
+	"fmt"
+)
+
+// maxRepeatBytes limits what a stream buffers to send it once more.
+const maxRepeatBytes = 1 << 20
+
+// validate rejects fields of a rule that do not go together.
+func (r *Rule) validate() error {
+	if err := r.validateSelection(); err != nil {
+		return err
+	}
+	if err := r.Trigger.validate(); err != nil {
+		return err
+	}
+	if r.Kind.AffectsConnects() && !r.fitsConnects() {
+		return fmt.Errorf("%s: goes with conn or time alone", r.Kind)
+	}
+	if r.Kind == Repeat && r.Amount > maxRepeatBytes {
+		return fmt.Errorf("repeat: %d bytes are more than the %d that are kept", r.Amount, maxRepeatBytes)
+	}
+	if r.Kind.AffectsConnects() && r.Duration == 0 {
+		return fmt.Errorf("%s: a time is wanted", r.Kind)
+	}
+	return nil
+}
+
+// validateSelection rejects more than one way to select connections.
+func (r *Rule) validateSelection() error {
+	if countTrue(r.ConnNumber > 0, r.EveryNth > 0, r.Probability > 0) > 1 {
+		return errors.New("conn: only one of conn, every and chance can be")
+	}
+	return nil
+}
+
+// validate rejects more than one condition, and a count without a pattern.
+func (t Trigger) validate() error {
+	if countTrue(t.Time >= 0, t.Byte >= 0, t.Pattern != "") > 1 {
+		return errors.New("time: only one of time, byte and match can be")
+	}
+	if t.NthMatch > 1 && t.Pattern == "" {
+		return errors.New("nth: goes with match")
+	}
+	return nil
+}
+
+// fitsConnects reports whether a rule can act on connections that are yet to be accepted: they have neither bytes nor a
+// direction, and the rule must know which one comes next.
+func (r *Rule) fitsConnects() bool {
+	byBytes := r.Trigger.Byte >= 0 || r.Trigger.Pattern != ""
+	return !byBytes && r.Direction == Both && r.EveryNth == 0 && r.Probability == 0
+}
+
+func countTrue(conditions ...bool) (count int) {
+	for _, condition := range conditions {
+		if condition {
+			count++
+		}
+	}
+	return count
+}
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -147,7 +147,7 @@
 func (r *run) begin() (err error) {
 	serial := &counter{}
 	r.coordinator = newCoordinator(r.h)
-	make := func(id, kind, zone string) *server {
+	start := func(id, kind, zone string) *server {
 		if err != nil {
 			return nil
 		}
@@ -158,9 +158,9 @@
 		return s
 	}
 	for i := range cacheCount {
-		r.caches = append(r.caches, make(fmt.Sprintf("cache-%d", i), "std", "edge"))
+		r.caches = append(r.caches, start(fmt.Sprintf("cache-%d", i), "std", "edge"))
 	}
-	r.parent, r.origin = make("parent", "parent", "hub"), make("origin", "origin", "hub")
+	r.parent, r.origin = start("parent", "parent", "hub"), start("origin", "origin", "hub")
 	if err != nil {
 		return err
 	}
@@ -223,7 +223,7 @@
 	if err != nil {
 		return err
 	}
-	between, err := relay.Start(script, func(e fault.Event) { r.h.Note("relay", "%s %v", s.id, e) })
+	between, err := relay.Start(script, func(e fault.Firing) { r.h.Note("relay", "%s %v", s.id, e) })
 	if err != nil {
 		return err
 	}
