--- a/internal/proxy/fields.go
+++ b/internal/proxy/fields.go
@@ -12,7 +12,7 @@
 
 // parse decodes the fields of a request.
 func (f *FastCGIServer) parse(r *fastcgi.Request) (Request, error) {
-	name, ok := strings.CutPrefix(r.Script, opsPath)
+	name, ok := strings.CutPrefix(r.Script, operationPath)
 	class, known := f.p.classIndex(name)
 	if !ok || !known {
 		return Request{}, fmt.Errorf("no such operation: %q", r.Script)
@@ -23,9 +23,9 @@
 	if !isHex(in.ID) || !isHex(in.Object) {
 		return Request{}, errors.New("Req-Id and Req-Key must be 16 hex digits")
 	}
-	wait, err1 := number(r.Params["HTTP_REQ_WAIT_MS"], 1, 600_000)
-	part, err2 := number(r.Params["HTTP_X_PIECE"], 0, 1<<31)
-	group, err3 := number(r.Params["HTTP_X_LOT"], 0, 255)
+	wait, err1 := decimal(r.Params["HTTP_REQ_WAIT_MS"], 1, 600_000)
+	part, err2 := decimal(r.Params["HTTP_X_PIECE"], 0, 1<<31)
+	group, err3 := decimal(r.Params["HTTP_X_LOT"], 0, 255)
 	size, err4 := sizeKB(r.Params["HTTP_REQ_KB"])
 	if err := errors.Join(err1, err2, err3, err4); err != nil {
 		return Request{}, fmt.Errorf("Req-Wait-Ms, X-Piece, X-Lot or Req-Kb: %w", err)
@@ -68,8 +68,8 @@
 	return size, nil
 }
 
-// number reads a canonical decimal, so that passing it on as a number leaves it unchanged.
-func number(s string, least, most int) (int, error) {
+// decimal reads a canonical decimal, so that passing it on as a decimal leaves it unchanged.
+func decimal(s string, least, most int) (int, error) {
 	n, err := strconv.Atoi(s)
 	if err != nil {
 		return 0, err
--- a/internal/proxy/front_test.go
+++ b/internal/proxy/front_test.go
@@ -5,15 +5,15 @@
 // What a closed connection held is given back, also when it is counted once more after its end.
 func TestClosedConnectionHoldsNothing(t *testing.T) {
 	f := &FastCGIServer{p: &Proxy{memory: &memoryBudget{}}, conns: map[*clientConn]bool{}}
-	c := &clientConn{front: f, open: map[uint16]int64{}}
+	c := &clientConn{server: f, openRequests: map[uint16]int64{}}
 	f.conns[c] = true
-	c.count(1000)
-	c.count(700)
+	c.setPartialBytes(1000)
+	c.setPartialBytes(700)
 	if f.p.memory.partial != 700 {
 		t.Errorf("%d bytes counted", f.p.memory.partial)
 	}
 	c.Closed(nil)
-	c.count(700)
+	c.setPartialBytes(700)
 	if f.p.memory.partial != 0 || len(f.conns) != 0 {
 		t.Errorf("%d bytes and %d connections left", f.p.memory.partial, len(f.conns))
 	}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -64,10 +64,10 @@
 	sockets  int // connections to caches
 	memory   *memoryBudget
 
-	servers  map[string]int64 // by id: when it started
-	pools    *connpool.Pools
-	fronts   []*FastCGIServer
-	follower *follower
+	servers        map[string]int64 // by id: when it started
+	pools          *connpool.Pools
+	fastcgiServers []*FastCGIServer
+	follower       *follower
 
 	open        int // requests taken and not ended
 	counters    *counters
@@ -176,16 +176,16 @@
 	for {
 		p.consult()
 		p.loop.Flush()
-		for _, f := range p.fronts {
-			f.unpark()
+		for _, f := range p.fastcgiServers {
+			f.submitUnblocked()
 		}
 		if len(p.inbox) == 0 {
 			break
 		}
 	}
 	if p.lifecycle.disconnecting() {
-		for _, f := range p.fronts {
-			f.closeDrained()
+		for _, f := range p.fastcgiServers {
+			f.closeDrainedConns()
 		}
 	}
 }
--- a/internal/proxy/responder.go
+++ b/internal/proxy/responder.go
@@ -14,15 +14,15 @@
 }
 
 // PollClient reads what has come since the turn began.
-func (r *responder) PollClient() { r.conn.lookAgain() }
+func (r *responder) PollClient() { r.conn.pollClient() }
 
 // ClientDisconnected tells since when the client may have left.
 func (r *responder) ClientDisconnected() (since eventloop.Timestamp, long bool) {
 	c := r.conn
-	if c.goneBy == 0 {
+	if c.cancelAt == 0 {
 		return 0, false
 	}
-	return max(1, c.goneBy-goneAfter), c.gone()
+	return max(1, c.cancelAt-disconnectGrace), c.isDisconnected()
 }
 
 // Respond encodes the answer.
@@ -39,7 +39,7 @@
 		}
 		r.write(fastcgi.Response{Status: 503, Headers: headers})
 	case Overloaded:
-		r.conn.done(r.id, fastcgi.AppendEnd(nil, r.id, 0, fastcgi.Overloaded))
+		r.conn.finishRequest(r.id, fastcgi.AppendEnd(nil, r.id, 0, fastcgi.Overloaded))
 	default:
 		r.write(fastcgi.Response{Status: 502})
 	}
@@ -49,8 +49,8 @@
 	if r.conn.conn.Ended() {
 		return
 	}
-	if r.conn.makeRoom(); r.conn.conn.Ended() {
+	if r.conn.relieveMemory(); r.conn.conn.Ended() {
 		return
 	}
-	r.conn.done(r.id, fastcgi.AppendResponse(make([]byte, 0, len(resp.Body)+256), r.id, resp))
+	r.conn.finishRequest(r.id, fastcgi.AppendResponse(make([]byte, 0, len(resp.Body)+256), r.id, resp))
 }
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -43,12 +43,12 @@
 
 // isTakenOver reports whether another process may accept from all listening sockets of this one.
 func (p *Proxy) isTakenOver() bool {
-	return !slices.ContainsFunc(p.fronts, func(f *FastCGIServer) bool { return !f.shared })
+	return !slices.ContainsFunc(p.fastcgiServers, func(f *FastCGIServer) bool { return !f.sharedSocket })
 }
 
 // hasOpenWork reports whether any client still waits for an answer, or for the rest of one.
 func (p *Proxy) hasOpenWork() bool {
-	for _, f := range p.fronts {
+	for _, f := range p.fastcgiServers {
 		if !f.Idle() {
 			return true
 		}
