--- a/internal/proxy/client.go
+++ b/internal/proxy/clientconn.go
@@ -1,7 +1,6 @@
 package proxy
 
 import (
-	"math"
 	"slices"
 	"time"
 
@@ -28,51 +27,6 @@
 	lastAnswer       eventloop.Timestamp // when it last got an answer
 }
 
-// idleTime is how long nothing has come or gone.
-func (c *clientConn) idleTime() time.Duration {
-	return c.server.p.loop.Now() - max(c.conn.LastReceived(), c.lastAnswer)
-}
-
-// isOverdue says that a client has paused for too long over a request, or has asked nothing for too long.
-func (c *clientConn) isOverdue() bool {
-	if c.incompleteSince != 0 && (c.idleTime() > requestPauseTimeout || c.server.p.loop.Now()-c.incompleteSince > requestReadTimeout) {
-		return true
-	}
-	return c.idleTime() > idleTimeout
-}
-
-// hasPartialRequest says whether a request has come in part.
-func (c *clientConn) hasPartialRequest() bool {
-	return c.conn.UnparsedBytes() > 0 || c.decoder.Receiving()
-}
-
-// evictable says whether a connection may be closed to make room for another.
-func (c *clientConn) evictable() bool {
-	bytes, _ := c.conn.QueuedOutput()
-	if len(c.openRequests) > 0 || bytes > 0 || c.conn.Ended() {
-		return false // looked at here as well, as all connections are asked: what is left is decided by policy.MayClose
-	}
-	return c.idleTime() > [...]time.Duration{evictSilentAfter, evictIdleAfter, evictPartialAfter}[c.evictionRank()]
-}
-
-// evictBefore compares evictable connections: those that have said nothing go first, those in the middle of a request last.
-func (c *clientConn) evictBefore(other *clientConn) bool {
-	if a, b := c.evictionRank(), other.evictionRank(); a != b {
-		return a < b
-	}
-	return c.idleTime() > other.idleTime()
-}
-
-func (c *clientConn) evictionRank() int {
-	switch {
-	case c.hasPartialRequest():
-		return 2
-	case c.completeRequests > 0:
-		return 1
-	}
-	return 0
-}
-
 // Receive takes whole records off what has come in.
 func (c *clientConn) Receive(data []byte) (used int, err error) {
 	asked := c.completeRequests
@@ -96,51 +50,6 @@
 	return used, nil
 }
 
-// stopReading leaves the rest of what the client sends unread, as it can't be read. What came whole is owed its answer; the
-// connection is closed after the last one.
-func (c *clientConn) stopReading(err error) {
-	c.server.p.log.Warn("client's connection is not read any more", "connection", c.number, "error", err, "open", len(c.openRequests))
-	c.conn.StopReading()
-	c.closeWhenDone = true
-	c.incompleteSince = 0
-	c.decoder.DropPartial()
-	c.updatePartialBytes()
-	c.closeIfDone()
-}
-
-// rejectPartial gives back the memory of requests that have come in part: they are refused, and what still comes of them is passed
-// over. It returns how much of a record that has begun is used up: the rest of it is skipped.
-func (c *clientConn) rejectPartial(record []byte) (used int) {
-	for _, id := range c.decoder.DropPartial() {
-		c.completeRequests++
-		c.conn.Write(fastcgi.AppendEnd(nil, id, 0, fastcgi.Overloaded))
-	}
-	rest := fastcgi.MissingBytes(record)
-	if rest == 0 || len(record) < minSkippedBytes {
-		return 0
-	}
-	c.skipBytes = rest
-	return len(record)
-}
-
-// setPartialBytes keeps the proxy's sum of unfinished requests. A connection may be closed while what it brought is being
-// taken: counted afterwards, it would stay in the sum for good, and the front would refuse more and more.
-func (c *clientConn) setPartialBytes(held int) {
-	if c.openRequests == nil {
-		held = 0
-	}
-	c.server.p.memory.partial += held - c.partialBytes
-	c.partialBytes = held
-}
-
-func (c *clientConn) updatePartialBytes() {
-	held := c.decoder.BufferedBytes()
-	for _, r := range c.blocked {
-		held += len(r.request.Body)
-	}
-	c.setPartialBytes(held)
-}
-
 func (c *clientConn) decodeRecords(data []byte) (used int, err error) {
 	for !c.conn.Ended() {
 		n, ev, err := c.decoder.Decode(data[used:])
@@ -166,94 +75,6 @@
 	return len(data), nil
 }
 
-// Closed gives up what was open on the connection. There is no error where this program has closed it of its own accord.
-func (c *clientConn) Closed(err error) {
-	delete(c.server.conns, c)
-	for _, number := range c.openRequests {
-		c.server.p.handleConnectionClosed(number, err != nil)
-	}
-	c.openRequests, c.blocked = nil, nil
-	delete(c.server.blockedConns, c)
-	c.setPartialBytes(0)
-}
-
-// PeerClosing notes that the client sends no more. It has closed, most likely, and nothing must begin for it long after. It
-// may also wait for its answers all the same: it gets what can be had at once.
-func (c *clientConn) PeerClosing(after eventloop.Timestamp) {
-	c.cancelAt = max(1, after+disconnectGrace)
-	c.server.p.loop.At(c.cancelAt, c.cancelOpenRequests)
-}
-
-func (c *clientConn) isDisconnected() bool {
-	return c.cancelAt != 0 && c.server.p.loop.CurrentTime() >= c.cancelAt
-}
-
-// pollClient reads what has come since the turn began, if that is long ago: the client may have left, or taken back what it
-// asked for.
-func (c *clientConn) pollClient() {
-	now := c.server.p.loop.CurrentTime()
-	if now-max(c.polledAt, c.server.p.loop.Now()) > clientPollInterval {
-		c.polledAt = now
-		c.conn.PollNow()
-	}
-}
-
-// cancelOpenRequests ends what is open for a client that has left.
-func (c *clientConn) cancelOpenRequests() {
-	c.rejectBlocked(math.MaxInt64)
-	for _, number := range c.openRequests {
-		c.server.p.CancelAfterDisconnect(number)
-	}
-}
-
-// PeerClosed says whether the client is still owed something; it is closed when it is not any more.
-func (c *clientConn) PeerClosed() (owed bool) {
-	c.closeWhenDone = true
-	if bytes, _ := c.conn.QueuedOutput(); len(c.openRequests) == 0 && bytes == 0 {
-		return false
-	}
-	if len(c.openRequests) == 0 {
-		c.conn.CloseAfterFlush()
-	}
-	return true
-}
-
-// blockedRequest is a request of a client that leaves its answers unread. It is not served yet, but known: its client may take
-// it back, or leave.
-type blockedRequest struct {
-	request   *fastcgi.Request
-	parsed    Request
-	blockedAt eventloop.Timestamp
-}
-
-func (c *clientConn) block(r *fastcgi.Request, in Request) {
-	c.openRequests[r.ID] = 0
-	c.blocked = append(c.blocked, blockedRequest{r, in, c.server.p.loop.Now()})
-	c.server.blockedConns[c] = true
-}
-
-// rejectBlocked refuses the parked requests that have waited for half of their time: later, a refusal costs more.
-func (c *clientConn) rejectBlocked(now eventloop.Timestamp) {
-	for len(c.blocked) > 0 && now-c.blocked[0].blockedAt >= c.blocked[0].parsed.Timeout/2 {
-		r := c.popBlocked()
-		c.server.p.rejectUnsubmitted(r.parsed, &responder{conn: c, id: r.request.ID}, Answer{Status: Rejected, RetryAfter: goneIn})
-	}
-}
-
-func (c *clientConn) popBlocked() blockedRequest {
-	r := c.blocked[0]
-	if c.blocked = c.blocked[1:]; len(c.blocked) == 0 {
-		delete(c.server.blockedConns, c)
-	}
-	c.updatePartialBytes()
-	return r
-}
-
-func (c *clientConn) isBackpressured() bool {
-	bytes, _ := c.conn.QueuedOutput()
-	return bytes >= backpressureBytes
-}
-
 func (c *clientConn) handleRequest(r *fastcgi.Request) {
 	c.completeRequests++
 	c.closeWhenDone = c.closeWhenDone || !r.KeepConn
@@ -296,24 +117,6 @@
 	c.finishRequest(id, fastcgi.AppendEnd(nil, id, 1, fastcgi.Complete))
 }
 
-// relieveMemory keeps answers from using up the memory. What has been queued in this turn goes out at once; a client that has left
-// its answers unread for a while loses its connection, which tells it that they are not whole.
-func (c *clientConn) relieveMemory() {
-	if !c.server.memoryCritical() {
-		return
-	}
-	if c.conn.Flush(); c.isStalledFor(criticalWriteStallTimeout) {
-		c.conn.Close()
-		c.Closed(errMemoryLimit)
-	}
-}
-
-// isStalledFor says that the client has taken nothing of what it is owed for so long.
-func (c *clientConn) isStalledFor(length time.Duration) bool {
-	bytes, since := c.conn.QueuedOutput()
-	return bytes > 0 && c.server.p.loop.Now()-since > length
-}
-
 // finishRequest writes the last bytes of a request and frees its number.
 func (c *clientConn) finishRequest(id uint16, data []byte) {
 	delete(c.openRequests, id)
@@ -323,6 +126,29 @@
 	c.closeIfDone()
 }
 
+// stopReading leaves the rest of what the client sends unread, as it can't be read. What came whole is owed its answer; the
+// connection is closed after the last one.
+func (c *clientConn) stopReading(err error) {
+	c.server.p.log.Warn("client's connection is not read any more", "connection", c.number, "error", err, "open", len(c.openRequests))
+	c.conn.StopReading()
+	c.closeWhenDone = true
+	c.incompleteSince = 0
+	c.decoder.DropPartial()
+	c.updatePartialBytes()
+	c.closeIfDone()
+}
+
+// Closed gives up what was open on the connection. There is no error where this program has closed it of its own accord.
+func (c *clientConn) Closed(err error) {
+	delete(c.server.conns, c)
+	for _, number := range c.openRequests {
+		c.server.p.handleConnectionClosed(number, err != nil)
+	}
+	c.openRequests, c.blocked = nil, nil
+	delete(c.server.blockedConns, c)
+	c.setPartialBytes(0)
+}
+
 // closeIfDone closes a connection that its client wants to be closed, once it is empty.
 func (c *clientConn) closeIfDone() {
 	if c.closeWhenDone && c.hasNoOpenRequest() {
@@ -333,6 +159,19 @@
 // hasNoOpenRequest says that no request is open.
 func (c *clientConn) hasNoOpenRequest() bool { return len(c.openRequests) == 0 && !c.decoder.Busy() }
 
+// idleTime is how long nothing has come or gone.
+func (c *clientConn) idleTime() time.Duration {
+	return c.server.p.loop.Now() - max(c.conn.LastReceived(), c.lastAnswer)
+}
+
+// isOverdue says that a client has paused for too long over a request, or has asked nothing for too long.
+func (c *clientConn) isOverdue() bool {
+	if c.incompleteSince != 0 && (c.idleTime() > requestPauseTimeout || c.server.p.loop.Now()-c.incompleteSince > requestReadTimeout) {
+		return true
+	}
+	return c.idleTime() > idleTimeout
+}
+
 // expectsRequest says that the client has just connected, or has begun a record: what it asks would be lost by a close.
 func (c *clientConn) expectsRequest() bool {
 	return c.incompleteSince != 0 && c.server.p.loop.Now()-c.incompleteSince <= evictPartialAfter
--- a/internal/proxy/front.go
+++ b/internal/proxy/fastcgiserver.go
@@ -89,36 +89,6 @@
 	return nil
 }
 
-// hasCapacity says whether one more client may connect. When they hold all descriptors that they may, the one that is
-// missed least has to go: one that has said nothing yet for a while, else the one longest idle, as a request
-// that crosses the close is sent again. Otherwise clients that connect and say nothing, or ask once and
-// stay, would keep out all others.
-func (f *FastCGIServer) hasCapacity() bool {
-	if len(f.conns) < f.maxConns {
-		return true
-	}
-	var spare *clientConn
-	unread := map[*clientConn]bool{}
-	for {
-		for c := range f.conns {
-			if !unread[c] && c.evictable() && (spare == nil || c.evictBefore(spare)) {
-				spare = c
-			}
-		}
-		if spare == nil {
-			return false
-		}
-		if f.mayClose(policy.CloseInfo{OpenRequests: len(spare.openRequests), HasUnreadInput: spare.conn.HasUnreadInput}) {
-			break
-		}
-		unread[spare], spare = true, nil
-	}
-	f.p.log.Info("client's connection closed to make room", "connection", spare.number, "idle", spare.idleTime())
-	spare.conn.Close()
-	spare.Closed(nil)
-	return true
-}
-
 func (f *FastCGIServer) accept(c *eventloop.Conn) eventloop.Handler {
 	f.acceptedConns++
 	cc := &clientConn{server: f, number: f.acceptedConns, conn: c, openRequests: map[uint16]int64{}, incompleteSince: f.p.loop.Now()}
@@ -160,14 +130,6 @@
 	}
 }
 
-// memoryCritical says that clients and caches hold more than may be: what only holds memory has to go.
-func (f *FastCGIServer) memoryCritical() bool { return f.p.memory.critical() }
-
-// mayClose says whether a connection can be closed now, and counts where it can't.
-func (f *FastCGIServer) mayClose(c policy.CloseInfo) bool {
-	return f.p.counters.allows(actionClose, policy.MayClose(c))
-}
-
 // closeDrainedConns closes, while clients are to leave, the connections that are empty now. It comes at the end of a turn, when
 // all that has come was taken and all answers have been written and have arrived: what a client sends while its
 // connection is closed but still brings output would be lost.
@@ -190,26 +152,10 @@
 	return len(f.conns) == 0 && (f.sharedSocket || !f.listener.HasPending())
 }
 
-// submitUnblocked takes on what was parked, as far as clients have read meanwhile.
-func (f *FastCGIServer) submitUnblocked() {
-	for c := range f.blockedConns {
-		for len(c.blocked) > 0 && !c.isBackpressured() {
-			r := c.popBlocked()
-			to := &responder{conn: c, id: r.request.ID}
-			in, err := f.parse(r.request) // once more: classes may have changed
-			if err != nil {
-				f.p.rejectUnsubmitted(r.parsed, to, Answer{Status: Rejected, RetryAfter: goneIn})
-				continue
-			}
-			in.Timeout -= f.p.loop.Now() - r.blockedAt
-			c.submit(in, to)
-		}
-	}
-}
+// memoryCritical says that clients and caches hold more than may be: what only holds memory has to go.
+func (f *FastCGIServer) memoryCritical() bool { return f.p.memory.critical() }
 
-func tagHeader(tag string) [][2]string {
-	if !isHex(tag) {
-		return nil
-	}
-	return [][2]string{{"X-Ver", tag}}
+// mayClose says whether a connection can be closed now, and counts where it can't.
+func (f *FastCGIServer) mayClose(c policy.CloseInfo) bool {
+	return f.p.counters.allows(actionClose, policy.MayClose(c))
 }
--- a/internal/proxy/responder.go
+++ b/internal/proxy/responder.go
@@ -54,3 +54,10 @@
 	}
 	r.conn.finishRequest(r.id, fastcgi.AppendResponse(make([]byte, 0, len(resp.Body)+256), r.id, resp))
 }
+
+func tagHeader(tag string) [][2]string {
+	if !isHex(tag) {
+		return nil
+	}
+	return [][2]string{{"X-Ver", tag}}
+}
