--- a/internal/proxy/backpressure.go
+++ b/internal/proxy/backpressure.go
@@ -1,79 +1,110 @@
 package proxy
 
+// Backpressure: while a client leaves too many bytes of its answers unread, its further requests are blocked.
+// A blocked request is open, so that its client can abort it, but it is not submitted.
+
 import (
+	"errors"
 	"time"
 
 	"cloverdoor/internal/eventloop"
 	"cloverdoor/internal/fastcgi"
 )
 
-// blockedRequest is a request of a client that leaves its answers unread. It is not served yet, but known: its client may take
-// it back, or leave.
+// backpressureBytes is how many bytes of answers a client may leave unread before its further requests are
+// blocked.
+const backpressureBytes = 1 << 20
+
+// maxBlockedFraction is the part of a request's timeout, as 1/n, for which it may stay blocked before it is
+// rejected. A later rejection would leave the client too little time for a retry.
+const maxBlockedFraction = 2
+
+var errMemoryLimit = errors.New("memory for clients is used up")
+
+// blockedRequest is a request that is blocked by backpressure.
 type blockedRequest struct {
 	request   *fastcgi.Request
 	parsed    Request
 	blockedAt eventloop.Timestamp
 }
 
-func (c *clientConn) block(r *fastcgi.Request, in Request) {
+// isBackpressured reports whether the client has left too many bytes unread.
+func (c *clientConn) isBackpressured() bool {
+	queuedBytes, _ := c.conn.QueuedOutput()
+	return queuedBytes >= backpressureBytes
+}
+
+// block keeps a request until the client has read more.
+func (c *clientConn) block(r *fastcgi.Request, parsed Request) {
 	c.openRequests[r.ID] = 0
-	c.blocked = append(c.blocked, blockedRequest{r, in, c.server.p.loop.Now()})
+	c.blocked = append(c.blocked, blockedRequest{request: r, parsed: parsed, blockedAt: c.server.loop.Now()})
 	c.server.blockedConns[c] = true
 }
 
+// popBlocked removes and returns the oldest blocked request.
 func (c *clientConn) popBlocked() blockedRequest {
-	r := c.blocked[0]
-	if c.blocked = c.blocked[1:]; len(c.blocked) == 0 {
-		delete(c.server.blockedConns, c)
-	}
+	oldest := c.blocked[0]
+	c.setBlocked(c.blocked[1:])
 	c.updatePartialBytes()
-	return r
+	return oldest
 }
 
-func (c *clientConn) isBackpressured() bool {
-	bytes, _ := c.conn.QueuedOutput()
-	return bytes >= backpressureBytes
+// setBlocked replaces the blocked requests and keeps the server's set of blocked connections in step.
+func (c *clientConn) setBlocked(blocked []blockedRequest) {
+	c.blocked = blocked
+	if len(blocked) == 0 {
+		delete(c.server.blockedConns, c)
+	}
 }
 
-// submitUnblocked takes on what was parked, as far as clients have read meanwhile.
+// submitUnblocked submits blocked requests of the clients that have read enough meanwhile.
 func (f *FastCGIServer) submitUnblocked() {
 	for c := range f.blockedConns {
 		for len(c.blocked) > 0 && !c.isBackpressured() {
-			r := c.popBlocked()
-			to := &responder{conn: c, id: r.request.ID}
-			in, err := f.parse(r.request) // once more: classes may have changed
-			if err != nil {
-				f.p.rejectUnsubmitted(r.parsed, to, Answer{Status: Rejected, RetryAfter: goneIn})
-				continue
-			}
-			in.Timeout -= f.p.loop.Now() - r.blockedAt
-			c.submit(in, to)
+			c.submitBlocked(c.popBlocked())
 		}
 	}
 }
 
-// rejectBlocked refuses the parked requests that have waited for half of their time: later, a refusal costs more.
+// submitBlocked submits a request that was blocked. It is parsed again, as the settings' classes may have
+// changed.
+func (c *clientConn) submitBlocked(b blockedRequest) {
+	parsed, err := c.server.parse(b.request)
+	if err != nil {
+		c.reject(b)
+		return
+	}
+	parsed.Timeout -= c.server.loop.Now() - b.blockedAt
+	c.submit(parsed, &responder{conn: c, id: b.request.ID})
+}
+
+// rejectBlocked rejects the requests that have been blocked for too long at the given time.
 func (c *clientConn) rejectBlocked(now eventloop.Timestamp) {
-	for len(c.blocked) > 0 && now-c.blocked[0].blockedAt >= c.blocked[0].parsed.Timeout/2 {
-		r := c.popBlocked()
-		c.server.p.rejectUnsubmitted(r.parsed, &responder{conn: c, id: r.request.ID}, Answer{Status: Rejected, RetryAfter: goneIn})
+	for len(c.blocked) > 0 && now-c.blocked[0].blockedAt >= c.blocked[0].parsed.Timeout/maxBlockedFraction {
+		c.reject(c.popBlocked())
 	}
 }
 
-// relieveMemory keeps answers from using up the memory. What has been queued in this turn goes out at once; a client that has left
-// its answers unread for a while loses its connection, which tells it that they are not whole.
+func (c *clientConn) reject(b blockedRequest) {
+	to := &responder{conn: c, id: b.request.ID}
+	c.server.handler.rejectUnsubmitted(b.parsed, to, Answer{Status: Rejected, RetryAfter: goneIn})
+}
+
+// relieveMemory makes way for an answer while the memory budget is critical: queued output is written at
+// once, and a client that is stalled loses its connection, which shows it that its answers are incomplete.
 func (c *clientConn) relieveMemory() {
-	if !c.server.memoryCritical() {
+	if !c.server.memory.critical() {
 		return
 	}
-	if c.conn.Flush(); c.isStalledFor(criticalWriteStallTimeout) {
+	c.conn.Flush()
+	if c.isStalledFor(criticalWriteStallTimeout) {
 		c.conn.Close()
 		c.Closed(errMemoryLimit)
 	}
 }
 
-// isStalledFor says that the client has taken nothing of what it is owed for so long.
-func (c *clientConn) isStalledFor(length time.Duration) bool {
-	bytes, since := c.conn.QueuedOutput()
-	return bytes > 0 && c.server.p.loop.Now()-since > length
+// isStalledFor reports whether the client has read nothing of its queued output for longer than timeout.
+func (c *clientConn) isStalledFor(timeout time.Duration) bool {
+	queuedBytes, since := c.conn.QueuedOutput()
+	return queuedBytes > 0 && c.server.loop.Now()-since > timeout
 }
--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -6,130 +6,173 @@
 
 	"cloverdoor/internal/eventloop"
 	"cloverdoor/internal/fastcgi"
+	"cloverdoor/policy"
 )
 
-// clientConn is one connection of a client.
+// healthPath is the script name of the load balancer's health check. It is answered with 200 while the proxy
+// is serving.
+const healthPath = "/alive"
+
+// clientConn is one connection of a client, on which any number of requests may be open at a time.
 type clientConn struct {
-	server        *FastCGIServer
-	number        int64 // of the connection, in the log
-	conn          *eventloop.Conn
-	decoder       fastcgi.Decoder
-	openRequests  map[uint16]int64    // the proxy's number of each open request
-	partialBytes  int                 // bytes of requests that have not come whole
-	skipBytes     int                 // bytes to come that are passed over
-	closeWhenDone bool                // the client asked for no further request on it
-	blocked       []blockedRequest    // requests that wait until the client has read more
-	cancelAt      eventloop.Timestamp // from when on nothing begins for a client that has left; 0: it has not
-
-	polledAt         eventloop.Timestamp // when it was looked at in the middle of a turn
-	completeRequests int                 // requests that came whole
-	incompleteSince  eventloop.Timestamp // since when the client owes its first request, or the rest of one; 0: it does not
-	lastAnswer       eventloop.Timestamp // when it last got an answer
-}
-
-// Receive takes whole records off what has come in.
+	server  *FastCGIServer
+	number  int64 // identifies the connection in the log
+	conn    *eventloop.Conn
+	decoder fastcgi.Decoder
+
+	openRequests     map[uint16]int64 // by FastCGI request id: the proxy's number, 0 while blocked; nil once closed
+	blocked          []blockedRequest // the oldest first
+	completeRequests int              // requests that have been received completely, or rejected before that
+	closeWhenDone    bool             // no further request will be read: close once all are answered
+
+	partialBytes    int                 // buffered bytes of requests that are not complete or blocked
+	skipBytes       int                 // bytes still to come of a record that is discarded
+	incompleteSince eventloop.Timestamp // when the wait for the first request, or the rest of one, began; 0: no wait
+
+	lastAnswer        eventloop.Timestamp // when the last answer was written
+	polledAt          eventloop.Timestamp // when the client was last polled within a turn
+	disconnectedSince eventloop.Timestamp // when the client stopped sending; 0: it has not
+}
+
+// Receive handles the complete records in data.
 func (c *clientConn) Receive(data []byte) (used int, err error) {
-	asked := c.completeRequests
+	completeBefore := c.completeRequests
 	skipped := min(c.skipBytes, len(data))
 	c.skipBytes -= skipped
-	used, err = c.decodeRecords(data[skipped:])
-	if used += skipped; err != nil {
+	decoded, err := c.decodeRecords(data[skipped:])
+	if err != nil {
 		c.stopReading(err)
 		return len(data), nil
 	}
-	if c.server.memoryCritical() {
+	used = skipped + decoded
+	if c.server.memory.critical() {
 		used += c.rejectPartial(data[used:])
 	}
 	c.updatePartialBytes()
-	switch unfinished := used < len(data) || c.decoder.Receiving(); {
-	case !unfinished && c.completeRequests > 0:
+	hasPartial := used < len(data) || c.decoder.Receiving()
+	c.updateIncompleteSince(hasPartial, c.completeRequests > completeBefore)
+	return used, nil
+}
+
+// updateIncompleteSince keeps the start of the wait for the rest of a request. The wait begins anew with each
+// request that has been completed, as what is incomplete then is another one.
+func (c *clientConn) updateIncompleteSince(hasPartial, completedRequest bool) {
+	if !hasPartial && c.completeRequests > 0 {
 		c.incompleteSince = 0
-	case c.incompleteSince == 0 || c.completeRequests > asked:
-		c.incompleteSince = c.server.p.loop.Now()
+		return
+	}
+	if c.incompleteSince == 0 || completedRequest {
+		c.incompleteSince = c.server.loop.Now()
 	}
-	return used, nil
 }
 
+// decodeRecords decodes and handles records until data holds no further complete one, or the connection ends.
 func (c *clientConn) decodeRecords(data []byte) (used int, err error) {
 	for !c.conn.Ended() {
-		n, ev, err := c.decoder.Decode(data[used:])
+		n, event, err := c.decoder.Decode(data[used:])
 		if n == 0 || err != nil {
 			return used, err
 		}
 		used += n
-		switch ev := ev.(type) {
-		case *fastcgi.Request:
-			c.handleRequest(ev)
-		case fastcgi.Rejected:
-			c.completeRequests++
-			c.closeWhenDone = c.closeWhenDone || !ev.KeepConn
-			(&responder{conn: c, id: ev.ID}).write(fastcgi.Response{Status: 503, Body: []byte(ev.Err.Error() + "\n")})
-		case fastcgi.Abort:
-			c.handleAbort(ev.ID)
-		case fastcgi.Reply:
-			c.conn.Write(ev.Data)
-			c.closeWhenDone = c.closeWhenDone || ev.Close
-			c.closeIfDone()
-		}
+		c.handleEvent(event)
 	}
 	return len(data), nil
 }
 
+// handleEvent handles what one record has brought; most bring no event.
+func (c *clientConn) handleEvent(event fastcgi.Event) {
+	switch event := event.(type) {
+	case *fastcgi.Request:
+		c.handleRequest(event)
+	case fastcgi.Rejected:
+		c.completeRequests++
+		c.closeWhenDone = c.closeWhenDone || !event.KeepConn
+		to := &responder{conn: c, id: event.ID}
+		to.writeError(503, event.Err)
+	case fastcgi.Abort:
+		c.handleAbort(event.ID)
+	case fastcgi.Reply:
+		c.conn.Write(event.Data)
+		c.closeWhenDone = c.closeWhenDone || event.Close
+		c.closeIfDone()
+	}
+}
+
+// handleRequest answers a health check, and submits or blocks any other request.
 func (c *clientConn) handleRequest(r *fastcgi.Request) {
 	c.completeRequests++
 	c.closeWhenDone = c.closeWhenDone || !r.KeepConn
 	to := &responder{conn: c, id: r.ID}
 	if r.Script == healthPath {
-		status := 503
-		if c.server.p.lifecycle.phase == Serving {
-			status = 200
-		}
-		to.write(fastcgi.Response{Status: status})
+		c.answerHealthCheck(to)
+		return
+	}
+	parsed, err := c.server.parse(r)
+	if err != nil {
+		to.writeError(400, err)
 		return
 	}
-	in, err := c.server.parse(r)
-	switch {
-	case err != nil:
-		to.write(fastcgi.Response{Status: 400, Body: []byte(err.Error() + "\n")})
-	case (c.isBackpressured() || len(c.blocked) > 0) && !c.isDisconnected() && !c.server.p.lifecycle.rejecting():
-		c.block(r, in)
-	default:
-		in.Timeout -= max(c.server.p.loop.SchedulingDelay(longestNap), c.conn.QueueingDelay()) // its client has been waiting for it
-		c.submit(in, to)
+	if c.mustBlock() {
+		c.block(r, parsed)
+		return
 	}
+	parsed.Timeout -= c.waitBeforeRead()
+	c.submit(parsed, to)
 }
 
-// submit takes on a request, or has it answered at once.
-func (c *clientConn) submit(in Request, to *responder) {
-	c.openRequests[to.id] = 0 // Submit may answer at once, which takes it out again
-	if number := c.server.p.Submit(in, to); number != 0 {
+// mustBlock reports whether the next request is blocked: requests are submitted in the order in which they
+// came. One that would be rejected anyway is submitted for its rejection.
+func (c *clientConn) mustBlock() bool {
+	if !c.isBackpressured() && len(c.blocked) == 0 {
+		return false
+	}
+	return !c.disconnect().GraceOver && !c.server.lifecycle.rejecting()
+}
+
+// waitBeforeRead is how long a request that has just been read may have waited in the kernel.
+func (c *clientConn) waitBeforeRead() time.Duration {
+	return max(c.server.loop.SchedulingDelay(longestNap), c.conn.QueueingDelay())
+}
+
+func (c *clientConn) answerHealthCheck(to *responder) {
+	status := 503
+	if c.server.lifecycle.phase == Serving {
+		status = 200
+	}
+	to.write(fastcgi.Response{Status: status})
+}
+
+// submit submits a request. It counts as open before Submit, which may answer it, and so remove it, at once.
+func (c *clientConn) submit(parsed Request, to *responder) {
+	c.openRequests[to.id] = 0
+	number := c.server.handler.Submit(parsed, to)
+	if number != 0 {
 		c.openRequests[to.id] = number
 	}
 }
 
-// handleAbort ends a request that its client gave up. FastCGI wants END_REQUEST for it, as the number is in use
-// until then; there is no other answer.
+// handleAbort ends a request that its client has aborted. FastCGI requires an END_REQUEST, which frees the
+// request's id; there is no other answer.
 func (c *clientConn) handleAbort(id uint16) {
-	if c.blocked = slices.DeleteFunc(c.blocked, func(r blockedRequest) bool { return r.request.ID == id }); len(c.blocked) == 0 {
-		delete(c.server.blockedConns, c)
-	}
-	c.server.p.HandleDisconnect(c.openRequests[id])
+	c.setBlocked(slices.DeleteFunc(c.blocked, func(b blockedRequest) bool { return b.request.ID == id }))
+	c.server.handler.HandleDisconnect(c.openRequests[id])
 	c.finishRequest(id, fastcgi.AppendEnd(nil, id, 1, fastcgi.Complete))
 }
 
-// finishRequest writes the last bytes of a request and frees its number.
+// finishRequest writes the last bytes of a request and frees its id.
 func (c *clientConn) finishRequest(id uint16, data []byte) {
 	delete(c.openRequests, id)
-	c.lastAnswer = c.server.p.loop.Now()
+	c.lastAnswer = c.server.loop.Now()
 	c.decoder.Done(id)
 	c.conn.Write(data)
 	c.closeIfDone()
 }
 
-// stopReading leaves the rest of what the client sends unread, as it can't be read. What came whole is owed its answer; the
-// connection is closed after the last one.
+// stopReading ignores further input after a protocol error. Requests that were complete before it are still
+// answered, and the connection is closed after the last answer.
 func (c *clientConn) stopReading(err error) {
-	c.server.p.log.Warn("client's connection is not read any more", "connection", c.number, "error", err, "open", len(c.openRequests))
+	c.server.log.Warn("client's connection is not read any more",
+		"connection", c.number, "error", err, "open", len(c.openRequests))
 	c.conn.StopReading()
 	c.closeWhenDone = true
 	c.incompleteSince = 0
@@ -138,41 +181,64 @@
 	c.closeIfDone()
 }
 
-// Closed gives up what was open on the connection. There is no error where this program has closed it of its own accord.
+// Closed ends the requests that are open on the connection. err is nil where this program has closed it by
+// its own decision.
 func (c *clientConn) Closed(err error) {
 	delete(c.server.conns, c)
+	delete(c.server.blockedConns, c)
 	for _, number := range c.openRequests {
-		c.server.p.handleConnectionClosed(number, err != nil)
+		c.server.handler.handleConnectionClosed(number, err != nil)
 	}
-	c.openRequests, c.blocked = nil, nil
-	delete(c.server.blockedConns, c)
+	c.openRequests = nil
+	c.blocked = nil
 	c.setPartialBytes(0)
 }
 
-// closeIfDone closes a connection that its client wants to be closed, once it is empty.
+// closeIfDone closes a connection on which no further request will be read, once all are answered.
 func (c *clientConn) closeIfDone() {
 	if c.closeWhenDone && c.hasNoOpenRequest() {
 		c.conn.CloseAfterFlush()
 	}
 }
 
-// hasNoOpenRequest says that no request is open.
+// hasNoOpenRequest reports whether no request is open, complete or not.
 func (c *clientConn) hasNoOpenRequest() bool { return len(c.openRequests) == 0 && !c.decoder.Busy() }
 
-// idleTime is how long nothing has come or gone.
+// idleTime is the time since the last input or answer.
 func (c *clientConn) idleTime() time.Duration {
-	return c.server.p.loop.Now() - max(c.conn.LastReceived(), c.lastAnswer)
+	return c.server.loop.Now() - max(c.conn.LastReceived(), c.lastAnswer)
 }
 
-// isOverdue says that a client has paused for too long over a request, or has asked nothing for too long.
+// isOverdue reports whether the client has exceeded a timeout for sending a request or for being idle.
 func (c *clientConn) isOverdue() bool {
-	if c.incompleteSince != 0 && (c.idleTime() > requestPauseTimeout || c.server.p.loop.Now()-c.incompleteSince > requestReadTimeout) {
-		return true
+	idle := c.idleTime()
+	if c.incompleteSince == 0 {
+		return idle > idleTimeout
 	}
-	return c.idleTime() > idleTimeout
+	return idle > requestPauseTimeout || c.server.loop.Now()-c.incompleteSince > requestReadTimeout
 }
 
-// expectsRequest says that the client has just connected, or has begun a record: what it asks would be lost by a close.
+// expectsRequest reports whether the client has just connected or begun a record: a close would lose its
+// request.
 func (c *clientConn) expectsRequest() bool {
-	return c.incompleteSince != 0 && c.server.p.loop.Now()-c.incompleteSince <= evictPartialAfter
+	return c.incompleteSince != 0 && c.server.loop.Now()-c.incompleteSince <= evictPartialAfter
+}
+
+// closeInfo is what decides whether an idle connection can be closed.
+func (c *clientConn) closeInfo() policy.CloseInfo {
+	return policy.CloseInfo{OpenRequests: len(c.openRequests), HasUnreadInput: c.conn.HasUnreadInput}
+}
+
+// drainInfo is what decides whether a connection can be closed because clients are to be disconnected:
+// nothing that its client has sent, or is about to send, may be lost.
+func (c *clientConn) drainInfo() policy.CloseInfo {
+	queuedBytes, _ := c.conn.QueuedOutput()
+	return policy.CloseInfo{
+		OpenRequests:   len(c.openRequests),
+		QueuedBytes:    queuedBytes,
+		PartialRequest: c.hasPartialRequest(),
+		InUse:          c.expectsRequest(),
+		HasUnreadInput: c.conn.HasUnreadInput,
+		UnackedBytes:   c.conn.UnackedBytes,
+	}
 }
--- a/internal/proxy/eviction.go
+++ b/internal/proxy/eviction.go
@@ -1,64 +1,115 @@
 package proxy
 
+// Eviction: when clients hold all the connections that they may, an idle one is closed so that a new one can
+// be accepted. Without it, clients that connect and send nothing, or send one request and stay, would keep
+// out all others.
+
 import (
 	"time"
+)
 
-	"cloverdoor/policy"
+// How long a connection must have been idle before it can be evicted.
+const (
+	// evictSilentAfter is for a client that has sent nothing yet: a client in earnest sends its request once
+	// it is connected.
+	evictSilentAfter = 50 * time.Millisecond
+	// evictIdleAfter is for a client whose requests have all been answered. A request that crosses the close
+	// within 50 ms is sent again. With a longer time, a few hundred clients a second that each send one
+	// request and stay would hold all connections.
+	evictIdleAfter = 100 * time.Millisecond
+	// evictPartialAfter is for a client that paused in the middle of a request, which would be lost.
+	evictPartialAfter = 250 * time.Millisecond
 )
 
-// hasCapacity says whether one more client may connect. When they hold all descriptors that they may, the one that is
-// missed least has to go: one that has said nothing yet for a while, else the one longest idle, as a request
-// that crosses the close is sent again. Otherwise clients that connect and say nothing, or ask once and
-// stay, would keep out all others.
-func (f *FastCGIServer) hasCapacity() bool {
-	if len(f.conns) < f.maxConns {
-		return true
+// evictionClass groups connections by what their eviction costs. Lower classes are evicted first.
+type evictionClass int
+
+const (
+	silentClient  evictionClass = iota // has sent nothing yet
+	idleClient                         // has sent complete requests, and nothing since
+	partialClient                      // is in the middle of a request
+)
+
+// minIdleTime is how long a connection of the class must have been idle before it can be evicted.
+func (e evictionClass) minIdleTime() time.Duration {
+	switch e {
+	case silentClient:
+		return evictSilentAfter
+	case idleClient:
+		return evictIdleAfter
+	default:
+		return evictPartialAfter
 	}
-	var spare *clientConn
-	unread := map[*clientConn]bool{}
+}
+
+// hasCapacity reports whether one more client can be accepted. It may evict another for that.
+func (f *FastCGIServer) hasCapacity() bool {
+	return len(f.conns) < f.maxConns || f.evictIdleClient()
+}
+
+// evictIdleClient closes the connection whose loss costs least, and reports whether there was one that can be
+// closed.
+func (f *FastCGIServer) evictIdleClient() bool {
+	denied := map[*clientConn]bool{}
 	for {
-		for c := range f.conns {
-			if !unread[c] && c.evictable() && (spare == nil || c.evictBefore(spare)) {
-				spare = c
-			}
-		}
-		if spare == nil {
+		candidate := f.evictionCandidate(denied)
+		if candidate == nil {
 			return false
 		}
-		if f.mayClose(policy.CloseInfo{OpenRequests: len(spare.openRequests), HasUnreadInput: spare.conn.HasUnreadInput}) {
-			break
+		if f.mayClose(candidate.closeInfo()) {
+			f.evict(candidate)
+			return true
 		}
-		unread[spare], spare = true, nil
+		denied[candidate] = true
 	}
-	f.p.log.Info("client's connection closed to make room", "connection", spare.number, "idle", spare.idleTime())
-	spare.conn.Close()
-	spare.Closed(nil)
-	return true
 }
 
-// evictable says whether a connection may be closed to make room for another.
+// evictionCandidate returns the connection to evict first among those not in denied, nil if there is none.
+func (f *FastCGIServer) evictionCandidate(denied map[*clientConn]bool) *clientConn {
+	var candidate *clientConn
+	for c := range f.conns {
+		if denied[c] || !c.evictable() {
+			continue
+		}
+		if candidate == nil || c.evictBefore(candidate) {
+			candidate = c
+		}
+	}
+	return candidate
+}
+
+func (f *FastCGIServer) evict(c *clientConn) {
+	f.log.Info("client's connection closed to make room", "connection", c.number, "idle", c.idleTime())
+	c.conn.Close()
+	c.Closed(nil)
+}
+
+// evictable reports whether the connection is a candidate: idle for long enough, with nothing open or queued.
+// It is asked of every connection; policy.MayClose then decides about the one that was chosen.
 func (c *clientConn) evictable() bool {
-	bytes, _ := c.conn.QueuedOutput()
-	if len(c.openRequests) > 0 || bytes > 0 || c.conn.Ended() {
-		return false // looked at here as well, as all connections are asked: what is left is decided by policy.MayClose
+	queuedBytes, _ := c.conn.QueuedOutput()
+	if len(c.openRequests) > 0 || queuedBytes > 0 || c.conn.Ended() {
+		return false
 	}
-	return c.idleTime() > [...]time.Duration{evictSilentAfter, evictIdleAfter, evictPartialAfter}[c.evictionRank()]
+	return c.idleTime() > c.evictionClass().minIdleTime()
 }
 
-// evictBefore compares evictable connections: those that have said nothing go first, those in the middle of a request last.
+// evictBefore orders candidates: by class, then the longest idle first.
 func (c *clientConn) evictBefore(other *clientConn) bool {
-	if a, b := c.evictionRank(), other.evictionRank(); a != b {
-		return a < b
+	class, otherClass := c.evictionClass(), other.evictionClass()
+	if class != otherClass {
+		return class < otherClass
 	}
 	return c.idleTime() > other.idleTime()
 }
 
-func (c *clientConn) evictionRank() int {
+func (c *clientConn) evictionClass() evictionClass {
 	switch {
 	case c.hasPartialRequest():
-		return 2
+		return partialClient
 	case c.completeRequests > 0:
-		return 1
+		return idleClient
+	default:
+		return silentClient
 	}
-	return 0
 }
--- a/internal/proxy/fastcgiserver.go
+++ b/internal/proxy/fastcgiserver.go
@@ -1,8 +1,7 @@
 package proxy
 
 import (
-	"errors"
-	"net/netip"
+	"log/slog"
 	"time"
 
 	"cloverdoor/internal/eventloop"
@@ -10,152 +9,140 @@
 )
 
 const (
-	healthPath    = "/alive"
-	operationPath = "/ops/"
-	// writeStallTimeout is how long a client may take nothing of what it is owed before its connection is closed.
+	// writeStallTimeout is how long a client may read nothing of its queued answers before its connection is
+	// closed.
 	writeStallTimeout = 10 * time.Second
-	// criticalWriteStallTimeout is the same where the memory is full.
+	// criticalWriteStallTimeout replaces writeStallTimeout while the memory budget is critical.
 	criticalWriteStallTimeout = 200 * time.Millisecond
-	// idleTimeout is when a connection that brings nothing and is owed nothing is closed. Clients close theirs
-	// after 4 s, so one that stays would keep its descriptor for good.
+	// idleTimeout is how long a connection without open requests may receive nothing. Clients close theirs
+	// after 4 s: one that is older has probably vanished, and would keep its descriptor.
 	idleTimeout = 5 * time.Second
-	// requestPauseTimeout is how long a client may pause over its first request, or over the rest of one, and wholeAtMost how
-	// long it may take in all: some write slowly.
+	// requestPauseTimeout is how long a client may pause before its first request, or in the middle of one.
 	requestPauseTimeout = 2 * time.Second
-	requestReadTimeout  = 10 * time.Second
-	// evictPartialAfter is when one that paused in the middle of a request may have to make room for another: it would lose
-	// its request.
-	evictPartialAfter = 250 * time.Millisecond
-	// disconnectGrace is how long after a client has left what it asked for is given up. Nothing may begin for it after
-	// 0.1 s; at once would take the answers from one that has only ended its own side.
-	disconnectGrace = 80 * time.Millisecond
-	// clientPollInterval is how long a turn lasts before clients are looked at once more: what was heard of them is too old then.
-	clientPollInterval = 30 * time.Millisecond
-	// minSkippedBytes is from which size on the beginning of a record is not kept where the memory is full. What begins a request is
-	// shorter.
-	minSkippedBytes = 1 << 10
-	// backpressureBytes is how many bytes of answers a client may leave unread before its further requests wait.
-	backpressureBytes = 1 << 20
-	// evictIdleAfter is the same for one that is owed nothing: a request that crosses the close within 50 ms is sent
-	// again. With a longer time, clients that ask once and stay, a few hundred a second, would hold all places for as
-	// long, and others would wait to be accepted.
-	evictIdleAfter = 100 * time.Millisecond
-	// evictSilentAfter is the same for one that has said nothing yet: a client that means well asks as soon as it is
-	// connected.
-	evictSilentAfter = 50 * time.Millisecond
+	// requestReadTimeout is how long it may take to send a complete request, pauses included.
+	requestReadTimeout = 10 * time.Second
+	// connCheckInterval is the time between checks of all client connections for these timeouts.
+	connCheckInterval = longestNap
 )
 
-var errMemoryLimit = errors.New("memory for clients is used up")
+// requestHandler is what the FastCGI server needs of the proxy. Its methods are called on the loop's
+// goroutine and must not block. A request's number is the one that Submit returned; numbers of requests that
+// have ended, and 0, are ignored.
+type requestHandler interface {
+	// classIndex returns a class's index in the settings.
+	classIndex(name string) (index int, known bool)
+	// Submit takes a complete request and returns its number, or 0 when the request was answered at once.
+	// Every request gets exactly one answer, unless HandleDisconnect or handleConnectionClosed ends it first.
+	Submit(in Request, to Responder) int64
+	// rejectUnsubmitted counts and answers a request that has never been submitted.
+	rejectUnsubmitted(in Request, to Responder, a Answer)
+	// HandleDisconnect ends a request that its client has aborted. It gets no answer.
+	HandleDisconnect(number int64)
+	// CancelAfterDisconnect cancels a request whose client has probably disconnected, and answers it at once:
+	// the client may have closed only its sending side.
+	CancelAfterDisconnect(number int64)
+	// handleConnectionClosed ends a request whose connection has closed. byPeer reports whether the client
+	// closed it, or an error did.
+	handleConnectionClosed(number int64, byPeer bool)
+}
 
-// FastCGIServer speaks FastCGI with the clients. A front for a second protocol would stand beside it and hand the same
-// Requests to Submit.
+// FastCGIServer accepts clients' connections and turns their FastCGI records into Requests. It closes
+// connections that are stalled, idle or evicted, and, while the process drains, those without open requests.
 type FastCGIServer struct {
-	p             *Proxy
+	handler   requestHandler
+	loop      *eventloop.Loop
+	log       *slog.Logger
+	lifecycle *lifecycle
+	memory    *memoryBudget
+	counters  *counters
+
 	listener      *eventloop.Listener
-	sharedSocket  bool // another process may accept from the same socket
+	sharedSocket  bool // another process may accept from the same listening socket
 	conns         map[*clientConn]bool
-	blockedConns  map[*clientConn]bool // those with parked requests
+	blockedConns  map[*clientConn]bool // those with requests that are blocked by backpressure
 	maxConns      int
-	acceptedConns int64 // connections so far
-}
-
-// Listen opens the front for clients on addr.
-func (p *Proxy) Listen(addr netip.AddrPort, most int) error {
-	f := p.newFastCGIServer(most)
-	ln, err := p.loop.Listen(addr, f.hasCapacity, f.accept)
-	return f.start(ln, err)
-}
-
-// ListenOn opens the front for clients on a listening socket that the platform holds. Another process may take over
-// from this one on it, and both accept for a while.
-func (p *Proxy) ListenOn(fd, most int) error {
-	f := p.newFastCGIServer(most)
-	f.sharedSocket = true
-	ln, err := p.loop.ListenOn(fd, f.hasCapacity, f.accept)
-	return f.start(ln, err)
+	acceptedConns int64 // since the start; numbers the connections in the log
 }
 
-func (p *Proxy) newFastCGIServer(most int) *FastCGIServer {
-	return &FastCGIServer{p: p, conns: map[*clientConn]bool{}, blockedConns: map[*clientConn]bool{}, maxConns: most}
-}
-
-func (f *FastCGIServer) start(ln *eventloop.Listener, err error) error {
-	if err != nil {
-		return err
-	}
+// start begins to watch over the connections that ln accepts.
+func (f *FastCGIServer) start(ln *eventloop.Listener) {
 	f.listener = ln
-	f.p.fastcgiServers = append(f.p.fastcgiServers, f)
 	f.checkConns()
-	return nil
 }
 
-func (f *FastCGIServer) accept(c *eventloop.Conn) eventloop.Handler {
+// accept makes the handler of a new connection.
+func (f *FastCGIServer) accept(conn *eventloop.Conn) eventloop.Handler {
 	f.acceptedConns++
-	cc := &clientConn{server: f, number: f.acceptedConns, conn: c, openRequests: map[uint16]int64{}, incompleteSince: f.p.loop.Now()}
-	f.conns[cc] = true
-	return cc
+	c := &clientConn{
+		server: f, number: f.acceptedConns, conn: conn,
+		openRequests: map[uint16]int64{}, incompleteSince: f.loop.Now(),
+	}
+	f.conns[c] = true
+	return c
 }
 
-// checkConns looks after connections now and then: those whose peer takes nothing, asks nothing or has vanished are
-// closed.
+// checkConns applies the timeouts to every connection, and again after connCheckInterval.
 func (f *FastCGIServer) checkConns() {
 	f.stopAccepting()
 	for c := range f.conns {
-		c.rejectBlocked(f.p.loop.Now())
-		bytes, _ := c.conn.QueuedOutput()
-		switch {
-		case c.isStalledFor(writeStallTimeout), f.memoryCritical() && c.isStalledFor(criticalWriteStallTimeout):
-			f.p.log.Info("client's connection closed, it takes nothing", "connection", c.number, "bytes", bytes)
-			c.conn.Close()
-			c.Closed(eventloop.ErrWriteStalled)
-		case !c.conn.Ended() && c.isOverdue() && f.mayClose(policy.CloseInfo{OpenRequests: len(c.openRequests), HasUnreadInput: c.conn.HasUnreadInput}):
-			c.conn.CloseAfterFlush()
-		}
+		f.checkConn(c)
+	}
+	f.loop.At(f.loop.Now()+connCheckInterval, f.checkConns)
+}
+
+// checkConn rejects requests that have been blocked for too long, and closes a connection that is stalled or
+// overdue.
+func (f *FastCGIServer) checkConn(c *clientConn) {
+	c.rejectBlocked(f.loop.Now())
+	if c.isStalledFor(writeStallTimeout) || f.memory.critical() && c.isStalledFor(criticalWriteStallTimeout) {
+		queuedBytes, _ := c.conn.QueuedOutput()
+		f.log.Info("client's connection closed, it takes nothing", "connection", c.number, "bytes", queuedBytes)
+		c.conn.Close()
+		c.Closed(eventloop.ErrWriteStalled)
+		return
+	}
+	if !c.conn.Ended() && c.isOverdue() && f.mayClose(c.closeInfo()) {
+		c.conn.CloseAfterFlush()
 	}
-	f.p.loop.At(f.p.loop.Now()+longestNap, f.checkConns)
 }
 
-// stopAccepting lets no further clients in once they have stopped coming. A shared socket is left at once: what still comes to it waits
-// for the process that takes over. On its own one, what waits to be accepted would be reset: that is taken first, also when
-// accepting fails for a while.
+// stopAccepting closes the listener once a shutdown has reached its disconnecting step. On a shared socket
+// that is at once: connections that still arrive are accepted by the other process. On a socket of its own,
+// closing it would reset those in its backlog: they are accepted first, until new requests are rejected
+// anyway.
 func (f *FastCGIServer) stopAccepting() {
-	if f.p.lifecycle.phase != Stopping || !f.p.lifecycle.disconnecting() {
+	if f.lifecycle.phase != Stopping || !f.lifecycle.disconnecting() {
 		return
 	}
 	if !f.sharedSocket {
 		f.listener.AcceptPending()
 	}
-	if f.sharedSocket || !f.listener.HasPending() || f.p.lifecycle.rejecting() {
+	if f.sharedSocket || !f.listener.HasPending() || f.lifecycle.rejecting() {
 		f.listener.Close()
 	}
 }
 
-// closeDrainedConns closes, while clients are to leave, the connections that are empty now. It comes at the end of a turn, when
-// all that has come was taken and all answers have been written and have arrived: what a client sends while its
-// connection is closed but still brings output would be lost.
+// mayClose reports whether a connection can be closed now, and counts a denial.
+func (f *FastCGIServer) mayClose(info policy.CloseInfo) bool {
+	return f.counters.allows(actionClose, policy.MayClose(info))
+}
+
+// closeDrainedConns closes, while clients are to be disconnected, the connections that hold nothing any more.
+// It is called at the end of a turn, when all input has been read and all output written and acknowledged:
+// data that arrives while a closed connection still has output would be lost. A connection that can't be
+// closed is looked at again in the next turn, so its denial isn't counted.
 func (f *FastCGIServer) closeDrainedConns() {
 	for c := range f.conns {
 		if c.conn.Ended() {
 			continue
 		}
-		bytes, _ := c.conn.QueuedOutput()
-		verdict := policy.MayClose(policy.CloseInfo{OpenRequests: len(c.openRequests), QueuedBytes: bytes, PartialRequest: c.hasPartialRequest(), InUse: c.expectsRequest(),
-			HasUnreadInput: c.conn.HasUnreadInput, UnackedBytes: c.conn.UnackedBytes})
-		if verdict.Allowed() { // else it is asked again in the next turn
+		if policy.MayClose(c.drainInfo()).Allowed() {
 			c.conn.CloseAfterFlush()
 		}
 	}
 }
 
-// Idle says whether no client is connected any more, or waits to be.
+// Idle reports whether no client is connected or waits to be accepted.
 func (f *FastCGIServer) Idle() bool {
 	return len(f.conns) == 0 && (f.sharedSocket || !f.listener.HasPending())
 }
-
-// memoryCritical says that clients and caches hold more than may be: what only holds memory has to go.
-func (f *FastCGIServer) memoryCritical() bool { return f.p.memory.critical() }
-
-// mayClose says whether a connection can be closed now, and counts where it can't.
-func (f *FastCGIServer) mayClose(c policy.CloseInfo) bool {
-	return f.p.counters.allows(actionClose, policy.MayClose(c))
-}
--- a/internal/proxy/fields.go
+++ b/internal/proxy/fields.go
@@ -10,50 +10,82 @@
 	"cloverdoor/internal/fastcgi"
 )
 
+// operationPath is the prefix of the script names of requests; the class's name follows.
+const operationPath = "/ops/"
+
+// The limits of the fields that clients send.
+const (
+	maxTimeoutMillis        = 600_000
+	maxPart                 = 1 << 31
+	maxGroup                = groups - 1
+	maxSizeKB               = 1e9
+	idLength                = 16 // hex digits of request ids, objects and versions
+	maxIdempotencyKeyLength = 64 // characters
+)
+
+const (
+	hexDigits     = "0123456789abcdefABCDEF"
+	keyCharacters = "0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ-._~"
+)
+
 // parse decodes the fields of a request.
 func (f *FastCGIServer) parse(r *fastcgi.Request) (Request, error) {
-	name, ok := strings.CutPrefix(r.Script, operationPath)
-	class, known := f.p.classIndex(name)
-	if !ok || !known {
+	className, hasPrefix := strings.CutPrefix(r.Script, operationPath)
+	class, known := f.handler.classIndex(className)
+	if !hasPrefix || !known {
 		return Request{}, fmt.Errorf("no such operation: %q", r.Script)
 	}
-	in := Request{
-		ID: r.Params["HTTP_REQ_ID"], Class: class, ClassName: name, Object: r.Params["HTTP_REQ_KEY"], Body: r.Body,
+	parsed := Request{
+		ID:             r.Params["HTTP_REQ_ID"],
+		Class:          class,
+		ClassName:      className,
+		Object:         r.Params["HTTP_REQ_KEY"],
+		IdempotencyKey: r.Params["HTTP_REQ_TOKEN"],
+		Body:           r.Body,
 	}
-	if !isHex(in.ID) || !isHex(in.Object) {
+	if !isHex(parsed.ID) || !isHex(parsed.Object) {
 		return Request{}, errors.New("Req-Id and Req-Key must be 16 hex digits")
 	}
-	wait, err1 := decimal(r.Params["HTTP_REQ_WAIT_MS"], 1, 600_000)
-	part, err2 := decimal(r.Params["HTTP_X_PIECE"], 0, 1<<31)
-	group, err3 := decimal(r.Params["HTTP_X_LOT"], 0, 255)
-	size, err4 := sizeKB(r.Params["HTTP_REQ_KB"])
-	if err := errors.Join(err1, err2, err3, err4); err != nil {
+	err := parsed.parseNumbers(r.Params)
+	if err != nil {
 		return Request{}, fmt.Errorf("Req-Wait-Ms, X-Piece, X-Lot or Req-Kb: %w", err)
 	}
-	if in.IdempotencyKey = r.Params["HTTP_REQ_TOKEN"]; !isToken(in.IdempotencyKey) {
+	if !isIdempotencyKey(parsed.IdempotencyKey) {
 		return Request{}, errors.New("Req-Token must be up to 64 letters, digits and -._~")
 	}
-	in.Timeout, in.Part, in.Group, in.SizeKB = time.Duration(wait)*time.Millisecond, part, group, size
-	if tag := r.Params["HTTP_X_VER"]; isHex(tag) {
-		in.KnownVersion = tag // any other could not be passed on; the whole object is always right
+	// A version in any other form could not be forwarded. Without it the client gets the complete object,
+	// which is always right.
+	version := r.Params["HTTP_X_VER"]
+	if isHex(version) {
+		parsed.KnownVersion = version
 	}
-	return in, nil
+	return parsed, nil
 }
 
-// isHex reports 16 hex digits: what may pass on into the fields of a call.
-func isHex(s string) bool {
-	return len(s) == 16 && strings.Trim(s, "0123456789abcdefABCDEF") == ""
+// parseNumbers decodes the fields that hold numbers.
+func (r *Request) parseNumbers(params map[string]string) error {
+	timeoutMillis, errTimeout := decimal(params["HTTP_REQ_WAIT_MS"], 1, maxTimeoutMillis)
+	part, errPart := decimal(params["HTTP_X_PIECE"], 0, maxPart)
+	group, errGroup := decimal(params["HTTP_X_LOT"], 0, maxGroup)
+	size, errSize := sizeKB(params["HTTP_REQ_KB"])
+	r.Timeout = time.Duration(timeoutMillis) * time.Millisecond
+	r.Part = part
+	r.Group = group
+	r.SizeKB = size
+	return errors.Join(errTimeout, errPart, errGroup, errSize)
 }
 
-// isToken reports what may pass on as an idempotency key, or none.
-func isToken(s string) bool {
-	return len(s) <= 64 && strings.Trim(s, "0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ-._~") == ""
+// isHex reports whether s is 16 hex digits: the only form of ids, objects and versions that is forwarded.
+func isHex(s string) bool {
+	return len(s) == idLength && strings.Trim(s, hexDigits) == ""
 }
 
-// maxSizeKB is the largest size that a client may tell of an object.
-const maxSizeKB = 1e9
+// isIdempotencyKey reports whether s can be forwarded as an idempotency key. The empty string, for none, can.
+func isIdempotencyKey(s string) bool {
+	return len(s) <= maxIdempotencyKeyLength && strings.Trim(s, keyCharacters) == ""
+}
 
-// sizeKB reads the size of an object where clients tell it; 0: not told.
+// sizeKB decodes the size of an object where the client sends it; 0 where it does not.
 func sizeKB(s string) (float64, error) {
 	if s == "" {
 		return 0, nil
@@ -62,13 +94,15 @@
 	if err != nil {
 		return 0, err
 	}
-	if !(size >= 0 && size <= maxSizeKB) { // not a number either
+	inRange := size >= 0 && size <= maxSizeKB // false for NaN
+	if !inRange {
 		return 0, fmt.Errorf("%q is out of range", s)
 	}
 	return size, nil
 }
 
-// decimal reads a canonical decimal, so that passing it on as a decimal leaves it unchanged.
+// decimal decodes a decimal number between least and most. Only the canonical form is accepted, so that the
+// number is forwarded just as it came.
 func decimal(s string, least, most int) (int, error) {
 	n, err := strconv.Atoi(s)
 	if err != nil {
--- a/internal/proxy/front_test.go
+++ b/internal/proxy/front_test.go
@@ -4,17 +4,17 @@
 
 // What a closed connection held is given back, also when it is counted once more after its end.
 func TestClosedConnectionHoldsNothing(t *testing.T) {
-	f := &FastCGIServer{p: &Proxy{memory: &memoryBudget{}}, conns: map[*clientConn]bool{}}
+	f := &FastCGIServer{memory: &memoryBudget{}, conns: map[*clientConn]bool{}}
 	c := &clientConn{server: f, openRequests: map[uint16]int64{}}
 	f.conns[c] = true
 	c.setPartialBytes(1000)
 	c.setPartialBytes(700)
-	if f.p.memory.partial != 700 {
-		t.Errorf("%d bytes counted", f.p.memory.partial)
+	if f.memory.partial != 700 {
+		t.Errorf("%d bytes counted", f.memory.partial)
 	}
 	c.Closed(nil)
 	c.setPartialBytes(700)
-	if f.p.memory.partial != 0 || len(f.conns) != 0 {
-		t.Errorf("%d bytes and %d connections left", f.p.memory.partial, len(f.conns))
+	if f.memory.partial != 0 || len(f.conns) != 0 {
+		t.Errorf("%d bytes and %d connections left", f.memory.partial, len(f.conns))
 	}
 }
--- a/internal/proxy/partialrequest.go
+++ b/internal/proxy/partialrequest.go
@@ -1,43 +1,50 @@
 package proxy
 
-import (
-	"cloverdoor/internal/fastcgi"
-)
+// Partial requests: the memory that requests take before they are complete, and how it is freed while the
+// memory budget is critical.
 
-// hasPartialRequest says whether a request has come in part.
+import "cloverdoor/internal/fastcgi"
+
+// minSkippedBytes is how long the beginning of an incomplete record must be to be discarded while the memory
+// budget is critical. The records that begin a request are shorter.
+const minSkippedBytes = 1 << 10
+
+// hasPartialRequest reports whether a part of a request has been received.
 func (c *clientConn) hasPartialRequest() bool {
 	return c.conn.UnparsedBytes() > 0 || c.decoder.Receiving()
 }
 
-// rejectPartial gives back the memory of requests that have come in part: they are refused, and what still comes of them is passed
-// over. It returns how much of a record that has begun is used up: the rest of it is skipped.
+// rejectPartial frees the memory of requests that are not complete: they are rejected, and the rest of them
+// is skipped. record is the beginning of an incomplete record; used is how much of it was discarded.
 func (c *clientConn) rejectPartial(record []byte) (used int) {
 	for _, id := range c.decoder.DropPartial() {
 		c.completeRequests++
 		c.conn.Write(fastcgi.AppendEnd(nil, id, 0, fastcgi.Overloaded))
 	}
-	rest := fastcgi.MissingBytes(record)
-	if rest == 0 || len(record) < minSkippedBytes {
+	missing := fastcgi.MissingBytes(record)
+	if missing == 0 || len(record) < minSkippedBytes {
 		return 0
 	}
-	c.skipBytes = rest
+	c.skipBytes = missing
 	return len(record)
 }
 
-// setPartialBytes keeps the proxy's sum of unfinished requests. A connection may be closed while what it brought is being
-// taken: counted afterwards, it would stay in the sum for good, and the front would refuse more and more.
+// updatePartialBytes counts the bytes that the connection's partial and blocked requests take.
+func (c *clientConn) updatePartialBytes() {
+	held := c.decoder.BufferedBytes()
+	for _, b := range c.blocked {
+		held += len(b.request.Body)
+	}
+	c.setPartialBytes(held)
+}
+
+// setPartialBytes keeps the memory budget's sum in step with the connection's bytes. A connection may be
+// closed while its input is being handled: counting it again after that would leave its bytes in the sum, and
+// the server would reject ever more.
 func (c *clientConn) setPartialBytes(held int) {
 	if c.openRequests == nil {
 		held = 0
 	}
-	c.server.p.memory.partial += held - c.partialBytes
+	c.server.memory.partial += held - c.partialBytes
 	c.partialBytes = held
 }
-
-func (c *clientConn) updatePartialBytes() {
-	held := c.decoder.BufferedBytes()
-	for _, r := range c.blocked {
-		held += len(r.request.Body)
-	}
-	c.setPartialBytes(held)
-}
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -1,6 +1,6 @@
-// Package proxy turns client requests into events of the decision module and the module's actions into
-// attempts at caches. It owns the life of requests and attempts, the coordinator's stream and the phases of
-// the program; which cache is asked, and what follows, is decided in package policy.
+// Package proxy turns client requests into events of the decision module, and the module's actions into
+// attempts at caches. It holds requests and attempts, the watch of the coordinator and the phases of the
+// program. Which cache is asked, and what follows from the result, is decided in package policy.
 package proxy
 
 import (
@@ -9,18 +9,19 @@
 	"cloverdoor/internal/eventloop"
 )
 
-// Request is a client's request, whatever protocol brought it. What passes on to a cache is kept as it came.
+// Request is a client's request, whatever protocol it came by. The fields that are forwarded keep the
+// client's spelling.
 type Request struct {
-	ID             string // the client's own, passed on
-	Class          int    // index among the settings' classes
-	ClassName      string // of the class
+	ID             string // the client's own id, forwarded
+	Class          int    // index in the settings' classes
+	ClassName      string
 	Object         string
 	Part           int
 	Group          int
-	SizeKB         float64       // size of the object, by the settings' measure; 0: not told
-	KnownVersion   string        // tag of the copy that the client holds; empty: none
-	IdempotencyKey string        // idempotency key, by which caches know a repeat; empty: none
-	Timeout        time.Duration // how long the client waits, from its last byte
+	SizeKB         float64       // size of the object as the settings measure it; 0: not known
+	KnownVersion   string        // version of the copy that the client holds; empty: none
+	IdempotencyKey string        // by which caches recognize a repeated request; empty: none
+	Timeout        time.Duration // how long the client waits, counted from the request's last byte
 	Body           []byte
 }
 
@@ -30,10 +31,10 @@
 // The final answers.
 const (
 	Served      Status = iota
-	NotModified        // served: the client's copy is the one
-	Rejected           // not done; trying again is harmless
-	Overloaded         // refused before the module heard of it
-	Failed
+	NotModified        // served: the client's copy is current
+	Rejected           // not executed; a retry is safe
+	Overloaded         // rejected before the decision module heard of it
+	Failed             // may or may not have been executed
 )
 
 // Answer is the final answer to a request.
@@ -41,15 +42,24 @@
 	Status     Status
 	Version    string // of the copy served
 	Body       []byte
-	RetryAfter time.Duration // with a refusal: how long the client should stay away; 0: no advice
+	RetryAfter time.Duration // of a rejection: how long the client should not retry; 0: not said
 }
 
-// Responder takes the one final answer to a request back to its client.
+// Disconnect says whether a client has disconnected.
+type Disconnect struct {
+	Since     eventloop.Timestamp // the earliest time at which it may have happened; 0: the client is connected
+	GraceOver bool                // so long ago that nothing may begin for the client any more
+}
+
+// Responder is the way back to the client of one request. Its methods are called on the loop's goroutine and
+// don't block.
 type Responder interface {
+	// Respond gives the final answer. It is called at most once.
 	Respond(Answer)
-	// PollClient reads what has come from the client since the turn began, if that is long ago. It may bring the request's end.
+	// PollClient reads what the client has sent since the turn began, if that is long ago. It may end the
+	// request before it returns, as the client may have disconnected or aborted it: the caller must look at
+	// the request's state again.
 	PollClient()
-	// ClientDisconnected tells since when the client may have left, 0 while it is there, and whether that is so long ago that nothing may
-	// begin for it any more.
+	// ClientDisconnected says whether the client has disconnected, as far as its input has been read.
 	ClientDisconnected() (since eventloop.Timestamp, long bool)
 }
--- a/internal/proxy/responder.go
+++ b/internal/proxy/responder.go
@@ -7,37 +7,34 @@
 	"cloverdoor/internal/fastcgi"
 )
 
-// responder takes one answer to its client.
+// responder writes the answer to one request of a FastCGI client.
 type responder struct {
 	conn *clientConn
-	id   uint16
+	id   uint16 // the FastCGI request id
 }
 
-// PollClient reads what has come since the turn began.
+// responseOverheadBytes is the space allocated for headers and record framing around an answer's body.
+const responseOverheadBytes = 256
+
+// PollClient implements Responder.
 func (r *responder) PollClient() { r.conn.pollClient() }
 
-// ClientDisconnected tells since when the client may have left.
+// ClientDisconnected implements Responder.
 func (r *responder) ClientDisconnected() (since eventloop.Timestamp, long bool) {
-	c := r.conn
-	if c.cancelAt == 0 {
-		return 0, false
-	}
-	return max(1, c.cancelAt-disconnectGrace), c.isDisconnected()
+	d := r.conn.disconnect()
+	return d.Since, d.GraceOver
 }
 
-// Respond encodes the answer.
+// Respond implements Responder.
 func (r *responder) Respond(a Answer) {
 	switch a.Status {
 	case Served:
-		r.write(fastcgi.Response{Status: 200, Headers: tagHeader(a.Version), Body: a.Body})
+		r.write(fastcgi.Response{Status: 200, Headers: versionHeader(a.Version), Body: a.Body})
 	case NotModified:
-		r.write(fastcgi.Response{Status: 200, Headers: append(tagHeader(a.Version), [2]string{"X-Unchanged", "1"})})
+		headers := append(versionHeader(a.Version), [2]string{"X-Unchanged", "1"})
+		r.write(fastcgi.Response{Status: 200, Headers: headers})
 	case Rejected:
-		var headers [][2]string
-		if ms := a.RetryAfter.Milliseconds(); ms > 0 {
-			headers = [][2]string{{"Srv-Wait-Ms", strconv.FormatInt(ms, 10)}}
-		}
-		r.write(fastcgi.Response{Status: 503, Headers: headers})
+		r.write(fastcgi.Response{Status: 503, Headers: retryAfterHeader(a)})
 	case Overloaded:
 		r.conn.finishRequest(r.id, fastcgi.AppendEnd(nil, r.id, 0, fastcgi.Overloaded))
 	default:
@@ -45,19 +42,37 @@
 	}
 }
 
-func (r *responder) write(resp fastcgi.Response) {
+// writeError answers with a status and the error's text.
+func (r *responder) writeError(status int, err error) {
+	r.write(fastcgi.Response{Status: status, Body: []byte(err.Error() + "\n")})
+}
+
+// write writes a response, unless the connection has ended or has to be closed for lack of memory.
+func (r *responder) write(response fastcgi.Response) {
 	if r.conn.conn.Ended() {
 		return
 	}
-	if r.conn.relieveMemory(); r.conn.conn.Ended() {
+	r.conn.relieveMemory()
+	if r.conn.conn.Ended() {
 		return
 	}
-	r.conn.finishRequest(r.id, fastcgi.AppendResponse(make([]byte, 0, len(resp.Body)+256), r.id, resp))
+	buffer := make([]byte, 0, len(response.Body)+responseOverheadBytes)
+	r.conn.finishRequest(r.id, fastcgi.AppendResponse(buffer, r.id, response))
+}
+
+// versionHeader names the served copy's version. A version that is not in the form of one is left out.
+func versionHeader(version string) [][2]string {
+	if !isHex(version) {
+		return nil
+	}
+	return [][2]string{{"X-Ver", version}}
 }
 
-func tagHeader(tag string) [][2]string {
-	if !isHex(tag) {
+// retryAfterHeader tells the client for how many milliseconds it should not retry.
+func retryAfterHeader(a Answer) [][2]string {
+	millis := a.RetryAfter.Milliseconds()
+	if millis <= 0 {
 		return nil
 	}
-	return [][2]string{{"X-Ver", tag}}
+	return [][2]string{{"Srv-Wait-Ms", strconv.FormatInt(millis, 10)}}
 }
