--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -124,12 +124,12 @@
 // maySend asks the module once more whether the call may begin, and with which orders.
 func (a *attempt) maySend(now eventloop.Timestamp) (policy.Fetch, bool) {
 	a.req.to.PollClient()
-	_, left := a.req.to.ClientDisconnected()
+	disconnected := a.req.to.ClientDisconnected().GraceOver
 	if a.req.finished { // answered or given up since, perhaps in this very turn
 		a.p.counters.allows(actionSend, policy.Verdict{Rule: policy.RuleAnswer, Reason: policy.ReasonAnswered})
 		return policy.Fetch{}, false
 	}
-	f, verdict := a.p.router.MaySend(now, policy.SendInfo{ID: a.req.number, Attempt: a.number, Remaining: a.req.deadline - now, ClientDisconnected: left})
+	f, verdict := a.p.router.MaySend(now, policy.SendInfo{ID: a.req.number, Attempt: a.number, Remaining: a.req.deadline - now, ClientDisconnected: disconnected})
 	if !a.p.counters.allows(actionSend, verdict) {
 		a.p.log.Info("call not sent", "request", a.req.ID, "attempt", a.number, "server", a.target, "rule", verdict.Rule, "reason", verdict.Reason)
 		if verdict.Rule == policy.RuleClientDisconnected {
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -21,7 +21,7 @@
 
 func (deaf) PollClient() {}
 
-func (deaf) ClientDisconnected() (eventloop.Timestamp, bool) { return 0, false }
+func (deaf) ClientDisconnected() Disconnect { return Disconnect{} }
 
 // A call that moves on from a late connection and comes back to it, as it is up by then, is in its queue twice: it is
 // sent once all the same. Otherwise a write would run twice.
--- a/internal/proxy/audit.go
+++ b/internal/proxy/audit.go
@@ -127,7 +127,7 @@
 			u.report(sentToLeaving, a.req, id)
 		}
 	}
-	if since, _ := a.req.to.ClientDisconnected(); since != 0 && now-since > leftGrace+auditSlack {
+	if since := a.req.to.ClientDisconnected().Since; since != 0 && now-since > leftGrace+auditSlack {
 		u.report(begunAfterLeft, a.req, fmt.Sprintf("%v after", now-since))
 	}
 	a.began = now
--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -20,14 +20,14 @@
 	conn    *eventloop.Conn
 	decoder fastcgi.Decoder
 
-	openRequests     map[uint16]int64 // by FastCGI request id: the proxy's number, 0 while blocked; nil once closed
+	openRequests     map[uint16]int64 // numbers by FastCGI id, 0: blocked; nil once closed
 	blocked          []blockedRequest // the oldest first
 	completeRequests int              // requests that have been received completely, or rejected before that
 	closeWhenDone    bool             // no further request will be read: close once all are answered
 
 	partialBytes    int                 // buffered bytes of requests that are not complete or blocked
 	skipBytes       int                 // bytes still to come of a record that is discarded
-	incompleteSince eventloop.Timestamp // when the wait for the first request, or the rest of one, began; 0: no wait
+	incompleteSince eventloop.Timestamp // start of the wait for a request, or the rest of one; 0: none
 
 	lastAnswer        eventloop.Timestamp // when the last answer was written
 	polledAt          eventloop.Timestamp // when the client was last polled within a turn
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -240,8 +240,7 @@
 // Submit takes a request whose last byte has just come. It returns the request's number, for Abandon, or 0
 // when it was answered at once.
 func (p *Proxy) Submit(in Request, to Responder) int64 {
-	_, left := to.ClientDisconnected()
-	verdict := policy.MayAdmit(policy.AdmitInfo{ClientDisconnected: left, Stopping: p.lifecycle.rejecting(), Remaining: in.Timeout,
+	verdict := policy.MayAdmit(policy.AdmitInfo{ClientDisconnected: to.ClientDisconnected().GraceOver, Stopping: p.lifecycle.rejecting(), Remaining: in.Timeout,
 		OpenRequests: len(p.requests), MaxOpenRequests: p.maxOpen, MemoryFull: p.memory.full()})
 	if !p.counters.allows(actionStart, verdict) {
 		answer := Answer{Status: Rejected, RetryAfter: goneIn}
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -61,5 +61,5 @@
 	// the request's state again.
 	PollClient()
 	// ClientDisconnected says whether the client has disconnected, as far as its input has been read.
-	ClientDisconnected() (since eventloop.Timestamp, long bool)
+	ClientDisconnected() Disconnect
 }
--- a/internal/proxy/responder.go
+++ b/internal/proxy/responder.go
@@ -3,7 +3,6 @@
 import (
 	"strconv"
 
-	"cloverdoor/internal/eventloop"
 	"cloverdoor/internal/fastcgi"
 )
 
@@ -20,10 +19,7 @@
 func (r *responder) PollClient() { r.conn.pollClient() }
 
 // ClientDisconnected implements Responder.
-func (r *responder) ClientDisconnected() (since eventloop.Timestamp, long bool) {
-	d := r.conn.disconnect()
-	return d.Since, d.GraceOver
-}
+func (r *responder) ClientDisconnected() Disconnect { return r.conn.disconnect() }
 
 // Respond implements Responder.
 func (r *responder) Respond(a Answer) {
