--- a/internal/proxy/coordinator_test.go
+++ b/internal/proxy/coordinator_test.go
@@ -20,11 +20,11 @@
 	all := 0
 	for seed := range uint64(processes) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		pause := refollowAfter
-		for at := jitter(pause, rng); at < outage; at += jitter(pause, rng) {
+		pause := minReconnectBackoff
+		for at := jitteredBackoff(pause, rng); at < outage; at += jitteredBackoff(pause, rng) {
 			calls[at/bin]++
 			all++
-			pause = min(2*pause, refollowAtMost)
+			pause = min(2*pause, maxReconnectBackoff)
 		}
 	}
 	settled := calls[2*time.Second/bin:]
@@ -36,7 +36,7 @@
 	}
 	rng := rand.New(rand.NewPCG(7, 7))
 	for range 1000 {
-		if d := jitter(refollowAtMost, rng); d < refollowAtMost/2 || d > refollowAtMost {
+		if d := jitteredBackoff(maxReconnectBackoff, rng); d < maxReconnectBackoff/2 || d > maxReconnectBackoff {
 			t.Fatalf("a pause of %v", d)
 		}
 	}
@@ -65,7 +65,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &Proxy{loop: loop, log: slog.New(slog.DiscardHandler), follower: &follower{}}
+	p := &Proxy{loop: loop, log: slog.New(slog.DiscardHandler), coordinator: &coordinatorWatch{}}
 	p.audit = newAudit(p, nil)
 	p.applyEvent(watch.Event{Purge: &watch.Purge{Object: "w", At: loop.Now().Milliseconds()}}) // in time: the clock is right
 	p.applyEvent(watch.Event{Purge: &watch.Purge{Object: "x", At: time.Now().Add(-ago).UnixMilli()}})
--- a/internal/proxy/membership.go
+++ b/internal/proxy/membership.go
@@ -17,7 +17,7 @@
 	if v := ev.Purge; v != nil {
 		age := time.Duration(0) // where it is not told when
 		if v.At != 0 {
-			p.observeTime(time.Duration(v.At)*time.Millisecond, p.follower != nil)
+			p.observeTime(time.Duration(v.At)*time.Millisecond, p.coordinator != nil)
 			age = p.purgeAge(v.At)
 		}
 		p.purge(v, age)
--- a/internal/proxy/peerclock_test.go
+++ b/internal/proxy/peerclock_test.go
@@ -22,8 +22,8 @@
 	p := &Proxy{loop: loop, log: slog.New(slog.DiscardHandler)}
 	p.audit = newAudit(p, nil)
 	return p, func(ago time.Duration, live bool) time.Duration {
-		if p.follower = nil; live {
-			p.follower = &follower{}
+		if p.coordinator = nil; live {
+			p.coordinator = &coordinatorWatch{}
 		}
 		p.inbox = nil
 		p.applyEvent(watch.Event{Purge: &watch.Purge{Object: "x", At: (right - ago).Milliseconds()}})
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -67,7 +67,7 @@
 	servers        map[string]int64 // by id: when it started
 	pools          *connpool.Pools
 	fastcgiServers []*FastCGIServer
-	follower       *follower
+	coordinator    *coordinatorWatch
 
 	open        int // requests taken and not ended
 	counters    *counters
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -32,7 +32,7 @@
 		{"cfg_invalid", p.counters.configsRejected},
 		{"log_lines_dropped", p.droppedLogLines()},
 		{"registry_unreadable", p.counters.unreadableParts},
-		{"registry_silent_ms", p.follower.silentFor()},
+		{"registry_silent_ms", p.coordinator.silentMillis()},
 	}
 }
 
