--- a/internal/proxy/watch.go
+++ b/internal/proxy/watch.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"errors"
+	"log/slog"
 	"math/rand/v2"
 	"net/netip"
 	"slices"
@@ -13,155 +14,216 @@
 )
 
 const (
-	silenceTimeout = 2500 * time.Millisecond // the coordinator says something every second
-	// lineTimeout is how long a line may take to come whole, a list in many pieces for example, before the coordinator is
-	// asked on a second stream as well. What it has to tell counts as told after 7 s, whether it came or not.
-	lineTimeout         = 4 * time.Second
-	watchConnectTimeout = 500 * time.Millisecond // for a connect
-	minReconnectBackoff = 100 * time.Millisecond // doubles with each attempt that brought nothing
-	maxReconnectBackoff = 400 * time.Millisecond // drains may follow at once when the coordinator is back
-
-	// maxWatchStreams is how many streams are followed side by side, while none brings whole lines.
-	maxWatchStreams = 2
-	// Each stream in a row that did not come up in its time, or brought no whole line in it, doubles the limits of the
-	// next, up to here: what takes long every time would else never come.
+	// watchConnectTimeout is how long a connect to the coordinator may take.
+	watchConnectTimeout = 500 * time.Millisecond
+	// silenceTimeout is how long a stream may receive nothing. The coordinator sends a heartbeat every
+	// second.
+	silenceTimeout = 2500 * time.Millisecond
+	// lineTimeout is how long a stream may receive no complete line, while a long list arrives in pieces for
+	// example. After 7 s a drain must be heeded whether its event has arrived or not, so a second stream has
+	// to be opened well before that.
+	lineTimeout = 4 * time.Second
+	// maxTimeoutDoublings bounds the growth of these three timeouts, which double with each consecutive
+	// failure: what always takes longer than a fixed timeout would never arrive.
 	maxTimeoutDoublings = 3
+	// streamCheckInterval is the time between checks of the streams for these timeouts.
+	streamCheckInterval = silenceTimeout / 10
+
+	// maxWatchStreams is how many streams may be open at once.
+	maxWatchStreams = 2
+
+	// minReconnectBackoff is the pause before the first reconnect after an outage has begun. It doubles with
+	// each further one.
+	minReconnectBackoff = 100 * time.Millisecond
+	// maxReconnectBackoff bounds that pause. It is short, as the coordinator may report drains as soon as it
+	// is back.
+	maxReconnectBackoff = 400 * time.Millisecond
 )
 
+// errEventGap closes a stream on which events are missing.
 var errEventGap = errors.New("events are missing")
 
-// coordinatorWatch keeps up with the coordinator's events. Normally it has one stream. When that brings no whole line for a while,
-// a second one is opened beside it; what has come of a line on the first is not thrown away.
+// watchHandler is what the watch needs of the proxy. Its methods are called on the loop's goroutine and must
+// not block.
+type watchHandler interface {
+	// applyEvent takes the next event. Each is passed on once, in the order of their indices; some may be
+	// left out.
+	applyEvent(ev watch.Event)
+	// countUnreadable counts lines or events that were skipped.
+	countUnreadable(parts int)
+}
+
+// coordinatorWatch receives the coordinator's events: the endpoint list, its changes, and purges.
+//
+// Normally one stream is open. A second one is opened when no complete line has arrived on the first for too
+// long; the first stays open, as it may still complete a long line. When both are stalled, the one whose last
+// complete line is older is replaced. The first stream that brings a complete line again closes the other
+// (see closeOthers). When no stream is left, the watch reconnects after a backoff.
 type coordinatorWatch struct {
-	p                   *Proxy
+	handler watchHandler
+	loop    *eventloop.Loop
+	log     *slog.Logger
+	rng     *rand.Rand // for the backoff
+
 	addr                netip.AddrPort
-	lastIndex           int64               // number of the last event that was taken
-	streams             []*watchStream      // the oldest first
-	consecutiveFailures int                 // streams in a row that were too slow
-	lastLineAt          eventloop.Timestamp // when a whole line came last, or the following was begun
+	streams             []*watchStream // the oldest first
+	consecutiveFailures int            // streams in a row that exceeded a timeout
 	reconnectTimer      *eventloop.Timer
-	backoff             time.Duration
-	lastUnreadable      unreadableLine
-	lastGap             eventGap
+	backoff             time.Duration // before the next reconnect
+
+	lastIndex      int64               // index of the last event that was passed on
+	lastLineAt     eventloop.Timestamp // when the last complete line arrived on any stream, or the watch began
+	lastUnreadable unreadableLine
+	lastGap        eventGap
 }
 
-// eventGap is the last place at which events were missing. When they are missing there again, those behind it are taken: to ask once
-// more would bring nothing else.
-type eventGap struct{ after, index int64 }
+// eventGap is a place at which events are missing: those between the two indices.
+type eventGap struct{ after, before int64 }
 
-// unreadableLine is the last line that was neither an event nor a number and had nothing behind it: its stream may have broken.
-// When it comes again at the same place, it is passed over: to ask once more would bring it for a third time.
+// unreadableLine is a line that is neither an event nor a heartbeat, and the last event before it.
 type unreadableLine struct {
 	text  []byte
-	after int64 // the last event that was taken before it
+	after int64 // index of the event
 }
 
-// WatchCoordinator keeps the proxy up to date with the coordinator at addr from event last on.
-func (p *Proxy) WatchCoordinator(addr netip.AddrPort, last int64) {
-	p.coordinator = &coordinatorWatch{p: p, addr: addr, lastIndex: last, backoff: minReconnectBackoff, lastLineAt: p.loop.Now()}
-	p.coordinator.openStream()
-	p.coordinator.checkStreams()
+// start opens the first stream.
+func (w *coordinatorWatch) start() {
+	w.lastLineAt = w.loop.Now()
+	w.backoff = minReconnectBackoff
+	w.openStream()
+	w.checkStreams()
 }
 
-// SwitchCoordinator goes over to the coordinator at addr; its events are numbered on from those of the one before. That
-// one is left at once: it may keep its connection open for a while and tell nothing more on it.
-func (p *Proxy) SwitchCoordinator(addr netip.AddrPort) {
-	f := p.coordinator
-	if addr == f.addr {
+// switchTo watches the coordinator at addr instead, from the same event on. The streams of the one before are
+// closed at once: it may keep them open and send nothing more on them.
+func (w *coordinatorWatch) switchTo(addr netip.AddrPort) {
+	if addr == w.addr {
 		return
 	}
-	f.addr, f.backoff, f.consecutiveFailures = addr, minReconnectBackoff, 0
-	p.loop.Stop(f.reconnectTimer)
-	for _, s := range f.streams {
+	w.addr = addr
+	w.backoff = minReconnectBackoff
+	w.consecutiveFailures = 0
+	w.loop.Stop(w.reconnectTimer)
+	for _, s := range w.streams {
 		s.conn.Close()
 	}
-	f.streams = nil
-	f.openStream()
+	w.streams = nil
+	w.openStream()
 }
 
-// silentMillis is for how many milliseconds no whole line has come. Above the coordinator's 7 s the list may be out of date.
-func (f *coordinatorWatch) silentMillis() int {
-	if f == nil {
+// silentMillis is for how many milliseconds no complete line has arrived; 0 before the watch has begun. Above
+// 7000 the endpoint list may be out of date.
+func (w *coordinatorWatch) silentMillis() int {
+	if w == nil {
 		return 0
 	}
-	return int((f.p.loop.Now() - f.lastLineAt).Milliseconds())
+	return int((w.loop.Now() - w.lastLineAt).Milliseconds())
 }
 
 // openStream opens one more stream.
-func (f *coordinatorWatch) openStream() {
-	doubled := time.Duration(1) << min(f.consecutiveFailures, maxTimeoutDoublings)
-	s := &watchStream{owner: f, lastLineAt: f.p.loop.Now(), silenceTimeout: silenceTimeout * doubled, lineTimeout: lineTimeout * doubled}
-	conn, err := f.p.loop.Dial(f.addr, min(watchConnectTimeout*doubled, silenceTimeout), s)
+func (w *coordinatorWatch) openStream() {
+	factor := time.Duration(1) << min(w.consecutiveFailures, maxTimeoutDoublings)
+	s := &watchStream{
+		owner:          w,
+		lastLineAt:     w.loop.Now(),
+		silenceTimeout: silenceTimeout * factor,
+		lineTimeout:    lineTimeout * factor,
+	}
+	conn, err := w.loop.Dial(w.addr, min(watchConnectTimeout*factor, silenceTimeout), s)
 	if err != nil {
-		f.scheduleReconnect(err)
+		w.scheduleReconnect(err)
 		return
 	}
 	s.conn = conn
-	f.streams = append(f.streams, s)
-	conn.Write(watch.AppendFollow(f.lastIndex))
+	w.streams = append(w.streams, s)
+	conn.Write(watch.AppendFollow(w.lastIndex))
 }
 
-// checkStreams opens a second stream when none brings whole lines, and makes room for the next when both do not.
-func (f *coordinatorWatch) checkStreams() {
-	stalled := 0
-	for _, s := range f.streams {
-		if s.isStalled() {
-			stalled++
-		}
+// checkStreams opens a stream when all that are open are stalled, and closes one for it where there are too
+// many. While none is open, a reconnect is scheduled already.
+func (w *coordinatorWatch) checkStreams() {
+	if len(w.streams) > 0 && !slices.ContainsFunc(w.streams, func(s *watchStream) bool { return !s.isStalled() }) {
+		w.replaceStalled()
 	}
-	switch {
-	case len(f.streams) == 0 || stalled < len(f.streams): // one is sound, or the next is about to be opened
-	case len(f.streams) == maxWatchStreams:
-		f.consecutiveFailures++
-		f.closeStream(slices.MinFunc(f.streams, func(a, b *watchStream) int { return int(a.lastLineAt - b.lastLineAt) }))
-		f.openStream()
-	default:
-		f.p.log.Warn("coordinator brings no whole line, followed on a second connection", "event", f.lastIndex)
-		f.consecutiveFailures++
-		f.openStream()
+	w.loop.At(w.loop.Now()+streamCheckInterval, w.checkStreams)
+}
+
+// replaceStalled opens a stream beside a stalled one, or instead of the older of two.
+func (w *coordinatorWatch) replaceStalled() {
+	if len(w.streams) < maxWatchStreams {
+		w.log.Warn("coordinator brings no whole line, followed on a second connection", "event", w.lastIndex)
+	} else {
+		byLastLine := func(a, b *watchStream) int { return int(a.lastLineAt - b.lastLineAt) }
+		w.closeStream(slices.MinFunc(w.streams, byLastLine))
 	}
-	f.p.loop.At(f.p.loop.Now()+silenceTimeout/10, f.checkStreams)
+	w.consecutiveFailures++
+	w.openStream()
 }
 
-// closeStream ends a stream.
-func (f *coordinatorWatch) closeStream(s *watchStream) {
+// closeStream closes and removes a stream.
+func (w *coordinatorWatch) closeStream(s *watchStream) {
 	s.conn.Close()
-	f.streams = slices.DeleteFunc(f.streams, func(other *watchStream) bool { return other == s })
+	w.removeStream(s)
 }
 
-// isRepeatedUnreadable says whether a line that can't be read has come before at the same place, and remembers it if not.
-func (f *coordinatorWatch) isRepeatedUnreadable(line []byte) bool {
-	if f.lastUnreadable.after == f.lastIndex && bytes.Equal(f.lastUnreadable.text, line) {
-		return true
-	}
-	f.lastUnreadable = unreadableLine{text: bytes.Clone(line), after: f.lastIndex}
-	return false
+func (w *coordinatorWatch) removeStream(s *watchStream) {
+	w.streams = slices.DeleteFunc(w.streams, func(other *watchStream) bool { return other == s })
 }
 
-// closeOthers ends the other streams when one has brought a whole line: all of them when it was news, else those that have
-// nothing of a line.
-func (f *coordinatorWatch) closeOthers(s *watchStream, news bool) {
-	for _, other := range slices.Clone(f.streams) {
-		if other != s && (news || other.conn.UnparsedBytes() == 0 || other.conn.Age() > lineTimeout<<maxTimeoutDoublings) {
-			f.closeStream(other)
+// closeOthers closes other streams after s has brought a complete line. If the line was a new event, all are
+// closed. Otherwise one that is in the middle of a line may bring an event that s never will, and stays for
+// as long as a line may take.
+func (w *coordinatorWatch) closeOthers(s *watchStream, newEvent bool) {
+	for _, other := range slices.Clone(w.streams) {
+		if other == s {
+			continue
+		}
+		if newEvent || other.conn.UnparsedBytes() == 0 || other.conn.Age() > lineTimeout<<maxTimeoutDoublings {
+			w.closeStream(other)
 		}
 	}
 }
 
-// jitteredBackoff returns between half of a pause and the whole. All processes lose a coordinator at the same time, and would
-// else come back in step.
-func jitteredBackoff(pause time.Duration, rng *rand.Rand) time.Duration {
-	return pause/2 + time.Duration(rng.Int64N(int64(pause/2)))
+// recordLine notes that a complete line has arrived, which ends a series of failures.
+func (w *coordinatorWatch) recordLine() {
+	w.lastLineAt = w.loop.Now()
+	w.backoff = minReconnectBackoff
+	w.consecutiveFailures = 0
+}
+
+// isRepeatedUnreadable reports whether a line that can't be decoded came last time at the same place too, and
+// remembers it otherwise.
+func (w *coordinatorWatch) isRepeatedUnreadable(line []byte) bool {
+	if w.lastUnreadable.after == w.lastIndex && bytes.Equal(w.lastUnreadable.text, line) {
+		return true
+	}
+	w.lastUnreadable = unreadableLine{text: bytes.Clone(line), after: w.lastIndex}
+	return false
+}
+
+// isRepeatedGap reports whether a gap was found last time at the same place too, and remembers it otherwise.
+func (w *coordinatorWatch) isRepeatedGap(gap eventGap) bool {
+	if gap == w.lastGap {
+		return true
+	}
+	w.lastGap = gap
+	return false
 }
 
-// scheduleReconnect follows the coordinator anew, after a pause.
-func (f *coordinatorWatch) scheduleReconnect(err error) {
-	if len(f.streams) > 0 {
+// scheduleReconnect opens a stream after the backoff, unless another one is open.
+func (w *coordinatorWatch) scheduleReconnect(err error) {
+	if len(w.streams) > 0 {
 		return
 	}
-	if f.backoff == minReconnectBackoff { // one line for each outage
-		f.p.log.Warn("coordinator lost, followed again", "error", err, "event", f.lastIndex)
+	if w.backoff == minReconnectBackoff { // once for each outage
+		w.log.Warn("coordinator lost, followed again", "error", err, "event", w.lastIndex)
 	}
-	f.reconnectTimer = f.p.loop.At(f.p.loop.Now()+jitteredBackoff(f.backoff, f.p.rng), f.openStream)
-	f.backoff = min(2*f.backoff, maxReconnectBackoff)
+	w.reconnectTimer = w.loop.At(w.loop.Now()+jitteredBackoff(w.backoff, w.rng), w.openStream)
+	w.backoff = min(2*w.backoff, maxReconnectBackoff)
+}
+
+// jitteredBackoff draws a pause between half of backoff and all of it. All processes of a fleet lose a
+// coordinator at the same time: with equal pauses they would reconnect at the same time too.
+func jitteredBackoff(backoff time.Duration, rng *rand.Rand) time.Duration {
+	return backoff/2 + time.Duration(rng.Int64N(int64(backoff/2)))
 }
--- a/internal/proxy/watchstream.go
+++ b/internal/proxy/watchstream.go
@@ -2,122 +2,139 @@
 
 import (
 	"errors"
-	"slices"
 	"time"
 
 	"cloverdoor/internal/eventloop"
 	"cloverdoor/internal/watch"
 )
 
-// watchStream is one connection on which the coordinator is followed.
+// watchStream is one connection to the coordinator. It decodes lines and passes on the events that are next
+// in order.
+//
+// What can't be decoded, or is missing, is asked for once more on a new stream, from the last event that was
+// passed on. When it is the same then, it is skipped and counted: asking again would bring the same.
 type watchStream struct {
 	owner          *coordinatorWatch
 	conn           *eventloop.Conn
-	lastLineAt     eventloop.Timestamp // when it last brought a whole line, or was begun
-	silenceTimeout time.Duration       // for how long it may bring nothing
-	lineTimeout    time.Duration       // for how long it may bring no whole line
-	skippingLine   bool                // the rest of a line that is too long
-	skippedLines   int64               // events that may be missing, as lines were passed over since the last one
+	lastLineAt     eventloop.Timestamp // when the last complete line arrived, or the stream was opened
+	silenceTimeout time.Duration       // how long it may receive nothing
+	lineTimeout    time.Duration       // how long it may receive no complete line
+	discardingLine bool                // the line that is arriving is too long; its rest is discarded
+	skippedLines   int64               // lines skipped since the last event, each of which may have been an event
 }
 
-// isStalled says that a stream is silent, as that of a machine that was cut off is, or goes on without ending a line: a
-// drain in the middle of it would not be heeded.
+// isStalled reports whether the stream is silent, as after a network partition, or has not completed a line
+// for too long.
 func (s *watchStream) isStalled() bool {
-	now := s.owner.p.loop.Now()
-	return now-max(s.conn.LastReceived(), s.lastLineAt) > s.silenceTimeout || now-s.lastLineAt > s.lineTimeout
+	now := s.owner.loop.Now()
+	lastInput := max(s.conn.LastReceived(), s.lastLineAt)
+	return now-lastInput > s.silenceTimeout || now-s.lastLineAt > s.lineTimeout
 }
 
-// Receive takes whole lines off what has come in.
+// Receive handles the complete lines in data.
 func (s *watchStream) Receive(data []byte) (used int, err error) {
 	for {
 		n, line, err := watch.NextLine(data[used:])
-		if errors.Is(err, watch.ErrTooLong) { // to ask for it again would bring it again
-			s.skippingLine = true
+		if errors.Is(err, watch.ErrTooLong) { // a new stream would bring the same line
+			s.discardingLine = true
 			return len(data), nil
 		}
 		if n == 0 || err != nil {
 			return used, err
 		}
 		used += n
-		if err := s.handleLine(line, used < len(data)); err != nil {
+		moreFollows := used < len(data)
+		err = s.handleLine(line, moreFollows)
+		if err != nil {
 			return used, err
 		}
-		if s.conn.Ended() { // another stream has taken over
+		if s.conn.Ended() { // handling the line closed this stream
 			return used, nil
 		}
 	}
 }
 
-// handleLine looks at one line. One that can't be read is passed over where more has come behind it, which may tell of a drain: the
-// stream is whole. Else it is asked for once more.
-func (s *watchStream) handleLine(line []byte, more bool) error {
-	f := s.owner
-	if s.skippingLine {
-		s.skippingLine = false
+// handleLine handles one line. An error closes the stream, and the watch reconnects. One that can't be
+// decoded is skipped at once where more follows it, as the stream is intact then and what follows may be a
+// drain. At the end of the input the connection may have been cut, so the line is asked for once more first.
+func (s *watchStream) handleLine(line []byte, moreFollows bool) error {
+	if s.discardingLine {
+		s.discardingLine = false
 		s.skipLine(len(line))
 		return nil
 	}
 	ev, err := watch.Decode(line)
 	if err != nil {
-		if !more && !f.isRepeatedUnreadable(line) {
+		if !moreFollows && !s.owner.isRepeatedUnreadable(line) {
 			return err
 		}
 		s.skipLine(len(line))
 		return nil
 	}
-	before := f.lastIndex
-	if err := s.handleEvent(ev); err != nil {
+	lastIndex := s.owner.lastIndex
+	err = s.handleEvent(ev)
+	if err != nil {
 		return err
 	}
-	s.lastLineAt, f.lastLineAt = f.p.loop.Now(), f.p.loop.Now()
-	f.backoff, f.consecutiveFailures = minReconnectBackoff, 0
-	s.silenceTimeout, s.lineTimeout = silenceTimeout, lineTimeout
-	f.closeOthers(s, f.lastIndex > before)
+	s.lastLineAt = s.owner.loop.Now()
+	s.silenceTimeout = silenceTimeout
+	s.lineTimeout = lineTimeout
+	s.owner.recordLine()
+	s.owner.closeOthers(s, s.owner.lastIndex > lastIndex)
 	return nil
 }
 
-// skipLine leaves out a line that can't be read: the events behind it are taken all the same.
-func (s *watchStream) skipLine(size int) {
-	f := s.owner
+// skipLine counts a line that can't be decoded. Events after it are still taken.
+func (s *watchStream) skipLine(sizeBytes int) {
 	s.skippedLines++
-	f.p.counters.unreadableParts++
-	f.p.log.Error("coordinator's line can't be read and is passed over", "event", f.lastIndex, "bytes", size)
+	s.owner.handler.countUnreadable(1)
+	s.owner.log.Error("coordinator's line can't be read and is passed over",
+		"event", s.owner.lastIndex, "bytes", sizeBytes)
 }
 
-// handleEvent passes on the next handleEvent in order. Repeats are dropped; a gap means that the stream must be followed
-// anew from the last handleEvent taken.
+// handleEvent passes on an event if it is next in order; events up to lastIndex are repeats and are dropped.
+// A gap closes the stream. A gap that is there again on the next stream is skipped once an event behind it
+// arrives; a heartbeat alone does not skip it, as the missing events may still come.
 func (s *watchStream) handleEvent(ev watch.Event) error {
-	f := s.owner
-	most := f.lastIndex + s.skippedLines
-	if !ev.IsHeartbeat() {
-		most++
+	w := s.owner
+	if ev.Index == w.lastIndex && ev.IsHeartbeat() {
+		s.skippedLines = 0 // none of the lines was an event
 	}
-	switch place := (eventGap{f.lastIndex, ev.Index}); {
-	case ev.IsHeartbeat() && ev.Index == f.lastIndex: // what could not be read was no event
-		s.skippedLines = 0
-		return nil
-	case ev.Index <= f.lastIndex:
-		return nil
-	case ev.Index > most && place != f.lastGap:
-		f.lastGap = place
-		return errEventGap
-	case ev.Index > most && ev.IsHeartbeat(): // the missing ones may still come
+	if ev.Index <= w.lastIndex {
 		return nil
-	case ev.Index > most:
-		f.p.counters.unreadableParts++
-		f.p.log.Error("events are missing for good", "after", f.lastIndex, "before", ev.Index)
 	}
-	f.lastIndex, s.skippedLines = ev.Index, 0
-	f.p.applyEvent(ev)
+	if ev.Index > s.maxNextIndex(ev) {
+		if !w.isRepeatedGap(eventGap{after: w.lastIndex, before: ev.Index}) {
+			return errEventGap
+		}
+		if ev.IsHeartbeat() {
+			return nil
+		}
+		w.handler.countUnreadable(1)
+		w.log.Error("events are missing for good", "after", w.lastIndex, "before", ev.Index)
+	}
+	w.lastIndex = ev.Index
+	s.skippedLines = 0
+	w.handler.applyEvent(ev)
 	return nil
 }
 
-// Closed follows anew unless another stream is there. A refused connect says nothing of how long one takes.
+// maxNextIndex is the highest index that ev can have if no event is missing. A heartbeat repeats the index of
+// the last event.
+func (s *watchStream) maxNextIndex(ev watch.Event) int64 {
+	highest := s.owner.lastIndex + s.skippedLines
+	if ev.IsHeartbeat() {
+		return highest
+	}
+	return highest + 1
+}
+
+// Closed reconnects unless another stream is open. Only a connect that timed out counts as a failure that
+// lengthens the timeouts: a refused one doesn't show how long a connect takes.
 func (s *watchStream) Closed(err error) {
-	f := s.owner
-	f.streams = slices.DeleteFunc(f.streams, func(other *watchStream) bool { return other == s })
+	s.owner.removeStream(s)
 	if errors.Is(err, eventloop.ErrConnectTimeout) {
-		f.consecutiveFailures++
+		s.owner.consecutiveFailures++
 	}
-	f.scheduleReconnect(err)
+	s.owner.scheduleReconnect(err)
 }
