--- /dev/null
+++ b/internal/proxy/backpressure.go
@@ -0,0 +1,110 @@
+package proxy
+
+// Backpressure: while a client leaves too many bytes of its answers unread, its further requests are blocked.
+// A blocked request is open, so that its client can abort it, but it is not submitted.
+
+import (
+	"errors"
+	"time"
+
+	"cloverdoor/internal/eventloop"
+	"cloverdoor/internal/fastcgi"
+)
+
+// backpressureBytes is how many bytes of answers a client may leave unread before its further requests are
+// blocked.
+const backpressureBytes = 1 << 20
+
+// maxBlockedFraction is the part of a request's timeout, as 1/n, for which it may stay blocked before it is
+// rejected. A later rejection would leave the client too little time for a retry.
+const maxBlockedFraction = 2
+
+var errMemoryLimit = errors.New("memory for clients is used up")
+
+// blockedRequest is a request that is blocked by backpressure.
+type blockedRequest struct {
+	request   *fastcgi.Request
+	parsed    Request
+	blockedAt eventloop.Timestamp
+}
+
+// isBackpressured reports whether the client has left too many bytes unread.
+func (c *clientConn) isBackpressured() bool {
+	queuedBytes, _ := c.conn.QueuedOutput()
+	return queuedBytes >= backpressureBytes
+}
+
+// block keeps a request until the client has read more.
+func (c *clientConn) block(r *fastcgi.Request, parsed Request) {
+	c.openRequests[r.ID] = 0
+	c.blocked = append(c.blocked, blockedRequest{request: r, parsed: parsed, blockedAt: c.server.loop.Now()})
+	c.server.blockedConns[c] = true
+}
+
+// popBlocked removes and returns the oldest blocked request.
+func (c *clientConn) popBlocked() blockedRequest {
+	oldest := c.blocked[0]
+	c.setBlocked(c.blocked[1:])
+	c.updatePartialBytes()
+	return oldest
+}
+
+// setBlocked replaces the blocked requests and keeps the server's set of blocked connections in step.
+func (c *clientConn) setBlocked(blocked []blockedRequest) {
+	c.blocked = blocked
+	if len(blocked) == 0 {
+		delete(c.server.blockedConns, c)
+	}
+}
+
+// submitUnblocked submits blocked requests of the clients that have read enough meanwhile.
+func (f *FastCGIServer) submitUnblocked() {
+	for c := range f.blockedConns {
+		for len(c.blocked) > 0 && !c.isBackpressured() {
+			c.submitBlocked(c.popBlocked())
+		}
+	}
+}
+
+// submitBlocked submits a request that was blocked. It is parsed again, as the settings' classes may have
+// changed.
+func (c *clientConn) submitBlocked(b blockedRequest) {
+	parsed, err := c.server.parse(b.request)
+	if err != nil {
+		c.reject(b)
+		return
+	}
+	parsed.Timeout -= c.server.loop.Now() - b.blockedAt
+	c.submit(parsed, &responder{conn: c, id: b.request.ID})
+}
+
+// rejectBlocked rejects the requests that have been blocked for too long at the given time.
+func (c *clientConn) rejectBlocked(now eventloop.Timestamp) {
+	for len(c.blocked) > 0 && now-c.blocked[0].blockedAt >= c.blocked[0].parsed.Timeout/maxBlockedFraction {
+		c.reject(c.popBlocked())
+	}
+}
+
+func (c *clientConn) reject(b blockedRequest) {
+	to := &responder{conn: c, id: b.request.ID}
+	c.server.handler.rejectUnsubmitted(b.parsed, to, Answer{Status: Rejected, RetryAfter: goneIn})
+}
+
+// relieveMemory makes way for an answer while the memory budget is critical: queued output is written at
+// once, and a client that is stalled loses its connection, which shows it that its answers are incomplete.
+func (c *clientConn) relieveMemory() {
+	if !c.server.memory.critical() {
+		return
+	}
+	c.conn.Flush()
+	if c.isStalledFor(criticalWriteStallTimeout) {
+		c.conn.Close()
+		c.Closed(errMemoryLimit)
+	}
+}
+
+// isStalledFor reports whether the client has read nothing of its queued output for longer than timeout.
+func (c *clientConn) isStalledFor(timeout time.Duration) bool {
+	queuedBytes, since := c.conn.QueuedOutput()
+	return queuedBytes > 0 && c.server.loop.Now()-since > timeout
+}
--- /dev/null
+++ b/internal/proxy/clientconn.go
@@ -0,0 +1,244 @@
+package proxy
+
+import (
+	"slices"
+	"time"
+
+	"cloverdoor/internal/eventloop"
+	"cloverdoor/internal/fastcgi"
+	"cloverdoor/policy"
+)
+
+// healthPath is the script name of the load balancer's health check. It is answered with 200 while the proxy
+// is serving.
+const healthPath = "/alive"
+
+// clientConn is one connection of a client, on which any number of requests may be open at a time.
+type clientConn struct {
+	server  *FastCGIServer
+	number  int64 // identifies the connection in the log
+	conn    *eventloop.Conn
+	decoder fastcgi.Decoder
+
+	openRequests     map[uint16]int64 // numbers by FastCGI id, 0: blocked; nil once closed
+	blocked          []blockedRequest // the oldest first
+	completeRequests int              // requests that have been received completely, or rejected before that
+	closeWhenDone    bool             // no further request will be read: close once all are answered
+
+	partialBytes    int                 // buffered bytes of requests that are not complete or blocked
+	skipBytes       int                 // bytes still to come of a record that is discarded
+	incompleteSince eventloop.Timestamp // start of the wait for a request, or the rest of one; 0: none
+
+	lastAnswer        eventloop.Timestamp // when the last answer was written
+	polledAt          eventloop.Timestamp // when the client was last polled within a turn
+	disconnectedSince eventloop.Timestamp // when the client stopped sending; 0: it has not
+}
+
+// Receive handles the complete records in data.
+func (c *clientConn) Receive(data []byte) (used int, err error) {
+	completeBefore := c.completeRequests
+	skipped := min(c.skipBytes, len(data))
+	c.skipBytes -= skipped
+	decoded, err := c.decodeRecords(data[skipped:])
+	if err != nil {
+		c.stopReading(err)
+		return len(data), nil
+	}
+	used = skipped + decoded
+	if c.server.memory.critical() {
+		used += c.rejectPartial(data[used:])
+	}
+	c.updatePartialBytes()
+	hasPartial := used < len(data) || c.decoder.Receiving()
+	c.updateIncompleteSince(hasPartial, c.completeRequests > completeBefore)
+	return used, nil
+}
+
+// updateIncompleteSince keeps the start of the wait for the rest of a request. The wait begins anew with each
+// request that has been completed, as what is incomplete then is another one.
+func (c *clientConn) updateIncompleteSince(hasPartial, completedRequest bool) {
+	if !hasPartial && c.completeRequests > 0 {
+		c.incompleteSince = 0
+		return
+	}
+	if c.incompleteSince == 0 || completedRequest {
+		c.incompleteSince = c.server.loop.Now()
+	}
+}
+
+// decodeRecords decodes and handles records until data holds no further complete one, or the connection ends.
+func (c *clientConn) decodeRecords(data []byte) (used int, err error) {
+	for !c.conn.Ended() {
+		n, event, err := c.decoder.Decode(data[used:])
+		if n == 0 || err != nil {
+			return used, err
+		}
+		used += n
+		c.handleEvent(event)
+	}
+	return len(data), nil
+}
+
+// handleEvent handles what one record has brought; most bring no event.
+func (c *clientConn) handleEvent(event fastcgi.Event) {
+	switch event := event.(type) {
+	case *fastcgi.Request:
+		c.handleRequest(event)
+	case fastcgi.Rejected:
+		c.completeRequests++
+		c.closeWhenDone = c.closeWhenDone || !event.KeepConn
+		to := &responder{conn: c, id: event.ID}
+		to.writeError(503, event.Err)
+	case fastcgi.Abort:
+		c.handleAbort(event.ID)
+	case fastcgi.Reply:
+		c.conn.Write(event.Data)
+		c.closeWhenDone = c.closeWhenDone || event.Close
+		c.closeIfDone()
+	}
+}
+
+// handleRequest answers a health check, and submits or blocks any other request.
+func (c *clientConn) handleRequest(r *fastcgi.Request) {
+	c.completeRequests++
+	c.closeWhenDone = c.closeWhenDone || !r.KeepConn
+	to := &responder{conn: c, id: r.ID}
+	if r.Script == healthPath {
+		c.answerHealthCheck(to)
+		return
+	}
+	parsed, err := c.server.parse(r)
+	if err != nil {
+		to.writeError(400, err)
+		return
+	}
+	if c.mustBlock() {
+		c.block(r, parsed)
+		return
+	}
+	parsed.Timeout -= c.waitBeforeRead()
+	c.submit(parsed, to)
+}
+
+// mustBlock reports whether the next request is blocked: requests are submitted in the order in which they
+// came. One that would be rejected anyway is submitted for its rejection.
+func (c *clientConn) mustBlock() bool {
+	if !c.isBackpressured() && len(c.blocked) == 0 {
+		return false
+	}
+	return !c.disconnect().GraceOver && !c.server.lifecycle.rejecting()
+}
+
+// waitBeforeRead is how long a request that has just been read may have waited in the kernel.
+func (c *clientConn) waitBeforeRead() time.Duration {
+	return max(c.server.loop.SchedulingDelay(longestNap), c.conn.QueueingDelay())
+}
+
+func (c *clientConn) answerHealthCheck(to *responder) {
+	status := 503
+	if c.server.lifecycle.phase == Serving {
+		status = 200
+	}
+	to.write(fastcgi.Response{Status: status})
+}
+
+// submit submits a request. It counts as open before Submit, which may answer it, and so remove it, at once.
+func (c *clientConn) submit(parsed Request, to *responder) {
+	c.openRequests[to.id] = 0
+	number := c.server.handler.Submit(parsed, to)
+	if number != 0 {
+		c.openRequests[to.id] = number
+	}
+}
+
+// handleAbort ends a request that its client has aborted. FastCGI requires an END_REQUEST, which frees the
+// request's id; there is no other answer.
+func (c *clientConn) handleAbort(id uint16) {
+	c.setBlocked(slices.DeleteFunc(c.blocked, func(b blockedRequest) bool { return b.request.ID == id }))
+	c.server.handler.HandleDisconnect(c.openRequests[id])
+	c.finishRequest(id, fastcgi.AppendEnd(nil, id, 1, fastcgi.Complete))
+}
+
+// finishRequest writes the last bytes of a request and frees its id.
+func (c *clientConn) finishRequest(id uint16, data []byte) {
+	delete(c.openRequests, id)
+	c.lastAnswer = c.server.loop.Now()
+	c.decoder.Done(id)
+	c.conn.Write(data)
+	c.closeIfDone()
+}
+
+// stopReading ignores further input after a protocol error. Requests that were complete before it are still
+// answered, and the connection is closed after the last answer.
+func (c *clientConn) stopReading(err error) {
+	c.server.log.Warn("client's connection is not read any more",
+		"connection", c.number, "error", err, "open", len(c.openRequests))
+	c.conn.StopReading()
+	c.closeWhenDone = true
+	c.incompleteSince = 0
+	c.decoder.DropPartial()
+	c.updatePartialBytes()
+	c.closeIfDone()
+}
+
+// Closed ends the requests that are open on the connection. err is nil where this program has closed it by
+// its own decision.
+func (c *clientConn) Closed(err error) {
+	delete(c.server.conns, c)
+	delete(c.server.blockedConns, c)
+	for _, number := range c.openRequests {
+		c.server.handler.handleConnectionClosed(number, err != nil)
+	}
+	c.openRequests = nil
+	c.blocked = nil
+	c.setPartialBytes(0)
+}
+
+// closeIfDone closes a connection on which no further request will be read, once all are answered.
+func (c *clientConn) closeIfDone() {
+	if c.closeWhenDone && c.hasNoOpenRequest() {
+		c.conn.CloseAfterFlush()
+	}
+}
+
+// hasNoOpenRequest reports whether no request is open, complete or not.
+func (c *clientConn) hasNoOpenRequest() bool { return len(c.openRequests) == 0 && !c.decoder.Busy() }
+
+// idleTime is the time since the last input or answer.
+func (c *clientConn) idleTime() time.Duration {
+	return c.server.loop.Now() - max(c.conn.LastReceived(), c.lastAnswer)
+}
+
+// isOverdue reports whether the client has exceeded a timeout for sending a request or for being idle.
+func (c *clientConn) isOverdue() bool {
+	idle := c.idleTime()
+	if c.incompleteSince == 0 {
+		return idle > idleTimeout
+	}
+	return idle > requestPauseTimeout || c.server.loop.Now()-c.incompleteSince > requestReadTimeout
+}
+
+// expectsRequest reports whether the client has just connected or begun a record: a close would lose its
+// request.
+func (c *clientConn) expectsRequest() bool {
+	return c.incompleteSince != 0 && c.server.loop.Now()-c.incompleteSince <= evictPartialAfter
+}
+
+// closeInfo is what decides whether an idle connection can be closed.
+func (c *clientConn) closeInfo() policy.CloseInfo {
+	return policy.CloseInfo{OpenRequests: len(c.openRequests), HasUnreadInput: c.conn.HasUnreadInput}
+}
+
+// drainInfo is what decides whether a connection can be closed because clients are to be disconnected:
+// nothing that its client has sent, or is about to send, may be lost.
+func (c *clientConn) drainInfo() policy.CloseInfo {
+	queuedBytes, _ := c.conn.QueuedOutput()
+	return policy.CloseInfo{
+		OpenRequests:   len(c.openRequests),
+		QueuedBytes:    queuedBytes,
+		PartialRequest: c.hasPartialRequest(),
+		InUse:          c.expectsRequest(),
+		HasUnreadInput: c.conn.HasUnreadInput,
+		UnackedBytes:   c.conn.UnackedBytes,
+	}
+}
--- /dev/null
+++ b/internal/proxy/fastcgiserver.go
@@ -0,0 +1,148 @@
+package proxy
+
+import (
+	"log/slog"
+	"time"
+
+	"cloverdoor/internal/eventloop"
+	"cloverdoor/policy"
+)
+
+const (
+	// writeStallTimeout is how long a client may read nothing of its queued answers before its connection is
+	// closed.
+	writeStallTimeout = 10 * time.Second
+	// criticalWriteStallTimeout replaces writeStallTimeout while the memory budget is critical.
+	criticalWriteStallTimeout = 200 * time.Millisecond
+	// idleTimeout is how long a connection without open requests may receive nothing. Clients close theirs
+	// after 4 s: one that is older has probably vanished, and would keep its descriptor.
+	idleTimeout = 5 * time.Second
+	// requestPauseTimeout is how long a client may pause before its first request, or in the middle of one.
+	requestPauseTimeout = 2 * time.Second
+	// requestReadTimeout is how long it may take to send a complete request, pauses included.
+	requestReadTimeout = 10 * time.Second
+	// connCheckInterval is the time between checks of all client connections for these timeouts.
+	connCheckInterval = longestNap
+)
+
+// requestHandler is what the FastCGI server needs of the proxy. Its methods are called on the loop's
+// goroutine and must not block. A request's number is the one that Submit returned; numbers of requests that
+// have ended, and 0, are ignored.
+type requestHandler interface {
+	// classIndex returns a class's index in the settings.
+	classIndex(name string) (index int, known bool)
+	// Submit takes a complete request and returns its number, or 0 when the request was answered at once.
+	// Every request gets exactly one answer, unless HandleDisconnect or handleConnectionClosed ends it first.
+	Submit(in Request, to Responder) int64
+	// rejectUnsubmitted counts and answers a request that has never been submitted.
+	rejectUnsubmitted(in Request, to Responder, a Answer)
+	// HandleDisconnect ends a request that its client has aborted. It gets no answer.
+	HandleDisconnect(number int64)
+	// CancelAfterDisconnect cancels a request whose client has probably disconnected, and answers it at once:
+	// the client may have closed only its sending side.
+	CancelAfterDisconnect(number int64)
+	// handleConnectionClosed ends a request whose connection has closed. byPeer reports whether the client
+	// closed it, or an error did.
+	handleConnectionClosed(number int64, byPeer bool)
+}
+
+// FastCGIServer accepts clients' connections and turns their FastCGI records into Requests. It closes
+// connections that are stalled, idle or evicted, and, while the process drains, those without open requests.
+type FastCGIServer struct {
+	handler   requestHandler
+	loop      *eventloop.Loop
+	log       *slog.Logger
+	lifecycle *lifecycle
+	memory    *memoryBudget
+	counters  *counters
+
+	listener      *eventloop.Listener
+	sharedSocket  bool // another process may accept from the same listening socket
+	conns         map[*clientConn]bool
+	blockedConns  map[*clientConn]bool // those with requests that are blocked by backpressure
+	maxConns      int
+	acceptedConns int64 // since the start; numbers the connections in the log
+}
+
+// start begins to watch over the connections that ln accepts.
+func (f *FastCGIServer) start(ln *eventloop.Listener) {
+	f.listener = ln
+	f.checkConns()
+}
+
+// accept makes the handler of a new connection.
+func (f *FastCGIServer) accept(conn *eventloop.Conn) eventloop.Handler {
+	f.acceptedConns++
+	c := &clientConn{
+		server: f, number: f.acceptedConns, conn: conn,
+		openRequests: map[uint16]int64{}, incompleteSince: f.loop.Now(),
+	}
+	f.conns[c] = true
+	return c
+}
+
+// checkConns applies the timeouts to every connection, and again after connCheckInterval.
+func (f *FastCGIServer) checkConns() {
+	f.stopAccepting()
+	for c := range f.conns {
+		f.checkConn(c)
+	}
+	f.loop.At(f.loop.Now()+connCheckInterval, f.checkConns)
+}
+
+// checkConn rejects requests that have been blocked for too long, and closes a connection that is stalled or
+// overdue.
+func (f *FastCGIServer) checkConn(c *clientConn) {
+	c.rejectBlocked(f.loop.Now())
+	if c.isStalledFor(writeStallTimeout) || f.memory.critical() && c.isStalledFor(criticalWriteStallTimeout) {
+		queuedBytes, _ := c.conn.QueuedOutput()
+		f.log.Info("client's connection closed, it takes nothing", "connection", c.number, "bytes", queuedBytes)
+		c.conn.Close()
+		c.Closed(eventloop.ErrWriteStalled)
+		return
+	}
+	if !c.conn.Ended() && c.isOverdue() && f.mayClose(c.closeInfo()) {
+		c.conn.CloseAfterFlush()
+	}
+}
+
+// stopAccepting closes the listener once a shutdown has reached its disconnecting step. On a shared socket
+// that is at once: connections that still arrive are accepted by the other process. On a socket of its own,
+// closing it would reset those in its backlog: they are accepted first, until new requests are rejected
+// anyway.
+func (f *FastCGIServer) stopAccepting() {
+	if f.lifecycle.phase != Stopping || !f.lifecycle.disconnecting() {
+		return
+	}
+	if !f.sharedSocket {
+		f.listener.AcceptPending()
+	}
+	if f.sharedSocket || !f.listener.HasPending() || f.lifecycle.rejecting() {
+		f.listener.Close()
+	}
+}
+
+// mayClose reports whether a connection can be closed now, and counts a denial.
+func (f *FastCGIServer) mayClose(info policy.CloseInfo) bool {
+	return f.counters.allows(actionClose, policy.MayClose(info))
+}
+
+// closeDrainedConns closes, while clients are to be disconnected, the connections that hold nothing any more.
+// It is called at the end of a turn, when all input has been read and all output written and acknowledged:
+// data that arrives while a closed connection still has output would be lost. A connection that can't be
+// closed is looked at again in the next turn, so its denial isn't counted.
+func (f *FastCGIServer) closeDrainedConns() {
+	for c := range f.conns {
+		if c.conn.Ended() {
+			continue
+		}
+		if policy.MayClose(c.drainInfo()).Allowed() {
+			c.conn.CloseAfterFlush()
+		}
+	}
+}
+
+// Idle reports whether no client is connected or waits to be accepted.
+func (f *FastCGIServer) Idle() bool {
+	return len(f.conns) == 0 && (f.sharedSocket || !f.listener.HasPending())
+}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -64,10 +64,10 @@
 	sockets  int // connections to caches
 	memory   *memoryBudget
 
-	servers  map[string]int64 // by id: when it started
-	pools    *connpool.Pools
-	fronts   []*FastCGIServer
-	follower *follower
+	servers        map[string]int64 // by id: when it started
+	pools          *connpool.Pools
+	fastcgiServers []*FastCGIServer
+	coordinator    *coordinatorWatch
 
 	open        int // requests taken and not ended
 	counters    *counters
@@ -176,16 +176,16 @@
 	for {
 		p.consult()
 		p.loop.Flush()
-		for _, f := range p.fronts {
-			f.unpark()
+		for _, f := range p.fastcgiServers {
+			f.submitUnblocked()
 		}
 		if len(p.inbox) == 0 {
 			break
 		}
 	}
 	if p.lifecycle.disconnecting() {
-		for _, f := range p.fronts {
-			f.closeDrained()
+		for _, f := range p.fastcgiServers {
+			f.closeDrainedConns()
 		}
 	}
 }
@@ -240,8 +240,7 @@
 // Submit takes a request whose last byte has just come. It returns the request's number, for Abandon, or 0
 // when it was answered at once.
 func (p *Proxy) Submit(in Request, to Responder) int64 {
-	_, left := to.ClientDisconnected()
-	verdict := policy.MayAdmit(policy.AdmitInfo{ClientDisconnected: left, Stopping: p.lifecycle.rejecting(), Remaining: in.Timeout,
+	verdict := policy.MayAdmit(policy.AdmitInfo{ClientDisconnected: to.ClientDisconnected().GraceOver, Stopping: p.lifecycle.rejecting(), Remaining: in.Timeout,
 		OpenRequests: len(p.requests), MaxOpenRequests: p.maxOpen, MemoryFull: p.memory.full()})
 	if !p.counters.allows(actionStart, verdict) {
 		answer := Answer{Status: Rejected, RetryAfter: goneIn}
--- /dev/null
+++ b/internal/proxy/watchstream.go
@@ -0,0 +1,140 @@
+package proxy
+
+import (
+	"errors"
+	"time"
+
+	"cloverdoor/internal/eventloop"
+	"cloverdoor/internal/watch"
+)
+
+// watchStream is one connection to the coordinator. It decodes lines and passes on the events that are next
+// in order.
+//
+// What can't be decoded, or is missing, is asked for once more on a new stream, from the last event that was
+// passed on. When it is the same then, it is skipped and counted: asking again would bring the same.
+type watchStream struct {
+	owner          *coordinatorWatch
+	conn           *eventloop.Conn
+	lastLineAt     eventloop.Timestamp // when the last complete line arrived, or the stream was opened
+	silenceTimeout time.Duration       // how long it may receive nothing
+	lineTimeout    time.Duration       // how long it may receive no complete line
+	discardingLine bool                // the line that is arriving is too long; its rest is discarded
+	skippedLines   int64               // lines skipped since the last event, each of which may have been an event
+}
+
+// isStalled reports whether the stream is silent, as after a network partition, or has not completed a line
+// for too long.
+func (s *watchStream) isStalled() bool {
+	now := s.owner.loop.Now()
+	lastInput := max(s.conn.LastReceived(), s.lastLineAt)
+	return now-lastInput > s.silenceTimeout || now-s.lastLineAt > s.lineTimeout
+}
+
+// Receive handles the complete lines in data.
+func (s *watchStream) Receive(data []byte) (used int, err error) {
+	for {
+		n, line, err := watch.NextLine(data[used:])
+		if errors.Is(err, watch.ErrTooLong) { // a new stream would bring the same line
+			s.discardingLine = true
+			return len(data), nil
+		}
+		if n == 0 || err != nil {
+			return used, err
+		}
+		used += n
+		moreFollows := used < len(data)
+		err = s.handleLine(line, moreFollows)
+		if err != nil {
+			return used, err
+		}
+		if s.conn.Ended() { // handling the line closed this stream
+			return used, nil
+		}
+	}
+}
+
+// handleLine handles one line. An error closes the stream, and the watch reconnects. One that can't be
+// decoded is skipped at once where more follows it, as the stream is intact then and what follows may be a
+// drain. At the end of the input the connection may have been cut, so the line is asked for once more first.
+func (s *watchStream) handleLine(line []byte, moreFollows bool) error {
+	if s.discardingLine {
+		s.discardingLine = false
+		s.skipLine(len(line))
+		return nil
+	}
+	ev, err := watch.Decode(line)
+	if err != nil {
+		if !moreFollows && !s.owner.isRepeatedUnreadable(line) {
+			return err
+		}
+		s.skipLine(len(line))
+		return nil
+	}
+	lastIndex := s.owner.lastIndex
+	err = s.handleEvent(ev)
+	if err != nil {
+		return err
+	}
+	s.lastLineAt = s.owner.loop.Now()
+	s.silenceTimeout = silenceTimeout
+	s.lineTimeout = lineTimeout
+	s.owner.recordLine()
+	s.owner.closeOthers(s, s.owner.lastIndex > lastIndex)
+	return nil
+}
+
+// skipLine counts a line that can't be decoded. Events after it are still taken.
+func (s *watchStream) skipLine(sizeBytes int) {
+	s.skippedLines++
+	s.owner.handler.countUnreadable(1)
+	s.owner.log.Error("coordinator's line can't be read and is passed over",
+		"event", s.owner.lastIndex, "bytes", sizeBytes)
+}
+
+// handleEvent passes on an event if it is next in order; events up to lastIndex are repeats and are dropped.
+// A gap closes the stream. A gap that is there again on the next stream is skipped once an event behind it
+// arrives; a heartbeat alone does not skip it, as the missing events may still come.
+func (s *watchStream) handleEvent(ev watch.Event) error {
+	w := s.owner
+	if ev.Index == w.lastIndex && ev.IsHeartbeat() {
+		s.skippedLines = 0 // none of the lines was an event
+	}
+	if ev.Index <= w.lastIndex {
+		return nil
+	}
+	if ev.Index > s.maxNextIndex(ev) {
+		if !w.isRepeatedGap(eventGap{after: w.lastIndex, before: ev.Index}) {
+			return errEventGap
+		}
+		if ev.IsHeartbeat() {
+			return nil
+		}
+		w.handler.countUnreadable(1)
+		w.log.Error("events are missing for good", "after", w.lastIndex, "before", ev.Index)
+	}
+	w.lastIndex = ev.Index
+	s.skippedLines = 0
+	w.handler.applyEvent(ev)
+	return nil
+}
+
+// maxNextIndex is the highest index that ev can have if no event is missing. A heartbeat repeats the index of
+// the last event.
+func (s *watchStream) maxNextIndex(ev watch.Event) int64 {
+	highest := s.owner.lastIndex + s.skippedLines
+	if ev.IsHeartbeat() {
+		return highest
+	}
+	return highest + 1
+}
+
+// Closed reconnects unless another stream is open. Only a connect that timed out counts as a failure that
+// lengthens the timeouts: a refused one doesn't show how long a connect takes.
+func (s *watchStream) Closed(err error) {
+	s.owner.removeStream(s)
+	if errors.Is(err, eventloop.ErrConnectTimeout) {
+		s.owner.consecutiveFailures++
+	}
+	s.owner.scheduleReconnect(err)
+}
