--- a/internal/proxy/admin.go
+++ b/internal/proxy/admin.go
@@ -141,14 +141,14 @@
 // startDrain empties the proxy of clients; it goes on running, and may be taken back.
 func (p *Proxy) startDrain() http1.Response {
 	if p.lifecycle.phase == Serving {
-		p.lifecycle.beginDrain(p.open)
+		p.lifecycle.beginDrain(p.openRequests)
 	}
 	return p.inPhase(Draining)
 }
 
 func (p *Proxy) stopDrain() http1.Response {
 	if p.lifecycle.phase == Draining {
-		p.lifecycle.enter(Serving, p.open)
+		p.lifecycle.enter(Serving, p.openRequests)
 	}
 	return p.inPhase(Serving)
 }
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -59,15 +59,15 @@
 		Endpoints: &watch.EndpointUpdate{Full: true, Endpoints: []watch.Endpoint{{ID: "o", Addr: ln.Addr().String(), Zone: "hub", Kind: "origin",
 			State: watch.StateServing, Weight: 100}}}}}}}, slog.New(slog.DiscardHandler))
 	number := p.Submit(Request{ID: "9b1f03aa5c7e2d41", ClassName: "w", Object: "7f3a9c21e0b4d655", Timeout: time.Minute}, deaf{})
-	p.consult() // the call is queued on a connection that is not up yet
+	p.dispatchEvents() // the call is queued on a connection that is not up yet
 	a := p.requests[number].attempts[0]
-	first := a.on.slot
+	first := a.upstream.conn
 	second, err := p.pools.Reassign(first, func(s *connpool.PooledConn) bool { return s != first })
 	if err != nil || second == first {
 		t.Fatal("no other connection", err)
 	}
-	a.put(second, 0)
-	a.put(first, 0)
+	a.enqueue(second, 0)
+	a.enqueue(first, 0)
 	for end := time.Now().Add(300 * time.Millisecond); time.Now().Before(end) || !a.started; {
 		if err := loop.Wait(10 * time.Millisecond); err != nil {
 			t.Fatal(err)
--- a/internal/proxy/audit.go
+++ b/internal/proxy/audit.go
@@ -127,15 +127,15 @@
 			u.report(sentToLeaving, a.req, id)
 		}
 	}
-	if since, _ := a.req.to.ClientDisconnected(); since != 0 && now-since > leftGrace+auditSlack {
+	if since, _ := a.req.responder.ClientDisconnected(); since != 0 && now-since > leftGrace+auditSlack {
 		u.report(begunAfterLeft, a.req, fmt.Sprintf("%v after", now-since))
 	}
-	a.began = now
+	a.sentAt = now
 }
 
 // wrote looks at an attempt whose last byte has gone: it may run from now on.
 func (u *audit) wrote(a *attempt) {
-	if a.req.effect == policy.NonIdempotent && a.req.mayHaveRun {
+	if a.req.idempotency == policy.NonIdempotent && a.req.mayHaveRun {
 		u.report(ranTwice, a.req, a.target)
 	}
 	a.req.mayHaveRun = true
@@ -158,7 +158,7 @@
 	}
 	for _, key := range []any{a.req.Object, a.req.Group} {
 		purge, known := u.purges[key]
-		if known && a.began-purge.told > u.p.set.Policy.PurgeGrace+auditSlack && ans.CreatedAtMillis < purge.at {
+		if known && a.sentAt-purge.told > u.p.set.Policy.PurgeGrace+auditSlack && ans.CreatedAtMillis < purge.at {
 			u.report(servedPurged, a.req, fmt.Sprintf("%d ms older than the purge", purge.at-ans.CreatedAtMillis))
 		}
 	}
@@ -170,7 +170,7 @@
 		u.report(secondAnswer, q, "")
 	}
 	refused := status == Rejected || status == Overloaded
-	if refused && q.effect == policy.NonIdempotent && q.mayHaveRun {
+	if refused && q.idempotency == policy.NonIdempotent && q.mayHaveRun {
 		u.report(refusedAfterRun, q, "")
 	}
 }
--- a/internal/proxy/client.go
+++ b/internal/proxy/client.go
@@ -232,7 +232,7 @@
 func (c *clientConn) refuseParked(now eventloop.Timestamp) {
 	for len(c.parked) > 0 && now-c.parked[0].at >= c.parked[0].in.Timeout/2 {
 		r := c.unpark()
-		c.front.p.rejectUnsubmitted(r.in, &responder{conn: c, id: r.request.ID}, Answer{Status: Rejected, RetryAfter: goneIn})
+		c.front.p.rejectUnsubmitted(r.in, &responder{conn: c, id: r.request.ID}, Answer{Status: Rejected, RetryAfter: closingRetryAfter})
 	}
 }
 
@@ -269,7 +269,7 @@
 	case (c.full() || len(c.parked) > 0) && !c.gone() && !c.front.p.lifecycle.rejecting():
 		c.park(r, in)
 	default:
-		in.Timeout -= max(c.front.p.loop.SchedulingDelay(longestNap), c.conn.QueueingDelay()) // its client has been waiting for it
+		in.Timeout -= max(c.front.p.loop.SchedulingDelay(maxPollTime), c.conn.QueueingDelay()) // its client has been waiting for it
 		c.serve(in, to)
 	}
 }
--- a/internal/proxy/front.go
+++ b/internal/proxy/front.go
@@ -84,7 +84,7 @@
 		return err
 	}
 	f.listener = ln
-	f.p.fronts = append(f.p.fronts, f)
+	f.p.fastcgiServers = append(f.p.fastcgiServers, f)
 	f.watch()
 	return nil
 }
@@ -142,7 +142,7 @@
 			c.conn.CloseAfterFlush()
 		}
 	}
-	f.p.loop.At(f.p.loop.Now()+longestNap, f.watch)
+	f.p.loop.At(f.p.loop.Now()+maxPollTime, f.watch)
 }
 
 // leave lets no further clients in once they have stopped coming. A shared socket is left at once: what still comes to it waits
@@ -198,7 +198,7 @@
 			to := &responder{conn: c, id: r.request.ID}
 			in, err := f.parse(r.request) // once more: classes may have changed
 			if err != nil {
-				f.p.rejectUnsubmitted(r.in, to, Answer{Status: Rejected, RetryAfter: goneIn})
+				f.p.rejectUnsubmitted(r.in, to, Answer{Status: Rejected, RetryAfter: closingRetryAfter})
 				continue
 			}
 			in.Timeout -= f.p.loop.Now() - r.at
--- a/internal/proxy/left_test.go
+++ b/internal/proxy/left_test.go
@@ -87,8 +87,8 @@
 			if err := loop.Wait(time.Millisecond); err != nil {
 				t.Fatal(err)
 			}
-			if p.consult(); flush {
-				p.settle()
+			if p.dispatchEvents(); flush {
+				p.processEvents()
 			}
 		}
 		client.Write(wholeRequest()) //nolint:errcheck // shows in what the proxy knows
@@ -99,13 +99,13 @@
 		for _, q := range p.requests {
 			a = q.attempts[0]
 		}
-		for end := time.Now().Add(5 * time.Second); !a.on.slot.Connected() && time.Now().Before(end); {
+		for end := time.Now().Add(5 * time.Second); !a.upstream.conn.Connected() && time.Now().Before(end); {
 			turn(false)
 		}
 		leave(client.(*net.TCPConn))
 		time.Sleep(20 * time.Millisecond) // on loopback it has arrived long before
 		clock.now += 200 * time.Millisecond
-		p.settle()
+		p.processEvents()
 		if want := name == "nothing"; a.started != want {
 			t.Errorf("%s: begun %v", name, a.started)
 		}
--- a/internal/proxy/membership.go
+++ b/internal/proxy/membership.go
@@ -13,7 +13,7 @@
 
 // applyEvent passes one event of the coordinator on to the module and keeps the pools in step with it.
 func (p *Proxy) applyEvent(ev watch.Event) {
-	p.audit.told(ev)
+	p.invariants.told(ev)
 	if v := ev.Purge; v != nil {
 		age := time.Duration(0) // where it is not told when
 		if v.At != 0 {
@@ -77,7 +77,7 @@
 	}
 	p.notify(members)
 	if p.lifecycle.phase == Starting {
-		p.lifecycle.enter(Serving, p.open)
+		p.lifecycle.enter(Serving, p.openRequests)
 	}
 }
 
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -16,21 +16,21 @@
 )
 
 const (
-	// answerTime is what is kept of a request's time to write its answer and get it to the client, and answerPart the
+	// answerReserve is what is kept of a request's time to write its answer and get it to the client, and answerPart the
 	// share of a short time that is: the client allows 50 ms more, and the answer may come while it waits.
-	answerTime = 60 * time.Millisecond
-	answerPart = 4
-	goneIn     = 100 * time.Millisecond // told to those refused meanwhile: their connection is closed soon
-	longestNap = 50 * time.Millisecond  // between looks at the order to stop
-	sweepEvery = time.Second
-	maxOpen    = 4096 // requests open at once; the settings may say fewer
-	// sharedCalls is how many calls that may be repeated share a connection where new ones are priced: more would save
+	answerReserve = 60 * time.Millisecond
+	answerReserveDivisor = 4
+	closingRetryAfter     = 100 * time.Millisecond // told to those refused meanwhile: their connection is closed soon
+	maxPollTime = 50 * time.Millisecond  // between looks at the order to stop
+	idleSweepInterval = time.Second
+	maxOpenRequests    = 4096 // requests open at once; the settings may say fewer
+	// maxSharedCalls is how many calls that may be repeated share a connection where new ones are priced: more would save
 	// less than an eighth of the handshakes, and lose more calls with a connection that breaks.
-	sharedCalls = 8
+	maxSharedCalls = 8
 
 	// Where the settings tell nothing.
-	defaultIdle    = 15 * time.Second
-	defaultConnect = time.Second
+	defaultServerIdleTimeout    = 15 * time.Second
+	defaultConnectTimeout = time.Second
 )
 
 // Config is what a proxy is told at its start.
@@ -66,36 +66,36 @@
 
 	servers  map[string]int64 // by id: when it started
 	pools    *connpool.Pools
-	fronts   []*FastCGIServer
+	fastcgiServers   []*FastCGIServer
 	follower *follower
 
-	open        int // requests taken and not ended
+	openRequests        int // requests taken and not ended
 	counters    *counters
 	logDropped  func() int64
 	loader      loader
 	clock       peerClock
 	newestKnown eventloop.Timestamp // the latest time that the configuration's purges tell; 0: none
-	audit       *audit
+	invariants       *audit
 }
 
 // request is one client request until its answer is given and its last attempt has ended.
 type request struct {
 	Request
-	number     int64 // the module's
-	to         Responder
+	moduleID     int64 // the module's
+	responder         Responder
 	deadline   eventloop.Timestamp // by which the answer must have been written
-	effect     policy.Idempotency
+	idempotency     policy.Idempotency
 	answers    int  // final answers so far, as the audit counts
 	mayHaveRun bool // a call was written whole and not proven not to have run, as the audit knows
 	timer      *eventloop.Timer
 	attempts   []*attempt
-	pending    int
-	registered bool // the module has heard of it and its first actions have been carried out
+	openAttempts    int
+	routed bool // the module has heard of it and its first actions have been carried out
 	finished   bool // answered, or the client has left
 }
 
-// safe says that the request may be repeated freely.
-func (q *request) safe() bool { return q.effect == policy.Idempotent }
+// isIdempotent says that the request may be repeated freely.
+func (q *request) isIdempotent() bool { return q.idempotency == policy.Idempotent }
 
 // New returns a proxy that knows what the configuration knows.
 func New(loop *eventloop.Loop, cfg Config, logger *slog.Logger) *Proxy {
@@ -107,12 +107,12 @@
 		counters:  newCounters(),
 		lifecycle: &lifecycle{loop: loop, log: logger}, logDropped: cfg.DroppedLogLines,
 	}
-	p.audit = newAudit(p, cfg.OnViolation)
+	p.invariants = newAudit(p, cfg.OnViolation)
 	p.pools = connpool.New(loop, connpool.Limits{}, p.openUpstream)
 	p.apply(cfg.Settings, cfg.TransferBytesPerSecond)
 	p.applyKnown(cfg.InitialState.Events)
-	p.settle()
-	p.sweep()
+	p.processEvents()
+	p.closeIdleUpstreams()
 	return p
 }
 
@@ -135,19 +135,19 @@
 		p.class[c.Name] = i
 		p.counters.addClass(c.Name)
 	}
-	p.maxOpen = min(maxOpen, cmp.Or(set.MaxOpenRequests, maxOpen))
+	p.maxOpen = min(maxOpenRequests, cmp.Or(set.MaxOpenRequests, maxOpenRequests))
 	shared := 0
 	if set.HandshakesPriced {
-		shared = sharedCalls
+		shared = maxSharedCalls
 	}
 	p.pools.SetLimits(connpool.Limits{
 		MaxUsesPerConn: max(1, set.MaxStreamsPerConn),
 		SharedUses:     shared,
 		MaxConns:       p.sockets,
 		DedicatedConns: p.sockets / 2,
-		ConnectTimeout: cmp.Or(set.ConnectTimeout, defaultConnect),
+		ConnectTimeout: cmp.Or(set.ConnectTimeout, defaultConnectTimeout),
 		// Before the server closes it: a call that crosses the server's close would be lost.
-		IdleTimeout: cmp.Or(set.ServerIdleTimeout, defaultIdle) * 2 / 3,
+		IdleTimeout: cmp.Or(set.ServerIdleTimeout, defaultServerIdleTimeout) * 2 / 3,
 	})
 }
 
@@ -161,22 +161,22 @@
 // Run serves until it has been stopped. Orders are looked at between turns.
 func (p *Proxy) Run(orders Signals) error {
 	for p.lifecycle.phase != Stopped {
-		if err := p.loop.Wait(longestNap); err != nil {
+		if err := p.loop.Wait(maxPollTime); err != nil {
 			return fmt.Errorf("event loop: %w", err)
 		}
-		p.settle()
+		p.processEvents()
 		p.reload(orders)
-		p.advance(orders.Stop)
+		p.advancePhase(orders.Stop)
 	}
 	return nil
 }
 
-// settle hands what has gathered to the module, carries out its actions and writes, until nothing is left.
-func (p *Proxy) settle() {
+// processEvents hands what has gathered to the module, carries out its actions and writes, until nothing is left.
+func (p *Proxy) processEvents() {
 	for {
-		p.consult()
+		p.dispatchEvents()
 		p.loop.Flush()
-		for _, f := range p.fronts {
+		for _, f := range p.fastcgiServers {
 			f.unpark()
 		}
 		if len(p.inbox) == 0 {
@@ -184,13 +184,13 @@
 		}
 	}
 	if p.lifecycle.disconnecting() {
-		for _, f := range p.fronts {
+		for _, f := range p.fastcgiServers {
 			f.closeDrained()
 		}
 	}
 }
 
-func (p *Proxy) consult() {
+func (p *Proxy) dispatchEvents() {
 	for len(p.inbox) > 0 {
 		events := p.inbox
 		p.inbox = nil
@@ -199,37 +199,37 @@
 			actions = append(actions, p.router.Handle(p.loop.Now(), ev)...)
 		}
 		for _, a := range actions {
-			p.carryOut(a)
+			p.execute(a)
 		}
 		for _, ev := range events {
 			if ev, ok := ev.(policy.Request); ok {
-				p.heard(p.requests[ev.ID])
+				p.markRouted(p.requests[ev.ID])
 			}
 		}
 	}
 }
 
-// heard notes that the module knows a request.
-func (p *Proxy) heard(q *request) {
-	q.registered = true
-	p.forget(q)
+// markRouted notes that the module knows a request.
+func (p *Proxy) markRouted(q *request) {
+	q.routed = true
+	p.releaseIfDone(q)
 }
 
 func (p *Proxy) notify(ev policy.Event) { p.inbox = append(p.inbox, ev) }
 
-func (p *Proxy) carryOut(a policy.Action) {
+func (p *Proxy) execute(a policy.Action) {
 	switch a := a.(type) {
 	case policy.Fetch:
 		if q := p.requests[a.ID]; q != nil {
-			p.attempt(q, a)
+			p.startAttempt(q, a)
 		}
 	case policy.Reject:
 		p.answer(p.requests[a.ID], Answer{Status: Rejected, RetryAfter: a.RetryAfter})
 	case policy.Fail:
 		p.answer(p.requests[a.ID], Answer{Status: Failed})
 	case policy.Cancel:
-		if q := p.requests[a.ID]; q != nil && a.Attempt < len(q.attempts) && p.mayCancel(q.attempts[a.Attempt]) {
-			p.end(q.attempts[a.Attempt], resp.Answer{}, policy.ResultCancelled)
+		if q := p.requests[a.ID]; q != nil && a.Attempt < len(q.attempts) && p.canCancel(q.attempts[a.Attempt]) {
+			p.endAttempt(q.attempts[a.Attempt], resp.Answer{}, policy.ResultCancelled)
 		}
 	case policy.StartTimer:
 		token := a.Token
@@ -244,7 +244,7 @@
 	verdict := policy.MayAdmit(policy.AdmitInfo{ClientDisconnected: left, Stopping: p.lifecycle.rejecting(), Remaining: in.Timeout,
 		OpenRequests: len(p.requests), MaxOpenRequests: p.maxOpen, MemoryFull: p.memory.full()})
 	if !p.counters.allows(actionStart, verdict) {
-		answer := Answer{Status: Rejected, RetryAfter: goneIn}
+		answer := Answer{Status: Rejected, RetryAfter: closingRetryAfter}
 		if verdict.Rule == policy.RuleLimits { // a refusal is all that memory allows; clients come again
 			answer = Answer{Status: Overloaded}
 		}
@@ -254,24 +254,24 @@
 	}
 	p.lastID++
 	now := p.loop.Now()
-	q := &request{Request: in, number: p.lastID, to: to, deadline: now + in.Timeout - min(answerTime, in.Timeout/answerPart),
-		effect: p.set.Policy.Classes[in.Class].Idempotency}
+	q := &request{Request: in, moduleID: p.lastID, responder: to, deadline: now + in.Timeout - min(answerReserve, in.Timeout/answerReserveDivisor),
+		idempotency: p.set.Policy.Classes[in.Class].Idempotency}
 	if p.lifecycle.phase == Stopping {
 		q.deadline = max(now, min(q.deadline, p.lifecycle.answerBy))
 	}
-	p.requests[q.number] = q
-	p.open++
+	p.requests[q.moduleID] = q
+	p.openRequests++
 	p.memory.requestBodies += len(q.Body)
 	q.timer = p.loop.At(q.deadline, func() { p.expire(q) })
-	p.notify(policy.Request{ID: q.number, Object: in.Object, Part: in.Part, Group: in.Group, Class: in.Class,
+	p.notify(policy.Request{ID: q.moduleID, Object: in.Object, Part: in.Part, Group: in.Group, Class: in.Class,
 		SizeKB: in.SizeKB, Remaining: q.deadline - now})
-	return q.number
+	return q.moduleID
 }
 
 // rejectUnsubmitted answers a request that has not been submitted to the decision module.
 func (p *Proxy) rejectUnsubmitted(in Request, to Responder, a Answer) {
 	p.counters.count(in.ClassName, a.Status.outcome())
-	to.Respond(p.advised(a))
+	to.Respond(p.withAllowedRetryAfter(a))
 }
 
 // HandleDisconnect takes note that the client has given a request up; it gets no answer.
@@ -286,7 +286,7 @@
 // handleConnectionClosed ends an open request whose client connection has closed. byPeer says that the client closed it.
 func (p *Proxy) handleConnectionClosed(number int64, byPeer bool) {
 	if q := p.requests[number]; q != nil {
-		p.audit.closed(q, byPeer)
+		p.invariants.closed(q, byPeer)
 	}
 	p.HandleDisconnect(number)
 }
@@ -306,7 +306,7 @@
 	}
 	status := Rejected
 	for _, a := range q.attempts {
-		if a.started && !q.safe() { // it may have run
+		if a.started && !q.isIdempotent() { // it may have run
 			status = Failed
 		}
 	}
@@ -317,14 +317,14 @@
 // expire ends what is still out when a request's time is over; the module then gives the final answer. One that
 // it holds without an attempt is failed here: every request gets its answer in time.
 func (p *Proxy) expire(q *request) {
-	if q.pending == 0 {
+	if q.openAttempts == 0 {
 		p.answer(q, Answer{Status: Failed})
-		p.notify(policy.ClientDisconnected{ID: q.number})
+		p.notify(policy.ClientDisconnected{ID: q.moduleID})
 		return
 	}
-	q.timer = p.loop.At(p.loop.Now()+answerTime/4, func() { p.expire(q) })
+	q.timer = p.loop.At(p.loop.Now()+answerReserve/4, func() { p.expire(q) })
 	for _, a := range q.attempts {
-		p.end(a, resp.Answer{}, policy.ResultTimeout)
+		p.endAttempt(a, resp.Answer{}, policy.ResultTimeout)
 	}
 }
 
@@ -337,13 +337,13 @@
 		p.log.Info("request not served", "request", q.ID, "class", q.ClassName, "answer", a.Status.outcome(), "attempts", len(q.attempts))
 	}
 	p.finish(q)
-	p.audit.answered(q, a.Status)
+	p.invariants.answered(q, a.Status)
 	p.counters.count(q.ClassName, a.Status.outcome())
-	q.to.Respond(p.advised(a))
+	q.responder.Respond(p.withAllowedRetryAfter(a))
 }
 
-// advised leaves the advice to stay away out of an answer where the settings do not allow it.
-func (p *Proxy) advised(a Answer) Answer {
+// withAllowedRetryAfter leaves the advice to stay away out of an answer where the settings do not allow it.
+func (p *Proxy) withAllowedRetryAfter(a Answer) Answer {
 	if p.set.RetryAfterDisabled {
 		a.RetryAfter = 0
 	}
@@ -352,23 +352,23 @@
 
 func (p *Proxy) finish(q *request) {
 	q.finished = true
-	p.open--
-	p.forget(q)
+	p.openRequests--
+	p.releaseIfDone(q)
 }
 
-// forget drops a request that is over. One whose attempts are still out keeps its timer, which ends them: a
+// releaseIfDone drops a request that is over. One whose attempts are still out keeps its timer, which ends them: a
 // silent cache would else keep them for good. One that is taken back in the turn it came in stays until the
 // module has heard of it: the module decides on an attempt first, waits for its end, and would else count it as
 // under way for good, a link's place lost with each.
-func (p *Proxy) forget(q *request) {
-	if q.registered && q.finished && q.pending == 0 && p.requests[q.number] == q {
+func (p *Proxy) releaseIfDone(q *request) {
+	if q.routed && q.finished && q.openAttempts == 0 && p.requests[q.moduleID] == q {
 		p.loop.Stop(q.timer)
 		p.memory.requestBodies -= len(q.Body)
-		delete(p.requests, q.number)
+		delete(p.requests, q.moduleID)
 	}
 }
 
-func (p *Proxy) sweep() {
+func (p *Proxy) closeIdleUpstreams() {
 	p.pools.CloseIdle()
-	p.loop.At(p.loop.Now()+sweepEvery, p.sweep)
+	p.loop.At(p.loop.Now()+idleSweepInterval, p.closeIdleUpstreams)
 }
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -7,9 +7,9 @@
 	"cloverdoor/internal/eventloop"
 )
 
-// advance moves to the phase that is due. A shutdown ends when clients have stopped coming and every request has been
+// advancePhase moves to the phase that is due. A shutdown ends when clients have stopped coming and every request has been
 // answered.
-func (p *Proxy) advance(stop <-chan os.Signal) {
+func (p *Proxy) advancePhase(stop <-chan os.Signal) {
 	select {
 	case <-stop:
 		if p.lifecycle.phase < Stopping {
@@ -18,21 +18,21 @@
 	default:
 	}
 	if p.lifecycle.phase == Stopping && p.lifecycle.disconnecting() && !p.hasOpenWork() {
-		p.lifecycle.enter(Stopped, p.open)
+		p.lifecycle.enter(Stopped, p.openRequests)
 	}
 }
 
 // beginStop begins a graceful shutdown. Requests that are open get no more time than the platform leaves to the process: one
 // that a kill finds unanswered is lost.
 func (p *Proxy) beginStop() {
-	p.lifecycle.beginStop(p.set.MaxDeadline, p.isTakenOver(), p.open)
+	p.lifecycle.beginStop(p.set.MaxDeadline, p.isTakenOver(), p.openRequests)
 	for _, q := range p.requests {
-		p.shorten(q, p.lifecycle.answerBy)
+		p.shortenDeadline(q, p.lifecycle.answerBy)
 	}
 }
 
-// shorten moves a request's deadline forward to deadline; an earlier one stays.
-func (p *Proxy) shorten(q *request, deadline eventloop.Timestamp) {
+// shortenDeadline moves a request's deadline forward to deadline; an earlier one stays.
+func (p *Proxy) shortenDeadline(q *request, deadline eventloop.Timestamp) {
 	if q.deadline <= deadline {
 		return
 	}
@@ -43,12 +43,12 @@
 
 // isTakenOver reports whether another process may accept from all listening sockets of this one.
 func (p *Proxy) isTakenOver() bool {
-	return !slices.ContainsFunc(p.fronts, func(f *FastCGIServer) bool { return !f.shared })
+	return !slices.ContainsFunc(p.fastcgiServers, func(f *FastCGIServer) bool { return !f.shared })
 }
 
 // hasOpenWork reports whether any client still waits for an answer, or for the rest of one.
 func (p *Proxy) hasOpenWork() bool {
-	for _, f := range p.fronts {
+	for _, f := range p.fastcgiServers {
 		if !f.Idle() {
 			return true
 		}
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -19,13 +19,13 @@
 		fmt.Fprintf(&b, "svc_%s %d\n", g.name, g.value)
 	}
 	p.counters.writeDenials(&b)
-	p.audit.write(&b)
+	p.invariants.write(&b)
 	return b.String()
 }
 
 func (p *Proxy) gauges() []gauge {
 	return []gauge{
-		{"open_requests", p.open},
+		{"open_requests", p.openRequests},
 		{"registry_entries", len(p.servers)},
 		{"out_of_rotation", p.router.OutOfRotation(p.loop.Now())},
 		{"cfg_accepted", p.counters.configsAccepted},
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -11,54 +11,54 @@
 	"cloverdoor/policy"
 )
 
-// quietAfter is how long a connection with calls out may bring nothing before new calls go elsewhere.
-const quietAfter = time.Second
+// unresponsiveAfter is how long a connection with calls out may bring nothing before new calls go elsewhere.
+const unresponsiveAfter = time.Second
 
 // upstream is one connection to a cache, a parent or the origin, with the calls that are open on it.
 type upstream struct {
 	p     *Proxy
-	slot  *connpool.PooledConn
+	conn  *connpool.PooledConn
 	calls map[string]*attempt // by the request's id, which answers come under
-	since eventloop.Timestamp // from when on an answer has been waited for without a byte; 0: none is due
+	waitingSince eventloop.Timestamp // from when on an answer has been waited for without a byte; 0: none is due
 }
 
 // openUpstream makes the owner of a new connection.
 func (p *Proxy) openUpstream(s *connpool.PooledConn) eventloop.Handler {
-	return &upstream{p: p, slot: s, calls: map[string]*attempt{}}
+	return &upstream{p: p, conn: s, calls: map[string]*attempt{}}
 }
 
-// takes says whether a call for q can go here. Answers come under the request's id alone: an answer to an
+// accepts says whether a call for q can go here. Answers come under the request's id alone: an answer to an
 // earlier call for it, given up meanwhile, would be taken for the new one's.
-func (u *upstream) takes(q *request) bool {
-	return !u.quiet() && u.calls[q.ID] == nil && !slices.ContainsFunc(q.attempts, func(a *attempt) bool { return a.on == u })
+func (u *upstream) accepts(q *request) bool {
+	return !u.unresponsive() && u.calls[q.ID] == nil && !slices.ContainsFunc(q.attempts, func(a *attempt) bool { return a.upstream == u })
 }
 
-// quiet says that a call was sent long ago and nothing at all has come since. The machine may be cut off: calls
+// unresponsive says that a call was sent long ago and nothing at all has come since. The machine may be cut off: calls
 // put on this connection would wait for good, and one that must not run twice could not be sent again. A new
 // connection finds out. It counts from the first call, also of several that were given up soon.
-func (u *upstream) quiet() bool {
-	return u.since != 0 && u.p.loop.Now()-u.since > quietAfter
+func (u *upstream) unresponsive() bool {
+	return u.waitingSince != 0 && u.p.loop.Now()-u.waitingSince > unresponsiveAfter
 }
 
-// started notes that a call has been written.
-func (u *upstream) started() {
-	if u.since == 0 {
-		u.since = u.p.loop.Now()
+// noteSent notes that a call has been written.
+func (u *upstream) noteSent() {
+	if u.waitingSince == 0 {
+		u.waitingSince = u.p.loop.Now()
 	}
 }
 
-// heard notes that something has come; what is still out is waited for from now on.
-func (u *upstream) heard() {
-	u.since = 0
+// noteReceived notes that something has come; what is still out is waited for from now on.
+func (u *upstream) noteReceived() {
+	u.waitingSince = 0
 	if len(u.calls) > 0 {
-		u.since = u.p.loop.Now()
+		u.waitingSince = u.p.loop.Now()
 	}
 }
 
 // Receive takes whole answers off what has come in.
 func (u *upstream) Receive(data []byte) (used int, err error) {
-	u.slot.MarkAlive()
-	defer u.heard()
+	u.conn.MarkAlive()
+	defer u.noteReceived()
 	for {
 		n, ans, err := resp.Decode(data[used:])
 		if n == 0 || err != nil {
@@ -66,21 +66,21 @@
 		}
 		used += n
 		if a := u.calls[ans.ID]; a != nil { // else it was given up, and the answer crossed the STOP
-			u.p.answered(a, ans)
+			u.p.handleAnswer(a, ans)
 		}
 	}
 }
 
 // Closed ends all calls that were open here. What was not written never ran; the rest may have.
 func (u *upstream) Closed(err error) {
-	u.slot.RemoveFromPool()
+	u.conn.RemoveFromPool()
 	if len(u.calls) > 0 {
 		u.p.log.Info("connection to a server lost under calls", "calls", len(u.calls), "error", err)
 	}
 	result := policy.ResultReset
 	switch {
 	case errors.Is(err, eventloop.ErrNotConnected):
-		result = connectResult(err)
+		result = resultOfConnectError(err)
 	case errors.Is(err, resp.ErrMalformed):
 		u.p.log.Warn("connection to a server dropped", "error", err)
 	}
@@ -88,28 +88,28 @@
 	for _, a := range u.calls {
 		calls = append(calls, a)
 	}
-	slices.SortFunc(calls, func(a, b *attempt) int { return int(a.req.number - b.req.number) })
+	slices.SortFunc(calls, func(a, b *attempt) int { return int(a.req.moduleID - b.req.moduleID) })
 	for _, a := range calls {
-		u.p.end(a, resp.Answer{}, result)
+		u.p.endAttempt(a, resp.Answer{}, result)
 	}
 }
 
-// connectResult is how a call ended whose connection did not come up. What this machine lacks is no fault of the server.
-func connectResult(err error) policy.Result {
+// resultOfConnectError is how a call ended whose connection did not come up. What this machine lacks is no fault of the server.
+func resultOfConnectError(err error) policy.Result {
 	if errors.Is(err, eventloop.ErrLocalResources) || errors.Is(err, connpool.ErrConnLimit) {
 		return policy.ResultNotSent
 	}
 	return policy.ResultConnectFailed
 }
 
-// leave takes an ended attempt off the connection. One that was sent and not answered is stopped.
-func (u *upstream) leave(a *attempt, unanswered bool) {
+// release takes an ended attempt off the connection. One that was sent and not answered is stopped.
+func (u *upstream) release(a *attempt, unanswered bool) {
 	delete(u.calls, a.req.ID)
-	if a.started && unanswered && !u.slot.Ended() {
+	if a.started && unanswered && !u.conn.Ended() {
 		// An answer that stopped short would take the next one's bytes for its own.
 		// One that was written in part must not come whole any more.
-		u.slot.Stale = u.slot.Stale || u.quiet() || u.slot.UnparsedBytes() > 0 || u.p.mustClose(a) || !a.written
-		u.slot.Write(resp.AppendStop(nil, a.req.ID))
+		u.conn.Stale = u.conn.Stale || u.unresponsive() || u.conn.UnparsedBytes() > 0 || u.p.requiresConnClose(a) || !a.written
+		u.conn.Write(resp.AppendStop(nil, a.req.ID))
 	}
-	u.slot.Release()
+	u.conn.Release()
 }
