--- a/cmd/edgeproxy/clock_test.go
+++ b/cmd/edgeproxy/clock_test.go
@@ -110,7 +110,7 @@
 // serveByTestClock runs the program, by a clock that the test moves on if there is one.
 func serveByTestClock() {
 	breakCalls()
-	violated = func(text string) { panic("rule broken: " + text) }
+	onViolation = func(text string) { panic("rule broken: " + text) }
 	start, err1 := strconv.ParseInt(os.Getenv("CLOVERDOOR_TEST_CLOCK"), 10, 64)
 	fd, err2 := strconv.Atoi(os.Getenv("CLOVERDOOR_TEST_CLOCK_FD"))
 	if by, err := time.ParseDuration(os.Getenv(clockOffset)); err == nil {
--- a/cmd/edgeproxy/config_test.go
+++ b/cmd/edgeproxy/config_test.go
@@ -169,7 +169,7 @@
 // The example must stay one that starts.
 func TestExampleConfiguration(t *testing.T) {
 	env := map[string]string{"BALANCER_CONFIG": "../../example/config.json", "BALANCER_LISTEN": "127.0.0.1:9", "BALANCER_NAME": "n7"}
-	c, err := load(func(name string) string { return env[name] })
+	c, err := loadConfig(func(name string) string { return env[name] })
 	if err != nil || c.listen.Port() != 9 || c.Name != "n7" || len(c.proxy.Settings.Policy.Classes) != 2 {
 		t.Errorf("%+v %v", c, err)
 	}
--- a/cmd/edgeproxy/main.go
+++ b/cmd/edgeproxy/main.go
@@ -24,15 +24,15 @@
 )
 
 const (
-	startPatience = 5 * time.Second // for what this machine lacks at the start
-	startPause    = 20 * time.Millisecond
+	startupRetryTimeout  = 5 * time.Second // for what this machine lacks at the start
+	startupRetryInterval = 20 * time.Millisecond
 )
 
-// logPatience is how long the end of the program waits for its last lines to be written.
-const logPatience = 200 * time.Millisecond
+// logFlushTimeout is how long the end of the program waits for its last lines to be written.
+const logFlushTimeout = 200 * time.Millisecond
 
-// violated is called when the program finds that it has broken a rule; nil in service, where that is only counted and logged.
-var violated func(text string)
+// onViolation is called when the program finds that it has broken a rule; nil in service, where that is only counted and logged.
+var onViolation func(text string)
 
 // config is the file that BALANCER_CONFIG names.
 type config struct {
@@ -52,7 +52,7 @@
 	fields map[string]json.RawMessage // the file's, as they came
 
 	listen, admin, coordinator netip.AddrPort
-	inherited                  int // descriptor of the clients' listening socket; 0: none
+	inheritedListenFD          int // descriptor of the clients' listening socket; 0: none
 	proxy                      proxy.Config
 }
 
@@ -63,7 +63,7 @@
 	signals := listenForSignals() // ahead of all else: one that comes early must not end the program
 	out := logging.NewWriter(os.Stderr)
 	name := "edgeproxy"
-	cfg, err := load(os.Getenv)
+	cfg, err := loadConfig(os.Getenv)
 	if err == nil {
 		name = "edgeproxy " + cfg.Name
 		err = run(cfg, clock, signals, logging.New(out, cfg.Name), out)
@@ -71,7 +71,7 @@
 	if err != nil {
 		fmt.Fprintf(out, "%s: %v\n", name, err) //nolint:errcheck // never fails
 	}
-	out.Close(logPatience)
+	out.Close(logFlushTimeout)
 	if err != nil {
 		os.Exit(1)
 	}
@@ -92,39 +92,39 @@
 	// A garbage collector that knows the limit works harder near it; the platform would kill the process.
 	debug.SetMemoryLimit(int64(cfg.proxy.MaxMemoryBytes) * 6 / 10)
 	var loop *eventloop.Loop
-	if err := patiently(func() (err error) { loop, err = eventloop.NewLoop(clock); return err }); err != nil {
+	if err := retryOnLocalResources(func() (err error) { loop, err = eventloop.NewLoop(clock); return err }); err != nil {
 		return err
 	}
-	cfg.proxy.DroppedLogLines, cfg.proxy.OnViolation = out.Dropped, violated
+	cfg.proxy.DroppedLogLines, cfg.proxy.OnViolation = out.Dropped, onViolation
 	p := proxy.New(loop, cfg.proxy, logger)
 	if err := openAddresses(p, cfg); err != nil {
 		return err
 	}
 	p.WatchCoordinator(cfg.coordinator, cfg.Known.Index)
-	return p.Run(proxy.Signals{Stop: s.stop, Reload: s.reload, Load: func() (proxy.Apply, error) {
-		now, err := load(os.Getenv)
+	return p.Run(proxy.Signals{Stop: s.stop, Reload: s.reload, Load: func() (proxy.PrepareUpdate, error) {
+		now, err := loadConfig(os.Getenv)
 		if err != nil {
 			return nil, err
 		}
-		return func() (proxy.Update, error) { return cfg.takeOver(now, logger) }, nil
+		return func() (proxy.ConfigUpdate, error) { return cfg.prepareUpdate(now, logger) }, nil
 	}})
 }
 
-// takeOver checks a configuration read later against the one in use, and makes it the one in use.
-func (c *config) takeOver(now *config, logger *slog.Logger) (proxy.Update, error) {
-	if err := now.checkAfter(c); err != nil {
-		return proxy.Update{}, err
+// prepareUpdate checks a configuration read later against the one in use, and makes it the one in use.
+func (c *config) prepareUpdate(now *config, logger *slog.Logger) (proxy.ConfigUpdate, error) {
+	if err := now.checkReplacement(c); err != nil {
+		return proxy.ConfigUpdate{}, err
 	}
-	if kept := c.keeps(now); kept != "" {
+	if kept := c.restartOnlyChanges(now); kept != "" {
 		logger.Warn("changed in the configuration, and taken over at the next start only", "fields", kept)
 	}
 	c.fields, c.proxy.Settings = now.fields, now.proxy.Settings
-	return proxy.Update{Coordinator: now.coordinator, Settings: now.proxy.Settings, TransferBytesPerSecond: now.Flow}, nil
+	return proxy.ConfigUpdate{Coordinator: now.coordinator, Settings: now.proxy.Settings, TransferBytesPerSecond: now.Flow}, nil
 }
 
-// checkAfter says whether a configuration read later may be taken over. Half of one, such as a file that was cut off
+// checkReplacement says whether a configuration read later may be taken over. Half of one, such as a file that was cut off
 // or lacks a key, must not be: its absent values would pass for 'not told'.
-func (c *config) checkAfter(earlier *config) error {
+func (c *config) checkReplacement(earlier *config) error {
 	for name, was := range earlier.fields {
 		is, ok := c.fields[name]
 		if !ok {
@@ -147,31 +147,31 @@
 // openAddresses listens for clients and operators.
 func openAddresses(p *proxy.Proxy, cfg *config) (err error) {
 	most := proxy.ClientSockets(cfg.Limits.Sockets)
-	err = patiently(func() error {
-		if cfg.inherited != 0 {
-			return p.ListenOn(cfg.inherited, most)
+	err = retryOnLocalResources(func() error {
+		if cfg.inheritedListenFD != 0 {
+			return p.ListenOn(cfg.inheritedListenFD, most)
 		}
 		return p.Listen(cfg.listen, most)
 	})
 	if err != nil || cfg.Admin == "" {
 		return err
 	}
-	return patiently(func() error { return p.ListenAdmin(cfg.admin) })
+	return retryOnLocalResources(func() error { return p.ListenAdmin(cfg.admin) })
 }
 
-// patiently tries again for a while what fails as this machine lacks something: a program that refuses to start serves nobody.
-func patiently(start func() error) (err error) {
-	for end := time.Now().Add(startPatience); ; time.Sleep(startPause) {
+// retryOnLocalResources tries again for a while what fails as this machine lacks something: a program that refuses to start serves nobody.
+func retryOnLocalResources(start func() error) (err error) {
+	for end := time.Now().Add(startupRetryTimeout); ; time.Sleep(startupRetryInterval) {
 		if err = start(); !errors.Is(err, eventloop.ErrLocalResources) || time.Now().After(end) {
 			return err
 		}
 	}
 }
 
-// keeps names what differs in a configuration read later and holds until the next start all the same. Sockets and
+// restartOnlyChanges names what differs in a configuration read later and holds until the next start all the same. Sockets and
 // limits are fixed while the proxy runs; the settings, the pace of a transfer and the coordinator's address are taken
 // over. The known events are not among them: every one since is told by the coordinator.
-func (c *config) keeps(later *config) string {
+func (c *config) restartOnlyChanges(later *config) string {
 	var names []string
 	for _, field := range []struct {
 		name string
@@ -189,8 +189,8 @@
 	return strings.Join(names, ", ")
 }
 
-// load reads the configuration. The environment's address and name go before the file's.
-func load(env func(string) string) (*config, error) {
+// loadConfig reads the configuration. The environment's address and name go before the file's.
+func loadConfig(env func(string) string) (*config, error) {
 	path := env("BALANCER_CONFIG")
 	if path == "" {
 		return nil, errors.New("BALANCER_CONFIG names no file")
@@ -213,7 +213,7 @@
 		c.Admin = admin
 	}
 	if fd := env("BALANCER_LISTEN_FD"); fd != "" {
-		if c.inherited, err = strconv.Atoi(fd); err != nil || c.inherited <= 2 {
+		if c.inheritedListenFD, err = strconv.Atoi(fd); err != nil || c.inheritedListenFD <= 2 {
 			return nil, fmt.Errorf("BALANCER_LISTEN_FD: %q is no descriptor", fd)
 		}
 	}
@@ -254,7 +254,7 @@
 	}
 	c.proxy = proxy.Config{Settings: set, Seed: seed, InitialState: c.Known, MaxDescriptors: c.Limits.Sockets,
 		MaxMemoryBytes: c.Limits.MemoryMB << 20, TransferBytesPerSecond: c.Flow}
-	if c.inherited != 0 { // for a while, two processes share the limits
+	if c.inheritedListenFD != 0 { // for a while, two processes share the limits
 		c.proxy.MaxDescriptors, c.proxy.MaxMemoryBytes = c.proxy.MaxDescriptors/2, c.proxy.MaxMemoryBytes/2
 		c.proxy.Settings.Policy.ProcessesPerRouter = 2
 	}
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -25,20 +25,20 @@
 
 // attempt is one sending of a request to a cache, a parent or the origin. It ends once, with one result.
 type attempt struct {
-	p       *Proxy
-	req     *request
-	number  int
-	target  string
-	created eventloop.Timestamp
-	upstream      *upstream           // nil: it got no connection
-	lastEntry   int                 // how often it has been put on a connection
-	started bool                // its first byte has been written
-	written bool                // its last byte has been written: it may run
-	source  string              // from which a miss is filled
-	sentAt   eventloop.Timestamp // when its first byte was written, as the audit knows
-	oldestCopyMillis  int64               // Unix millisecond before which no copy that answers it may have been made; 0: not bound
-	ended   bool
-	result  policy.Result // how it ended
+	p                *Proxy
+	req              *request
+	number           int
+	target           string
+	created          eventloop.Timestamp
+	upstream         *upstream           // nil: it got no connection
+	lastEntry        int                 // how often it has been put on a connection
+	started          bool                // its first byte has been written
+	written          bool                // its last byte has been written: it may run
+	source           string              // from which a miss is filled
+	sentAt           eventloop.Timestamp // when its first byte was written, as the audit knows
+	oldestCopyMillis int64               // Unix millisecond before which no copy that answers it may have been made; 0: not bound
+	ended            bool
+	result           policy.Result // how it ended
 }
 
 // startAttempt carries out a Fetch: it queues the call on a connection to the target.
@@ -145,7 +145,7 @@
 func (a *attempt) Started(whole bool) {
 	a.started = true
 	a.upstream.noteSent()
-	a.p.invariants.began(a, a.source)
+	a.p.invariants.checkSent(a, a.source)
 	if !whole {
 		a.p.loop.At(a.p.loop.CurrentTime()+maxPartialWriteTime, a.failPartialWrite)
 	}
@@ -154,7 +154,7 @@
 // Written counts the call: it has gone to its target whole.
 func (a *attempt) Written() {
 	a.written = true
-	a.p.invariants.wrote(a)
+	a.p.invariants.checkWritten(a)
 	a.p.counters.count(a.req.ClassName, relayed)
 }
 
@@ -178,7 +178,7 @@
 		result = policy.ResultError
 	}
 	if result == policy.ResultOK {
-		p.invariants.served(a, ans)
+		p.invariants.checkServed(a, ans)
 		status := Served
 		if ans.Status == resp.StatusNotModified {
 			status, ans.Body = NotModified, nil
@@ -230,7 +230,7 @@
 		}
 	}
 	a.result = result
-	p.invariants.ended(a, result)
+	p.invariants.observeEnd(a, result)
 	p.notify(policy.Outcome{ID: a.req.moduleID, Attempt: a.number, Result: result, CacheStatus: policy.CacheStatus(ans.CacheStatus),
 		Elapsed: p.loop.Now() - a.created, SourceFirstByte: ans.SourceFirstByte, TransferTime: p.transferTime(ans), RequestFinished: a.req.finished})
 	p.releaseIfDone(a.req)
@@ -241,8 +241,8 @@
 
 // transferTime is how long an answer's bytes take at the pace of one transfer.
 func (p *Proxy) transferTime(ans resp.Answer) time.Duration {
-	if p.flow <= 0 {
+	if p.transferBytesPerSecond <= 0 {
 		return 0
 	}
-	return time.Duration(float64(len(ans.Body)) / p.flow * float64(time.Second))
+	return time.Duration(float64(len(ans.Body)) / p.transferBytesPerSecond * float64(time.Second))
 }
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -15,17 +15,17 @@
 	"cloverdoor/internal/watch"
 )
 
-type deaf struct{}
+type discardResponder struct{}
 
-func (deaf) Respond(Answer) {}
+func (discardResponder) Respond(Answer) {}
 
-func (deaf) PollClient() {}
+func (discardResponder) PollClient() {}
 
-func (deaf) ClientDisconnected() (eventloop.Timestamp, bool) { return 0, false }
+func (discardResponder) ClientDisconnected() (eventloop.Timestamp, bool) { return 0, false }
 
 // A call that moves on from a late connection and comes back to it, as it is up by then, is in its queue twice: it is
 // sent once all the same. Otherwise a write would run twice.
-func TestCallThatComesBackIsSentOnce(t *testing.T) {
+func TestReassignedCallIsSentOnce(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -58,7 +58,7 @@
 	p := New(loop, Config{Settings: set, MaxDescriptors: 100, MaxMemoryBytes: 1 << 26, InitialState: watch.InitialState{Index: 1, Events: []watch.Event{{Index: 1,
 		Endpoints: &watch.EndpointUpdate{Full: true, Endpoints: []watch.Endpoint{{ID: "o", Addr: ln.Addr().String(), Zone: "hub", Kind: "origin",
 			State: watch.StateServing, Weight: 100}}}}}}}, slog.New(slog.DiscardHandler))
-	number := p.Submit(Request{ID: "9b1f03aa5c7e2d41", ClassName: "w", Object: "7f3a9c21e0b4d655", Timeout: time.Minute}, deaf{})
+	number := p.Submit(Request{ID: "9b1f03aa5c7e2d41", ClassName: "w", Object: "7f3a9c21e0b4d655", Timeout: time.Minute}, discardResponder{})
 	p.dispatchEvents() // the call is queued on a connection that is not up yet
 	a := p.requests[number].attempts[0]
 	first := a.upstream.conn
--- a/internal/proxy/coordinator_test.go
+++ b/internal/proxy/coordinator_test.go
@@ -66,7 +66,7 @@
 		t.Fatal(err)
 	}
 	p := &Proxy{loop: loop, log: slog.New(slog.DiscardHandler), follower: &follower{}}
-	p.invariants = newAudit(p, nil)
+	p.invariants = newInvariantChecker(p, nil)
 	p.applyEvent(watch.Event{Purge: &watch.Purge{Object: "w", At: loop.Now().Milliseconds()}}) // in time: the clock is right
 	p.applyEvent(watch.Event{Purge: &watch.Purge{Object: "x", At: time.Now().Add(-ago).UnixMilli()}})
 	if age := p.inbox[1].(policy.Purge).Age; age < ago-held-time.Second || age > ago-held+time.Second {
--- a/internal/proxy/membership.go
+++ b/internal/proxy/membership.go
@@ -13,7 +13,7 @@
 
 // applyEvent passes one event of the coordinator on to the module and keeps the pools in step with it.
 func (p *Proxy) applyEvent(ev watch.Event) {
-	p.invariants.told(ev)
+	p.invariants.observeEvent(ev)
 	if v := ev.Purge; v != nil {
 		age := time.Duration(0) // where it is not told when
 		if v.At != 0 {
--- a/internal/proxy/peerclock_test.go
+++ b/internal/proxy/peerclock_test.go
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	p := &Proxy{loop: loop, log: slog.New(slog.DiscardHandler)}
-	p.invariants = newAudit(p, nil)
+	p.invariants = newInvariantChecker(p, nil)
 	return p, func(ago time.Duration, live bool) time.Duration {
 		if p.follower = nil; live {
 			p.follower = &follower{}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -18,19 +18,19 @@
 const (
 	// answerReserve is what is kept of a request's time to write its answer and get it to the client, and answerPart the
 	// share of a short time that is: the client allows 50 ms more, and the answer may come while it waits.
-	answerReserve = 60 * time.Millisecond
+	answerReserve        = 60 * time.Millisecond
 	answerReserveDivisor = 4
-	closingRetryAfter     = 100 * time.Millisecond // told to those refused meanwhile: their connection is closed soon
-	maxPollTime = 50 * time.Millisecond  // between looks at the order to stop
-	idleSweepInterval = time.Second
-	maxOpenRequests    = 4096 // requests open at once; the settings may say fewer
+	closingRetryAfter    = 100 * time.Millisecond // told to those refused meanwhile: their connection is closed soon
+	maxPollTime          = 50 * time.Millisecond  // between looks at the order to stop
+	idleSweepInterval    = time.Second
+	maxOpenRequests      = 4096 // requests open at once; the settings may say fewer
 	// maxSharedCalls is how many calls that may be repeated share a connection where new ones are priced: more would save
 	// less than an eighth of the handshakes, and lose more calls with a connection that breaks.
 	maxSharedCalls = 8
 
 	// Where the settings tell nothing.
-	defaultServerIdleTimeout    = 15 * time.Second
-	defaultConnectTimeout = time.Second
+	defaultServerIdleTimeout = 15 * time.Second
+	defaultConnectTimeout    = time.Second
 )
 
 // Config is what a proxy is told at its start.
@@ -48,14 +48,14 @@
 
 // Proxy is one edge proxy. Everything in it runs on the loop's goroutine.
 type Proxy struct {
-	loop      *eventloop.Loop
-	router    *policy.Router
-	set       settings.Settings
-	class     map[string]int // by name: its number in the settings
-	flow      float64        // bytes a second of one transfer; 0: not told
-	log       *slog.Logger
-	rng       *rand.Rand
-	lifecycle *lifecycle
+	loop                   *eventloop.Loop
+	router                 *policy.Router
+	set                    settings.Settings
+	classIndexes           map[string]int // by name: its number in the settings
+	transferBytesPerSecond float64        // bytes a second of one transfer; 0: not told
+	log                    *slog.Logger
+	rng                    *rand.Rand
+	lifecycle              *lifecycle
 
 	inbox    []policy.Event // of this turn, for the module
 	requests map[int64]*request
@@ -64,34 +64,34 @@
 	sockets  int // connections to caches
 	memory   *memoryBudget
 
-	servers  map[string]int64 // by id: when it started
-	pools    *connpool.Pools
-	fastcgiServers   []*FastCGIServer
-	follower *follower
-
-	openRequests        int // requests taken and not ended
-	counters    *counters
-	logDropped  func() int64
-	loader      loader
-	clock       peerClock
-	newestKnown eventloop.Timestamp // the latest time that the configuration's purges tell; 0: none
-	invariants       *audit
+	servers        map[string]int64 // by id: when it started
+	pools          *connpool.Pools
+	fastcgiServers []*FastCGIServer
+	follower       *follower
+
+	openRequests int // requests taken and not ended
+	counters     *counters
+	logDropped   func() int64
+	configLoader configLoader
+	clock        peerClock
+	newestKnown  eventloop.Timestamp // the latest time that the configuration's purges tell; 0: none
+	invariants   *invariantChecker
 }
 
 // request is one client request until its answer is given and its last attempt has ended.
 type request struct {
 	Request
 	moduleID     int64 // the module's
-	responder         Responder
-	deadline   eventloop.Timestamp // by which the answer must have been written
-	idempotency     policy.Idempotency
-	answers    int  // final answers so far, as the audit counts
-	mayHaveRun bool // a call was written whole and not proven not to have run, as the audit knows
-	timer      *eventloop.Timer
-	attempts   []*attempt
-	openAttempts    int
-	routed bool // the module has heard of it and its first actions have been carried out
-	finished   bool // answered, or the client has left
+	responder    Responder
+	deadline     eventloop.Timestamp // by which the answer must have been written
+	idempotency  policy.Idempotency
+	finalAnswers int  // final answers so far, as the audit counts
+	mayHaveRun   bool // a call was written whole and not proven not to have run, as the audit knows
+	timer        *eventloop.Timer
+	attempts     []*attempt
+	openAttempts int
+	routed       bool // the module has heard of it and its first actions have been carried out
+	finished     bool // answered, or the client has left
 }
 
 // isIdempotent says that the request may be repeated freely.
@@ -107,7 +107,7 @@
 		counters:  newCounters(),
 		lifecycle: &lifecycle{loop: loop, log: logger}, logDropped: cfg.DroppedLogLines,
 	}
-	p.invariants = newAudit(p, cfg.OnViolation)
+	p.invariants = newInvariantChecker(p, cfg.OnViolation)
 	p.pools = connpool.New(loop, connpool.Limits{}, p.openUpstream)
 	p.apply(cfg.Settings, cfg.TransferBytesPerSecond)
 	p.applyKnown(cfg.InitialState.Events)
@@ -130,9 +130,9 @@
 
 // apply takes over settings, at the start and later, wherever the proxy goes by them itself.
 func (p *Proxy) apply(set settings.Settings, flow float64) {
-	p.set, p.flow, p.class = set, flow, map[string]int{}
+	p.set, p.transferBytesPerSecond, p.classIndexes = set, flow, map[string]int{}
 	for i, c := range set.Policy.Classes {
-		p.class[c.Name] = i
+		p.classIndexes[c.Name] = i
 		p.counters.addClass(c.Name)
 	}
 	p.maxOpen = min(maxOpenRequests, cmp.Or(set.MaxOpenRequests, maxOpenRequests))
@@ -165,7 +165,7 @@
 			return fmt.Errorf("event loop: %w", err)
 		}
 		p.processEvents()
-		p.reload(orders)
+		p.pollReload(orders)
 		p.advancePhase(orders.Stop)
 	}
 	return nil
@@ -286,14 +286,14 @@
 // handleConnectionClosed ends an open request whose client connection has closed. byPeer says that the client closed it.
 func (p *Proxy) handleConnectionClosed(number int64, byPeer bool) {
 	if q := p.requests[number]; q != nil {
-		p.invariants.closed(q, byPeer)
+		p.invariants.checkConnectionClosed(q, byPeer)
 	}
 	p.HandleDisconnect(number)
 }
 
 // classIndex is a class's number in the settings.
 func (p *Proxy) classIndex(name string) (index int, known bool) {
-	index, known = p.class[name]
+	index, known = p.classIndexes[name]
 	return index, known
 }
 
@@ -337,7 +337,7 @@
 		p.log.Info("request not served", "request", q.ID, "class", q.ClassName, "answer", a.Status.outcome(), "attempts", len(q.attempts))
 	}
 	p.finish(q)
-	p.invariants.answered(q, a.Status)
+	p.invariants.checkFinalAnswer(q, a.Status)
 	p.counters.count(q.ClassName, a.Status.outcome())
 	q.responder.Respond(p.withAllowedRetryAfter(a))
 }
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -20,51 +20,51 @@
 	Stop   <-chan os.Signal // drain, then end
 	Reload <-chan os.Signal // read the configuration again
 	// Load reads the configuration. It may block, and is called on a goroutine of its own.
-	Load func() (Apply, error)
+	Load func() (PrepareUpdate, error)
 }
 
-// Apply checks a configuration that has been read against the one in use, and returns what to take over from it. It is
+// PrepareUpdate checks a configuration that has been read against the one in use, and returns what to take over from it. It is
 // called on the loop's goroutine. An error says that the configuration can't be used.
-type Apply func() (Update, error)
+type PrepareUpdate func() (ConfigUpdate, error)
 
-// Update is what a running proxy takes over from a configuration read again.
-type Update struct {
+// ConfigUpdate is what a running proxy takes over from a configuration read again.
+type ConfigUpdate struct {
 	Coordinator            netip.AddrPort
 	Settings               settings.Settings
 	TransferBytesPerSecond float64 // bytes a second of one transfer
 }
 
-// loader reads the configuration off the loop: a slow disk must not hold up requests.
-type loader struct {
-	results chan loadResult     // of the read under way; nil: none is
-	since   eventloop.Timestamp // when that was begun
-	again   bool                // it was ordered once more meanwhile
+// configLoader reads the configuration off the loop: a slow disk must not hold up requests.
+type configLoader struct {
+	results   chan loadResult     // of the read under way; nil: none is
+	startedAt eventloop.Timestamp // when that was begun
+	pending   bool                // it was ordered once more meanwhile
 }
 
 type loadResult struct {
-	apply Apply
+	apply PrepareUpdate
 	err   error
 }
 
-// reload carries out orders to read the configuration again. One that can't be used changes nothing: the proxy goes on
+// pollReload carries out orders to read the configuration again. One that can't be used changes nothing: the proxy goes on
 // serving with the one it has.
-func (p *Proxy) reload(orders Signals) {
+func (p *Proxy) pollReload(orders Signals) {
 	select {
 	case <-orders.Reload:
-		p.loader.again = true
+		p.configLoader.pending = true
 	default:
 	}
-	if p.loader.results != nil {
+	if p.configLoader.results != nil {
 		p.finishLoad()
 	}
-	if p.loader.again && p.loader.results == nil {
+	if p.configLoader.pending && p.configLoader.results == nil {
 		p.startLoad(orders.Load)
 	}
 }
 
-func (p *Proxy) startLoad(load func() (Apply, error)) {
+func (p *Proxy) startLoad(load func() (PrepareUpdate, error)) {
 	results := make(chan loadResult, 1)
-	p.loader = loader{results: results, since: p.loop.Now()}
+	p.configLoader = configLoader{results: results, startedAt: p.loop.Now()}
 	go func() {
 		apply, err := load()
 		results <- loadResult{apply, err}
@@ -75,15 +75,15 @@
 func (p *Proxy) finishLoad() {
 	var result loadResult
 	select {
-	case result = <-p.loader.results:
+	case result = <-p.configLoader.results:
 	default:
-		if p.loop.Now()-p.loader.since < loadTimeout {
+		if p.loop.Now()-p.configLoader.startedAt < loadTimeout {
 			return
 		}
 		result.err = errLoadTimeout
 	}
-	p.loader.results = nil
-	var update Update
+	p.configLoader.results = nil
+	var update ConfigUpdate
 	if result.err == nil {
 		update, result.err = result.apply()
 	}
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -19,7 +19,7 @@
 		fmt.Fprintf(&b, "svc_%s %d\n", g.name, g.value)
 	}
 	p.counters.writeDenials(&b)
-	p.invariants.write(&b)
+	p.invariants.writeFigures(&b)
 	return b.String()
 }
 
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -16,9 +16,9 @@
 
 // upstream is one connection to a cache, a parent or the origin, with the calls that are open on it.
 type upstream struct {
-	p     *Proxy
-	conn  *connpool.PooledConn
-	calls map[string]*attempt // by the request's id, which answers come under
+	p            *Proxy
+	conn         *connpool.PooledConn
+	calls        map[string]*attempt // by the request's id, which answers come under
 	waitingSince eventloop.Timestamp // from when on an answer has been waited for without a byte; 0: none is due
 }
 
