--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -3,8 +3,6 @@
 import (
 	"os"
 	"slices"
-
-	"cloverdoor/internal/eventloop"
 )
 
 // advancePhase moves to the phase that is due. A shutdown ends when clients have stopped coming and every request has been
@@ -31,16 +29,6 @@
 	}
 }
 
-// shortenDeadline moves a request's deadline forward to deadline; an earlier one stays.
-func (p *Proxy) shortenDeadline(q *request, deadline eventloop.Timestamp) {
-	if q.deadline <= deadline {
-		return
-	}
-	q.deadline = deadline
-	p.loop.Stop(q.timer)
-	q.timer = p.loop.At(deadline, func() { p.expire(q) })
-}
-
 // isTakenOver reports whether another process may accept from all listening sockets of this one.
 func (p *Proxy) isTakenOver() bool {
 	return !slices.ContainsFunc(p.fastcgiServers, func(f *FastCGIServer) bool { return !f.shared })
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -94,14 +94,6 @@
 	}
 }
 
-// resultOfConnectError is how a call ended whose connection did not come up. What this machine lacks is no fault of the server.
-func resultOfConnectError(err error) policy.Result {
-	if errors.Is(err, eventloop.ErrLocalResources) || errors.Is(err, connpool.ErrConnLimit) {
-		return policy.ResultNotSent
-	}
-	return policy.ResultConnectFailed
-}
-
 // release takes an ended attempt off the connection. One that was sent and not answered is stopped.
 func (u *upstream) release(a *attempt, unanswered bool) {
 	delete(u.calls, a.req.ID)
