--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -15,17 +15,17 @@
 	"cloverdoor/internal/watch"
 )
 
-type deaf struct{}
+type discardResponder struct{}
 
-func (deaf) Respond(Answer) {}
+func (discardResponder) Respond(Answer) {}
 
-func (deaf) PollClient() {}
+func (discardResponder) PollClient() {}
 
-func (deaf) ClientDisconnected() Disconnect { return Disconnect{} }
+func (discardResponder) ClientDisconnected() Disconnect { return Disconnect{} }
 
 // A call that moves on from a late connection and comes back to it, as it is up by then, is in its queue twice: it is
 // sent once all the same. Otherwise a write would run twice.
-func TestCallThatComesBackIsSentOnce(t *testing.T) {
+func TestReassignedCallIsSentOnce(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -58,16 +58,16 @@
 	p := New(loop, Config{Settings: set, MaxDescriptors: 100, MaxMemoryBytes: 1 << 26, InitialState: watch.InitialState{Index: 1, Events: []watch.Event{{Index: 1,
 		Endpoints: &watch.EndpointUpdate{Full: true, Endpoints: []watch.Endpoint{{ID: "o", Addr: ln.Addr().String(), Zone: "hub", Kind: "origin",
 			State: watch.StateServing, Weight: 100}}}}}}}, slog.New(slog.DiscardHandler))
-	number := p.Submit(Request{ID: "9b1f03aa5c7e2d41", ClassName: "w", Object: "7f3a9c21e0b4d655", Timeout: time.Minute}, deaf{})
-	p.consult() // the call is queued on a connection that is not up yet
+	number := p.Submit(Request{ID: "9b1f03aa5c7e2d41", ClassName: "w", Object: "7f3a9c21e0b4d655", Timeout: time.Minute}, discardResponder{})
+	p.dispatchEvents() // the call is queued on a connection that is not up yet
 	a := p.requests[number].attempts[0]
-	first := a.on.slot
+	first := a.upstream.conn
 	second, err := p.pools.Reassign(first, func(s *connpool.PooledConn) bool { return s != first })
 	if err != nil || second == first {
 		t.Fatal("no other connection", err)
 	}
-	a.put(second, 0)
-	a.put(first, 0)
+	a.enqueue(second, 0)
+	a.enqueue(first, 0)
 	for end := time.Now().Add(300 * time.Millisecond); time.Now().Before(end) || !a.started; {
 		if err := loop.Wait(10 * time.Millisecond); err != nil {
 			t.Fatal(err)
--- a/internal/proxy/backpressure.go
+++ b/internal/proxy/backpressure.go
@@ -87,7 +87,7 @@
 
 func (c *clientConn) reject(b blockedRequest) {
 	to := &responder{conn: c, id: b.request.ID}
-	c.server.handler.rejectUnsubmitted(b.parsed, to, Answer{Status: Rejected, RetryAfter: goneIn})
+	c.server.handler.rejectUnsubmitted(b.parsed, to, Answer{Status: Rejected, RetryAfter: closingRetryAfter})
 }
 
 // relieveMemory makes way for an answer while the memory budget is critical: queued output is written at
--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -131,7 +131,7 @@
 
 // waitBeforeRead is how long a request that has just been read may have waited in the kernel.
 func (c *clientConn) waitBeforeRead() time.Duration {
-	return max(c.server.loop.SchedulingDelay(longestNap), c.conn.QueueingDelay())
+	return max(c.server.loop.SchedulingDelay(maxPollTime), c.conn.QueueingDelay())
 }
 
 func (c *clientConn) answerHealthCheck(to *responder) {
--- a/internal/proxy/fastcgiserver.go
+++ b/internal/proxy/fastcgiserver.go
@@ -22,7 +22,7 @@
 	// requestReadTimeout is how long it may take to send a complete request, pauses included.
 	requestReadTimeout = 10 * time.Second
 	// connCheckInterval is the time between checks of all client connections for these timeouts.
-	connCheckInterval = longestNap
+	connCheckInterval = maxPollTime
 )
 
 // requestHandler is what the FastCGI server needs of the proxy. Its methods are called on the loop's
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -3,13 +3,11 @@
 import (
 	"os"
 	"slices"
-
-	"cloverdoor/internal/eventloop"
 )
 
-// advance moves to the phase that is due. A shutdown ends when clients have stopped coming and every request has been
+// advancePhase moves to the phase that is due. A shutdown ends when clients have stopped coming and every request has been
 // answered.
-func (p *Proxy) advance(stop <-chan os.Signal) {
+func (p *Proxy) advancePhase(stop <-chan os.Signal) {
 	select {
 	case <-stop:
 		if p.lifecycle.phase < Stopping {
@@ -18,27 +16,17 @@
 	default:
 	}
 	if p.lifecycle.phase == Stopping && p.lifecycle.disconnecting() && !p.hasOpenWork() {
-		p.lifecycle.enter(Stopped, p.open)
+		p.lifecycle.enter(Stopped, p.openRequests)
 	}
 }
 
 // beginStop begins a graceful shutdown. Requests that are open get no more time than the platform leaves to the process: one
 // that a kill finds unanswered is lost.
 func (p *Proxy) beginStop() {
-	p.lifecycle.beginStop(p.set.MaxDeadline, p.isTakenOver(), p.open)
+	p.lifecycle.beginStop(p.set.MaxDeadline, p.isTakenOver(), p.openRequests)
 	for _, q := range p.requests {
-		p.shorten(q, p.lifecycle.answerBy)
-	}
-}
-
-// shorten moves a request's deadline forward to deadline; an earlier one stays.
-func (p *Proxy) shorten(q *request, deadline eventloop.Timestamp) {
-	if q.deadline <= deadline {
-		return
+		p.shortenDeadline(q, p.lifecycle.answerBy)
 	}
-	q.deadline = deadline
-	p.loop.Stop(q.timer)
-	q.timer = p.loop.At(deadline, func() { p.expire(q) })
 }
 
 // isTakenOver reports whether another process may accept from all listening sockets of this one.
