--- a/policy/admission.go
+++ b/policy/admission.go
@@ -1,12 +1,29 @@
 package policy
 
+// Load shedding rejects requests that congestion makes late, so that the links stay free for those that
+// matter most.
+//
+// Inputs: an attempt's expected transfer time in seconds, the time left to its latency objective, and the
+// request's priority weight per transfer second relative to the mean of all requests (its value). Result:
+// reject or admit.
+//
+// A request of mean value or more may use all the time to its objective. One of less value may use a fraction
+// of it, which shrinks as congestion rises: large requests of low weight are shed first.
+
 import "math"
 
-// shouldShed reports whether congestion makes a request late; those of least worth for their time go first.
-func (r *Router) shouldShed(a *attempt, wait float64) bool {
+// shouldShed reports whether to reject a request instead of starting an attempt. Without congestion nothing
+// is shed, and neither is a request whose client cannot be told to send it again.
+func (r *Router) shouldShed(a *attempt) bool {
 	req := a.request
-	value := req.class.PriorityWeight / req.transferSeconds / (r.meanPriorityWeight.value / r.meanTransferSeconds.value)
-	share := min(1, math.Pow(value, min(1, a.expectedSeconds/req.transferSeconds-1)))
-	full := a.congested && a.expectedSeconds > congestedMultiple*req.transferSeconds
-	return r.mayReject(req) && full && wait+a.expectedSeconds > share*(req.objectiveAt-r.now).Seconds()
+	delayed := a.congested && a.expectedSeconds > congestedMultiple*req.transferSeconds
+	if !delayed || !r.mayReject(req) {
+		return false
+	}
+	meanValue := r.meanPriorityWeight.value / r.meanTransferSeconds.value
+	value := req.class.PriorityWeight / req.transferSeconds / meanValue
+	excess := a.expectedSeconds/req.transferSeconds - 1
+	fraction := min(1, math.Pow(value, min(1, excess)))
+	remaining := (req.objectiveAt - r.now).Seconds()
+	return a.firstByteSeconds+a.expectedSeconds > fraction*remaining
 }
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -1,46 +1,102 @@
 package policy
 
-import (
-	"cmp"
-	"time"
+// An attempt is one try to have a request answered: it is sent to a target, which fills a miss from a source.
+//
+// Starting one estimates how long it will take and asks load shedding and the origin's concurrency limit for
+// it; a request that they do not admit is rejected. Ending one classifies its result, which decides whether
+// the request may be retried (idempotency.go) and whether the target is held to have failed (outliers.go).
+
+import "time"
+
+// attemptState says what is known of an attempt's execution.
+type attemptState int
+
+const (
+	attemptPending   attemptState = iota // no result yet: it may run
+	attemptSucceeded                     // answered
+	attemptNeverRan                      // the target did not carry it out
+	attemptFailed                        // an error or a broken connection: it may have run
+	attemptTimedOut                      // no answer in time, or an unknown result: it may have run
+	attemptCancelled                     // this proxy stopped waiting: it may have run
 )
 
+// stateAfter classifies the result of an attempt. What is not known never to have run may have run.
+func stateAfter(result Result) attemptState {
+	switch result {
+	case ResultOK:
+		return attemptSucceeded
+	case ResultRejected, ResultConnectFailed, ResultNotSent, ResultNotFound:
+		return attemptNeverRan
+	case ResultError, ResultReset:
+		return attemptFailed
+	case ResultCancelled:
+		return attemptCancelled
+	}
+	return attemptTimedOut
+}
+
 type attempt struct {
-	request               *request
-	number                int
-	target, source        *endpointState
-	links                 []*link
-	decidedAt, startedAt  time.Duration // when it was decided, and when its first byte was written, if known
-	targetSeconds         float64       // expected sending time on the target's link, seconds
-	expectedSeconds       float64       // and on the slowest link of the way, if it has to be filled
-	slowestLink           *link
-	congested             bool    // a link of the way was expected to be
-	missProbability       float64 // how likely a fill is
-	pending, failed       bool    // failed: it may have run, and brought no answer
-	countsAtOrigin        bool    // it counts in the origin's limiter
-	cachedOnly, expectHit bool    // the source gives only what it holds; the target likely holds a copy
+	request *request
+	number  int // among the request's attempts, from 0
+	state   attemptState
+
+	target *endpointState
+	source *endpointState // fills a miss; the target itself if nothing is filled
+
+	decidedAt time.Duration // when the router created it
+	startedAt time.Duration // when its first byte was written; decidedAt until then
+
+	links       []*link // that it loads
+	slowestLink *link
+	congested   bool // one of the links was congested when the attempt was created
+
+	targetSeconds    float64 // expected transfer time on the target's link
+	expectedSeconds  float64 // expected transfer time on the slowest link
+	firstByteSeconds float64 // expected wait for the source's first byte
+	missProbability  float64 // of a fill, 0 to 1
+
+	expectHit      bool // the target probably has the object cached
+	cachedOnly     bool // the source may give only what it has cached
+	countsAtOrigin bool // it is counted by the origin's concurrency limit
 }
 
+// pendingAttempt returns the attempt of a request that has this number and no result yet, or nil.
 func (r *Router) pendingAttempt(id int64, number int) *attempt {
 	req := r.requests[id]
-	if req == nil || number < 0 || number >= len(req.attempts) || !req.attempts[number].pending {
+	if req == nil || number < 0 || number >= len(req.attempts) {
+		return nil
+	}
+	a := req.attempts[number]
+	if a.state != attemptPending {
 		return nil
 	}
-	return req.attempts[number]
+	return a
 }
 
+// startAttempt sends a request to a target, or rejects it if the origin or the links have no capacity for it.
 func (r *Router) startAttempt(req *request, target, source *endpointState) {
-	a := &attempt{request: req, number: len(req.attempts), target: target, source: source,
-		slowestLink: &target.link, decidedAt: r.now, startedAt: r.now}
-	wait := r.estimate(a)
-	if !r.isCache(source) && !a.expectHit && !req.class.Uncacheable { // it may load the origin
-		a.countsAtOrigin = r.originLimit.admits(r.rng.Float64)
-		a.cachedOnly = !a.countsAtOrigin
-	}
-	if a.cachedOnly && source == r.origin && !req.class.Uncacheable || r.shouldShed(a, wait) {
+	a := &attempt{
+		request: req, number: len(req.attempts), target: target, source: source,
+		decidedAt: r.now, startedAt: r.now,
+	}
+	r.estimate(a)
+	r.applyOriginLimit(a)
+	originHasNoCapacity := a.cachedOnly && source == r.origin
+	if originHasNoCapacity || r.shouldShed(a) {
 		r.rejectOrFail(req)
 		return
 	}
+	r.reserve(a)
+	req.attempts = append(req.attempts, a)
+	req.pendingAttempts++
+	if req.mayHaveRun == nil {
+		req.mayHaveRun = a
+	}
+	r.emit(r.fetchAction(a), overdueTimer(a))
+}
+
+// reserve counts an attempt wherever its load is counted.
+func (r *Router) reserve(a *attempt) {
 	for _, l := range a.links {
 		l.add(a, r.now)
 	}
@@ -51,44 +107,64 @@
 	if a.number > 0 {
 		r.retryBudget--
 	}
-	a.pending = true
-	req.attempts = append(req.attempts, a)
-	req.pendingAttempts++
-	req.mayHaveRun = cmp.Or(req.mayHaveRun, a)
-	token := uint64(req.ID)<<8 | uint64(a.number&255)
-	patience := time.Duration(overdueFactor*(wait+a.expectedSeconds)*float64(time.Second)) + overdueMargin
-	r.actions = append(r.actions, r.fetchAction(a), StartTimer{patience, token})
 }
 
-// estimate works out what an attempt takes on each link, and returns the wait for the first byte of a fill.
-func (r *Router) estimate(a *attempt) (wait float64) {
-	work := a.request.transferSeconds
-	use := func(l *link, warm float64) (seconds float64) {
-		a.links = append(a.links, l)
-		a.congested = a.congested || l.congestion(r.now, work, warm) >= congestedMultiple
-		if seconds = l.expectedSeconds(r.now, work, warm); seconds > a.expectedSeconds {
-			a.slowestLink, a.expectedSeconds = l, seconds
-		}
-		return seconds
-	}
-	a.targetSeconds = use(&a.target.link, r.slowStartFraction(a.target))
+// estimate works out which links an attempt loads, how long it takes on each, and how long a fill's first
+// byte takes. An expected hit loads the target's link only.
+func (r *Router) estimate(a *attempt) {
+	a.slowestLink = &a.target.link
+	a.targetSeconds = a.addLink(&a.target.link, r.now, r.slowStartFraction(a.target))
 	a.expectHit = r.isCache(a.target) && r.likelyCached(a.target, a.request)
 	if a.request.class.Uncacheable || a.expectHit {
-		return 0
+		return
 	}
 	a.missProbability = 1
 	if r.isCache(a.target) && r.missFraction.count > 0 {
 		a.missProbability = r.missFraction.value
 	}
 	if !r.isCache(a.target) || !r.isCache(a.source) {
-		use(&r.zoneLink, 1)
+		a.addLink(&r.zoneLink, r.now, 1)
+	}
+	if a.source == a.target {
+		return
+	}
+	a.addLink(&a.source.link, r.now, r.slowStartFraction(a.source))
+	a.firstByteSeconds = a.source.firstByteSeconds.value
+	if !r.isCache(a.source) {
+		a.firstByteSeconds = r.parentFirstByteSeconds.value
+	}
+}
+
+// addLink adds a link to an attempt's path and returns the expected transfer time on it, in seconds. Fraction
+// is the part of its capacity that the link's endpoint has in slow start.
+func (a *attempt) addLink(l *link, now time.Duration, fraction float64) float64 {
+	transferSeconds := a.request.transferSeconds
+	a.links = append(a.links, l)
+	if l.congestion(now, transferSeconds, fraction) >= congestedMultiple {
+		a.congested = true
+	}
+	seconds := l.expectedSeconds(now, transferSeconds, fraction)
+	if seconds > a.expectedSeconds {
+		a.slowestLink = l
+		a.expectedSeconds = seconds
 	}
-	if a.source != a.target {
-		use(&a.source.link, r.slowStartFraction(a.source))
-		wait = a.source.firstByteSeconds.value
-		if !r.isCache(a.source) {
-			wait = r.parentFirstByteSeconds.value
+	return seconds
+}
+
+// endAttempt records the result of an attempt and releases its links.
+func (r *Router) endAttempt(a *attempt, result Result) {
+	req := a.request
+	a.state = stateAfter(result)
+	req.pendingAttempts--
+	a.leaveLinks(r.now)
+	switch a.state {
+	case attemptSucceeded:
+		a.target.lastAnsweredDecidedAt = max(a.target.lastAnsweredDecidedAt, a.decidedAt)
+	case attemptFailed:
+		req.failedAttempts++
+	case attemptNeverRan:
+		if req.mayHaveRun == a {
+			req.mayHaveRun = nil
 		}
 	}
-	return wait
 }
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -55,9 +55,7 @@
 			m.Started += c.Offset
 		}
 	}
-	for key := range r.purges {
-		r.purges[key] += max(0, c.Offset)
-	}
+	r.purges.postpone(max(0, c.Offset))
 }
 
 // updateTopology lists who is not gone, and sizes links: as told, else each tier for its share of the one below.
--- a/policy/fillorders.go
+++ b/policy/fillorders.go
@@ -1,29 +1,66 @@
 package policy
 
-import (
-	"cmp"
-	"slices"
-	"time"
+// Fill orders tell a cache how to serve a request: how old a copy may be, whether a miss may wait for a fill
+// that is in progress, and how long the new copy is retained.
+//
+// Inputs: the request's class, the attempt's number and source, which caches had the object, and recent
+// purges. Result: a Fetch. It is worked out when the attempt is created and again when its first byte is
+// sent, as a purge may have come in between.
+
+import "slices"
+
+// Retention ranks: a cache evicts copies of a lower rank first.
+const (
+	retentionFirstRequest  = 1
+	retentionRepeatRequest = 2 // an object that was requested before is likely to be requested again
 )
 
+// fetchAction returns the order that sends an attempt. An uncacheable request has no fill orders.
 func (r *Router) fetchAction(a *attempt) Fetch {
-	req, f := a.request, Fetch{ID: a.request.ID, Target: a.target.ID, Source: a.source.ID}
+	req := a.request
+	fetch := Fetch{ID: req.ID, Target: a.target.ID, Source: a.source.ID}
 	if req.class.Uncacheable {
-		return f
+		return fetch
+	}
+	fetch.RetentionRank = r.retentionRank(req)
+	fetch.CoalesceFill = r.settings.CoalesceFills
+	fetch.CachedOnly = a.cachedOnly
+	fetch.StaleWhileRevalidate = req.class.FreshFor > 0 && !a.cachedOnly
+	// A stale copy is better than no answer on a retry, or where the source may not fetch a fresh one.
+	mayBeStale := a.number > 0 || a.cachedOnly
+	if mayBeStale && req.class.FreshFor > 0 {
+		fetch.MaxAge = req.class.FreshFor + req.class.StaleFor
+	}
+	r.limitAgeAfterPurge(&fetch, a)
+	return fetch
+}
+
+// retentionRank ranks a request's object by whether a cache of the zone had it already.
+func (r *Router) retentionRank(req *request) int {
+	cached := func(e *endpointState) bool { return e.cacheIndex.Contains(req.key) }
+	if slices.ContainsFunc(r.caches, cached) {
+		return retentionRepeatRequest
+	}
+	return retentionFirstRequest
+}
+
+// limitAgeAfterPurge lowers the oldest age of a copy to the time since a recent purge. The first attempt
+// still joins a fill in progress, as many requests miss at once; a retry does not, as the fill may have begun
+// before the purge.
+func (r *Router) limitAgeAfterPurge(fetch *Fetch, a *attempt) {
+	sincePurge, recent := r.recentPurge(a.request)
+	if !recent {
+		return
 	}
-	f.RetentionRank, f.CoalesceFill, f.CachedOnly = 1, r.settings.CoalesceFills, a.cachedOnly
-	if slices.ContainsFunc(r.caches, func(m *endpointState) bool { return m.cacheIndex.Contains(req.key) }) {
-		f.RetentionRank = 2 // it was asked for before: kept longer than what came once
+	maxAge := fetch.MaxAge
+	if maxAge == 0 {
+		maxAge = a.request.class.FreshFor
 	}
-	f.StaleWhileRevalidate = req.class.FreshFor > 0 && !a.cachedOnly
-	if (a.number > 0 || a.cachedOnly) && req.class.FreshFor > 0 {
-		f.MaxAge = req.class.FreshFor + req.class.StaleFor
+	if maxAge == 0 || maxAge > sincePurge {
+		maxAge = sincePurge
 	}
-	// A copy from before a purge may still exist: its age is bounded. A further attempt joins no fill.
-	if at, purged := r.purgedAt(req); purged && r.now-at <= r.settings.PurgeCompletedWithin+r.settings.PurgeGrace {
-		since := max(r.now-at, time.Microsecond)
-		f.MaxAge = min(cmp.Or(f.MaxAge, req.class.FreshFor, since), since)
-		f.CoalesceFill = f.CoalesceFill && a.number == 0
+	fetch.MaxAge = maxAge
+	if a.number > 0 {
+		fetch.CoalesceFill = false
 	}
-	return f
 }
--- a/policy/fillsource.go
+++ b/policy/fillsource.go
@@ -20,7 +20,7 @@
 	var best *endpointState
 	lowest, average := math.Inf(1), r.meanMisindication()
 	for _, m := range r.ranked(r.caches, req) {
-		if m == target || req.avoid[m] || !r.likelyCached(m, req) || !r.eligible(m, req) || !r.inRotation(m) ||
+		if m == target || req.avoid[m] || !r.likelyCached(m, req) || !r.eligible(m, req) || r.isEjected(m) ||
 			r.secondsOverObjective(m, req) > 0 {
 			continue
 		}
--- a/policy/idempotency.go
+++ b/policy/idempotency.go
@@ -1,30 +1,58 @@
 package policy
 
-// repeatVerdict decides whether a further attempt is harmless at a member: keyed ones are where repeats are
-// known.
-func (r *Router) repeatVerdict(req *request, m *endpointState) Verdict {
+// Idempotency decides whether a request may be sent again, and what its client may be promised.
+//
+// Inputs: the class's idempotency, deduplication scope and window, the first attempt that may have run, and
+// the endpoint that would receive the repeat. Result: a verdict on the repeat, and whether a rejection may
+// say that nothing happened.
+//
+// A request with an idempotency key is deduplicated by a group of endpoints for a limited time: a repeat is
+// harmless only there and then. An idempotent one may be repeated anywhere.
+
+// repeatVerdict decides whether one more attempt is harmless at an endpoint.
+func (r *Router) repeatVerdict(req *request, e *endpointState) Verdict {
 	first := req.mayHaveRun
-	switch {
-	case first == nil || req.class.Idempotency == Idempotent:
+	if first == nil {
+		return Verdict{}
+	}
+	switch req.class.Idempotency {
+	case Idempotent:
 		return Verdict{}
-	case req.class.Idempotency == NonIdempotent:
+	case NonIdempotent:
 		return Verdict{RuleDuplicate, ReasonMayHaveRun}
-	case r.now-first.decidedAt >= req.class.DeduplicationWindow:
+	}
+	if r.now-first.decidedAt >= req.class.DeduplicationWindow {
 		return Verdict{RuleDuplicate, ReasonWindowExpired}
-	case req.class.DeduplicationScope == ScopeAll,
-		req.class.DeduplicationScope == ScopeZone && m.Zone == first.target.Zone,
-		req.class.DeduplicationScope == ScopeCell && m.Cell == first.target.Cell && m.Zone == first.target.Zone:
-		return Verdict{}
 	}
-	return Verdict{RuleDuplicate, ReasonMayHaveRun}
+	if !req.class.DeduplicationScope.covers(first.target, e) {
+		return Verdict{RuleDuplicate, ReasonMayHaveRun}
+	}
+	return Verdict{}
 }
 
-func (r *Router) mayRepeat(req *request, m *endpointState) bool {
-	return r.repeatVerdict(req, m).Allowed()
+// covers reports whether two endpoints share what they know of idempotency keys.
+func (scope DeduplicationScope) covers(first, second *endpointState) bool {
+	sameZone := first.Zone == second.Zone
+	switch scope {
+	case ScopeAll:
+		return true
+	case ScopeZone:
+		return sameZone
+	case ScopeCell:
+		return sameZone && first.Cell == second.Cell
+	}
+	return false
 }
 
-// mayReject reports whether it may be said that trying again is harmless.
+// mayRepeat reports whether one more attempt is harmless at an endpoint.
+func (r *Router) mayRepeat(req *request, e *endpointState) bool {
+	return r.repeatVerdict(req, e).Allowed()
+}
+
+// mayReject reports whether the client may be told that sending the request again is harmless.
 func (r *Router) mayReject(req *request) bool {
-	class := req.class
-	return class.Idempotency == Idempotent || req.mayHaveRun == nil || class.Idempotency == IdempotencyKey && class.DeduplicationScope == ScopeAll
+	if req.mayHaveRun == nil || req.class.Idempotency == Idempotent {
+		return true
+	}
+	return req.class.Idempotency == IdempotencyKey && req.class.DeduplicationScope == ScopeAll
 }
--- a/policy/originlimit.go
+++ b/policy/originlimit.go
@@ -1,54 +1,106 @@
 package policy
 
+// The origin's concurrency limit bounds the attempts of this router that may load the origin at once, so that
+// a failing origin can recover. It rises and falls with the origin's answers (additive increase,
+// multiplicative decrease).
+//
+// Inputs: the outcomes of attempts whose source is a parent or the origin. Result: whether an attempt may
+// load the origin. One that may not asks a parent only for what it has cached; the origin itself is not
+// asked.
+//
+// A limit under 1 admits attempts at random with that probability: with many routers one attempt of each may
+// be too many. The limit never falls below this router's part of what the origin's link carries.
+
 import (
 	"math"
 	"time"
 )
 
 const (
-	maxOriginLimit        = 128.0                  // no bound in practice, until the origin fails
-	failureDecreaseFactor = 0.7                    // what a failure leaves of the limit
-	lateDecreaseFactor    = 0.85                   // and what an answer that waited longer than the aim leaves
-	minDecreaseInterval   = 100 * time.Millisecond // failures of one burst count once
+	maxOriginLimit        = 128.0                  // attempts; no restriction until the origin fails
+	failureDecreaseFactor = 0.7                    // of the limit, on a failure or rejection by the origin
+	lateDecreaseFactor    = 0.85                   // of the limit, on an answer that the origin made late
+	minDecreaseInterval   = 100 * time.Millisecond // simultaneous failures count once
 )
 
-// originConcurrencyLimit bounds the attempts in flight that may load the origin. Under a limit of one they pass by chance.
 type originConcurrencyLimit struct {
-	limit        float64
-	minimum      float64 // this router's part of what the origin does at once
-	inFlight     int
+	limit        float64 // attempts
+	minimum      float64 // attempts, at most 1
+	inFlight     int     // attempts that count
 	lastDecrease time.Duration
 }
 
+// admits reports whether one more attempt may load the origin. Random returns a number from 0 to 1.
 func (l *originConcurrencyLimit) admits(random func() float64) bool {
 	return float64(l.inFlight) < l.limit && random() < l.limit
 }
 
+// increase raises the limit by the reciprocal of its root, and under 1 by no more than its double.
 func (l *originConcurrencyLimit) increase() {
-	l.limit = min(l.limit+min(1/math.Sqrt(l.limit), l.limit), maxOriginLimit)
+	step := min(1/math.Sqrt(l.limit), l.limit)
+	l.limit = min(l.limit+step, maxOriginLimit)
 }
 
+// decrease lowers the limit by a factor. It starts from the attempts in flight if they are fewer than the
+// limit.
 func (l *originConcurrencyLimit) decrease(now time.Duration, factor float64) {
-	if now-l.lastDecrease > minDecreaseInterval {
-		l.limit = max(l.minimum, min(l.limit, float64(l.inFlight+1))*factor)
-		l.lastDecrease = now
+	if now-l.lastDecrease <= minDecreaseInterval {
+		return
+	}
+	used := min(l.limit, float64(l.inFlight+1))
+	l.limit = max(l.minimum, used*factor)
+	l.lastDecrease = now
+}
+
+// applyOriginLimit asks the limit for an attempt whose miss may load the origin. Hits, fills from siblings
+// and uncacheable requests are not limited.
+func (r *Router) applyOriginLimit(a *attempt) {
+	mayLoadOrigin := !r.isCache(a.source) && !a.expectHit && !a.request.class.Uncacheable
+	if !mayLoadOrigin {
+		return
 	}
+	a.countsAtOrigin = r.originLimit.admits(r.rng.Float64)
+	a.cachedOnly = !a.countsAtOrigin
 }
 
+// updateOriginLimit updates the limit from an attempt's outcome.
 func (r *Router) updateOriginLimit(a *attempt, o Outcome) {
 	if a.countsAtOrigin {
 		r.originLimit.inFlight--
 	}
-	direct := a.source == r.origin
-	late, sending := r.now > a.request.objectiveAt, (o.Elapsed - o.SourceFirstByte).Seconds()
-	slow := late && o.TransferTime > 0 && sending > unusualMultiple*o.TransferTime.Seconds()
+	filledByOrigin := o.CacheStatus == CacheStatusFilledByOrigin
+	answeredByOrigin := a.source == r.origin && o.Result == ResultOK
 	switch {
-	case o.CacheStatus == CacheStatusOriginFailed, direct && (o.CacheStatus == CacheStatusSourceRejected || o.CacheStatus == CacheStatusSourceFailed),
-		direct && a.target == r.origin && o.Result == ResultRejected:
+	case r.originFailed(a, o):
 		r.originLimit.decrease(r.now, failureDecreaseFactor)
-	case o.CacheStatus == CacheStatusFilledByOrigin && (slow || o.SourceFirstByte > a.request.class.LatencyObjective):
+	case filledByOrigin && r.originWasLate(a, o):
 		r.originLimit.decrease(r.now, lateDecreaseFactor)
-	case o.CacheStatus == CacheStatusFilledByOrigin, direct && o.Result == ResultOK:
+	case filledByOrigin || answeredByOrigin:
 		r.originLimit.increase()
 	}
 }
+
+// originFailed reports whether the origin failed or rejected an attempt, or the fill of one.
+func (r *Router) originFailed(a *attempt, o Outcome) bool {
+	if o.CacheStatus == CacheStatusOriginFailed {
+		return true
+	}
+	if a.source != r.origin {
+		return false
+	}
+	fillFailed := o.CacheStatus == CacheStatusSourceFailed || o.CacheStatus == CacheStatusSourceRejected
+	rejected := a.target == r.origin && o.Result == ResultRejected
+	return fillFailed || rejected
+}
+
+// originWasLate reports whether the origin took longer for its first byte than the latency objective, or made
+// the answer miss its objective by sending far slower than at full pace.
+func (r *Router) originWasLate(a *attempt, o Outcome) bool {
+	if o.SourceFirstByte > a.request.class.LatencyObjective {
+		return true
+	}
+	missedObjective := r.now > a.request.objectiveAt
+	transferSeconds := (o.Elapsed - o.SourceFirstByte).Seconds()
+	slow := o.TransferTime > 0 && transferSeconds > unusualMultiple*o.TransferTime.Seconds()
+	return missedObjective && slow
+}
--- a/policy/outliers.go
+++ b/policy/outliers.go
@@ -1,18 +1,31 @@
 package policy
 
+// Outlier detection takes an endpoint out of rotation (ejects it) while it does not answer.
+//
+// Inputs: the result and cache status of each attempt, and overdue timers. An endpoint is ejected when a
+// connection to it fails, when it stays silent, or when it fails consecutive requests that another endpoint
+// then answers: a request that fails everywhere is at fault itself. Result: isEjected, and the time until
+// which it holds.
+//
+// An ejection lasts baseEjectionTime, twice as long for each earlier one that no response has made up for.
+// Afterwards the endpoint receives one attempt at a time until its responses have made up for all of them.
+
 import "time"
 
 const (
-	failuresToEject  = 2 // requests in a row failed by one member and answered by another
-	baseEjectionTime = 500 * time.Millisecond
-	maxEjections     = 5 // each one doubles the time of suspicion
+	failuresToEject  = 2                      // consecutive requests that another endpoint then answered
+	baseEjectionTime = 500 * time.Millisecond // of the first ejection
+	maxEjections     = 5                      // ejections that count: the longest lasts 32 times the base
 )
 
+// updateOutliers updates the health of an attempt's target and source from its outcome.
 func (r *Router) updateOutliers(a *attempt, o Outcome) {
-	switch {
-	case o.CacheStatus != CacheStatusNone, o.Result == ResultOK, o.Result == ResultNotFound, o.Result == ResultRejected:
+	if o.Result == ResultOK {
+		r.countFailures(a.request, a.target)
+	}
+	if o.targetResponded() {
 		a.target.recordResponse(r.now)
-	case o.Result == ResultConnectFailed:
+	} else if o.Result == ResultConnectFailed {
 		a.target.eject(r.now)
 	}
 	switch o.CacheStatus {
@@ -23,38 +36,61 @@
 	}
 }
 
-// countFailures holds failed attempts against their members once another member has answered the request.
+// targetResponded reports whether the target itself sent a response, of whatever kind.
+func (o Outcome) targetResponded() bool {
+	switch o.Result {
+	case ResultOK, ResultNotFound, ResultRejected:
+		return true
+	}
+	return o.CacheStatus != CacheStatusNone
+}
+
+// countFailures counts a request's failed attempts against their targets once another endpoint has answered
+// it. Successive failures of one target in one request count once.
 func (r *Router) countFailures(req *request, answeredBy *endpointState) {
 	for i, a := range req.attempts {
-		if !a.failed || a.target == answeredBy || i > 0 && a.target == req.attempts[i-1].target {
+		repeated := i > 0 && a.target == req.attempts[i-1].target
+		if a.state != attemptFailed || a.target == answeredBy || repeated {
 			continue
 		}
-		if a.target.consecutiveFailures++; a.target.consecutiveFailures >= failuresToEject {
+		a.target.consecutiveFailures++
+		if a.target.consecutiveFailures >= failuresToEject {
 			a.target.eject(r.now)
 		}
 	}
 }
 
-func (m *endpointState) recordResponse(now time.Duration) {
-	m.ejections, m.ejectedUntil, m.lastResponseAt, m.consecutiveFailures = max(0, m.ejections-1), 0, now, 0
+// recordResponse ends an ejection and makes up for one earlier ejection.
+func (e *endpointState) recordResponse(now time.Duration) {
+	e.ejections = max(0, e.ejections-1)
+	e.ejectedUntil = 0
+	e.consecutiveFailures = 0
+	e.lastResponseAt = now
 }
 
-func (m *endpointState) eject(now time.Duration) {
-	if now >= m.ejectedUntil {
-		m.ejectedUntil = now + baseEjectionTime<<m.ejections
-		m.ejections = min(m.ejections+1, maxEjections)
+// eject takes an endpoint out of rotation. While it is ejected, further reports do not prolong the ejection.
+func (e *endpointState) eject(now time.Duration) {
+	if now < e.ejectedUntil {
+		return
 	}
+	e.ejectedUntil = now + baseEjectionTime<<e.ejections
+	e.ejections = min(e.ejections+1, maxEjections)
 }
 
-// inRotation reports whether a member is free of suspicion. A former suspect gets one attempt at a time.
-func (r *Router) inRotation(m *endpointState) bool {
-	return r.now >= m.ejectedUntil && (m.ejections == 0 || len(m.link.inFlight) == 0)
+// isEjected reports whether an endpoint should receive nothing now. One that returns from an ejection counts
+// as ejected while an attempt is in flight to it.
+func (r *Router) isEjected(e *endpointState) bool {
+	if r.now < e.ejectedUntil {
+		return true
+	}
+	return e.ejections > 0 && len(e.link.inFlight) > 0
 }
 
-// OutOfRotation returns how many listed members get nothing new at time now.
+// OutOfRotation returns how many listed endpoints receive no new requests at time now: draining and ejected
+// ones.
 func (r *Router) OutOfRotation(now time.Duration) (count int) {
-	for _, m := range r.endpoints {
-		if m.State == Draining || m.State == Ready && now < m.ejectedUntil {
+	for _, e := range r.endpoints {
+		if e.State == Draining || e.State == Ready && now < e.ejectedUntil {
 			count++
 		}
 	}
--- a/policy/outliers_test.go
+++ b/policy/outliers_test.go
@@ -28,7 +28,7 @@
 	g.do(Outcome{ID: 4, Result: ResultOK, CacheStatus: CacheStatusHit, Elapsed: 100 * ms, RequestFinished: true})
 	g.n += baseEjectionTime
 	g.serve(5, "x", CacheStatusHit)
-	if !g.r.inRotation(g.r.endpoints[home]) {
+	if g.r.isEjected(g.r.endpoints[home]) {
 		t.Fatal("a good answer must bring it back")
 	}
 
@@ -41,7 +41,7 @@
 		t.Errorf("%d attempts", attempts-1)
 	}
 	for id, m := range g.r.endpoints {
-		if !g.r.inRotation(m) {
+		if g.r.isEjected(m) {
 			t.Errorf("%s is suspected for a request that no cache can use", id)
 		}
 	}
@@ -57,12 +57,12 @@
 	}
 	m.recordResponse(g.n)
 	m.link.inFlight = []*attempt{{request: &request{}}}
-	if g.r.inRotation(m) {
+	if !g.r.isEjected(m) {
 		t.Fatal("one good answer after three doubts must not bring full trust")
 	}
 	m.recordResponse(g.n)
 	m.recordResponse(g.n)
-	if !g.r.inRotation(m) {
+	if g.r.isEjected(m) {
 		t.Fatal("three good answers must")
 	}
 }
--- a/policy/overdue.go
+++ b/policy/overdue.go
@@ -1,35 +1,81 @@
 package policy
 
+// Each attempt has a timer; one that is still pending when it fires is overdue.
+//
+// Inputs: when the target and the source last responded, and whether the target has answered attempts that
+// were created later (then this one's answer is lost). Result: a silent endpoint is ejected, and an
+// idempotent request is hedged, or its attempt cancelled, which leads to a retry. An attempt that is merely
+// slow is left alone: large objects are slow, and a second transfer would add to the load.
+
 import "time"
 
+// An attempt is overdue after overdueFactor times its expected time and overdueMargin. The factor is large as
+// sizes are often unknown.
+const (
+	overdueFactor = 8.0
+	overdueMargin = 200 * time.Millisecond
+)
+
+// A timer's token holds the request's ID and, in the lowest bits, the attempt's number.
 const (
-	overdueMargin = 200 * time.Millisecond // what an answer may take beyond its expected time
-	overdueFactor = 8.0                    // and the multiple of that: sizes are often not known
+	attemptNumberBits = 8
+	attemptNumberMask = 1<<attemptNumberBits - 1
 )
 
-// A timer tells of an overdue attempt: its member was silent, or later attempts overtook it and it was lost.
+// overdueTimer returns the timer of an attempt.
+func overdueTimer(a *attempt) StartTimer {
+	expectedSeconds := a.firstByteSeconds + a.expectedSeconds
+	return StartTimer{
+		In:    durationOf(overdueFactor*expectedSeconds) + overdueMargin,
+		Token: uint64(a.request.ID)<<attemptNumberBits | uint64(a.number&attemptNumberMask),
+	}
+}
+
+// The attempt of a timer that fires is overdue, unless it has ended or its request is finished.
 func (timer TimerFired) apply(r *Router) {
-	a := r.pendingAttempt(int64(timer.Token>>8), int(timer.Token&255))
+	a := r.pendingAttempt(int64(timer.Token>>attemptNumberBits), int(timer.Token&attemptNumberMask))
 	if a == nil || a.request.finished {
 		return
 	}
-	req, lost := a.request, a.target.lastAnsweredDecidedAt > a.decidedAt
-	if lost { // its transfer is over and loads no link any more
-		a.leaveLinks(r.now)
-		req.avoid[a.source] = a.source != a.target // or its source does not answer
+	lost := a.target.lastAnsweredDecidedAt > a.decidedAt
+	if lost {
+		a.leaveLinks(r.now)                              // its transfer is over
+		a.request.avoid[a.source] = a.source != a.target // it may be the source that does not answer
 	}
-	if !lost && a.target.lastResponseAt <= a.decidedAt {
+	r.ejectSilent(a, lost)
+	if !r.mayHedge(a, lost) {
+		return
+	}
+	if r.settings.Hedging {
+		r.route(a.request)
+	} else if r.settings.MayCancel {
+		r.emit(Cancel{ID: a.request.ID, Attempt: a.number})
+	}
+}
+
+// ejectSilent ejects the endpoint that has not responded since an overdue attempt was created: the target,
+// else the source if it had to fill.
+func (r *Router) ejectSilent(a *attempt, lost bool) {
+	targetSilent := a.target.lastResponseAt <= a.decidedAt
+	sourceSilent := a.source.lastResponseAt <= a.decidedAt
+	if !lost && targetSilent {
 		a.target.eject(r.now)
-	} else if a.source.lastResponseAt <= a.decidedAt && !a.expectHit {
+	} else if sourceSilent && !a.expectHit {
 		a.source.eject(r.now)
 	}
-	silent := !r.inRotation(a.target) || !r.inRotation(a.source)
-	inTime := r.now+time.Duration(req.transferSeconds*float64(time.Second)) < req.objectiveAt
-	switch {
-	case !lost && !(silent && inTime) || req.class.Idempotency != Idempotent || r.retryBudget < 1:
-	case r.settings.Hedging:
-		r.route(req)
-	case r.settings.MayCancel:
-		r.actions = append(r.actions, Cancel{ID: req.ID, Attempt: a.number})
+}
+
+// mayHedge reports whether an overdue attempt's request should be sent again. Unless its answer is lost, it
+// takes an ejected endpoint and time enough to meet the objective. Only idempotent requests are hedged.
+func (r *Router) mayHedge(a *attempt, lost bool) bool {
+	req := a.request
+	if req.class.Idempotency != Idempotent || !r.hasRetryBudget() {
+		return false
+	}
+	if lost {
+		return true
 	}
+	ejected := r.isEjected(a.target) || r.isEjected(a.source)
+	inTime := r.now+durationOf(req.transferSeconds) < req.objectiveAt
+	return ejected && inTime
 }
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -1,46 +1,100 @@
 package policy
 
-import (
-	"cmp"
-	"time"
-)
+// Retries send a request again after an attempt that brought no answer.
+//
+// Inputs: the ended attempt and its outcome, the time to the request's deadline, the attempts made so far and
+// the router's retry budget (in attempts). Result: another attempt, routed around the endpoints that failed,
+// or the final answer: Reject with a Retry-After where repeating the request is harmless, Fail where its
+// effect is unknown.
+//
+// The budget bounds what retries add to the load in an overload. It allows for a third of all attempts
+// failing.
+
+import "time"
 
 const (
-	retriesPerRequest = 0.6 // further attempts for each request: a third may fail, but not for good
-	maxRetryBudget    = 10.0
-	maxFailedAttempts = 3                      // of one request: it must not be tried at every cache
-	minRetryAfter     = 300 * time.Millisecond // least advice to a refused client
+	retriesPerRequest  = 0.6  // what each request adds to the budget
+	maxRetryBudget     = 10.0 // attempts
+	maxFailedAttempts  = 3    // of one request: one that makes caches fail must not reach all of them
+	defaultMaxAttempts = 2    // where the settings say nothing
+
+	// minRetryAfter is the shortest Retry-After. Each rejection adds a random part of as much again, so that
+	// clients which were rejected together do not return together.
+	minRetryAfter = 300 * time.Millisecond
 )
 
+// earnRetries adds a request's part to the retry budget.
+func (r *Router) earnRetries() {
+	r.retryBudget = min(r.retryBudget+retriesPerRequest, maxRetryBudget)
+}
+
+// hasRetryBudget reports whether one more retry is within the budget.
+func (r *Router) hasRetryBudget() bool { return r.retryBudget >= 1 }
+
+// retry decides what follows an attempt that did not answer its request.
 func (r *Router) retry(a *attempt, o Outcome) {
 	req := a.request
-	switch {
-	case req.pendingAttempts > 0:
+	if req.pendingAttempts > 0 {
 		return
-	case o.CacheStatus == CacheStatusSourceMissing:
-	case o.CacheStatus == CacheStatusSourceFailed, o.CacheStatus == CacheStatusSourceRejected, o.CacheStatus == CacheStatusOriginFailed:
-		req.avoid[a.source] = true
-	case !a.failed && o.Result != ResultCancelled, a.number > 0, !r.inRotation(a.target):
-		req.avoid[a.target] = true // after one error or lost answer alone the copy is still there
-	}
-	spent := len(req.attempts) >= cmp.Or(r.settings.MaxAttempts, 2) || r.retryBudget < 1
-	late := r.now+time.Duration(req.transferSeconds*float64(time.Second)) >= req.deadline
-	if late || spent || req.failedAttempts >= maxFailedAttempts || !r.mayRepeat(req, a.target) {
+	}
+	r.avoidAfter(a, o)
+	if !r.mayRetry(req, a.target) {
 		r.rejectOrFail(req)
 		return
 	}
 	r.route(req)
 }
 
+// avoidAfter excludes the endpoint that caused a failure from the request's further attempts: the source
+// where the fill failed, else the target. A first error or lost answer does not exclude a target: its cached
+// copy is still there.
+func (r *Router) avoidAfter(a *attempt, o Outcome) {
+	switch o.CacheStatus {
+	case CacheStatusSourceMissing:
+		return // updateFillKnowledge has excluded the source
+	case CacheStatusSourceFailed, CacheStatusSourceRejected, CacheStatusOriginFailed:
+		a.request.avoid[a.source] = true
+		return
+	}
+	mayBeTransient := a.state == attemptFailed || a.state == attemptCancelled
+	if a.number > 0 || !mayBeTransient || r.isEjected(a.target) {
+		a.request.avoid[a.target] = true
+	}
+}
+
+// mayRetry reports whether a request may have another attempt. Target is the last attempt's: a repeat that is
+// harmful there is harmful anywhere.
+func (r *Router) mayRetry(req *request, target *endpointState) bool {
+	maxAttempts := r.settings.MaxAttempts
+	if maxAttempts == 0 {
+		maxAttempts = defaultMaxAttempts
+	}
+	answerAt := r.now + durationOf(req.transferSeconds)
+	switch {
+	case answerAt >= req.deadline,
+		len(req.attempts) >= maxAttempts,
+		!r.hasRetryBudget(),
+		req.failedAttempts >= maxFailedAttempts:
+		return false
+	}
+	return r.mayRepeat(req, target)
+}
+
+// rejectOrFail gives a request its final answer, unless another attempt may still bring one.
 func (r *Router) rejectOrFail(req *request) {
-	if req.pendingAttempts > 0 { // another attempt may still be answered
+	if req.pendingAttempts > 0 {
 		return
 	}
-	var answer Action = Fail{ID: req.ID}
 	if r.mayReject(req) {
-		wait := minRetryAfter + time.Duration(r.rng.Int64N(int64(minRetryAfter)))
-		answer = Reject{ID: req.ID, RetryAfter: min(wait, max(r.settings.MaxRetryAfter, minRetryAfter))}
+		r.emit(Reject{ID: req.ID, RetryAfter: r.retryAfter()})
+	} else {
+		r.emit(Fail{ID: req.ID})
 	}
-	r.actions = append(r.actions, answer)
 	r.finishRequest(req.ID)
 }
+
+// retryAfter draws how long a rejected client should wait, up to the settings' maximum.
+func (r *Router) retryAfter() time.Duration {
+	wait := minRetryAfter + time.Duration(r.rng.Int64N(int64(minRetryAfter)))
+	return min(wait, max(r.settings.MaxRetryAfter, minRetryAfter))
+}
--- a/policy/router.go
+++ b/policy/router.go
@@ -1,12 +1,19 @@
-// Package policy decides, for one proxy in front of edge caches, which cache serves a request, where a miss is
-// filled from and how the copy is kept. This file holds its interface only: settings, events and actions. The
-// decisions are in the other files, by concern: router (a request and its attempts), placement (the cache), source
-// (the source of a fill), retry, health, coldbudget, membership, and estimators (what answers teach of links, sizes and
-// ratios).
+// Package policy decides, for one proxy in front of edge caches, which cache serves a request, from where a
+// miss is filled, when an attempt is retried, and when a request is rejected instead.
+//
+// A Router is told what happens as events (events.go) and returns what to do as actions (actions.go). It does
+// no I/O, reads no clock and starts no goroutine: the same settings, seed and events give the same actions.
+// Each rule is in a file of its own, which begins with what it decides:
+//
+//   - a request: request.go (its life), attempt.go, routing.go (the way it takes), selection.go (the endpoint of
+//     a tier), fillsource.go and fillorders.go (misses), retry.go, overdue.go, idempotency.go
+//   - limits on load: admission.go (load shedding), slowstart.go, originlimit.go, outliers.go
+//   - what is known: endpoints.go, links.go, linkpace.go, transfertime.go, cacheindex.go, purges.go,
+//     estimators.go
+//   - guard.go asks these rules again at the last instant before a proxy acts.
 package policy
 
 import (
-	"cmp"
 	"math/rand/v2"
 	"time"
 
@@ -15,52 +22,76 @@
 
 // Router makes all decisions of one proxy. It is not safe for concurrent use.
 type Router struct {
-	settings       Settings
-	rng            *rand.Rand
-	now, startedAt time.Duration // of this event, and of the first one
-	actions        []Action
+	settings  Settings
+	rng       *rand.Rand
+	now       time.Duration // time of the present event
+	startedAt time.Duration // time of the first event
+	actions   []Action      // of the present event
 
-	endpoints       map[string]*endpointState
-	caches, parents []*endpointState // of this router's zone, and of all; by id
-	origin          *endpointState
-	originLimit     originConcurrencyLimit
-	zoneLink        link // the zone's inbound link
+	endpoints map[string]*endpointState // by ID, also those that were removed
+	caches    []*endpointState          // of this router's zone, by ID
+	parents   []*endpointState          // by ID
+	origin    *endpointState            // nil while none is listed
 
-	requests             map[int64]*request
-	retryBudget          float64                         // further attempts that may still be made
-	purges               map[any]time.Duration           // time of each remembered purge, by object or group
-	partTransferSeconds  *simplelru.LRU[uint64, float64] // sending times of single parts, seconds
-	classTransferSeconds map[string]*mean                // mean sending time by class name, seconds
+	requests    map[int64]*request
+	retryBudget float64 // retries that may still be made
+	originLimit originConcurrencyLimit
+	zoneLink    link // the zone's inbound link
+	purges      purgeTimes
 
-	meanTransferSeconds, meanPriorityWeight         mean // over all requests
-	missFraction                                    mean // share of fills among answers of caches not expected to hold a copy
-	parentFirstByteSeconds, siblingFirstByteSeconds mean // first-byte waits, seconds
+	partTransferSeconds  *simplelru.LRU[uint64, float64] // by request key
+	classTransferSeconds map[string]*mean                // by class name
+
+	meanTransferSeconds mean // of all requests
+	meanPriorityWeight  mean // of all requests
+
+	missFraction            mean // of answers of caches that were not expected to have the object cached
+	parentFirstByteSeconds  mean // of fills from parents and the origin
+	siblingFirstByteSeconds mean // of fills from caches of the zone
 }
 
-// New returns a router that knows nothing but its settings.
+// New returns a router that knows nothing but its settings. The seed determines its random choices.
 func New(settings Settings, seed uint64) *Router {
-	partWork, _ := simplelru.NewLRU[uint64, float64](cacheIndexSize, nil)
+	// NewLRU fails only for a size below 1.
+	partTransferSeconds, _ := simplelru.NewLRU[uint64, float64](partTableSize, nil)
 	r := &Router{
-		rng: rand.New(rand.NewPCG(seed, 0)), endpoints: map[string]*endpointState{}, requests: map[int64]*request{},
-		purges: map[any]time.Duration{}, partTransferSeconds: partWork, classTransferSeconds: map[string]*mean{},
-		zoneLink: newLink(), originLimit: originConcurrencyLimit{limit: maxOriginLimit}, retryBudget: maxRetryBudget,
+		rng:                  rand.New(rand.NewPCG(seed, 0)),
+		endpoints:            map[string]*endpointState{},
+		requests:             map[int64]*request{},
+		retryBudget:          maxRetryBudget,
+		originLimit:          originConcurrencyLimit{limit: maxOriginLimit},
+		zoneLink:             newLink(),
+		purges:               newPurgeTimes(),
+		partTransferSeconds:  partTransferSeconds,
+		classTransferSeconds: map[string]*mean{},
 	}
 	settings.apply(r)
 	return r
 }
 
-// Handle processes one event at time now and returns the actions to carry out.
+// Handle processes one event at time now, on any clock that never goes backwards, and returns the actions to
+// carry out, in order.
 func (r *Router) Handle(now time.Duration, event Event) []Action {
-	r.now, r.startedAt, r.actions = now, cmp.Or(r.startedAt, now), nil
+	r.now = now
+	if r.startedAt == 0 {
+		r.startedAt = now
+	}
+	r.actions = nil
 	event.apply(r)
 	return r.actions
 }
 
-// What was learned about a class is kept under its name: class numbers may be reassigned.
+// emit adds actions to those of the present event.
+func (r *Router) emit(actions ...Action) { r.actions = append(r.actions, actions...) }
+
+// New settings take effect at once, except that a request keeps the class it arrived with. What was learned
+// about a class stays with its name, as class numbers may be reassigned.
 func (settings Settings) apply(r *Router) {
 	r.settings = settings
 	for _, class := range settings.Classes {
-		r.classTransferSeconds[class.Name] = cmp.Or(r.classTransferSeconds[class.Name], &mean{})
+		if r.classTransferSeconds[class.Name] == nil {
+			r.classTransferSeconds[class.Name] = &mean{}
+		}
 	}
 	r.updateTopology()
 }
--- a/policy/routing.go
+++ b/policy/routing.go
@@ -9,7 +9,7 @@
 		r.startAttempt(req, r.origin, r.origin)
 	case req.class.Uncacheable && target != nil:
 		r.startAttempt(req, target, r.origin)
-	case target != nil && (r.inRotation(target) || !r.settings.DirectRequests):
+	case target != nil && (!r.isEjected(target) || !r.settings.DirectRequests):
 		r.startAttempt(req, target, r.chooseSource(req, target))
 	case r.settings.DirectRequests && r.chooseParent(req) != nil && r.eligible(r.origin, req): // no cache is up
 		r.startAttempt(req, r.chooseParent(req), r.origin)
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -43,7 +43,7 @@
 			continue
 		}
 		fallback = cmp.Or(fallback, m)
-		if !r.inRotation(m) || req.avoid[m] {
+		if r.isEjected(m) || req.avoid[m] {
 			continue
 		}
 		if excess := r.secondsOverObjective(m, req); excess < least {
