--- a/policy/cacheindex.go
+++ b/policy/cacheindex.go
@@ -1,59 +1,70 @@
 package policy
 
+// The cache index of an endpoint holds which objects it is believed to have cached. Caches do not report what
+// they store: an answer from a cache shows that it has the object.
+//
+// Inputs: the cache status of answers, when they came, purges and the class's freshness. Result:
+// likelyCached. A belief ends with the record's lifetime, the copy's freshness, a purge, or a restart of the
+// cache (endpoints.go).
+
 import "time"
 
 const (
-	cacheIndexSize      = 8192 // copies remembered for a cache: more parts than one keeps
+	// cacheIndexSize is the number of parts that are remembered for one cache, more than a cache stores.
+	cacheIndexSize = 8192
+
+	// cacheRecordLifetime is how long after its last answer an object is believed to be cached.
 	cacheRecordLifetime = 30 * time.Second
 )
 
-type cacheRecord struct{ filledAt, seenAt time.Duration } // when it was filled, and last shown by an answer
+// cacheRecord is what answers have shown of one part in one cache.
+type cacheRecord struct {
+	filledAt time.Duration // when it was filled; when it was first seen if the fill was not observed
+	seenAt   time.Duration // when the cache last answered with it
+}
 
+// servedFromCache reports whether the target had the object cached.
 func (o Outcome) servedFromCache() bool {
 	return o.CacheStatus == CacheStatusHit || o.CacheStatus == CacheStatusStale
 }
 
-func (r *Router) updateFillKnowledge(a *attempt, o Outcome) {
-	req, sibling := a.request, a.source != a.target && r.isCache(a.source)
-	if o.Result == ResultOK && o.CacheStatus != CacheStatusNone && r.isCache(a.target) && !req.class.Uncacheable {
+// filled reports whether the target fetched the object from its source for this attempt.
+func (o Outcome) filled() bool {
+	fromSource := o.CacheStatus == CacheStatusFilled || o.CacheStatus == CacheStatusFilledByOrigin
+	return o.Result == ResultOK && fromSource
+}
+
+// updateCacheIndex records what an answer shows: the target has the object, or the source does not.
+func (r *Router) updateCacheIndex(a *attempt, o Outcome) {
+	req := a.request
+	fromCache := o.CacheStatus != CacheStatusNone && r.isCache(a.target)
+	if o.Result == ResultOK && fromCache && !req.class.Uncacheable {
 		r.recordCached(a.target, req, !o.servedFromCache())
 	}
-	filled := o.Result == ResultOK && (o.CacheStatus == CacheStatusFilled || o.CacheStatus == CacheStatusFilledByOrigin)
-	if sibling && (filled || o.CacheStatus == CacheStatusSourceMissing) {
-		a.source.misindication.add(o.CacheStatus == CacheStatusSourceMissing)
-	}
-	if o.CacheStatus == CacheStatusSourceMissing {
-		req.avoid[a.source] = true
-		if sibling {
-			a.source.cacheIndex.Remove(req.key)
-		}
-	}
-	if !filled || o.SourceFirstByte <= 0 {
+	if o.CacheStatus != CacheStatusSourceMissing {
 		return
 	}
-	source, tier := a.source, &r.parentFirstByteSeconds
-	if o.CacheStatus == CacheStatusFilledByOrigin && r.origin != nil {
-		source = r.origin // the parent itself was waiting for it
+	req.avoid[a.source] = true
+	if r.hasSiblingSource(a) {
+		a.source.cacheIndex.Remove(req.key)
 	}
-	if sibling {
-		tier = &r.siblingFirstByteSeconds
-	}
-	source.firstByteSeconds.add(o.SourceFirstByte.Seconds(), firstByteSamples)
-	tier.add(o.SourceFirstByte.Seconds(), firstByteSamples)
 }
 
-func (r *Router) recordCached(m *endpointState, req *request, filled bool) {
-	record, known := m.cacheIndex.Peek(req.key)
+// recordCached records that a cache has a request's object, and whether it was filled just now.
+func (r *Router) recordCached(e *endpointState, req *request, filled bool) {
+	record, known := e.cacheIndex.Peek(req.key)
 	if !known || filled {
 		record.filledAt = r.now
 	}
 	record.seenAt = r.now
-	m.cacheIndex.Add(req.key, record)
+	e.cacheIndex.Add(req.key, record)
 }
 
-func (r *Router) likelyCached(m *endpointState, req *request) bool {
-	record, known := m.cacheIndex.Peek(req.key)
-	at, purged := r.purgedAt(req)
-	return known && (!purged || at < record.filledAt) && r.now-record.seenAt < cacheRecordLifetime &&
-		(req.class.FreshFor == 0 || r.now-record.filledAt < req.class.FreshFor)
+// likelyCached reports whether a cache is believed to have a fresh copy of a request's object.
+func (r *Router) likelyCached(e *endpointState, req *request) bool {
+	record, known := e.cacheIndex.Peek(req.key)
+	if !known || r.purgedSince(req, record.filledAt) || r.now-record.seenAt >= cacheRecordLifetime {
+		return false
+	}
+	return req.class.FreshFor == 0 || r.now-record.filledAt < req.class.FreshFor
 }
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -1,7 +1,12 @@
 package policy
 
+// Endpoints are the caches, parents and origins of the endpoint list, with what this router knows of each.
+//
+// Inputs: full lists and changes of them. Result: the caches of this router's zone, the parents and the
+// origin. What is known of an endpoint's contents and health ends when it restarts; what is known of its link
+// remains.
+
 import (
-	"cmp"
 	"maps"
 	"slices"
 	"time"
@@ -12,87 +17,106 @@
 
 type endpointState struct {
 	Endpoint
-	hash                         uint64
-	link                         link
-	firstByteSeconds             mean // as a source, seconds
-	misindication                ratio
-	cacheIndex                   *simplelru.LRU[uint64, cacheRecord]
-	slowStartAttempts            []*attempt    // sent lately, kept while the member is cold
-	ejections                    int           // in a row
-	consecutiveFailures          int           // requests in a row that it failed and another member answered
-	lastAnsweredDecidedAt        time.Duration // when the latest of its answered attempts was sent
-	lastResponseAt, ejectedUntil time.Duration
+	hash uint64 // of its ID
+	link link
+
+	// Fills.
+	firstByteSeconds mean  // its wait as a source
+	misindication    ratio // as a sibling that was believed to have an object
+	cacheIndex       *simplelru.LRU[uint64, cacheRecord]
+
+	slowStartAttempts []*attempt // sent within the overload window of a slow start
+
+	// Outlier detection.
+	ejections             int // that its responses have not made up for
+	ejectedUntil          time.Duration
+	consecutiveFailures   int // requests that it failed and another endpoint answered
+	lastResponseAt        time.Duration
+	lastAnsweredDecidedAt time.Duration // when the latest of its answered attempts was created
 }
 
-func (list EndpointUpdate) apply(r *Router) {
-	for _, m := range r.endpoints {
-		if list.Full { // members not named again are gone
-			m.State = Removed
+// acceptsNew reports whether an endpoint takes new attempts: it is listed and not draining.
+func (e *endpointState) acceptsNew() bool { return e.State == Ready }
+
+// isCache reports whether an endpoint is a cache, as opposed to a parent or an origin.
+func (r *Router) isCache(e *endpointState) bool {
+	return e.Kind != r.settings.ParentKind && e.Kind != r.settings.OriginKind
+}
+
+// An endpoint that a full list does not name is removed.
+func (update EndpointUpdate) apply(r *Router) {
+	if update.Full {
+		for _, e := range r.endpoints {
+			e.State = Removed
 		}
 	}
-	for _, entry := range list.Endpoints {
-		m := r.endpoints[entry.ID]
-		if m == nil {
-			m = &endpointState{hash: xxhash.Sum64String(entry.ID), link: newLink()}
-			r.endpoints[entry.ID] = m
-		}
-		if m.cacheIndex == nil || m.Started != entry.Started || entry.State == Removed { // it is empty
-			m.cacheIndex, _ = simplelru.NewLRU[uint64, cacheRecord](cacheIndexSize, nil)
-			m.misindication, m.link.slowdown = ratio{}, 0
-			m.ejections, m.ejectedUntil = 0, 0
-		}
-		if m.Started != entry.Started { // what one life was sent does not weigh on the next
-			m.slowStartAttempts = nil
+	for _, listed := range update.Endpoints {
+		e := r.endpoints[listed.ID]
+		if e == nil {
+			e = &endpointState{hash: xxhash.Sum64String(listed.ID), link: newLink()}
+			e.forgetContents()
+			r.endpoints[listed.ID] = e
 		}
-		m.Endpoint = entry
+		e.update(listed)
 	}
 	r.updateTopology()
 }
 
-func (c ClockCorrection) apply(r *Router) {
-	for _, m := range r.endpoints {
-		if m.Started != 0 {
-			m.Started += c.Offset
+// update takes over what the list says of an endpoint.
+func (e *endpointState) update(listed Endpoint) {
+	restarted := e.Started != listed.Started
+	if restarted || listed.State == Removed {
+		e.forgetContents()
+	}
+	if restarted { // what was sent to the last incarnation does not load this one
+		e.slowStartAttempts = nil
+	}
+	e.Endpoint = listed
+}
+
+// forgetContents resets what is known of an endpoint's contents and health.
+func (e *endpointState) forgetContents() {
+	// NewLRU fails only for a size below 1.
+	e.cacheIndex, _ = simplelru.NewLRU[uint64, cacheRecord](cacheIndexSize, nil)
+	e.misindication = ratio{}
+	e.link.slowdown = 0
+	e.ejections = 0
+	e.ejectedUntil = 0
+}
+
+// A purge never moves to earlier: it must not count as older than it is.
+func (correction ClockCorrection) apply(r *Router) {
+	for _, e := range r.endpoints {
+		if e.Started != 0 {
+			e.Started += correction.Offset
 		}
 	}
-	r.purges.postpone(max(0, c.Offset))
+	r.purges.postpone(max(0, correction.Offset))
 }
 
-// updateTopology lists who is not gone, and sizes links: as told, else each tier for its share of the one below.
+// updateTopology sorts the listed endpoints into tiers, by ID, and sets the capacity of their links.
 func (r *Router) updateTopology() {
-	r.caches, r.parents, r.origin = nil, nil, nil
-	allCaches, zoneFills := 0.0, 0.0
-	instances := float64(max(1, r.settings.Routers))
-	zoneRouters := float64(cmp.Or(r.settings.RoutersInZone, int(instances)))
+	r.caches = nil
+	r.parents = nil
+	r.origin = nil
 	for _, id := range slices.Sorted(maps.Keys(r.endpoints)) {
-		m := r.endpoints[id]
-		switch size := r.linkCapacity(m, defaultLinkCapacity); {
-		case m.State == Removed:
-		case m.Kind == r.settings.OriginKind && (r.origin == nil || m.State > r.origin.State):
-			r.origin = m
-		case m.Kind == r.settings.ParentKind:
-			r.parents = append(r.parents, m)
-		case r.isCache(m):
-			allCaches += size
-			if m.Zone == r.settings.Zone {
-				m.link.resize(size, zoneRouters, r.settings.WeightsConfigured)
-				r.caches = append(r.caches, m)
-				zoneFills += size * fillFraction
-			}
+		e := r.endpoints[id]
+		if e.State != Removed {
+			r.addToTier(e)
 		}
 	}
-	for _, m := range r.parents {
-		even := max(fillFraction*allCaches/float64(len(r.parents)), defaultLinkCapacity)
-		m.link.resize(r.linkCapacity(m, even), instances, r.settings.WeightsConfigured)
-	}
-	if r.origin != nil {
-		r.origin.link.resize(max(fillFraction*fillFraction*allCaches, defaultLinkCapacity), instances, false)
-		r.originLimit.minimum = min(1, r.origin.link.nominalCapacity/instances)
-	}
-	told := r.settings.WeightsConfigured || r.settings.ZoneLinkTransfers > 0
-	r.zoneLink.resize(max(cmp.Or(r.settings.ZoneLinkTransfers, zoneFills), 1), zoneRouters, told)
+	r.configureLinks()
 }
 
-func (r *Router) isCache(m *endpointState) bool {
-	return m.Kind != r.settings.ParentKind && m.Kind != r.settings.OriginKind
+// addToTier adds an endpoint to its tier. Of several origins, one that is ready is used before a draining
+// one.
+func (r *Router) addToTier(e *endpointState) {
+	switch {
+	case e.Kind == r.settings.OriginKind && (r.origin == nil || e.State > r.origin.State):
+		r.origin = e
+	case e.Kind == r.settings.ParentKind:
+		r.parents = append(r.parents, e)
+	case r.isCache(e) && e.Zone == r.settings.Zone:
+		r.caches = append(r.caches, e)
+	}
 }
--- a/policy/fillsource.go
+++ b/policy/fillsource.go
@@ -1,54 +1,95 @@
 package policy
 
-import (
-	"cmp"
-	"math"
-)
+// The fill source is where a cache fetches an object that it misses: a sibling cache that probably has it,
+// else a parent, else the origin.
+//
+// Inputs: which siblings are believed to have the object, their misindication ratios (rho, 0 to 1), and the
+// mean waits for the first byte of a parent and of a sibling, whose quotient is the miss penalty (beta).
+// Result: the sibling with the lowest rho if 1 + beta*rho < beta, as asking it in vain costs both waits; else
+// a parent.
 
-const (
-	initialMissPenalty = 100.0 // of the paper, until waits have been measured
-)
+import "math"
 
+// initialMissPenalty is the paper's beta, until first-byte times of both tiers have been measured.
+const initialMissPenalty = 100.0
+
+// chooseSource returns the endpoint that fills a miss of the target; the target itself if there is none.
 func (r *Router) chooseSource(req *request, target *endpointState) *endpointState {
-	return cmp.Or(r.chooseSibling(req, target), r.chooseParent(req), target)
+	sibling := r.chooseSibling(req, target)
+	parent := r.chooseParent(req)
+	switch {
+	case sibling != nil:
+		return sibling
+	case parent != nil:
+		return parent
+	}
+	return target
+}
+
+// chooseParent returns the parent that fills a request's object, or the origin if no parent may be used.
+func (r *Router) chooseParent(req *request) *endpointState {
+	candidates := append(r.ranked(r.parents, req), r.origin)
+	return r.firstWithCapacity(req, candidates)
 }
 
+// chooseSibling returns the cache of the zone that is worth asking before a parent, or nil.
 func (r *Router) chooseSibling(req *request, target *endpointState) *endpointState {
 	if r.settings.Siblings == SiblingsNone {
 		return nil
 	}
 	var best *endpointState
-	lowest, average := math.Inf(1), r.meanMisindication()
-	for _, m := range r.ranked(r.caches, req) {
-		if m == target || req.avoid[m] || !r.likelyCached(m, req) || !r.eligible(m, req) || r.isEjected(m) ||
-			r.secondsOverObjective(m, req) > 0 {
+	lowest := math.Inf(1)
+	average := r.meanMisindication()
+	for _, e := range r.ranked(r.caches, req) {
+		if e == target || !r.maySiblingFill(req, e) {
 			continue
 		}
-		misindication := m.misindication.value
-		if !m.misindication.known() {
-			misindication = average
+		misindication := average
+		if e.misindication.known() {
+			misindication = e.misindication.value
 		}
 		if misindication < lowest {
-			best, lowest = m, misindication
+			best = e
+			lowest = misindication
 		}
 	}
-	if penalty := r.missPenalty(); best != nil && 1+penalty*lowest < penalty {
-		return best
+	penalty := r.missPenalty()
+	worthAsking := 1+penalty*lowest < penalty
+	if best == nil || !worthAsking {
+		return nil
+	}
+	return best
+}
+
+// maySiblingFill reports whether a cache of the zone probably has a request's object and the capacity to send
+// it. The other routers rank siblings alike: without the latter all of them would use a full one.
+func (r *Router) maySiblingFill(req *request, e *endpointState) bool {
+	if req.avoid[e] || !r.likelyCached(e, req) || !r.eligible(e, req) || r.isEjected(e) {
+		return false
 	}
-	return nil
+	hasNoCapacity := r.secondsOverObjective(e, req) > 0
+	return !hasNoCapacity
 }
 
+// hasSiblingSource reports whether a cache of the zone is to fill a miss of an attempt.
+func (r *Router) hasSiblingSource(a *attempt) bool {
+	return a.source != a.target && r.isCache(a.source)
+}
+
+// meanMisindication is the mean ratio of the caches that have one, 0 if none has.
 func (r *Router) meanMisindication() float64 {
-	sum, count := 0.0, 0.0
-	for _, m := range r.caches {
-		if m.misindication.known() {
-			sum, count = sum+m.misindication.value, count+1
+	sum := 0.0
+	count := 0.0
+	for _, e := range r.caches {
+		if e.misindication.known() {
+			sum += e.misindication.value
+			count++
 		}
 	}
 	return sum / max(count, 1)
 }
 
-// missPenalty is the paper's beta: the wait for a parent in units of the wait for a sibling.
+// missPenalty is the paper's beta: the wait for a parent's first byte in units of the wait for a sibling's.
 func (r *Router) missPenalty() float64 {
 	if r.parentFirstByteSeconds.value == 0 || r.siblingFirstByteSeconds.value == 0 {
 		return initialMissPenalty
@@ -56,6 +97,28 @@
 	return r.parentFirstByteSeconds.value / r.siblingFirstByteSeconds.value
 }
 
-func (r *Router) chooseParent(req *request) *endpointState {
-	return r.firstWithCapacity(req, append(r.ranked(r.parents, req), r.origin))
+// updateMisindication counts whether a sibling that was believed to have an object had it.
+func (r *Router) updateMisindication(a *attempt, o Outcome) {
+	missing := o.CacheStatus == CacheStatusSourceMissing
+	if r.hasSiblingSource(a) && (o.filled() || missing) {
+		a.source.misindication.add(missing)
+	}
+}
+
+// updateFirstByteTimes learns how long a source takes for its first byte. If a parent had to ask the origin,
+// the time is the origin's.
+func (r *Router) updateFirstByteTimes(a *attempt, o Outcome) {
+	if !o.filled() || o.SourceFirstByte <= 0 {
+		return
+	}
+	source := a.source
+	if o.CacheStatus == CacheStatusFilledByOrigin && r.origin != nil {
+		source = r.origin
+	}
+	ofTier := &r.parentFirstByteSeconds
+	if r.hasSiblingSource(a) {
+		ofTier = &r.siblingFirstByteSeconds
+	}
+	source.firstByteSeconds.add(o.SourceFirstByte.Seconds(), firstByteSamples)
+	ofTier.add(o.SourceFirstByte.Seconds(), firstByteSamples)
 }
--- a/policy/guard.go
+++ b/policy/guard.go
@@ -33,9 +33,9 @@
 		return Verdict{RuleClientDisconnected, ReasonClientDisconnected}
 	case s.Remaining <= 0:
 		return Verdict{RuleDeadline, ReasonDeadlineExceeded}
-	case a.target.State != Ready:
+	case !a.target.acceptsNew():
 		return Verdict{RuleDrain, ReasonTargetDraining}
-	case a.source.State != Ready:
+	case !a.source.acceptsNew():
 		return Verdict{RuleDrain, ReasonSourceDraining}
 	case !r.enterSlowStartBudgets(a):
 		return Verdict{RuleSlowStart, ReasonOverBudget}
--- a/policy/linkpace.go
+++ b/policy/linkpace.go
@@ -1,40 +1,117 @@
 package policy
 
+// The pace of answers tells what a link carries. An answer over a congested link that came faster or slower
+// than expected changes the link's learned capacity. One that was slow over a link without congestion tells
+// of a slow endpoint, and changes its slowdown.
+//
+// Inputs: the times of an answer and of its first byte, its transfer time at full pace where known, and what
+// the attempt was expected to take, in seconds. Result: updates of links (links.go) and of the fraction of
+// unexpected misses.
+
 import "math"
 
 const (
-	minTimedSeconds = 0.02 // seconds of sending under which an answer's time says nothing of the link
-	unusualMultiple = 3.0  // few objects are so many times larger than the mean: the answer was slowed
+	// minTimedSeconds is the shortest transfer whose time tells of a slowdown; shorter ones are mostly
+	// latency.
+	minTimedSeconds = 0.02
+
+	// unusualMultiple is the multiple of its expected time from which a transfer is held to be slow: few
+	// objects are so much larger than the mean.
+	unusualMultiple = 3.0
 )
 
+// transferSample compares an answer's transfer with what was expected of it.
+type transferSample struct {
+	hit             bool    // served from the target's cache
+	bytesReported   bool    // fullPaceSeconds is that of the answer's bytes
+	sizeKnown       bool    // fullPaceSeconds is that of the part, not the mean of its class
+	fullPaceSeconds float64 // transfer time without congestion
+	expectedSeconds float64 // transfer time with the congestion that was expected
+	measuredSeconds float64 // from the source's first byte to the end
+}
+
+func newTransferSample(a *attempt, o Outcome) transferSample {
+	sample := transferSample{
+		hit:             o.servedFromCache(),
+		bytesReported:   o.TransferTime > 0,
+		sizeKnown:       o.TransferTime > 0 || a.request.sizeKnown,
+		fullPaceSeconds: a.request.transferSeconds,
+		expectedSeconds: a.expectedSeconds,
+		measuredSeconds: (o.Elapsed - o.SourceFirstByte).Seconds(),
+	}
+	if sample.hit {
+		sample.expectedSeconds = a.targetSeconds
+	}
+	if sample.bytesReported {
+		sample.fullPaceSeconds = o.TransferTime.Seconds()
+		sample.expectedSeconds *= sample.fullPaceSeconds / a.request.transferSeconds
+	}
+	return sample
+}
+
+// explainedBySize reports whether an unknown size may explain the time of an answer: it then says nothing of
+// the link.
+func (s transferSample) explainedBySize() bool {
+	return !s.sizeKnown && s.expectedSeconds < congestedMultiple*s.fullPaceSeconds &&
+		s.measuredSeconds < unusualMultiple*s.fullPaceSeconds
+}
+
+// showsCongestion reports whether congestion was expected in the transfer's time, or is seen in it.
+func (s transferSample) showsCongestion() bool {
+	return math.Max(s.measuredSeconds, s.expectedSeconds) >= congestedMultiple*s.fullPaceSeconds
+}
+
+// updateLinks learns from the pace of an answer. A coalesced one tells nothing: it waited for another's fill.
 func (r *Router) updateLinks(a *attempt, o Outcome) {
 	if o.Result != ResultOK || o.CacheStatus == CacheStatusCoalesced {
 		return
 	}
-	hit := o.servedFromCache()
-	if !a.expectHit && o.CacheStatus != CacheStatusNone && r.isCache(a.target) {
-		r.missFraction.add(map[bool]float64{false: 1}[hit], firstByteSamples)
+	r.updateMissFraction(a, o)
+	sample := newTransferSample(a, o)
+	if sample.explainedBySize() {
+		return
+	}
+	sample.measuredSeconds = math.Max(sample.measuredSeconds, sample.fullPaceSeconds)
+	if !a.congested && sample.sizeKnown {
+		r.updateSlowdown(a, sample)
+	} else {
+		updateLinkCapacity(a, sample)
+	}
+}
+
+// updateMissFraction counts hits and misses of caches that were not expected to have the object cached.
+func (r *Router) updateMissFraction(a *attempt, o Outcome) {
+	if a.expectHit || o.CacheStatus == CacheStatusNone || !r.isCache(a.target) {
+		return
 	}
-	l, expected := a.slowestLink, a.expectedSeconds
-	if hit {
-		l, expected = &a.target.link, a.targetSeconds
+	miss := 1.0
+	if o.servedFromCache() {
+		miss = 0
 	}
-	took, work := (o.Elapsed - o.SourceFirstByte).Seconds(), a.request.transferSeconds
-	if o.TransferTime > 0 {
-		work = o.TransferTime.Seconds()
-		expected *= work / a.request.transferSeconds
-	} else if !a.request.sizeKnown && expected < congestedMultiple*work && took < unusualMultiple*work {
+	r.missFraction.add(miss, missSamples)
+}
+
+// updateSlowdown attributes a slow transfer without congestion to the endpoint that sent it.
+func (r *Router) updateSlowdown(a *attempt, sample transferSample) {
+	if sample.fullPaceSeconds < minTimedSeconds {
 		return
 	}
-	took = math.Max(took, work)
-	if !a.congested && (o.TransferTime > 0 || a.request.sizeKnown) {
-		if !hit {
-			l = &a.source.link
-		}
-		if work >= minTimedSeconds {
-			l.updateSlowdown(r.now, took/work)
-		}
-	} else if (o.TransferTime > 0 || !l.configured) && math.Max(took, expected) >= congestedMultiple*work {
-		l.updateCapacity(math.Max(expected, work) / took)
+	sender := a.source
+	if sample.hit {
+		sender = a.target
+	}
+	sender.link.updateSlowdown(r.now, sample.measuredSeconds/sample.fullPaceSeconds)
+}
+
+// updateLinkCapacity attributes the pace of a transfer under congestion to the slowest link. A configured
+// capacity is not changed by an answer of unknown size: the unknown is then more likely the load of others.
+func updateLinkCapacity(a *attempt, sample transferSample) {
+	slowest := a.slowestLink
+	if sample.hit {
+		slowest = &a.target.link
+	}
+	mayLearn := sample.bytesReported || !slowest.configured
+	if mayLearn && sample.showsCongestion() {
+		slowest.updateCapacity(math.Max(sample.expectedSeconds, sample.fullPaceSeconds) / sample.measuredSeconds)
 	}
 }
--- a/policy/links.go
+++ b/policy/links.go
@@ -1,83 +1,145 @@
 package policy
 
+// A link is the network path to one endpoint, or the one into this router's zone, as this router sees it. Its
+// capacity is a number of concurrent transfers at full pace; more of them make each one slower (congestion).
+//
+// Inputs: the configured capacity, the attempts in flight, the number of routers that share the link, and the
+// pace of answers (linkpace.go). Result: how many seconds one more transfer takes.
+//
+// The other routers cannot be observed. Each is assumed to load a link as much as this one does on average.
+
 import (
+	"maps"
 	"math"
 	"slices"
 	"time"
 )
 
 const (
-	defaultLinkCapacity = 4.0  // transfers that a cache's link carries at full pace, until it is measured
-	fillFraction        = 0.33 // share of what caches carry that the tier above fills: two of three are hits
-	capacityWeight      = 0.1  // how fast a link's capacity follows its answers
-	capacityRange       = 4.0  // it stays within this factor of the nominal one
-	slowdownWeight      = 0.3  // how fast a member's slowdown follows its answers
-	maxSlowdown         = 10.0 // sending times
-	minSlowdown         = 0.5  // less does not count
-	congestedMultiple   = 1.2  // an answer slower than this many sending times says something of a link
-	slowdownDecayTime   = 5 * time.Second
-	loadAverageTime     = 5 * time.Second // own transfers are averaged over this to estimate the other routers'
+	defaultLinkCapacity = 4.0  // transfers, until a capacity is known
+	minLinkCapacity     = 1e-6 // transfers; avoids a division by 0
+
+	// fillFraction is the assumed fraction of a tier's load that the tier above it has to fill: one miss in
+	// three.
+	fillFraction = 0.33
+
+	capacityWeight = 0.1 // of a new observation of the capacity
+	capacityRange  = 4.0 // the learned capacity stays within this factor of the configured one
+	maxPaceChange  = 2.0 // one observation counts for no more than this factor
+
+	slowdownWeight    = 0.3             // of a new observation of the slowdown
+	minSlowdown       = 0.5             // smaller slowdowns are ignored
+	maxSlowdownFactor = 10.0            // one observation counts for no more than this multiple of the transfer time
+	slowdownDecayTime = 5 * time.Second // in which a slowdown decays to 1/e without new observations
+
+	loadAverageTime = 5 * time.Second // time constant of the average load
+
+	// congestedMultiple is the multiple of its full-pace time from which a transfer counts as slowed by
+	// congestion.
+	congestedMultiple = 1.2
 )
 
-// link is a network link as this router sees it. Each router that shares it is taken to load it alike.
 type link struct {
-	nominalCapacity, capacity float64 // one-client transfers at full pace: as configured, and as learned
-	configured                bool    // the nominal capacity rests on sizes that were told
-	routers                   float64 // routers that share it
-	inFlight                  []*attempt
-	meanLoad                  float64 // of this router
-	slowdown                  float64 // sending times by which transfers lasted longer than congestion explains
-
-	loadUpdatedAt, slowdownUpdatedAt time.Duration
+	nominalCapacity float64 // transfers, as configured or assumed
+	capacity        float64 // transfers, as learned from answers
+	configured      bool    // the nominal capacity is configured, not assumed
+	routers         float64 // routers that share the link
+
+	inFlight      []*attempt
+	meanLoad      float64 // of this router, transfers
+	loadUpdatedAt time.Duration
+
+	// slowdown is the time that transfers take beyond what congestion explains, in multiples of that time. It
+	// tells of an endpoint that is itself slow.
+	slowdown          float64
+	slowdownUpdatedAt time.Duration
 }
 
 func newLink() link { return link{nominalCapacity: 1, capacity: 1} }
 
-func (l *link) resize(nominal, sharers float64, told bool) {
-	l.nominalCapacity, l.capacity, l.routers, l.configured = nominal, l.capacity*nominal/l.nominalCapacity, sharers, told
+// configure sets a link's nominal capacity and scales the learned capacity with it.
+func (l *link) configure(nominal, routers float64, configured bool) {
+	l.capacity = l.capacity * nominal / l.nominalCapacity
+	l.nominalCapacity = nominal
+	l.routers = routers
+	l.configured = configured
 }
 
-func (l *link) updateCapacity(better float64) {
-	learned := l.capacity * math.Pow(min(max(better, 0.5), 2), capacityWeight)
+// updateCapacity learns from a transfer over a congested link: pace is the expected time over the measured
+// time.
+func (l *link) updateCapacity(pace float64) {
+	limitedPace := min(max(pace, 1/maxPaceChange), maxPaceChange)
+	learned := l.capacity * math.Pow(limitedPace, capacityWeight)
 	l.capacity = min(max(learned, l.nominalCapacity/capacityRange), l.nominalCapacity*capacityRange)
 }
 
-// congestion is how many sending times a further transfer of work seconds takes.
-func (l *link) congestion(now time.Duration, work, warm float64) float64 {
-	sum := 1 + (l.routers-1)*l.load(now)
+// congestion is the multiple of its full-pace time that one more transfer takes, at least 1. Transfers that
+// end sooner than the new one count for the part of its time. Fraction is the part of the capacity that is
+// available (slow start).
+func (l *link) congestion(now time.Duration, transferSeconds, fraction float64) float64 {
+	load := 1 + (l.routers-1)*l.load(now)
 	for _, a := range l.inFlight {
-		sum += min(a.request.transferSeconds/work, 1) * a.loadOn(l)
+		load += min(a.request.transferSeconds/transferSeconds, 1) * a.loadOn(l)
 	}
-	return math.Max(1, sum/max(l.capacity*warm, 1e-6))
+	return math.Max(1, load/max(l.capacity*fraction, minLinkCapacity))
 }
 
-func (l *link) expectedSeconds(now time.Duration, work, warm float64) float64 {
+// expectedSeconds is how long one more transfer takes, with congestion and slowdown.
+func (l *link) expectedSeconds(now time.Duration, transferSeconds, fraction float64) float64 {
 	slowdown := l.currentSlowdown(now)
 	if slowdown < minSlowdown {
 		slowdown = 0
 	}
-	return work * l.congestion(now, work, warm) * (1 + slowdown)
+	return transferSeconds * l.congestion(now, transferSeconds, fraction) * (1 + slowdown)
 }
 
+// currentSlowdown is the slowdown after its decay since the last observation.
 func (l *link) currentSlowdown(now time.Duration) float64 {
-	return l.slowdown * math.Exp(-(now-l.slowdownUpdatedAt).Seconds()/slowdownDecayTime.Seconds())
+	age := now - l.slowdownUpdatedAt
+	return l.slowdown * math.Exp(-age.Seconds()/slowdownDecayTime.Seconds())
 }
 
-func (l *link) updateSlowdown(now time.Duration, times float64) {
+// updateSlowdown learns from a transfer over a link without congestion: factor is the measured time over the
+// time at full pace.
+func (l *link) updateSlowdown(now time.Duration, factor float64) {
 	current := l.currentSlowdown(now)
-	change := slowdownWeight * (min(max(times, 1), maxSlowdown) - 1 - current)
-	l.slowdown, l.slowdownUpdatedAt = current+change, now
+	observed := min(max(factor, 1), maxSlowdownFactor) - 1
+	l.slowdown = current + slowdownWeight*(observed-current)
+	l.slowdownUpdatedAt = now
 }
 
+// load is this router's average load on the link, in transfers.
 func (l *link) load(now time.Duration) float64 {
 	current := 0.0
 	for _, a := range l.inFlight {
 		current += a.loadOn(l)
 	}
-	elapsed := (now - l.loadUpdatedAt).Seconds()
-	return l.meanLoad + (current-l.meanLoad)*-math.Expm1(-elapsed/loadAverageTime.Seconds())
+	elapsed := now - l.loadUpdatedAt
+	return l.meanLoad + (current-l.meanLoad)*-math.Expm1(-elapsed.Seconds()/loadAverageTime.Seconds())
+}
+
+// updateLoad brings the average load up to date before the attempts in flight change.
+func (l *link) updateLoad(now time.Duration) {
+	l.meanLoad = l.load(now)
+	l.loadUpdatedAt = now
 }
 
+// add counts an attempt as in flight.
+func (l *link) add(a *attempt, now time.Duration) {
+	l.updateLoad(now)
+	l.inFlight = append(l.inFlight, a)
+}
+
+// leaveLinks removes an attempt from all links that it loads.
+func (a *attempt) leaveLinks(now time.Duration) {
+	isAttempt := func(other *attempt) bool { return a == other }
+	for _, l := range a.links {
+		l.updateLoad(now)
+		l.inFlight = slices.DeleteFunc(l.inFlight, isAttempt)
+	}
+}
+
+// loadOn is an attempt's expected load on a link, in transfers: a fill's links are loaded only on a miss.
 func (a *attempt) loadOn(l *link) float64 {
 	if l == &a.target.link {
 		return 1
@@ -85,21 +147,57 @@
 	return a.missProbability
 }
 
-func (l *link) add(a *attempt, now time.Duration) {
-	l.meanLoad, l.loadUpdatedAt = l.load(now), now
-	l.inFlight = append(l.inFlight, a)
+// linkCapacity is an endpoint's configured weight, in transfers, or a default where weights are not
+// capacities.
+func (r *Router) linkCapacity(e *endpointState, defaultCapacity float64) float64 {
+	if r.settings.WeightsConfigured && e.Weight > 0 {
+		return e.Weight
+	}
+	return defaultCapacity
 }
 
-func (a *attempt) leaveLinks(now time.Duration) {
-	for _, l := range a.links {
-		l.meanLoad, l.loadUpdatedAt = l.load(now), now
-		l.inFlight = slices.DeleteFunc(l.inFlight, func(other *attempt) bool { return a == other })
+// configureLinks sets the capacity of all links. Where it is not configured, a tier has the capacity to fill
+// its part of the tier below.
+func (r *Router) configureLinks() {
+	routers := float64(max(1, r.settings.Routers))
+	zoneRouters := routers
+	if r.settings.RoutersInZone != 0 {
+		zoneRouters = float64(r.settings.RoutersInZone)
+	}
+	weightsConfigured := r.settings.WeightsConfigured
+
+	zoneFills := 0.0
+	for _, e := range r.caches {
+		capacity := r.linkCapacity(e, defaultLinkCapacity)
+		e.link.configure(capacity, zoneRouters, weightsConfigured)
+		zoneFills += capacity * fillFraction
+	}
+	cacheCapacity := r.capacityOfAllCaches()
+	for _, e := range r.parents {
+		even := max(fillFraction*cacheCapacity/float64(len(r.parents)), defaultLinkCapacity)
+		e.link.configure(r.linkCapacity(e, even), routers, weightsConfigured)
+	}
+	if r.origin != nil {
+		capacity := max(fillFraction*fillFraction*cacheCapacity, defaultLinkCapacity)
+		r.origin.link.configure(capacity, routers, false)
+		r.originLimit.minimum = min(1, capacity/routers)
+	}
+	zoneCapacity := zoneFills
+	if r.settings.ZoneLinkTransfers != 0 {
+		zoneCapacity = r.settings.ZoneLinkTransfers
 	}
+	zoneConfigured := weightsConfigured || r.settings.ZoneLinkTransfers > 0
+	r.zoneLink.configure(max(zoneCapacity, 1), zoneRouters, zoneConfigured)
 }
 
-func (r *Router) linkCapacity(m *endpointState, otherwise float64) float64 {
-	if r.settings.WeightsConfigured && m.Weight > 0 {
-		return m.Weight
+// capacityOfAllCaches is the capacity of the caches of all zones that are listed, in transfers.
+func (r *Router) capacityOfAllCaches() float64 {
+	total := 0.0
+	for _, id := range slices.Sorted(maps.Keys(r.endpoints)) { // in a fixed order, for the same rounding
+		e := r.endpoints[id]
+		if e.State != Removed && r.isCache(e) {
+			total += r.linkCapacity(e, defaultLinkCapacity)
+		}
 	}
-	return otherwise
+	return total
 }
--- a/policy/request.go
+++ b/policy/request.go
@@ -76,7 +76,9 @@
 	r.endAttempt(a, o.Result)
 	r.updateOutliers(a, o)
 	r.updateOriginLimit(a, o)
-	r.updateFillKnowledge(a, o)
+	r.updateCacheIndex(a, o)
+	r.updateMisindication(a, o)
+	r.updateFirstByteTimes(a, o)
 	r.updateLinks(a, o)
 	r.updateTransferTimes(a, o)
 	if o.RequestFinished || a.request.finished {
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -51,7 +51,7 @@
 func (r *Router) avoidAfter(a *attempt, o Outcome) {
 	switch o.CacheStatus {
 	case CacheStatusSourceMissing:
-		return // updateFillKnowledge has excluded the source
+		return // updateCacheIndex has excluded the source
 	case CacheStatusSourceFailed, CacheStatusSourceRejected, CacheStatusOriginFailed:
 		a.request.avoid[a.source] = true
 		return
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -1,5 +1,12 @@
 package policy
 
+// Selection picks one endpoint of a tier for a request: rendezvous hashing with bounded load.
+//
+// Inputs: the hash of the request's object and part, the endpoints' weights, and how long a transfer over
+// each link would take compared with the time left to the latency objective, in seconds. Result: the first
+// endpoint in hash order that has capacity. All routers rank an object's endpoints alike, so that it is
+// cached in few places.
+
 import (
 	"cmp"
 	"math"
@@ -7,63 +14,94 @@
 )
 
 const (
-	objectiveFraction = 0.7  // share of the time to the aim that a transfer may take before its member is passed over
-	hubDistanceWeight = 0.25 // weight of a parent for each hub on the way: bytes cost more and take longer
-)
-
-func (r *Router) ranked(list []*endpointState, req *request) []*endpointState {
-	return slices.SortedStableFunc(slices.Values(list), func(a, b *endpointState) int {
-		return cmp.Compare(r.rendezvousScore(b, req), r.rendezvousScore(a, req))
-	})
-}
+	// objectiveFraction is the fraction of the time left to the objective that a transfer may take: a retry
+	// should still be possible in the rest.
+	objectiveFraction = 0.7
 
-// rendezvousScore weighs a parent down for each hub on the way, where the ring of hubs is known.
-func (r *Router) rendezvousScore(m *endpointState, req *request) float64 {
-	weight, hubs, zone := r.linkCapacity(m, 1), r.settings.ZoneHubs, r.settings.Zone
-	if m.Kind == r.settings.ParentKind && max(zone, m.Zone) < len(hubs) && min(zone, m.Zone) >= 0 {
-		distance, ring := math.Abs(float64(hubs[zone]-hubs[m.Zone])), float64(slices.Max(hubs)+1)
-		weight *= math.Pow(hubDistanceWeight, max(0, min(distance, ring-distance)))
-	}
-	return -weight / math.Log((float64(mixHash(m.hash^req.key)>>11)+0.5)/(1<<53))
-}
+	// hubDistanceWeight is the factor on a parent's weight for each step between its hub and this zone's hub:
+	// distant ones cost more and take longer.
+	hubDistanceWeight = 0.25
+)
 
-// mixHash is the finaliser of splitmix64.
-func mixHash(x uint64) uint64 {
-	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
-	x = (x ^ x>>27) * 0x94d049bb133111eb
-	return x ^ x>>31
+// eligible reports whether an endpoint may receive a request at all.
+func (r *Router) eligible(e *endpointState, req *request) bool {
+	return e != nil && e.acceptsNew() && r.withinSlowStartBudget(e, req)
 }
 
-// firstWithCapacity returns the first healthy candidate with room, else the one with most room, else a suspect.
+// firstWithCapacity returns the first candidate that is in rotation and has capacity. If none has, it returns
+// the one whose transfer exceeds the objective least; if all are ejected or avoided, the first that is
+// eligible, or nil.
 func (r *Router) firstWithCapacity(req *request, candidates []*endpointState) *endpointState {
 	var best, fallback *endpointState
-	least := math.Inf(1)
-	for _, m := range candidates {
-		if !r.eligible(m, req) || !r.mayRepeat(req, m) {
+	leastExcess := math.Inf(1)
+	for _, e := range candidates {
+		if !r.eligible(e, req) || !r.mayRepeat(req, e) {
 			continue
 		}
-		fallback = cmp.Or(fallback, m)
-		if r.isEjected(m) || req.avoid[m] {
+		if fallback == nil {
+			fallback = e
+		}
+		if r.isEjected(e) || req.avoid[e] {
 			continue
 		}
-		if excess := r.secondsOverObjective(m, req); excess < least {
-			best, least = m, excess
+		excess := r.secondsOverObjective(e, req)
+		if excess < leastExcess {
+			best = e
+			leastExcess = excess
 		}
-		if least <= 0 {
+		if leastExcess <= 0 {
 			return best
 		}
 	}
-	return cmp.Or(best, fallback)
+	if best == nil {
+		return fallback
+	}
+	return best
+}
+
+// secondsOverObjective is by how much a transfer from an endpoint exceeds the time that it may take. A
+// transfer at full pace never does.
+func (r *Router) secondsOverObjective(e *endpointState, req *request) float64 {
+	seconds := e.link.expectedSeconds(r.now, req.transferSeconds, r.slowStartFraction(e))
+	if !r.isCache(e) {
+		seconds += e.firstByteSeconds.value
+	}
+	remaining := (req.objectiveAt - r.now).Seconds()
+	return seconds - max(objectiveFraction*remaining, req.transferSeconds)
+}
+
+// ranked returns endpoints by descending score for a request.
+func (r *Router) ranked(list []*endpointState, req *request) []*endpointState {
+	return slices.SortedStableFunc(slices.Values(list), func(a, b *endpointState) int {
+		return cmp.Compare(r.rendezvousScore(b, req), r.rendezvousScore(a, req))
+	})
 }
 
-func (r *Router) eligible(m *endpointState, req *request) bool {
-	return m != nil && m.State == Ready && r.withinSlowStartBudget(m, req)
+// rendezvousScore is an endpoint's score for a request in weighted rendezvous hashing.
+func (r *Router) rendezvousScore(e *endpointState, req *request) float64 {
+	weight := r.linkCapacity(e, 1) * r.hubWeight(e)
+	const hashBits = 53 // of a float64's mantissa
+	uniform := (float64(mixHash(e.hash^req.key)>>(64-hashBits)) + 0.5) / (1 << hashBits)
+	return -weight / math.Log(uniform)
 }
 
-func (r *Router) secondsOverObjective(m *endpointState, req *request) float64 {
-	seconds := m.link.expectedSeconds(r.now, req.transferSeconds, r.slowStartFraction(m))
-	if !r.isCache(m) {
-		seconds += m.firstByteSeconds.value
+// hubWeight is the factor on a parent's weight for its distance, counted in hubs around their ring; 1 if
+// unknown.
+func (r *Router) hubWeight(e *endpointState) float64 {
+	hubs := r.settings.ZoneHubs
+	zone := r.settings.Zone
+	hubsKnown := max(zone, e.Zone) < len(hubs) && min(zone, e.Zone) >= 0
+	if e.Kind != r.settings.ParentKind || !hubsKnown {
+		return 1
 	}
-	return seconds - max(objectiveFraction*(req.objectiveAt-r.now).Seconds(), req.transferSeconds)
+	distance := math.Abs(float64(hubs[zone] - hubs[e.Zone]))
+	ringSize := float64(slices.Max(hubs) + 1)
+	return math.Pow(hubDistanceWeight, max(0, min(distance, ringSize-distance)))
+}
+
+// mixHash is the finalizer of SplitMix64: it makes similar hashes differ in all bits.
+func mixHash(x uint64) uint64 {
+	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
+	x = (x ^ x>>27) * 0x94d049bb133111eb
+	return x ^ x>>31
 }
