--- a/policy/actions.go
+++ b/policy/actions.go
@@ -1,49 +1,48 @@
 package policy
 
+// Actions are what a Router returns. This file holds types only.
+
 import "time"
 
-// Action is one thing the router wants done: Fetch, Refuse, Fail, Cancel or StartTimer.
+// Action is one of Fetch, Reject, Fail, Cancel and StartTimer.
 type Action interface{ action() }
 
-// Fetch sends an attempt to Target, with orders for a miss.
+// Fetch sends a request's next attempt to Target. The other fields say how Target serves it (fillorders.go);
+// for an uncacheable request they are zero.
 type Fetch struct {
-	ID                   int64
+	ID                   int64 // of the request
 	Target               string
-	Source               string        // the target itself: nothing is filled
-	RetentionRank        int           // rank of the copy; 0: keep none
-	MaxAge               time.Duration // oldest copy that will do; 0: as the class has it
-	CoalesceFill         bool          // wait for a fill that is under way
-	CachedOnly           bool          // the source gives only what it holds
-	StaleWhileRevalidate bool          // serve an ageing copy and fetch it anew behind
+	Source               string        // fills a miss; Target itself if nothing is filled
+	RetentionRank        int           // of the filled copy, see fillorders.go; 0: it is not cached
+	MaxAge               time.Duration // greatest age of a copy; 0: as the class has it
+	CoalesceFill         bool          // a miss may wait for a fill that is in progress
+	CachedOnly           bool          // the source gives only what it has cached
+	StaleWhileRevalidate bool          // a stale copy is served and refreshed in the background
 }
 
-// Reject is a final answer: not done, and trying again is harmless.
+// Reject is a final answer: the request was not carried out, and sending it again is harmless.
 type Reject struct {
-	ID         int64
-	RetryAfter time.Duration
+	ID         int64         // of the request
+	RetryAfter time.Duration // how long the client should wait
 }
 
-// Fail is a final answer that promises nothing of the effect.
+// Fail is a final answer that says nothing of the request's effect.
 type Fail struct{ ID int64 }
 
-// Cancel ends the wait on an attempt.
+// Cancel ends a pending attempt. Its Outcome still has to be reported.
 type Cancel struct {
-	ID      int64
+	ID      int64 // of the request
 	Attempt int
 }
 
-// StartTimer asks for a TimerFired after In.
+// StartTimer asks for a TimerFired with Token after In.
 type StartTimer struct {
 	In    time.Duration
 	Token uint64
 }
 
-func (Fetch) action() {}
-
-func (Reject) action() {}
-
-func (Fail) action() {}
-
-func (Cancel) action() {}
-
+func (Fetch) action()      {}
+func (Reject) action()     {}
+func (Fail) action()       {}
+func (Cancel) action()     {}
 func (StartTimer) action() {}
--- a/policy/events.go
+++ b/policy/events.go
@@ -1,75 +1,76 @@
 package policy
 
+// Events are what a Router is told. This file holds types only; each event's apply method is in the file of
+// the rule that it concerns first.
+
 import "time"
 
-// Event is one thing the router is told: Settings, MemberList, Request, Outcome, StreamStarted, Purge,
-// ClientGone, TimerFired or ClockCorrection. Each is applied in the file of the decisions that it leads to.
+// Event is one of Settings, EndpointUpdate, ClockCorrection, Request, Outcome, StreamStarted, Purge,
+// ClientDisconnected and TimerFired.
 type Event interface{ apply(r *Router) }
 
-// State is what the list says of a member.
+// State is the state of an endpoint in the endpoint list.
 type State int
 
-// States of a member.
+// The states of an endpoint.
 const (
-	Removed State = iota
-	Draining
+	Removed  State = iota // not listed, or listed as removed
+	Draining              // takes no new attempts
 	Ready
 )
 
-// Endpoint is one cache, parent or origin of the list.
+// Endpoint is one cache, parent or origin of the endpoint list.
 type Endpoint struct {
 	ID      string
 	State   State
-	Started time.Duration // clock time of its last start; 0: long ago
-	Kind    int
+	Started time.Duration // time of its last start on the router's clock; 0: long ago
+	Kind    int           // see Settings.ParentKind and OriginKind
 	Zone    int
-	Weight  float64
-	Cell    int
+	Weight  float64 // see Settings.WeightsConfigured
+	Cell    int     // see ScopeCell
 }
 
-// EndpointUpdate brings the whole list, or changes to it.
+// EndpointUpdate is the full endpoint list, or changes to it.
 type EndpointUpdate struct {
-	Full      bool
+	Full      bool // endpoints that are not named are removed
 	Endpoints []Endpoint
 }
 
-// ClockCorrection says that the clock times of starts and purges that were told so far were off: each is
-// later by By.
-// A purge is never moved to earlier, also where By is under 0: it must not count as older than it is.
+// ClockCorrection says that all starts and purges reported so far were later by Offset on the router's clock.
 type ClockCorrection struct{ Offset time.Duration }
 
-// Request is a client's request that has come in.
+// Request is a client's request that has arrived.
 type Request struct {
 	ID        int64
 	Object    string
-	Part      int
-	Group     int
-	Class     int
-	SizeKB    float64 // 0: not told
-	Remaining time.Duration
+	Part      int           // of the object, from 0
+	Group     int           // of objects that are purged together
+	Class     int           // index in Settings.Classes
+	SizeKB    float64       // 0: unknown
+	Remaining time.Duration // to the client's deadline
 }
 
 // Result is how an attempt ended.
 type Result int
 
-// Results of an attempt. Any unknown one counts as ResultError: it may have run.
+// The results of an attempt. After an unknown one the request may have run, as after ResultTimeout.
 const (
-	ResultError Result = iota
-	ResultOK
-	ResultRejected      // turned away unseen
-	ResultTimeout       // no answer in time
-	ResultConnectFailed // no connection
-	ResultReset         // broke in flight
-	ResultCancelled
-	ResultNotSent  // never sent
-	ResultNotFound // lacks it
+	ResultError         Result = iota // an error response
+	ResultOK                          // an answer
+	ResultRejected                    // the target rejected it without processing it
+	ResultTimeout                     // no answer in time
+	ResultConnectFailed               // no connection
+	ResultReset                       // the connection broke while it was in flight
+	ResultCancelled                   // the proxy stopped waiting
+	ResultNotSent                     // the proxy never sent it
+	ResultNotFound                    // the target has no copy and filled none
 )
 
 var resultNames = [...]string{
 	"error", "ok", "full", "timeout", "connect_failed", "reset", "cancelled", "moot", "miss",
 }
 
-// String is the result's name in the log.
+// String returns the result's name in the log.
 func (r Result) String() string {
 	if r < 0 || int(r) >= len(resultNames) {
 		return "unknown"
@@ -77,51 +78,51 @@
 	return resultNames[r]
 }
 
-// CacheStatus tells how an answer was had, or why a fill failed.
+// CacheStatus is what a cache reports of an answer or a failed fill.
 type CacheStatus int
 
-// Notes of an outcome.
+// The cache status of an outcome.
 const (
-	CacheStatusNone CacheStatus = iota
-	CacheStatusHit
-	CacheStatusFilled
-	CacheStatusFilledByOrigin
-	CacheStatusCoalesced
-	CacheStatusStale
-	CacheStatusSourceRejected
-	CacheStatusSourceFailed
-	CacheStatusSourceMissing
-	CacheStatusNoFillCapacity
-	CacheStatusOriginFailed
+	CacheStatusNone           CacheStatus = iota // not reported
+	CacheStatusHit                               // the target had a copy
+	CacheStatusFilled                            // filled from the source's copy
+	CacheStatusFilledByOrigin                    // filled, and the source had to ask the origin
+	CacheStatusCoalesced                         // waited for a fill that was in progress
+	CacheStatusStale                             // the target had a stale copy
+	CacheStatusSourceRejected                    // the source rejected the fill
+	CacheStatusSourceFailed                      // the source did not answer, or with an error
+	CacheStatusSourceMissing                     // the source does not have the object
+	CacheStatusNoFillCapacity                    // the target had no capacity for a fill
+	CacheStatusOriginFailed                      // the origin failed behind the source
 )
 
 // Outcome reports how one attempt ended.
 type Outcome struct {
-	ID              int64
-	Attempt         int
+	ID              int64 // of the request
+	Attempt         int   // number of the attempt, from 0
 	Result          Result
 	CacheStatus     CacheStatus
-	Elapsed         time.Duration
-	SourceFirstByte time.Duration // until the source's first byte
-	TransferTime    time.Duration // what the answer's bytes take at the pace of one transfer; 0: not told
-	RequestFinished bool          // the request is finished
+	Elapsed         time.Duration // of the whole attempt
+	SourceFirstByte time.Duration // the target's wait for the source's first byte; 0: unknown
+	TransferTime    time.Duration // of the answer's bytes at full pace; 0: unknown
+	RequestFinished bool          // no further attempt is wanted
 }
 
-// StreamStarted says that a streamed answer has begun; the attempt now belongs to the client.
+// StreamStarted says that a streamed answer has begun. The request is finished; the attempt goes on.
 type StreamStarted struct {
-	ID      int64
+	ID      int64 // of the request
 	Attempt int
 }
 
-// Purge says that an object, or a whole group when Object is empty, was purged Age ago.
+// Purge says that an object was purged, or all objects of a group if Object is empty.
 type Purge struct {
 	Object string
 	Group  int
-	Age    time.Duration
+	Age    time.Duration // since the purge
 }
 
-// ClientDisconnected says that the client has left and the request is finished.
+// ClientDisconnected says that a client has disconnected. Its request is finished.
 type ClientDisconnected struct{ ID int64 }
 
-// TimerFired is a timer that has come due.
+// TimerFired says that a timer has expired.
 type TimerFired struct{ Token uint64 }
--- a/policy/guard.go
+++ b/policy/guard.go
@@ -1,37 +1,46 @@
 package policy
 
+// The guards decide at the last instant whether an action may still be carried out. Time passes between a
+// decision and its first byte, while an attempt waits for a connection or a request for its body: an endpoint
+// may drain or restart, a client may disconnect, a window may end.
+//
+// Inputs: the router's present knowledge, and what only the caller can see (the Info types). Result: a
+// Verdict. The guards have no rules of their own for attempts: they ask those of the other files again.
+
 import "time"
 
-// SendInfo is what a guard has to be told of an attempt whose first byte is about to go.
+// SendInfo describes an attempt whose first byte is about to be written.
 type SendInfo struct {
 	ID                 int64 // of the request
 	Attempt            int
-	Remaining          time.Duration // of the request's time
+	Remaining          time.Duration // to the client's deadline
 	ClientDisconnected bool
 }
 
-// MaySend decides, at the last instant, whether an attempt may begin: while it waited for its connection its
-// member may have drained or started anew, its client left, or the time for repeats passed. It returns the
-// attempt's orders as of now.
-func (r *Router) MaySend(now time.Duration, s SendInfo) (Fetch, Verdict) {
+// MaySend decides whether an attempt may start now, and returns its fill orders as of now. It is called once,
+// directly before the first byte is written.
+func (r *Router) MaySend(now time.Duration, info SendInfo) (Fetch, Verdict) {
 	r.now = now
-	a := r.pendingAttempt(s.ID, s.Attempt)
-	if verdict := r.sendVerdict(a, s); !verdict.Allowed() {
+	a := r.pendingAttempt(info.ID, info.Attempt)
+	verdict := r.sendVerdict(a, info)
+	if !verdict.Allowed() {
 		return Fetch{}, verdict
 	}
 	a.startedAt = now
 	return r.fetchAction(a), Verdict{}
 }
 
-func (r *Router) sendVerdict(a *attempt, s SendInfo) Verdict {
+// sendVerdict checks an attempt, which is nil if it has ended. The slow-start budget comes after the other
+// checks of the endpoints, as it counts the attempt.
+func (r *Router) sendVerdict(a *attempt, info SendInfo) Verdict {
 	switch {
 	case a == nil:
 		return Verdict{RuleAnswer, ReasonAttemptEnded}
 	case a.request.finished:
 		return Verdict{RuleAnswer, ReasonAnswered}
-	case s.ClientDisconnected:
+	case info.ClientDisconnected:
 		return Verdict{RuleClientDisconnected, ReasonClientDisconnected}
-	case s.Remaining <= 0:
+	case info.Remaining <= 0:
 		return Verdict{RuleDeadline, ReasonDeadlineExceeded}
 	case !a.target.acceptsNew():
 		return Verdict{RuleDrain, ReasonTargetDraining}
@@ -39,62 +48,68 @@
 		return Verdict{RuleDrain, ReasonSourceDraining}
 	case !r.enterSlowStartBudgets(a):
 		return Verdict{RuleSlowStart, ReasonOverBudget}
-	case a.request.mayHaveRun != a:
-		return r.repeatVerdict(a.request, a.target)
+	case a.request.mayHaveRun == a:
+		return Verdict{} // the first execution is no repeat
 	}
-	return Verdict{}
+	return r.repeatVerdict(a.request, a.target)
 }
 
-// AdmitInfo is what a guard has to be told of a request that has just come whole.
+// AdmitInfo describes a request that has arrived completely.
 type AdmitInfo struct {
-	ClientDisconnected            bool
-	Stopping                      bool          // clients have had time enough to go
-	Remaining                     time.Duration // of the request's time
-	OpenRequests, MaxOpenRequests int           // requests that are open, and may be
-	MemoryFull                    bool          // no memory is left for requests
+	ClientDisconnected bool
+	Stopping           bool          // the process shuts down, and the time for clients to leave is over
+	Remaining          time.Duration // to the client's deadline
+	OpenRequests       int
+	MaxOpenRequests    int
+	MemoryFull         bool // no memory is left for requests
 }
 
-// MayAdmit decides whether a request is taken on. One that is not gets its final answer at once.
-func MayAdmit(a AdmitInfo) Verdict {
+// MayAdmit decides whether a request is accepted. One that is not gets its final answer at once.
+func MayAdmit(info AdmitInfo) Verdict {
 	switch {
-	case a.ClientDisconnected:
+	case info.ClientDisconnected:
 		return Verdict{RuleClientDisconnected, ReasonClientDisconnected}
-	case a.Stopping:
+	case info.Stopping:
 		return Verdict{RuleAnswer, ReasonStopping}
-	case a.Remaining <= 0:
+	case info.Remaining <= 0:
 		return Verdict{RuleDeadline, ReasonDeadlineExceeded}
-	case a.OpenRequests >= a.MaxOpenRequests:
+	case info.OpenRequests >= info.MaxOpenRequests:
 		return Verdict{RuleLimits, ReasonTooManyOpen}
-	case a.MemoryFull:
+	case info.MemoryFull:
 		return Verdict{RuleLimits, ReasonMemory}
 	}
 	return Verdict{}
 }
 
-// CloseInfo is what a guard has to be told of a client's connection that might be closed.
+// CloseInfo describes a client's connection that might be closed.
 type CloseInfo struct {
-	OpenRequests   int         // requests that came whole and are not answered
-	PartialRequest bool        // a request has come in part, and may still come whole
-	QueuedBytes    int         // bytes that wait to be written
-	InUse          bool        // it has been used so lately that more may be on its way
-	HasUnreadInput func() bool // something has come that was not read; asked last, as it takes a system call
-	UnackedBytes   func() int  // bytes that were written and have not arrived; nil: the close waits for them
+	OpenRequests   int  // that arrived completely and are not answered
+	PartialRequest bool // a request has arrived in part
+	QueuedBytes    int  // not yet written
+	InUse          bool // used so recently that a request may be on its way
+
+	// HasUnreadInput reports input that has arrived and was not read. It is called last, as it makes a system
+	// call.
+	HasUnreadInput func() bool
+
+	// UnackedBytes returns the bytes that were written and not acknowledged. Nil: the close waits for them.
+	UnackedBytes func() int
 }
 
-// MayClose decides whether a connection can be closed without taking an answer, or a request, with it.
-func MayClose(c CloseInfo) Verdict {
+// MayClose decides whether a connection can be closed without losing an answer or a request.
+func MayClose(info CloseInfo) Verdict {
 	switch {
-	case c.OpenRequests > 0:
+	case info.OpenRequests > 0:
 		return Verdict{RuleAnswer, ReasonRequestsOpen}
-	case c.QueuedBytes > 0:
+	case info.QueuedBytes > 0:
 		return Verdict{RuleAnswer, ReasonUnsentOutput}
-	case c.PartialRequest:
+	case info.PartialRequest:
 		return Verdict{RuleAnswer, ReasonPartialRequest}
-	case c.InUse:
+	case info.InUse:
 		return Verdict{RuleAnswer, ReasonInUse}
-	case c.UnackedBytes != nil && c.UnackedBytes() > 0:
+	case info.UnackedBytes != nil && info.UnackedBytes() > 0:
 		return Verdict{RuleAnswer, ReasonUnsentOutput}
-	case c.HasUnreadInput():
+	case info.HasUnreadInput():
 		return Verdict{RuleAnswer, ReasonUnreadInput}
 	}
 	return Verdict{}
--- a/policy/linkpace.go
+++ b/policy/linkpace.go
@@ -11,8 +11,7 @@
 import "math"
 
 const (
-	// minTimedSeconds is the shortest transfer whose time tells of a slowdown; shorter ones are mostly
-	// latency.
+	// minTimedSeconds is the shortest transfer whose time tells of a slowdown.
 	minTimedSeconds = 0.02
 
 	// unusualMultiple is the multiple of its expected time from which a transfer is held to be slow: few
@@ -112,6 +111,7 @@
 	}
 	mayLearn := sample.bytesReported || !slowest.configured
 	if mayLearn && sample.showsCongestion() {
-		slowest.updateCapacity(math.Max(sample.expectedSeconds, sample.fullPaceSeconds) / sample.measuredSeconds)
+		expectedSeconds := math.Max(sample.expectedSeconds, sample.fullPaceSeconds)
+		slowest.updateCapacity(expectedSeconds / sample.measuredSeconds)
 	}
 }
--- a/policy/links.go
+++ b/policy/links.go
@@ -29,7 +29,7 @@
 
 	slowdownWeight    = 0.3             // of a new observation of the slowdown
 	minSlowdown       = 0.5             // smaller slowdowns are ignored
-	maxSlowdownFactor = 10.0            // one observation counts for no more than this multiple of the transfer time
+	maxSlowdownFactor = 10.0            // one observation counts for no more than this factor
 	slowdownDecayTime = 5 * time.Second // in which a slowdown decays to 1/e without new observations
 
 	loadAverageTime = 5 * time.Second // time constant of the average load
--- a/policy/router.go
+++ b/policy/router.go
@@ -5,8 +5,8 @@
 // no I/O, reads no clock and starts no goroutine: the same settings, seed and events give the same actions.
 // Each rule is in a file of its own, which begins with what it decides:
 //
-//   - a request: request.go (its life), attempt.go, routing.go (the way it takes), selection.go (the endpoint of
-//     a tier), fillsource.go and fillorders.go (misses), retry.go, overdue.go, idempotency.go
+//   - a request: request.go (its life), attempt.go, routing.go (the way it takes), selection.go (the endpoint
+//     of a tier), fillsource.go and fillorders.go (misses), retry.go, overdue.go, idempotency.go
 //   - limits on load: admission.go (load shedding), slowstart.go, originlimit.go, outliers.go
 //   - what is known: endpoints.go, links.go, linkpace.go, transfertime.go, cacheindex.go, purges.go,
 //     estimators.go
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// objectiveFraction is the fraction of the time left to the objective that a transfer may take: a retry
-	// should still be possible in the rest.
+	// objectiveFraction is the fraction of the time left to the objective that a transfer may take before its
+	// endpoint is passed over.
 	objectiveFraction = 0.7
 
 	// hubDistanceWeight is the factor on a parent's weight for each step between its hub and this zone's hub:
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -1,85 +1,100 @@
 package policy
 
+// Settings are the configuration of a Router. This file holds types only.
+
 import "time"
 
-// Idempotency says what repeating a request of a class may do.
+// Idempotency says whether a request may be carried out more than once.
 type Idempotency int
 
-// The effects a class can have.
+// The idempotency of a class. Any unknown value counts as NonIdempotent where it is configured.
 const (
-	NonIdempotent  Idempotency = iota // must never run twice; also what an unknown effect counts as
-	IdempotencyKey                    // a group of stores drops repeats for a while
+	NonIdempotent  Idempotency = iota // must not run twice
+	IdempotencyKey                    // carries a key by which endpoints drop repeats, see DeduplicationScope
 	Idempotent                        // may be repeated freely
 )
 
-// DeduplicationScope is the group of stores that share what they know of repeats of a keyed request.
+// DeduplicationScope is the group of endpoints that share what they know of idempotency keys.
 type DeduplicationScope int
 
-// The scopes of a keyed class.
+// The scopes of a class with idempotency keys.
 const (
-	ScopeCell DeduplicationScope = iota
-	ScopeZone
-	ScopeAll
+	ScopeCell DeduplicationScope = iota // the endpoints of one cell of a zone
+	ScopeZone                           // the endpoints of one zone
+	ScopeAll                            // all endpoints
 )
 
 // Class describes one class of requests.
 type Class struct {
-	Name                    string
-	Idempotency             Idempotency
-	DeduplicationScope      DeduplicationScope
-	DeduplicationWindow     time.Duration // how long repeats of a keyed request are dropped
-	LatencyObjective        time.Duration // full worth when answered within this, plus AimStretch times the sending time
+	Name                string
+	Idempotency         Idempotency
+	DeduplicationScope  DeduplicationScope
+	DeduplicationWindow time.Duration // how long a repeat with the same key is dropped
+
+	// An answer is in time within LatencyObjective plus LatencyObjectiveStretch times its transfer time.
+	LatencyObjective        time.Duration
 	LatencyObjectiveStretch float64
-	PriorityWeight          float64
-	FreshFor                time.Duration // 0: good until purged
-	StaleFor                time.Duration // how much past Fresh a copy may still be served when asked for
-	Uncacheable             bool          // never kept: runs at the origin
-	Stream                  bool
+	PriorityWeight          float64 // value of an answer in time, relative to other classes
+
+	FreshFor    time.Duration // age up to which a copy is fresh; 0: until it is purged
+	StaleFor    time.Duration // how much longer it may be served stale
+	Uncacheable bool          // runs at the origin, and its answer is not cached
+	Stream      bool          // the answer is streamed to the client as it comes
 }
 
-// Siblings says which caches may be the source of a fill.
+// Siblings says which caches may fill the misses of other caches.
 type Siblings int
 
-// Which siblings may fill.
+// The caches that may fill.
 const (
 	SiblingsNone Siblings = iota
-	SiblingsZone
-	SiblingsAny
+	SiblingsZone          // those of the same zone
+	SiblingsAny           // all; this package uses those of the same zone
 )
 
-// Settings is what a router is told at its start, and as an event when operators change it. Zero values mean 'not
-// told' and get safe meanings. What is under way keeps its class.
+// Settings configures a Router at its start and, as an event, whenever operators change it. A zero value
+// means 'not configured' unless its field says otherwise. A request keeps the class that it arrived with.
 type Settings struct {
-	Zone                int
-	Classes             []Class
-	ParentKind          int // -1: no parents
-	OriginKind          int
-	Routers             int   // routers of this tier in all
-	RouterIndex         int   // this router's number among them, from 0
-	RoutersInZone       int   // of them, in this zone; 0: not told
-	ProcessesPerRouter  int   // that may stand for one router at once, while one takes over from another; 0: one
-	ZoneHubs            []int // the hub that each zone is tied to, by its place in the ring of hubs; empty: not told
-	WeightsConfigured   bool  // weights count one-client transfers
-	TransferKBPerSecond float64
-	ZoneLinkTransfers   float64 // one-client transfers that this zone's link in carries; 0: not told
-	DirectRequests      bool    // parents and the origin take requests too
-	CoalesceFills       bool
-	Siblings            Siblings
-
-	MaxAttempts   int
-	MayCancel     bool
-	Hedging       bool
-	MaxRetryAfter time.Duration
-
-	SlowStartCapacity float64 // a cache starts at this share of its capacity or more
-	SlowStartDuration time.Duration
+	Zone       int     // of this router
+	Classes    []Class // by the class number of a Request
+	ParentKind int     // kind of endpoints that are parents; -1: there are none
+	OriginKind int     // kind of endpoints that are origins; all other kinds are caches
+
+	Routers            int // routers of this tier in all zones; 0: 1
+	RouterIndex        int // this router's number among them, from 0
+	RoutersInZone      int // routers of this tier in this zone; 0: as Routers
+	ProcessesPerRouter int // that run at once while one takes over from another; 0: 1
+
+	// ZoneHubs holds, for each zone, the position of its hub in the ring of hubs. Empty: unknown.
+	ZoneHubs []int
+
+	WeightsConfigured   bool    // the weight of an endpoint is its capacity in transfers at full pace
+	TransferKBPerSecond float64 // pace of one transfer without congestion; 0: unknown
+	ZoneLinkTransfers   float64 // capacity of this zone's inbound link, in transfers; 0: unknown
+
+	DirectRequests bool // parents and the origin accept requests from routers
+	CoalesceFills  bool // a miss may wait for a fill of the same object that is in progress
+	Siblings       Siblings
+
+	MaxAttempts   int           // for one request; 0: 2
+	MayCancel     bool          // attempts may be cancelled
+	Hedging       bool          // a request may have two attempts at once
+	MaxRetryAfter time.Duration // longest Retry-After of a rejection; at least 300 ms
+
+	// Slow start of a cache. It fails when it receives OverloadMultiple times its present capacity for
+	// OverloadWindow.
+	SlowStartCapacity float64       // fraction of its capacity at its start
+	SlowStartDuration time.Duration // until it has its full capacity; 0: no slow start
 	OverloadMultiple  float64
 	OverloadWindow    time.Duration
 
+	// Slow start of a parent; its overload window is that of caches.
 	ParentSlowStartCapacity float64
 	ParentSlowStartDuration time.Duration
 	ParentOverloadMultiple  float64
 
+	// After PurgeCompletedWithin no copy from before a purge is left; PurgeGrace is added to allow for
+	// delays.
 	PurgeGrace           time.Duration
-	PurgeCompletedWithin time.Duration // no copy older than a purge is left after this
+	PurgeCompletedWithin time.Duration
 }
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -157,7 +157,7 @@
 }
 
 // slowStartCostSeconds is what a request takes of a quota: its own transfer time, or the mean of its class if
-// that is longer: the size of an object that was seen once or never is uncertain.
+// that is longer.
 func (r *Router) slowStartCostSeconds(req *request) float64 {
 	return max(req.transferSeconds, r.classTransferSeconds[req.class.Name].value)
 }
--- a/policy/verdict.go
+++ b/policy/verdict.go
@@ -1,57 +1,59 @@
 package policy
 
-// Rule is a promise of the operators' pages that an action could break.
+// Verdicts are the answers of the guards (guard.go): whether an action may be carried out, else which rule it
+// would break and why. Their names are label values of figures and fields of log messages.
+
+// Rule is a guarantee that an action could break.
 type Rule int
 
-// The rules that guards look at.
+// The rules that the guards check.
 const (
-	RuleNone               Rule = iota
-	RuleAnswer                  // every request that was taken gets one final answer
-	RuleDuplicate               // what may not be repeated runs once
-	RuleDrain                   // nothing new for a member that drains or is gone
-	RuleSlowStart               // a member that has just started is not pushed over
-	RuleClientDisconnected      // nothing begins for a client that has left
-	RuleDeadline                // nothing is promised, or asked for, beyond a request's time
-	RuleLimits                  // memory and descriptors
+	RuleNone               Rule = iota // no rule is broken
+	RuleAnswer                         // each accepted request gets one final answer
+	RuleDuplicate                      // a request that must not be repeated runs once
+	RuleDrain                          // an endpoint that drains or is removed receives nothing new
+	RuleSlowStart                      // an endpoint that has just started is not overloaded
+	RuleClientDisconnected             // nothing is started for a client that has disconnected
+	RuleDeadline                       // nothing is started after a request's deadline
+	RuleLimits                         // memory and sockets stay within their limits
 )
 
 var ruleNames = [...]string{
 	"none", "answer", "duplicate", "drain", "cold_start", "client_left", "deadline", "limits",
 }
 
-// String is the rule's name in the figures.
+// String returns the rule's name in figures and the log.
 func (r Rule) String() string { return ruleNames[r] }
 
-// Reason says what a guard found.
+// Reason says why an action is denied.
 type Reason string
 
-// The reasons of guards.
+// The reasons of the guards.
 const (
-	ReasonAttemptEnded       Reason = "attempt_over"
-	ReasonAnswered           Reason = "answered"
-	ReasonClientDisconnected Reason = "client_left"
-	ReasonDeadlineExceeded   Reason = "no_time_left"
-	ReasonTargetDraining     Reason = "target_leaving"
-	ReasonSourceDraining     Reason = "source_leaving"
-	ReasonMayHaveRun         Reason = "may_have_run"
-	ReasonWindowExpired      Reason = "window_over"
-	ReasonOverBudget         Reason = "over_budget"
-	ReasonStopping           Reason = "stopping"
-	ReasonTooManyOpen        Reason = "many_open"
-	ReasonMemory             Reason = "memory"
-	ReasonRequestsOpen       Reason = "requests_open"
-	ReasonPartialRequest     Reason = "half_a_request"
-	ReasonUnreadInput        Reason = "input_unread"
-	ReasonUnsentOutput       Reason = "output_not_taken"
-	ReasonInUse              Reason = "in_use"
+	ReasonAttemptEnded       Reason = "attempt_over"     // the attempt has ended already
+	ReasonAnswered           Reason = "answered"         // the request is finished
+	ReasonClientDisconnected Reason = "client_left"      // the client has disconnected
+	ReasonDeadlineExceeded   Reason = "no_time_left"     // the deadline has passed
+	ReasonTargetDraining     Reason = "target_leaving"   // the target drains or is removed
+	ReasonSourceDraining     Reason = "source_leaving"   // the fill source drains or is removed
+	ReasonMayHaveRun         Reason = "may_have_run"     // an earlier attempt may have run
+	ReasonWindowExpired      Reason = "window_over"      // the deduplication window has passed
+	ReasonOverBudget         Reason = "over_budget"      // the slow-start budget is used up
+	ReasonStopping           Reason = "stopping"         // the process shuts down
+	ReasonTooManyOpen        Reason = "many_open"        // the limit on open requests is reached
+	ReasonMemory             Reason = "memory"           // the memory limit is reached
+	ReasonRequestsOpen       Reason = "requests_open"    // the connection has unanswered requests
+	ReasonPartialRequest     Reason = "half_a_request"   // a request has arrived in part
+	ReasonUnreadInput        Reason = "input_unread"     // input has arrived that was not read
+	ReasonUnsentOutput       Reason = "output_not_taken" // an answer has not been sent or acknowledged
+	ReasonInUse              Reason = "in_use"           // a request may be on its way
 )
 
-// Verdict says whether an action may be carried out now, and if not, which rule it would break and why. The
-// zero value allows it.
+// Verdict says whether an action may be carried out. The zero value allows it.
 type Verdict struct {
-	Rule   Rule
-	Reason Reason
+	Rule   Rule   // that the action would break
+	Reason Reason // why
 }
 
-// Allowed reports that no rule would be broken.
+// Allowed reports whether no rule would be broken.
 func (v Verdict) Allowed() bool { return v.Rule == RuleNone }
