--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -7,9 +7,9 @@
 
 // A full link refuses the long request before the short one.
 func TestSheddingByWeightPerTransferTime(t *testing.T) {
-	g := newRig(t)
+	h := newHarness(t)
 	ask := func(id int64, kb float64) *Fetch {
-		return fetchOf(g.do(Request{ID: id, Object: "x", SizeKB: kb, Remaining: 5 * time.Second}))
+		return fetchOf(h.do(Request{ID: id, Object: "x", SizeKB: kb, Remaining: 5 * time.Second}))
 	}
 	short, long := 0, 0
 	for i := int64(1); i < 400; i++ {
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -156,10 +156,10 @@
 	req := a.request
 	a.state = stateAfter(result)
 	req.pendingAttempts--
-	a.leaveLinks(r.now)
+	a.releaseLinks(r.now)
 	switch a.state {
 	case attemptSucceeded:
-		a.target.lastAnsweredDecidedAt = max(a.target.lastAnsweredDecidedAt, a.decidedAt)
+		a.target.latestAnsweredAttemptAt = max(a.target.latestAnsweredAttemptAt, a.decidedAt)
 	case attemptFailed:
 		req.failedAttempts++
 	case attemptNeverRan:
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -28,11 +28,11 @@
 	slowStartAttempts []*attempt // sent within the overload window of a slow start
 
 	// Outlier detection.
-	ejections             int // that its responses have not made up for
-	ejectedUntil          time.Duration
-	consecutiveFailures   int // requests that it failed and another endpoint answered
-	lastResponseAt        time.Duration
-	lastAnsweredDecidedAt time.Duration // when the latest of its answered attempts was created
+	ejections               int // that its responses have not made up for
+	ejectedUntil            time.Duration
+	consecutiveFailures     int // requests that it failed and another endpoint answered
+	lastResponseAt          time.Duration
+	latestAnsweredAttemptAt time.Duration // when the latest of its answered attempts was created
 }
 
 // acceptsNew reports whether an endpoint takes new attempts: it is listed and not draining.
--- a/policy/fillsource_test.go
+++ b/policy/fillsource_test.go
@@ -8,9 +8,9 @@
 
 // Routers rank siblings alike: one whose link is full is not asked to fill too.
 func TestFullSiblingIsNotASource(t *testing.T) {
-	g := newRig(t)
-	r := g.r
-	req := &request{Request: Request{Object: "x"}, class: &r.settings.Classes[0], key: 7, transferSeconds: 0.1, objectiveAt: g.n + 500*ms}
+	h := newHarness(t)
+	r := h.router
+	req := &request{Request: Request{Object: "x"}, class: &r.settings.Classes[0], key: 7, transferSeconds: 0.1, objectiveAt: h.now + 500*ms}
 	holder := r.endpoints["b"]
 	r.recordCached(holder, req, true)
 	if r.chooseSibling(req, r.endpoints["a"]) != holder {
@@ -26,16 +26,16 @@
 
 // A cache that joins owns objects that a sibling still holds: the sibling fills.
 func TestReturnedCacheIsFilledFromSibling(t *testing.T) {
-	g := newRig(t)
-	home := g.serve(1, "x", CacheStatusFilled).Target
-	g.do(EndpointUpdate{Endpoints: []Endpoint{{ID: home, State: Removed, Zone: 1, Weight: 5}}})
-	next := g.serve(2, "x", CacheStatusFilled).Target
-	g.do(EndpointUpdate{Endpoints: []Endpoint{{ID: home, State: Ready, Zone: 1, Weight: 5}}})
-	f := fetchOf(g.request(3, "x", 0))
+	h := newHarness(t)
+	home := h.serve(1, "x", CacheStatusFilled).Target
+	h.do(EndpointUpdate{Endpoints: []Endpoint{{ID: home, State: Removed, Zone: 1, Weight: 5}}})
+	next := h.serve(2, "x", CacheStatusFilled).Target
+	h.do(EndpointUpdate{Endpoints: []Endpoint{{ID: home, State: Ready, Zone: 1, Weight: 5}}})
+	f := fetchOf(h.request(3, "x", 0))
 	if f.Target != home || f.Source != next {
 		t.Fatalf("want %s filled from %s, got %+v", home, next, f)
 	}
-	acts := g.do(Outcome{ID: 3, Result: ResultNotFound, CacheStatus: CacheStatusSourceMissing, Elapsed: 10 * ms})
+	acts := h.do(Outcome{ID: 3, Result: ResultNotFound, CacheStatus: CacheStatusSourceMissing, Elapsed: 10 * ms})
 	if f = fetchOf(acts); f == nil || f.Source != "p" && f.Source != "q" {
 		t.Fatalf("after 'lacks it' want the parent, got %+v", acts)
 	}
@@ -47,11 +47,11 @@
 		rho  float64
 		want bool
 	}{{0.74, true}, {0.76, false}} {
-		g := newRig(t)
-		r := g.r
+		h := newHarness(t)
+		r := h.router
 		r.parentFirstByteSeconds.value, r.siblingFirstByteSeconds.value = 0.040, 0.010
 		req := &request{Request: Request{Object: "x"}, class: &r.settings.Classes[0], key: 7, transferSeconds: 0.1,
-			objectiveAt: g.n + time.Second}
+			objectiveAt: h.now + time.Second}
 		r.recordCached(r.endpoints["b"], req, true)
 		r.endpoints["b"].misindication = ratio{fills: 1, value: c.rho}
 		if got := r.chooseSibling(req, r.endpoints["a"]) != nil; got != c.want {
@@ -61,12 +61,12 @@
 }
 
 func TestMissPenaltyFromFirstByteTimes(t *testing.T) {
-	g := newRig(t)
-	if b := g.r.missPenalty(); b != initialMissPenalty {
+	h := newHarness(t)
+	if b := h.router.missPenalty(); b != initialMissPenalty {
 		t.Fatalf("beta starts at %v", b)
 	}
-	g.r.parentFirstByteSeconds.value, g.r.siblingFirstByteSeconds.value = 0.06, 0.02
-	if b := g.r.missPenalty(); math.Abs(b-3) > 1e-9 {
+	h.router.parentFirstByteSeconds.value, h.router.siblingFirstByteSeconds.value = 0.06, 0.02
+	if b := h.router.missPenalty(); math.Abs(b-3) > 1e-9 {
 		t.Fatalf("beta %v, want 3", b)
 	}
 }
--- a/policy/guard_test.go
+++ b/policy/guard_test.go
@@ -8,24 +8,24 @@
 // The time for repeats is looked at again when a repeat's first byte goes: it may have waited for its connection.
 func TestRetryDoesNotStartAfterWindow(t *testing.T) {
 	for _, late := range []bool{false, true} {
-		set := world()
+		set := testSettings()
 		set.Classes[0] = Class{Idempotency: IdempotencyKey, DeduplicationScope: ScopeAll, DeduplicationWindow: time.Second, LatencyObjective: 2 * time.Second, PriorityWeight: 1}
-		g := &rig{t: t, r: New(set, 1), n: time.Hour}
-		g.do(everybody())
-		if fetchOf(g.request(1, "x", 0)) == nil {
+		h := &harness{t: t, router: New(set, 1), now: time.Hour}
+		h.do(allEndpoints())
+		if fetchOf(h.request(1, "x", 0)) == nil {
 			t.Fatal("not sent")
 		}
-		if _, verdict := g.r.MaySend(g.n, SendInfo{ID: 1, Remaining: time.Second}); !verdict.Allowed() {
+		if _, verdict := h.router.MaySend(h.now, SendInfo{ID: 1, Remaining: time.Second}); !verdict.Allowed() {
 			t.Fatal("the first attempt may go at any time")
 		}
-		g.n += 900 * ms
-		if fetchOf(g.do(Outcome{ID: 1, Attempt: 0, Result: ResultReset})) == nil {
+		h.now += 900 * ms
+		if fetchOf(h.do(Outcome{ID: 1, Attempt: 0, Result: ResultReset})) == nil {
 			t.Fatal("not repeated within its window")
 		}
 		if late {
-			g.n += 200 * ms
+			h.now += 200 * ms
 		}
-		_, verdict := g.r.MaySend(g.n, SendInfo{ID: 1, Attempt: 1, Remaining: time.Second})
+		_, verdict := h.router.MaySend(h.now, SendInfo{ID: 1, Attempt: 1, Remaining: time.Second})
 		if verdict.Allowed() == late || late && verdict != (Verdict{RuleDuplicate, ReasonWindowExpired}) {
 			t.Errorf("late %v: %+v", late, verdict)
 		}
@@ -50,11 +50,11 @@
 		"its group purged":    {func(Fetch) Event { return Purge{Age: 70 * ms} }, Verdict{}, 90 * ms, true},
 		"the client has left": {func(Fetch) Event { return ClientDisconnected{ID: 1} }, Verdict{RuleAnswer, ReasonAnswered}, 0, false},
 	} {
-		g := newRig(t)
-		f := fetchOf(g.request(1, "x", 0))
-		g.n += 10 * ms
-		g.do(c.event(*f))
-		now, verdict := g.r.MaySend(g.n+20*ms, SendInfo{ID: 1, Remaining: time.Second})
+		h := newHarness(t)
+		f := fetchOf(h.request(1, "x", 0))
+		h.now += 10 * ms
+		h.do(c.event(*f))
+		now, verdict := h.router.MaySend(h.now+20*ms, SendInfo{ID: 1, Remaining: time.Second})
 		if verdict != c.want || now.MaxAge != c.age || now.CoalesceFill != c.join {
 			t.Errorf("%s: %v %+v", name, verdict, now)
 		}
@@ -64,9 +64,9 @@
 		{RuleClientDisconnected, ReasonClientDisconnected}: {ID: 1, Remaining: time.Second, ClientDisconnected: true},
 		{RuleDeadline, ReasonDeadlineExceeded}:             {ID: 1},
 	} {
-		g := newRig(t)
-		g.request(1, "x", 0)
-		if _, verdict := g.r.MaySend(g.n, s); verdict != want {
+		h := newHarness(t)
+		h.request(1, "x", 0)
+		if _, verdict := h.router.MaySend(h.now, s); verdict != want {
 			t.Errorf("%+v: %+v, want %+v", s, verdict, want)
 		}
 	}
--- a/policy/rig_test.go
+++ b/policy/harness_test.go
@@ -7,8 +7,8 @@
 
 const ms = time.Millisecond
 
-// world is a small deployment: three caches, two parents and an origin, one class of each effect.
-func world() Settings {
+// testSettings is a small deployment: three caches, two parents and an origin, one class of each effect.
+func testSettings() Settings {
 	return Settings{
 		Zone: 1, ParentKind: 1, OriginKind: 2, Routers: 1, RoutersInZone: 1, WeightsConfigured: true,
 		TransferKBPerSecond: 1000, ZoneLinkTransfers: 100, DirectRequests: true, CoalesceFills: true, Siblings: SiblingsZone,
@@ -25,7 +25,7 @@
 	}
 }
 
-func everybody() EndpointUpdate {
+func allEndpoints() EndpointUpdate {
 	return EndpointUpdate{Full: true, Endpoints: []Endpoint{
 		{ID: "a", State: Ready, Zone: 1, Weight: 5}, {ID: "b", State: Ready, Zone: 1, Weight: 5},
 		{ID: "c", State: Ready, Zone: 1, Weight: 5},
@@ -34,23 +34,23 @@
 	}}
 }
 
-// rig drives a router by hand.
-type rig struct {
+// harness drives a router by hand.
+type harness struct {
 	t *testing.T
-	r *Router
-	n time.Duration
+	router *Router
+	now time.Duration
 }
 
-func newRig(t *testing.T) *rig {
-	g := &rig{t: t, r: New(world(), 1), n: time.Hour}
-	g.do(everybody())
-	return g
+func newHarness(t *testing.T) *harness {
+	h := &harness{t: t, router: New(testSettings(), 1), now: time.Hour}
+	h.do(allEndpoints())
+	return h
 }
 
-func (g *rig) do(ev Event) []Action { return g.r.Handle(g.n, ev) }
+func (h *harness) do(ev Event) []Action { return h.router.Handle(h.now, ev) }
 
-func (g *rig) request(id int64, object string, class int) []Action {
-	return g.do(Request{ID: id, Object: object, Class: class, SizeKB: 100, Remaining: 3 * time.Second})
+func (h *harness) request(id int64, object string, class int) []Action {
+	return h.do(Request{ID: id, Object: object, Class: class, SizeKB: 100, Remaining: 3 * time.Second})
 }
 
 func fetchOf(acts []Action) *Fetch {
@@ -62,7 +62,7 @@
 	return nil
 }
 
-func finals(acts []Action) (n int) {
+func countFinalAnswers(acts []Action) (n int) {
 	for _, a := range acts {
 		switch a.(type) {
 		case Reject, Fail:
@@ -72,12 +72,12 @@
 	return n
 }
 
-func (g *rig) serve(id int64, object string, note CacheStatus) Fetch {
-	f := fetchOf(g.request(id, object, 0))
+func (h *harness) serve(id int64, object string, note CacheStatus) Fetch {
+	f := fetchOf(h.request(id, object, 0))
 	if f == nil {
-		g.t.Fatalf("request %d was not sent", id)
+		h.t.Fatalf("request %d was not sent", id)
 	}
-	g.n += 150 * ms
-	g.do(Outcome{ID: id, Result: ResultOK, CacheStatus: note, Elapsed: 150 * ms, SourceFirstByte: 20 * ms, RequestFinished: true})
+	h.now += 150 * ms
+	h.do(Outcome{ID: id, Result: ResultOK, CacheStatus: note, Elapsed: 150 * ms, SourceFirstByte: 20 * ms, RequestFinished: true})
 	return *f
 }
--- a/policy/idempotency_test.go
+++ b/policy/idempotency_test.go
@@ -12,11 +12,11 @@
 		again  bool
 	}{{ResultReset, false}, {ResultTimeout, false}, {ResultError, false}, {ResultRejected, true},
 		{ResultConnectFailed, true}} {
-		g := newRig(t)
-		if f := fetchOf(g.request(1, "w", 2)); f == nil || f.Target != "o" {
+		h := newHarness(t)
+		if f := fetchOf(h.request(1, "w", 2)); f == nil || f.Target != "o" {
 			t.Fatalf("a write goes to the origin, got %+v", f)
 		}
-		acts := g.do(Outcome{ID: 1, Result: c.result, Elapsed: 10 * ms})
+		acts := h.do(Outcome{ID: 1, Result: c.result, Elapsed: 10 * ms})
 		if again := fetchOf(acts) != nil; again != c.again {
 			t.Errorf("result %v: sent again %v", c.result, again)
 		}
@@ -44,7 +44,7 @@
 		{ScopeCell, Endpoint{Zone: 1, Cell: 3}, time.Second, true},
 		{ScopeCell, Endpoint{Zone: 1, Cell: 4}, time.Second, false},
 	} {
-		r := New(world(), 1)
+		r := New(testSettings(), 1)
 		req := &request{class: &Class{Idempotency: IdempotencyKey, DeduplicationScope: c.scope, DeduplicationWindow: 5 * time.Second}}
 		req.mayHaveRun = &attempt{target: first, decidedAt: time.Hour}
 		r.now = time.Hour + c.after
--- a/policy/linkpace_test.go
+++ b/policy/linkpace_test.go
@@ -13,25 +13,25 @@
 		sending time.Duration
 		moves   bool
 	}{{true, 0, false}, {true, 100 * ms, true}, {false, 0, true}} {
-		set := world()
+		set := testSettings()
 		set.WeightsConfigured = c.told
 		if !c.told {
 			set.ZoneLinkTransfers = 0
 		}
-		g := &rig{t: t, r: New(set, 1), n: time.Hour}
-		g.do(everybody())
+		h := &harness{t: t, router: New(set, 1), now: time.Hour}
+		h.do(allEndpoints())
 		for id := range int64(60) { // a burst: every link on the way is taken to be full
-			g.do(Request{ID: id + 1, Object: string(rune('a' + id)), Remaining: 3 * time.Second})
+			h.do(Request{ID: id + 1, Object: string(rune('a' + id)), Remaining: 3 * time.Second})
 		}
 		var full *link
 		for id := range int64(60) {
-			req := g.r.requests[id+1]
+			req := h.router.requests[id+1]
 			if req == nil || !req.attempts[0].congested {
 				continue
 			}
 			full = req.attempts[0].slowestLink
-			g.n += ms
-			g.do(Outcome{ID: id + 1, Result: ResultOK, CacheStatus: CacheStatusFilled, Elapsed: 2 * time.Second, TransferTime: c.sending, RequestFinished: true})
+			h.now += ms
+			h.do(Outcome{ID: id + 1, Result: ResultOK, CacheStatus: CacheStatusFilled, Elapsed: 2 * time.Second, TransferTime: c.sending, RequestFinished: true})
 			break
 		}
 		if full == nil {
--- a/policy/links.go
+++ b/policy/links.go
@@ -130,8 +130,8 @@
 	l.inFlight = append(l.inFlight, a)
 }
 
-// leaveLinks removes an attempt from all links that it loads.
-func (a *attempt) leaveLinks(now time.Duration) {
+// releaseLinks removes an attempt from all links that it loads.
+func (a *attempt) releaseLinks(now time.Duration) {
 	isAttempt := func(other *attempt) bool { return a == other }
 	for _, l := range a.links {
 		l.updateLoad(now)
--- a/policy/links_test.go
+++ b/policy/links_test.go
@@ -7,32 +7,32 @@
 
 // With many routers a share of a link is under one transfer; an idle link must not look full for it. i0f9a26.
 func TestManyRoutersShareALink(t *testing.T) {
-	set := world()
+	set := testSettings()
 	set.Routers, set.RoutersInZone = 200, 5
-	g := &rig{t: t, r: New(set, 1), n: time.Hour}
-	g.do(everybody())
-	f := fetchOf(g.do(Request{ID: 1, Object: "x", SizeKB: 300, Remaining: 3 * time.Second}))
+	h := &harness{t: t, router: New(set, 1), now: time.Hour}
+	h.do(allEndpoints())
+	f := fetchOf(h.do(Request{ID: 1, Object: "x", SizeKB: 300, Remaining: 3 * time.Second}))
 	if f == nil || f.Source == "o" {
 		t.Fatalf("nothing is under way and the first miss is not filled from a parent: %+v", f)
 	}
-	link := &g.r.endpoints["a"].link
+	link := &h.router.endpoints["a"].link
 	for i := 0; i < 4; i++ {
-		link.add(&attempt{request: &request{transferSeconds: 0.1}, target: g.r.endpoints["a"]}, g.n)
+		link.add(&attempt{request: &request{transferSeconds: 0.1}, target: h.router.endpoints["a"]}, h.now)
 	}
-	if now, later := link.expectedSeconds(g.n, 0.1, 1), link.expectedSeconds(g.n+20*time.Second, 0.1, 1); later < 3*now {
+	if now, later := link.expectedSeconds(h.now, 0.1, 1), link.expectedSeconds(h.now+20*time.Second, 0.1, 1); later < 3*now {
 		t.Fatalf("lasting use by one router tells of the others: %v then %v", now, later)
 	}
 }
 
 // What answers taught of a link bounds the cold budget after a restart too.
 func TestLearnedCapacitySurvivesRestart(t *testing.T) {
-	g := newRig(t)
-	m := g.r.endpoints["a"]
+	h := newHarness(t)
+	m := h.router.endpoints["a"]
 	for i := 0; i < 20; i++ {
 		m.link.updateCapacity(0.5)
 	}
 	learned := m.link.capacity
-	g.do(EndpointUpdate{Endpoints: []Endpoint{{ID: "a", State: Ready, Zone: 1, Weight: 5, Started: g.n}}})
+	h.do(EndpointUpdate{Endpoints: []Endpoint{{ID: "a", State: Ready, Zone: 1, Weight: 5, Started: h.now}}})
 	if m.link.capacity != learned || learned >= m.link.nominalCapacity {
 		t.Fatalf("share %v after the restart, %v before", m.link.capacity, learned)
 	}
--- a/policy/originlimit.go
+++ b/policy/originlimit.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	maxOriginLimit        = 128.0                  // attempts; no restriction until the origin fails
-	failureDecreaseFactor = 0.7                    // of the limit, on a failure or rejection by the origin
-	lateDecreaseFactor    = 0.85                   // of the limit, on an answer that the origin made late
-	minDecreaseInterval   = 100 * time.Millisecond // simultaneous failures count once
+	maxOriginLimit                = 128.0                  // attempts; no restriction until the origin fails
+	failureDecreaseFactor         = 0.7                    // of the limit, on a failure or rejection by the origin
+	missedObjectiveDecreaseFactor = 0.85                   // of the limit, on an answer that the origin made late
+	minDecreaseInterval           = 100 * time.Millisecond // simultaneous failures count once
 )
 
 type originConcurrencyLimit struct {
@@ -73,8 +73,8 @@
 	switch {
 	case r.originFailed(a, o):
 		r.originLimit.decrease(r.now, failureDecreaseFactor)
-	case filledByOrigin && r.originWasLate(a, o):
-		r.originLimit.decrease(r.now, lateDecreaseFactor)
+	case filledByOrigin && r.originMissedObjective(a, o):
+		r.originLimit.decrease(r.now, missedObjectiveDecreaseFactor)
 	case filledByOrigin || answeredByOrigin:
 		r.originLimit.increase()
 	}
@@ -93,9 +93,9 @@
 	return fillFailed || rejected
 }
 
-// originWasLate reports whether the origin took longer for its first byte than the latency objective, or made
+// originMissedObjective reports whether the origin took longer for its first byte than the latency objective, or made
 // the answer miss its objective by sending far slower than at full pace.
-func (r *Router) originWasLate(a *attempt, o Outcome) bool {
+func (r *Router) originMissedObjective(a *attempt, o Outcome) bool {
 	if o.SourceFirstByte > a.request.class.LatencyObjective {
 		return true
 	}
--- a/policy/overdue.go
+++ b/policy/overdue.go
@@ -37,9 +37,9 @@
 	if a == nil || a.request.finished {
 		return
 	}
-	lost := a.target.lastAnsweredDecidedAt > a.decidedAt
+	lost := a.target.latestAnsweredAttemptAt > a.decidedAt
 	if lost {
-		a.leaveLinks(r.now)                              // its transfer is over
+		a.releaseLinks(r.now)                            // its transfer is over
 		a.request.avoid[a.source] = a.source != a.target // it may be the source that does not answer
 	}
 	r.ejectSilent(a, lost)
--- a/policy/overdue_test.go
+++ b/policy/overdue_test.go
@@ -9,27 +9,27 @@
 // overtook is asked for again where the copy is, beside the first where the site allows that.
 func TestLostAnswerIsRetried(t *testing.T) {
 	for _, second := range []bool{true, false} {
-		set := world()
+		set := testSettings()
 		set.Hedging = second
-		g := &rig{t: t, r: New(set, 1), n: time.Hour}
-		g.do(everybody())
-		home := g.serve(1, "x", CacheStatusFilled).Target
-		acts := g.request(2, "x", 0)
+		h := &harness{t: t, router: New(set, 1), now: time.Hour}
+		h.do(allEndpoints())
+		home := h.serve(1, "x", CacheStatusFilled).Target
+		acts := h.request(2, "x", 0)
 		due := acts[1].(StartTimer)
-		g.n += ms
-		g.serve(3, "x", CacheStatusHit)
-		g.n += due.In
-		acts = g.do(TimerFired{Token: due.Token})
+		h.now += ms
+		h.serve(3, "x", CacheStatusHit)
+		h.now += due.In
+		acts = h.do(TimerFired{Token: due.Token})
 		if !second {
 			if len(acts) != 1 || acts[0] != (Cancel{ID: 2}) {
 				t.Fatalf("want the wait ended first, got %+v", acts)
 			}
-			acts = g.do(Outcome{ID: 2, Result: ResultCancelled})
+			acts = h.do(Outcome{ID: 2, Result: ResultCancelled})
 		}
 		if f := fetchOf(acts); f == nil || f.Target != home {
 			t.Fatalf("want %s asked again, got %+v", home, acts)
 		}
-		if n := len(g.r.endpoints[home].link.inFlight); n != 1 {
+		if n := len(h.router.endpoints[home].link.inFlight); n != 1 {
 			t.Fatalf("%d on the link: the lost one must not make it look full", n)
 		}
 	}
@@ -38,14 +38,14 @@
 // An object far larger than most is no lost answer, though smaller ones that were asked for later have come: it
 // would be sent twice, and fetched from afar twice, which no other request pays as much for.
 func TestLargeObjectIsNotOverdue(t *testing.T) {
-	g := newRig(t)
+	h := newHarness(t)
 	ask := func(id int64, object string) []Action {
-		return g.do(Request{ID: id, Object: object, Remaining: 6 * time.Second})
+		return h.do(Request{ID: id, Object: object, Remaining: 6 * time.Second})
 	}
 	for id := range int64(20) {
 		ask(id+1, "small")
-		g.n += 100 * ms
-		g.do(Outcome{ID: id + 1, Result: ResultOK, CacheStatus: CacheStatusHit, Elapsed: 100 * ms, RequestFinished: true})
+		h.now += 100 * ms
+		h.do(Outcome{ID: id + 1, Result: ResultOK, CacheStatus: CacheStatusHit, Elapsed: 100 * ms, RequestFinished: true})
 	}
 	due := ask(30, "large")[1].(StartTimer)
 	if due.In < 700*ms {
@@ -55,13 +55,13 @@
 
 // A write whose answer is lost is not sent again, nor given up.
 func TestLostWriteIsNotRetried(t *testing.T) {
-	g := newRig(t)
-	due := g.request(1, "w", 2)[1].(StartTimer)
-	g.n += ms
-	g.request(2, "w", 2)
-	g.do(Outcome{ID: 2, Result: ResultOK, Elapsed: ms, RequestFinished: true})
-	g.n += due.In
-	if acts := g.do(TimerFired{Token: due.Token}); len(acts) != 0 {
+	h := newHarness(t)
+	due := h.request(1, "w", 2)[1].(StartTimer)
+	h.now += ms
+	h.request(2, "w", 2)
+	h.do(Outcome{ID: 2, Result: ResultOK, Elapsed: ms, RequestFinished: true})
+	h.now += due.In
+	if acts := h.do(TimerFired{Token: due.Token}); len(acts) != 0 {
 		t.Fatalf("%+v", acts)
 	}
 }
--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -6,16 +6,16 @@
 	for _, result := range []Result{ResultError, ResultRejected, ResultTimeout, ResultConnectFailed, ResultReset,
 		ResultCancelled, ResultNotSent, ResultNotFound} {
 		for class := 0; class < 3; class++ {
-			g := newRig(t)
-			acts := g.request(1, "x", class)
-			ends := finals(acts)
+			h := newHarness(t)
+			acts := h.request(1, "x", class)
+			ends := countFinalAnswers(acts)
 			for try := 0; fetchOf(acts) != nil; try++ {
-				g.n += 600 * ms
-				acts = g.do(Outcome{ID: 1, Attempt: try, Result: result, Elapsed: 600 * ms})
-				ends += finals(acts)
+				h.now += 600 * ms
+				acts = h.do(Outcome{ID: 1, Attempt: try, Result: result, Elapsed: 600 * ms})
+				ends += countFinalAnswers(acts)
 			}
-			if ends != 1 || len(g.r.requests) != 0 {
-				t.Errorf("result %v class %d: %d final answers, %d open", result, class, ends, len(g.r.requests))
+			if ends != 1 || len(h.router.requests) != 0 {
+				t.Errorf("result %v class %d: %d final answers, %d open", result, class, ends, len(h.router.requests))
 			}
 		}
 	}
@@ -23,8 +23,8 @@
 
 // A request of a class that was never told still gets its one final answer.
 func TestUnknownClassIsAnswered(t *testing.T) {
-	g := newRig(t)
-	if acts := g.request(1, "x", 9); len(acts) != 1 || acts[0] != (Fail{ID: 1}) {
+	h := newHarness(t)
+	if acts := h.request(1, "x", 9); len(acts) != 1 || acts[0] != (Fail{ID: 1}) {
 		t.Fatalf("%+v", acts)
 	}
 }
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -8,14 +8,14 @@
 
 // One reset is the connection's, not the cache's: the next attempt goes to the same cache. Incident i39a6ba.
 func TestOneResetDoesNotAvoidCache(t *testing.T) {
-	g := newRig(t)
-	home := g.serve(1, "x", CacheStatusFilled).Target
-	g.request(2, "x", 0)
-	f := fetchOf(g.do(Outcome{ID: 2, Result: ResultReset, Elapsed: 20 * ms}))
+	h := newHarness(t)
+	home := h.serve(1, "x", CacheStatusFilled).Target
+	h.request(2, "x", 0)
+	f := fetchOf(h.do(Outcome{ID: 2, Result: ResultReset, Elapsed: 20 * ms}))
 	if f == nil || f.Target != home {
 		t.Fatalf("after one reset want %s again, got %+v", home, f)
 	}
-	f = fetchOf(g.do(Outcome{ID: 2, Attempt: 1, Result: ResultReset, Elapsed: 20 * ms}))
+	f = fetchOf(h.do(Outcome{ID: 2, Attempt: 1, Result: ResultReset, Elapsed: 20 * ms}))
 	if f == nil || f.Target == home {
 		t.Fatalf("after a second reset want another cache, got %+v", f)
 	}
@@ -24,17 +24,17 @@
 // Caches that fail a third of what they are asked, at once and alike, cost nobody an answer: the bound on further
 // attempts is there for overload, not for this.
 func TestEveryThirdAttemptFails(t *testing.T) {
-	g, attempts := newRig(t), 0
+	h, attempts := newHarness(t), 0
 	for id := range int64(300) {
-		g.n += 20 * ms
-		f := fetchOf(g.request(id+1, "x", 0))
+		h.now += 20 * ms
+		f := fetchOf(h.request(id+1, "x", 0))
 		for f != nil {
 			attempts++
 			if attempts%3 != 0 {
-				g.do(Outcome{ID: id + 1, Attempt: len(g.r.requests[id+1].attempts) - 1, Result: ResultOK, CacheStatus: CacheStatusHit, RequestFinished: true})
+				h.do(Outcome{ID: id + 1, Attempt: len(h.router.requests[id+1].attempts) - 1, Result: ResultOK, CacheStatus: CacheStatusHit, RequestFinished: true})
 				break
 			}
-			acts := g.do(Outcome{ID: id + 1, Attempt: len(g.r.requests[id+1].attempts) - 1, Result: ResultError})
+			acts := h.do(Outcome{ID: id + 1, Attempt: len(h.router.requests[id+1].attempts) - 1, Result: ResultError})
 			if f = fetchOf(acts); f == nil {
 				t.Fatalf("request %d was given up after %d attempts in all: %+v", id+1, attempts, acts)
 			}
@@ -48,7 +48,7 @@
 	const routers, each, bin = 300, 5, 20 * time.Millisecond
 	comeBack := map[time.Duration]int{}
 	for i := range routers {
-		set := world()
+		set := testSettings()
 		set.Routers, set.RoutersInZone, set.RouterIndex = routers, routers, i
 		r := New(set, uint64(i))
 		r.Handle(time.Hour, EndpointUpdate{Full: true})
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -6,9 +6,9 @@
 )
 
 func TestSameObjectSameCacheAndParent(t *testing.T) {
-	g := newRig(t)
-	first := g.serve(1, "x", CacheStatusFilled)
-	second := g.serve(2, "x", CacheStatusHit)
+	h := newHarness(t)
+	first := h.serve(1, "x", CacheStatusFilled)
+	second := h.serve(2, "x", CacheStatusHit)
 	if first.Target != second.Target || first.Source != second.Source {
 		t.Fatalf("%+v then %+v", first, second)
 	}
@@ -19,10 +19,10 @@
 
 // A cache that drains hands its objects to the next in hash order, which fills from it no more.
 func TestDrainingCacheIsNeitherTargetNorSource(t *testing.T) {
-	g := newRig(t)
-	home := g.serve(1, "x", CacheStatusFilled).Target
-	g.do(EndpointUpdate{Endpoints: []Endpoint{{ID: home, State: Draining, Zone: 1, Weight: 5}}})
-	f := fetchOf(g.request(2, "x", 0))
+	h := newHarness(t)
+	home := h.serve(1, "x", CacheStatusFilled).Target
+	h.do(EndpointUpdate{Endpoints: []Endpoint{{ID: home, State: Draining, Zone: 1, Weight: 5}}})
+	f := fetchOf(h.request(2, "x", 0))
 	if f.Target == home || f.Source == home {
 		t.Fatalf("%s drains and is used: %+v", home, f)
 	}
@@ -30,13 +30,13 @@
 
 // A cache with too many bytes under way is passed over for the next in hash order (bounded load).
 func TestFullCacheIsPassedOver(t *testing.T) {
-	g := newRig(t)
-	home := g.serve(1, "x", CacheStatusFilled).Target
-	m := g.r.endpoints[home]
+	h := newHarness(t)
+	home := h.serve(1, "x", CacheStatusFilled).Target
+	m := h.router.endpoints[home]
 	for i := 0; i < 40; i++ {
 		m.link.inFlight = append(m.link.inFlight, &attempt{request: &request{transferSeconds: 0.1}, target: m})
 	}
-	if f := fetchOf(g.request(2, "x", 0)); f == nil || f.Target == home {
+	if f := fetchOf(h.request(2, "x", 0)); f == nil || f.Target == home {
 		t.Fatalf("%s is full: %+v", home, f)
 	}
 }
@@ -47,25 +47,25 @@
 		hubs       []int
 		near, most int
 	}{{[]int{0, 0, 2}, 60, 100}, {nil, 20, 80}, {[]int{-7, 0, 99}, 0, 100}, {[]int{0}, 20, 80}} {
-		set := world()
+		set := testSettings()
 		set.ZoneHubs = c.hubs
-		g := &rig{t: t, r: New(set, 1), n: time.Hour}
-		list := everybody()
+		h := &harness{t: t, router: New(set, 1), now: time.Hour}
+		list := allEndpoints()
 		list.Endpoints[4].Zone = 2
-		g.do(list)
+		h.do(list)
 		near := 0
 		for i := range 100 {
-			req := &request{Request: Request{Object: "x"}, class: &g.r.settings.Classes[0], key: mixHash(uint64(i)), transferSeconds: 0.1,
-				objectiveAt: g.n + time.Second}
-			if g.r.chooseParent(req).ID == "p" {
+			req := &request{Request: Request{Object: "x"}, class: &h.router.settings.Classes[0], key: mixHash(uint64(i)), transferSeconds: 0.1,
+				objectiveAt: h.now + time.Second}
+			if h.router.chooseParent(req).ID == "p" {
 				near++
 			}
 		}
 		if near < c.near || near > c.most {
 			t.Errorf("hubs %v: %d of 100 from the near parent", c.hubs, near)
 		}
-		g.do(EndpointUpdate{Endpoints: []Endpoint{{ID: "p", State: Removed, Kind: 1}}})
-		if f := fetchOf(g.request(1, "x", 0)); f.Source != "q" {
+		h.do(EndpointUpdate{Endpoints: []Endpoint{{ID: "p", State: Removed, Kind: 1}}})
+		if f := fetchOf(h.request(1, "x", 0)); f.Source != "q" {
 			t.Errorf("hubs %v: with the near hub lost %q fills", c.hubs, f.Source)
 		}
 	}
@@ -74,10 +74,10 @@
 // A parent whose fills last several times as long as their bytes explain is slow, with few transfers under way too:
 // the others take over what it would make late, nothing is refused, and it is tried again after a while.
 func TestSlowParentIsPassedOver(t *testing.T) {
-	g, object, id := newRig(t), "", int64(0)
+	h, object, id := newHarness(t), "", int64(0)
 	fill := func() string {
 		id++
-		f := fetchOf(g.do(Request{ID: id, Object: object, Remaining: 6 * time.Second}))
+		f := fetchOf(h.do(Request{ID: id, Object: object, Remaining: 6 * time.Second}))
 		if f == nil {
 			t.Fatalf("request %d was not sent", id)
 		}
@@ -85,9 +85,9 @@
 		if f.Source == "p" {
 			took = 900 * ms
 		}
-		g.n += 100 * ms
-		g.do(Outcome{ID: id, Result: ResultOK, CacheStatus: CacheStatusFilled, Elapsed: took, TransferTime: 200 * ms, RequestFinished: true})
-		g.do(Purge{Object: object}) // so that no sibling is expected to hold it
+		h.now += 100 * ms
+		h.do(Outcome{ID: id, Result: ResultOK, CacheStatus: CacheStatusFilled, Elapsed: took, TransferTime: 200 * ms, RequestFinished: true})
+		h.do(Purge{Object: object}) // so that no sibling is expected to hold it
 		return f.Source
 	}
 	for object = "x"; fill() != "p"; { // one that hashing fills from p
@@ -99,10 +99,10 @@
 	if got := fill(); got != "q" {
 		t.Errorf("filled from %s, which takes four times as long", got)
 	}
-	if g.r.zoneLink.capacity != g.r.zoneLink.nominalCapacity {
-		t.Errorf("the link is held to be congested: %v of %v", g.r.zoneLink.capacity, g.r.zoneLink.nominalCapacity)
+	if h.router.zoneLink.capacity != h.router.zoneLink.nominalCapacity {
+		t.Errorf("the link is held to be congested: %v of %v", h.router.zoneLink.capacity, h.router.zoneLink.nominalCapacity)
 	}
-	g.n += 6 * slowdownDecayTime
+	h.now += 6 * slowdownDecayTime
 	if got := fill(); got != "p" {
 		t.Errorf("%s: the slow one is not tried again", got)
 	}
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -8,12 +8,12 @@
 
 // A cold cache gets no more than its budget.
 func TestSlowStartBudgetOfCache(t *testing.T) {
-	g := newRig(t)
-	home := g.serve(1, "x", CacheStatusFilled).Target
-	g.do(EndpointUpdate{Endpoints: []Endpoint{{ID: home, State: Ready, Zone: 1, Weight: 5, Started: g.n}}})
+	h := newHarness(t)
+	home := h.serve(1, "x", CacheStatusFilled).Target
+	h.do(EndpointUpdate{Endpoints: []Endpoint{{ID: home, State: Ready, Zone: 1, Weight: 5, Started: h.now}}})
 	sent := 0
 	for i := int64(2); i < 60; i++ {
-		if f := fetchOf(g.request(i, "x", 0)); f != nil && f.Target == home {
+		if f := fetchOf(h.request(i, "x", 0)); f != nil && f.Target == home {
 			sent++
 		}
 	}
@@ -26,16 +26,16 @@
 // A parent whose size is not told does not grow with the number of routers: the cold budgets of all of them
 // together stay inside what it can bear. Incident iddf016.
 func TestSlowStartBudgetOfParentAcrossRouters(t *testing.T) {
-	set := world()
+	set := testSettings()
 	set.Routers, set.RoutersInZone, set.WeightsConfigured = 100, 5, false
 	sent := 0
 	for i := range set.Routers {
-		g := &rig{t: t, r: New(set, uint64(i)), n: time.Hour}
-		list := everybody()
-		list.Endpoints[3].Started, list.Endpoints[4].State = g.n, Removed
-		g.do(list)
+		h := &harness{t: t, router: New(set, uint64(i)), now: time.Hour}
+		list := allEndpoints()
+		list.Endpoints[3].Started, list.Endpoints[4].State = h.now, Removed
+		h.do(list)
 		for id := int64(1); id < 20; id++ {
-			if f := fetchOf(g.request(id, string(rune('a'+id)), 0)); f != nil && f.Source == "p" {
+			if f := fetchOf(h.request(id, string(rune('a'+id)), 0)); f != nil && f.Source == "p" {
 				sent++
 			}
 		}
@@ -62,8 +62,8 @@
 	f.routers[i].Handle(f.now, f.list)
 }
 
-// ask has each router asked for as many objects as it may take, and answers nothing: every one of 0.1 s.
-func (f *fleet) ask(cold string, id int64) {
+// requestColdObjects has each router asked for as many objects as it may take, and answers nothing: every one of 0.1 s.
+func (f *fleet) requestColdObjects(cold string, id int64) {
 	for _, r := range f.routers {
 		for n := range int64(8) {
 			q := Request{ID: id<<8 + n, Object: string(rune('a' + n)), Class: 0, SizeKB: 100, Remaining: 3 * time.Second}
@@ -78,8 +78,8 @@
 	}
 }
 
-// most is the largest number sent in a window beyond what is allowed at its end: N + 2 x root of N + 2.
-func (f *fleet) most(allowed func(at time.Duration) float64, window time.Duration) (over float64) {
+// maxExcess is the largest number sent in a window beyond what is allowed at its end: N + 2 x root of N + 2.
+func (f *fleet) maxExcess(allowed func(at time.Duration) float64, window time.Duration) (over float64) {
 	over = math.Inf(-1)
 	for i, at := range f.sent {
 		n := 0
@@ -99,7 +99,7 @@
 func TestSlowStartBudgetAcrossFleet(t *testing.T) {
 	for _, routers := range []int{3, 20, 30, 300} {
 		for _, cold := range []string{"a", "p"} {
-			f := &fleet{set: world(), list: everybody(), routers: make([]*Router, routers), now: time.Hour}
+			f := &fleet{set: testSettings(), list: allEndpoints(), routers: make([]*Router, routers), now: time.Hour}
 			f.set.Routers, f.set.RoutersInZone = routers, routers
 			share, within, weight := f.set.SlowStartCapacity, f.set.SlowStartDuration, 5.0
 			if cold == "p" {
@@ -137,10 +137,10 @@
 					}
 				}
 				if f.now >= time.Hour+2*time.Second {
-					f.ask(cold, tick+1)
+					f.requestColdObjects(cold, tick+1)
 				}
 			}
-			over := f.most(func(at time.Duration) float64 {
+			over := f.maxExcess(func(at time.Duration) float64 {
 				return 2 * weight * (share + (1-share)*float64(at-started)/float64(within)) * window.Seconds() / 0.1
 			}, window)
 			if len(f.sent) == 0 || over > 0 {
@@ -154,35 +154,35 @@
 // on before its member started anew is looked at again.
 func TestDelayedAttemptsKeepSlowStartBudget(t *testing.T) {
 	for _, startsAnew := range []bool{false, true} {
-		set := world()
+		set := testSettings()
 		set.SlowStartCapacity, set.OverloadWindow = 0.05, time.Second
-		g := &rig{t: t, r: New(set, 1), n: time.Hour}
-		g.do(everybody())
-		home := g.serve(1, "x", CacheStatusFilled).Target
-		g.n += time.Minute
-		cold := EndpointUpdate{Endpoints: []Endpoint{{ID: home, State: Ready, Zone: 1, Weight: 5, Started: g.n}}}
+		h := &harness{t: t, router: New(set, 1), now: time.Hour}
+		h.do(allEndpoints())
+		home := h.serve(1, "x", CacheStatusFilled).Target
+		h.now += time.Minute
+		cold := EndpointUpdate{Endpoints: []Endpoint{{ID: home, State: Ready, Zone: 1, Weight: 5, Started: h.now}}}
 		if !startsAnew {
-			g.do(cold)
+			h.do(cold)
 		}
 		var waiting []int64
 		for id := int64(2); id < 100; id++ {
-			g.n += 100 * ms
-			if f := fetchOf(g.request(id, "x", 0)); f != nil && f.Target == home {
+			h.now += 100 * ms
+			if f := fetchOf(h.request(id, "x", 0)); f != nil && f.Target == home {
 				waiting = append(waiting, id)
 			}
 		}
 		if startsAnew {
-			cold.Endpoints[0].Started = g.n
-			g.do(cold)
+			cold.Endpoints[0].Started = h.now
+			h.do(cold)
 		}
 		sent := 0
 		for _, id := range waiting {
-			if _, verdict := g.r.MaySend(g.n, SendInfo{ID: id, Remaining: time.Second}); verdict.Allowed() {
+			if _, verdict := h.router.MaySend(h.now, SendInfo{ID: id, Remaining: time.Second}); verdict.Allowed() {
 				sent++
 			}
 		}
 		// 0.1 s each; 2 times the warm share of 5 transfers for 1 s.
-		share := g.r.slowStartFraction(g.r.endpoints[home])
+		share := h.router.slowStartFraction(h.router.endpoints[home])
 		if most := 2 * share * 5; sent == 0 || float64(sent)*0.1 > most {
 			t.Errorf("started anew %v: %d of %d sent at once, %.1f s allowed", startsAnew, sent, len(waiting), most)
 		}
@@ -193,20 +193,20 @@
 func TestTwoProcessesShareSlowStartBudget(t *testing.T) {
 	sent := map[int]int{}
 	for _, processes := range []int{1, 2} {
-		set := world()
+		set := testSettings()
 		set.ProcessesPerRouter = processes
 		for i := range processes {
-			g := &rig{t: t, r: New(set, uint64(i)), n: time.Hour}
-			g.do(everybody())
-			home := g.serve(1, "x", CacheStatusFilled).Target
-			g.n += time.Minute
-			g.do(EndpointUpdate{Endpoints: []Endpoint{{ID: home, State: Ready, Zone: 1, Weight: 5, Started: g.n}}})
+			h := &harness{t: t, router: New(set, uint64(i)), now: time.Hour}
+			h.do(allEndpoints())
+			home := h.serve(1, "x", CacheStatusFilled).Target
+			h.now += time.Minute
+			h.do(EndpointUpdate{Endpoints: []Endpoint{{ID: home, State: Ready, Zone: 1, Weight: 5, Started: h.now}}})
 			for id := int64(2); id < 60; id++ {
-				if f := fetchOf(g.request(id, "x", 0)); f != nil && f.Target == home {
+				if f := fetchOf(h.request(id, "x", 0)); f != nil && f.Target == home {
 					sent[processes]++
 				}
-				g.do(ClientDisconnected{ID: id})
-				g.do(Outcome{ID: id, Result: ResultCancelled, RequestFinished: true})
+				h.do(ClientDisconnected{ID: id})
+				h.do(Outcome{ID: id, Result: ResultCancelled, RequestFinished: true})
 			}
 		}
 	}
--- a/policy/transfertime_test.go
+++ b/policy/transfertime_test.go
@@ -9,52 +9,52 @@
 // The bytes of an answer tell what a part takes to send, and are remembered: slow answers make neither the part
 // nor its class look larger, which would make a crowded link look free.
 func TestSizesAreRememberedByPart(t *testing.T) {
-	g := newRig(t)
+	h := newHarness(t)
 	for id := range int64(20) {
 		object, sending := "small", 50*ms
 		if id%2 == 1 {
 			object, sending = "large", 750*ms
 		}
-		g.do(Request{ID: id + 1, Object: object, Remaining: 6 * time.Second})
-		g.n += 2 * sending
-		g.do(Outcome{ID: id + 1, Result: ResultOK, CacheStatus: CacheStatusHit, Elapsed: 2 * sending, TransferTime: sending, RequestFinished: true})
+		h.do(Request{ID: id + 1, Object: object, Remaining: 6 * time.Second})
+		h.now += 2 * sending
+		h.do(Outcome{ID: id + 1, Result: ResultOK, CacheStatus: CacheStatusHit, Elapsed: 2 * sending, TransferTime: sending, RequestFinished: true})
 	}
 	for object, want := range map[string]float64{"small": 0.05, "large": 0.75, "unknown": 0.4} {
-		g.do(Request{ID: 99, Object: object, Remaining: 6 * time.Second})
-		if got := g.r.requests[99].transferSeconds; math.Abs(got-want) > 0.01 {
+		h.do(Request{ID: 99, Object: object, Remaining: 6 * time.Second})
+		if got := h.router.requests[99].transferSeconds; math.Abs(got-want) > 0.01 {
 			t.Errorf("%s is expected to take %v s, want %v", object, got, want)
 		}
-		g.do(ClientDisconnected{ID: 99})
-		g.do(Outcome{ID: 99, Result: ResultCancelled})
+		h.do(ClientDisconnected{ID: 99})
+		h.do(Outcome{ID: 99, Result: ResultCancelled})
 	}
 }
 
 // Where sizes are not told, the sending time is learned from hits on free links, and a large object on a free
 // link must not pass for a full link: small requests would be refused more and more.
 func TestUnknownSizesAreLearned(t *testing.T) {
-	g := newRig(t)
-	guess := newRig(t).r.classTransferSeconds[""].value
+	h := newHarness(t)
+	guess := newHarness(t).router.classTransferSeconds[""].value
 	ask := func(id int64, took time.Duration) *endpointState {
-		f := fetchOf(g.do(Request{ID: id, Object: "x", Class: 0, Remaining: 3 * time.Second}))
+		f := fetchOf(h.do(Request{ID: id, Object: "x", Class: 0, Remaining: 3 * time.Second}))
 		if f == nil {
 			t.Fatalf("request %d was not sent", id)
 		}
-		g.n += took
-		g.do(Outcome{ID: id, Result: ResultOK, CacheStatus: CacheStatusHit, Elapsed: took, RequestFinished: true})
-		return g.r.endpoints[f.Target]
+		h.now += took
+		h.do(Outcome{ID: id, Result: ResultOK, CacheStatus: CacheStatusHit, Elapsed: took, RequestFinished: true})
+		return h.router.endpoints[f.Target]
 	}
 	var m *endpointState
 	for id := range int64(50) {
 		m = ask(id+1, 300*ms)
 	}
-	if got := g.r.classTransferSeconds[""].value; guess != 0 || math.Abs(got-0.3) > 0.01 {
+	if got := h.router.classTransferSeconds[""].value; guess != 0 || math.Abs(got-0.3) > 0.01 {
 		t.Errorf("%v s learned from answers of 0.3 s, %v before", got, guess)
 	}
 	if m.link.capacity != m.link.nominalCapacity {
 		t.Errorf("the link is taken for %v of %v transfers", m.link.capacity, m.link.nominalCapacity)
 	}
 	ask(60, 2500*ms) // no size explains this one
-	if m.link.currentSlowdown(g.n) < minSlowdown {
-		t.Errorf("one far slower than usual is held to be slower by %v", m.link.currentSlowdown(g.n))
+	if m.link.currentSlowdown(h.now) < minSlowdown {
+		t.Errorf("one far slower than usual is held to be slower by %v", m.link.currentSlowdown(h.now))
 	}
 }
