--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A full link refuses the long request before the short one.
+// A congested link sheds long requests before short ones of the same weight.
 func TestSheddingByWeightPerTransferTime(t *testing.T) {
 	h := newHarness(t)
 	ask := func(id int64, kb float64) *Fetch {
@@ -21,6 +21,6 @@
 		}
 	}
 	if long == 0 || short >= long {
-		t.Fatalf("refused %d short and %d long ones", short, long)
+		t.Fatalf("rejected %d short and %d long requests", short, long)
 	}
 }
--- a/policy/cacheindex_test.go
+++ b/policy/cacheindex_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A restarted cache is empty: no belief in it is left, and its ratio starts anew.
+// A restarted cache is empty: its cache index is cleared and its misindication ratio starts again.
 func TestRestartClearsCacheIndex(t *testing.T) {
 	h := newHarness(t)
 	home := h.serve(1, "x", CacheStatusFilled).Target
@@ -17,6 +17,7 @@
 	}
 }
 
+// The cache index is bounded, and a record ends with its class's freshness.
 func TestCacheIndexIsBounded(t *testing.T) {
 	h := newHarness(t)
 	m := h.router.endpoints["a"]
@@ -30,9 +31,9 @@
 	h.router.now = h.now
 	h.router.recordCached(m, req, true)
 	if !h.router.likelyCached(m, req) {
-		t.Fatal("a new belief must count")
+		t.Fatal("a new record must count")
 	}
 	if h.router.now += req.class.FreshFor; h.router.likelyCached(m, req) {
-		t.Fatal("a copy past its fresh time is believed in")
+		t.Fatal("a copy that is no longer fresh is believed to be cached")
 	}
 }
--- a/policy/estimators_test.go
+++ b/policy/estimators_test.go
@@ -5,6 +5,7 @@
 	"testing"
 )
 
+// A ratio is plain in its first epoch, and changes only at the end of each later one.
 func TestRatioPlainThenSmoothed(t *testing.T) {
 	var r ratio
 	for i := 0; i < epochFills; i++ {
@@ -26,7 +27,7 @@
 	}
 }
 
-// Means start plain: one large first request must not stand for the class. Incident iddf016.
+// Means start plain: one large first request must not dominate its class. Incident iddf016.
 func TestMeanStartsPlain(t *testing.T) {
 	var m mean
 	for _, v := range []float64{1, 3, 5} {
--- a/policy/fillorders_test.go
+++ b/policy/fillorders_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// When all copies go void, each of many routers asks for the same objects at once. Their first attempts join the fill that
-// is under way at the cache that all of them pick, and go to no more than one cache and one parent for an object.
+// After a purge of everything, many routers request the same objects at once. Their first attempts join the
+// fill that is in progress at the cache that all of them select: one cache and one parent for each object.
 func TestFleetCoalescesFillsAfterPurge(t *testing.T) {
 	const routers = 80
 	for object := range 20 {
--- a/policy/fillsource_test.go
+++ b/policy/fillsource_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Routers rank siblings alike: one whose link is full is not asked to fill too.
+// All routers rank siblings alike: one whose link has no capacity left is not used as a source.
 func TestFullSiblingIsNotASource(t *testing.T) {
 	h := newHarness(t)
 	r := h.router
@@ -24,7 +24,8 @@
 	}
 }
 
-// A cache that joins owns objects that a sibling still holds: the sibling fills.
+// A cache that returns is the target again for its objects, and a sibling that still has them cached fills
+// them.
 func TestReturnedCacheIsFilledFromSibling(t *testing.T) {
 	h := newHarness(t)
 	home := h.serve(1, "x", CacheStatusFilled).Target
@@ -41,7 +42,7 @@
 	}
 }
 
-// The choice names a sibling when 1 + beta*rho < beta: with beta 4 that is rho < 0.75.
+// A sibling is the source when 1 + beta*rho < beta: with beta 4 that is rho < 0.75.
 func TestChoiceRule(t *testing.T) {
 	for _, c := range []struct {
 		rho  float64
@@ -60,6 +61,7 @@
 	}
 }
 
+// The miss penalty is the quotient of both tiers' first-byte times, once both are known.
 func TestMissPenaltyFromFirstByteTimes(t *testing.T) {
 	h := newHarness(t)
 	if b := h.router.missPenalty(); b != initialMissPenalty {
--- a/policy/guard_test.go
+++ b/policy/guard_test.go
@@ -5,13 +5,12 @@
 	"time"
 )
 
-// The time for repeats is looked at again when a repeat's first byte goes: it may have waited for its connection.
+// The deduplication window is checked again at a retry's first byte: it may have waited for its connection.
 func TestRetryDoesNotStartAfterWindow(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		set := testSettings()
 		set.Classes[0] = Class{Idempotency: IdempotencyKey, DeduplicationScope: ScopeAll, DeduplicationWindow: time.Second, LatencyObjective: 2 * time.Second, PriorityWeight: 1}
-		h := &harness{t: t, router: New(set, 1), now: time.Hour}
-		h.do(allEndpoints())
+		h := newHarnessWith(t, set)
 		if fetchOf(h.request(1, "x", 0)) == nil {
 			t.Fatal("not sent")
 		}
@@ -32,7 +31,7 @@
 	}
 }
 
-// What was decided while a connection came up is looked at again when the first byte goes.
+// MaySend checks an attempt again at its first byte, and returns the fill orders of that time.
 func TestMaySendChecksAtFirstByte(t *testing.T) {
 	drain := func(id string) Event {
 		return EndpointUpdate{Endpoints: []Endpoint{{ID: id, State: Draining, Zone: 1}}}
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -7,7 +7,8 @@
 
 const ms = time.Millisecond
 
-// testSettings is a small deployment: three caches, two parents and an origin, one class of each effect.
+// testSettings describes a small deployment: three caches, two parents and an origin; two idempotent classes,
+// of which one expires, and one for writes.
 func testSettings() Settings {
 	return Settings{
 		Zone: 1, ParentKind: 1, OriginKind: 2, Routers: 1, RoutersInZone: 1, WeightsConfigured: true,
@@ -25,6 +26,7 @@
 	}
 }
 
+// allEndpoints is the full endpoint list of the deployment.
 func allEndpoints() EndpointUpdate {
 	return EndpointUpdate{Full: true, Endpoints: []Endpoint{
 		{ID: "a", State: Ready, Zone: 1, Weight: 5}, {ID: "b", State: Ready, Zone: 1, Weight: 5},
@@ -34,25 +36,36 @@
 	}}
 }
 
-// harness drives a router by hand.
+// harness drives a router with events at times that the test sets.
 type harness struct {
-	t *testing.T
+	t      testing.TB
 	router *Router
-	now time.Duration
+	now    time.Duration
 }
 
-func newHarness(t *testing.T) *harness {
-	h := &harness{t: t, router: New(testSettings(), 1), now: time.Hour}
+// newHarness returns a harness whose router has the test settings and knows all endpoints.
+func newHarness(tb testing.TB) *harness {
+	tb.Helper()
+	return newHarnessWith(tb, testSettings())
+}
+
+// newHarnessWith returns a harness whose router has other settings and knows all endpoints.
+func newHarnessWith(tb testing.TB, settings Settings) *harness {
+	tb.Helper()
+	h := &harness{t: tb, router: New(settings, 1), now: time.Hour}
 	h.do(allEndpoints())
 	return h
 }
 
+// do passes an event to the router at the harness's time.
 func (h *harness) do(ev Event) []Action { return h.router.Handle(h.now, ev) }
 
+// request sends a request of 100 KB, which takes 0.1 s at full pace.
 func (h *harness) request(id int64, object string, class int) []Action {
 	return h.do(Request{ID: id, Object: object, Class: class, SizeKB: 100, Remaining: 3 * time.Second})
 }
 
+// fetchOf returns the first Fetch among actions, or nil.
 func fetchOf(acts []Action) *Fetch {
 	for _, a := range acts {
 		if f, ok := a.(Fetch); ok {
@@ -62,6 +75,7 @@
 	return nil
 }
 
+// countFinalAnswers counts the final answers among actions.
 func countFinalAnswers(acts []Action) (n int) {
 	for _, a := range acts {
 		switch a.(type) {
@@ -72,12 +86,14 @@
 	return n
 }
 
-func (h *harness) serve(id int64, object string, note CacheStatus) Fetch {
+// serve has a request of class 0 answered after 150 ms and returns its Fetch.
+func (h *harness) serve(id int64, object string, status CacheStatus) Fetch {
+	h.t.Helper()
 	f := fetchOf(h.request(id, object, 0))
 	if f == nil {
 		h.t.Fatalf("request %d was not sent", id)
 	}
 	h.now += 150 * ms
-	h.do(Outcome{ID: id, Result: ResultOK, CacheStatus: note, Elapsed: 150 * ms, SourceFirstByte: 20 * ms, RequestFinished: true})
+	h.do(Outcome{ID: id, Result: ResultOK, CacheStatus: status, Elapsed: 150 * ms, SourceFirstByte: 20 * ms, RequestFinished: true})
 	return *f
 }
--- a/policy/idempotency_test.go
+++ b/policy/idempotency_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// An unsafe request that may have run gets no second attempt and no refusal.
+// A request that is not idempotent and may have run is neither retried nor rejected.
 func TestNonIdempotentRequestRunsOnce(t *testing.T) {
 	for _, c := range []struct {
 		result Result
@@ -28,7 +28,7 @@
 	}
 }
 
-// A keyed request that may have run is repeated only in its scope and within its window.
+// A request with an idempotency key that may have run is retried only in its scope and within its window.
 func TestIdempotencyKeyScopeAndWindow(t *testing.T) {
 	first := &endpointState{Endpoint: Endpoint{ID: "a", Zone: 1, Cell: 3}}
 	for _, c := range []struct {
@@ -52,7 +52,7 @@
 			t.Errorf("%+v: %v", c, got)
 		}
 		if got := r.mayReject(req); got != (c.scope == ScopeAll) {
-			t.Errorf("scope %v: may refuse %v", c.scope, got)
+			t.Errorf("scope %v: may reject %v", c.scope, got)
 		}
 	}
 }
--- a/policy/linkpace_test.go
+++ b/policy/linkpace_test.go
@@ -5,22 +5,21 @@
 	"time"
 )
 
-// A link whose size is told keeps it where answers come of unknown size: what is not known then is the load that others
-// put on it. One whose size is a guess follows its answers, and so does any link where their sizes are known.
+// A configured link capacity is not changed by answers of unknown size, as the unknown may be the load of
+// others. An assumed capacity follows all answers, and a configured one those of known size.
 func TestConfiguredLinksIgnoreAnswersOfUnknownSize(t *testing.T) {
 	for _, c := range []struct {
-		told    bool
-		sending time.Duration
-		moves   bool
+		configured bool
+		sending    time.Duration
+		moves      bool
 	}{{true, 0, false}, {true, 100 * ms, true}, {false, 0, true}} {
 		set := testSettings()
-		set.WeightsConfigured = c.told
-		if !c.told {
+		set.WeightsConfigured = c.configured
+		if !c.configured {
 			set.ZoneLinkTransfers = 0
 		}
-		h := &harness{t: t, router: New(set, 1), now: time.Hour}
-		h.do(allEndpoints())
-		for id := range int64(60) { // a burst: every link on the way is taken to be full
+		h := newHarnessWith(t, set)
+		for id := range int64(60) { // a burst: every link is taken for congested
 			h.do(Request{ID: id + 1, Object: string(rune('a' + id)), Remaining: 3 * time.Second})
 		}
 		var full *link
--- a/policy/links_test.go
+++ b/policy/links_test.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// With many routers a share of a link is under one transfer; an idle link must not look full for it. i0f9a26.
+// With many routers, one router's quota of a link is below one transfer; an idle link must not look congested
+// for it. Incident i0f9a26.
 func TestManyRoutersShareALink(t *testing.T) {
 	set := testSettings()
 	set.Routers, set.RoutersInZone = 200, 5
-	h := &harness{t: t, router: New(set, 1), now: time.Hour}
-	h.do(allEndpoints())
+	h := newHarnessWith(t, set)
 	f := fetchOf(h.do(Request{ID: 1, Object: "x", SizeKB: 300, Remaining: 3 * time.Second}))
 	if f == nil || f.Source == "o" {
 		t.Fatalf("nothing is under way and the first miss is not filled from a parent: %+v", f)
@@ -24,7 +24,7 @@
 	}
 }
 
-// What answers taught of a link bounds the cold budget after a restart too.
+// The capacity that was learned of a link bounds the slow-start budget after a restart too.
 func TestLearnedCapacitySurvivesRestart(t *testing.T) {
 	h := newHarness(t)
 	m := h.router.endpoints["a"]
--- a/policy/originlimit_test.go
+++ b/policy/originlimit_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A refusing origin lowers its limit: further misses ask the parent only for what it holds.
+// A failing origin lowers its limit: later misses ask the parent only for what it has cached.
 func TestOriginLimitFalls(t *testing.T) {
 	h := newHarness(t)
 	for i := int64(1); i < 8; i++ {
@@ -15,11 +15,12 @@
 	}
 	h.do(Outcome{ID: 1, Result: ResultError, CacheStatus: CacheStatusOriginFailed, Elapsed: 20 * ms})
 	if f := fetchOf(h.request(20, "new", 0)); f == nil || !f.CachedOnly {
-		t.Fatalf("the origin failed and is asked on: %+v", f)
+		t.Fatalf("the origin failed and may still be loaded: %+v", f)
 	}
 }
 
-// An answer that waited at the origin for longer than the aim lowers the limit as well. Incident i058414.
+// An answer whose first byte took the origin longer than the latency objective lowers the limit. Incident
+// i058414.
 func TestSlowFirstByteOfOriginLowersLimit(t *testing.T) {
 	h := newHarness(t)
 	for i := int64(1); i < 8; i++ {
@@ -40,8 +41,8 @@
 	}
 }
 
-// With many routers one attempt of each is too much for a failing origin: the limit falls under one, down to this
-// router's part, and opens again. With few routers one is always let through. Incident ic689c2.
+// With many routers one attempt of each is too much for a failing origin: the limit falls below one, to this
+// router's part, and rises again. With few routers one attempt is always admitted. Incident ic689c2.
 func TestLimitFallsBelowOneWithManyRouters(t *testing.T) {
 	for _, c := range []struct {
 		instances int
@@ -49,8 +50,7 @@
 	}{{300, true}, {1, false}} {
 		set := testSettings()
 		set.Routers = c.instances
-		h := &harness{t: t, router: New(set, 1), now: time.Hour}
-		h.do(allEndpoints())
+		h := newHarnessWith(t, set)
 		for id := int64(1); id < 20; id++ {
 			h.request(id, string(rune('a'+id)), 0)
 			h.now += 200 * ms
@@ -70,12 +70,13 @@
 	}
 }
 
-// An answer whose bytes came late from the origin, many times slower than they could, lowers the limit: its link is full,
-// and its first byte does not tell. One that was slow in time, late for its size, or of unknown size does not.
+// An answer that missed its objective and whose bytes took many times their full-pace time lowers the limit:
+// the origin's link is congested, which its first byte does not show. One that met its objective, was large,
+// or was of unknown size does not.
 func TestSlowTransferFromOriginLowersLimit(t *testing.T) {
 	for _, c := range []struct {
-		took, sending time.Duration
-		lowers        bool
+		elapsed, transferTime time.Duration
+		lowers                bool
 	}{
 		{2 * time.Second, 200 * ms, true},
 		{400 * ms, 50 * ms, false},
@@ -87,8 +88,8 @@
 			h.request(i, string(rune('a'+i)), 0)
 		}
 		before := h.router.originLimit.limit
-		h.now += c.took
-		h.do(Outcome{ID: 1, Result: ResultOK, CacheStatus: CacheStatusFilledByOrigin, Elapsed: c.took, SourceFirstByte: 50 * ms, TransferTime: c.sending, RequestFinished: true})
+		h.now += c.elapsed
+		h.do(Outcome{ID: 1, Result: ResultOK, CacheStatus: CacheStatusFilledByOrigin, Elapsed: c.elapsed, SourceFirstByte: 50 * ms, TransferTime: c.transferTime, RequestFinished: true})
 		if lowered := h.router.originLimit.limit < before; lowered != c.lowers {
 			t.Errorf("%+v: limit %v, %v before", c, h.router.originLimit.limit, before)
 		}
--- a/policy/outliers_test.go
+++ b/policy/outliers_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A cache that fails what others answer is left alone, and comes back by a good answer. A request that fails
-// wherever it goes is given up, and no cache is suspected for it.
+// A cache that fails requests which others answer is ejected, and returns with its next good answer. A
+// request that fails everywhere is given up, and ejects no cache.
 func TestFailuresEjectOnceOthersAnswer(t *testing.T) {
 	h := newHarness(t)
 	home := h.serve(1, "x", CacheStatusFilled).Target
@@ -23,13 +23,13 @@
 	}
 	f := fetchOf(h.request(4, "x", 0))
 	if f.Target == home {
-		t.Fatalf("%s failed two requests that others answered, and gets a third", home)
+		t.Fatalf("%s failed two requests that others answered, and receives a third", home)
 	}
 	h.do(Outcome{ID: 4, Result: ResultOK, CacheStatus: CacheStatusHit, Elapsed: 100 * ms, RequestFinished: true})
 	h.now += baseEjectionTime
 	h.serve(5, "x", CacheStatusHit)
 	if h.router.isEjected(h.router.endpoints[home]) {
-		t.Fatal("a good answer must bring it back")
+		t.Fatal("a good answer must end the ejection")
 	}
 
 	h.request(6, "y", 0)
@@ -42,12 +42,12 @@
 	}
 	for id, m := range h.router.endpoints {
 		if h.router.isEjected(m) {
-			t.Errorf("%s is suspected for a request that no cache can use", id)
+			t.Errorf("%s is ejected for a request that fails everywhere", id)
 		}
 	}
 }
 
-// A parent that keeps failing is trusted again one doubt for each answer, not all at once. Incident ia695e1.
+// Each response of an endpoint makes up for one ejection, not for all at once. Incident ia695e1.
 func TestEjectionsDecayOneByOne(t *testing.T) {
 	h := newHarness(t)
 	m := h.router.endpoints["p"]
@@ -58,11 +58,11 @@
 	m.recordResponse(h.now)
 	m.link.inFlight = []*attempt{{request: &request{}}}
 	if !h.router.isEjected(m) {
-		t.Fatal("one good answer after three doubts must not bring full trust")
+		t.Fatal("one response must not make up for three ejections")
 	}
 	m.recordResponse(h.now)
 	m.recordResponse(h.now)
 	if h.router.isEjected(m) {
-		t.Fatal("three good answers must")
+		t.Fatal("three responses must make up for three ejections")
 	}
 }
--- a/policy/overdue_test.go
+++ b/policy/overdue_test.go
@@ -5,14 +5,13 @@
 	"time"
 )
 
-// Lost answers: a cache that does the work and answers others is heard all the time. An attempt that later ones
-// overtook is asked for again where the copy is, beside the first where the site allows that.
+// A cache that responds to others but not to an attempt has lost its answer. The attempt is repeated at the
+// same cache, as a hedged request where the settings allow it.
 func TestLostAnswerIsRetried(t *testing.T) {
 	for _, second := range []bool{true, false} {
 		set := testSettings()
 		set.Hedging = second
-		h := &harness{t: t, router: New(set, 1), now: time.Hour}
-		h.do(allEndpoints())
+		h := newHarnessWith(t, set)
 		home := h.serve(1, "x", CacheStatusFilled).Target
 		acts := h.request(2, "x", 0)
 		due := acts[1].(StartTimer)
@@ -27,7 +26,7 @@
 			acts = h.do(Outcome{ID: 2, Result: ResultCancelled})
 		}
 		if f := fetchOf(acts); f == nil || f.Target != home {
-			t.Fatalf("want %s asked again, got %+v", home, acts)
+			t.Fatalf("want a second attempt at %s, got %+v", home, acts)
 		}
 		if n := len(h.router.endpoints[home].link.inFlight); n != 1 {
 			t.Fatalf("%d on the link: the lost one must not make it look full", n)
@@ -35,8 +34,8 @@
 	}
 }
 
-// An object far larger than most is no lost answer, though smaller ones that were asked for later have come: it
-// would be sent twice, and fetched from afar twice, which no other request pays as much for.
+// An object far larger than most is not taken for a lost answer when smaller ones that were requested later
+// have arrived: it would be transferred twice.
 func TestLargeObjectIsNotOverdue(t *testing.T) {
 	h := newHarness(t)
 	ask := func(id int64, object string) []Action {
@@ -53,7 +52,7 @@
 	}
 }
 
-// A write whose answer is lost is not sent again, nor given up.
+// A write whose answer is lost is neither retried nor cancelled.
 func TestLostWriteIsNotRetried(t *testing.T) {
 	h := newHarness(t)
 	due := h.request(1, "w", 2)[1].(StartTimer)
--- a/policy/purges_test.go
+++ b/policy/purges_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// After a purge no copy older than it will do, and no fill is joined that may be older.
+// After a purge no copy older than it is accepted, and a retry joins no fill that may have begun before.
 func TestPurgeBoundsAge(t *testing.T) {
 	h := newHarness(t)
 	h.do(Purge{Object: "x", Age: 100 * ms})
@@ -14,7 +14,7 @@
 	if f.MaxAge != 150*ms || !f.CoalesceFill {
 		t.Fatalf("want age 150 ms, and a join as all that miss at once would fill, got %+v", f)
 	}
-	f = fetchOf(h.do(Outcome{ID: 1, Result: ResultError, Elapsed: 20 * ms})) // what it joined was too old, perhaps
+	f = fetchOf(h.do(Outcome{ID: 1, Result: ResultError, Elapsed: 20 * ms})) // the fill that it joined may be too old
 	if f == nil || f.MaxAge != 150*ms || f.CoalesceFill {
 		t.Fatalf("want age 150 ms and no join in a further attempt, got %+v", f)
 	}
@@ -28,7 +28,7 @@
 	}
 }
 
-// A purge of the object, or of its group, ends the records of its copies; others stay.
+// A purge of an object, or of its group, ends the belief that it is cached; other records stay.
 func TestPurgeClearsCacheRecords(t *testing.T) {
 	for _, purge := range []Purge{{Object: "x", Group: 0}, {Group: 0}} {
 		h := newHarness(t)
@@ -38,13 +38,13 @@
 		h.do(Purge{Object: "y", Group: 0})
 		h.do(Purge{Group: 9})
 		if !h.router.likelyCached(m, req) {
-			t.Fatal("another purge took the belief")
+			t.Fatal("another purge removed the record")
 		}
 		h.do(purge)
 		h.now += 10 * time.Second
-		h.do(Purge{Group: 7}) // news of another forgets none that a belief may predate
+		h.do(Purge{Group: 7}) // another purge removes none that a record may predate
 		if h.router.likelyCached(m, req) {
-			t.Fatalf("%+v left the belief", purge)
+			t.Fatalf("%+v left the record", purge)
 		}
 		h.router.recordCached(m, req, true)
 		if !h.router.likelyCached(m, req) {
--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -2,6 +2,7 @@
 
 import "testing"
 
+// Whatever the result of its attempts, a request gets one final answer and is removed.
 func TestEveryRequestIsFinishedOnce(t *testing.T) {
 	for _, result := range []Result{ResultError, ResultRejected, ResultTimeout, ResultConnectFailed, ResultReset,
 		ResultCancelled, ResultNotSent, ResultNotFound} {
@@ -21,7 +22,7 @@
 	}
 }
 
-// A request of a class that was never told still gets its one final answer.
+// A request of an unknown class gets its one final answer.
 func TestUnknownClassIsAnswered(t *testing.T) {
 	h := newHarness(t)
 	if acts := h.request(1, "x", 9); len(acts) != 1 || acts[0] != (Fail{ID: 1}) {
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// One reset is the connection's, not the cache's: the next attempt goes to the same cache. Incident i39a6ba.
+// One reset is attributed to the connection, not to the cache: the next attempt goes to the same cache.
+// Incident i39a6ba.
 func TestOneResetDoesNotAvoidCache(t *testing.T) {
 	h := newHarness(t)
 	home := h.serve(1, "x", CacheStatusFilled).Target
@@ -21,8 +22,7 @@
 	}
 }
 
-// Caches that fail a third of what they are asked, at once and alike, cost nobody an answer: the bound on further
-// attempts is there for overload, not for this.
+// Caches that fail a third of all attempts make no request fail: the retry budget is for overload.
 func TestEveryThirdAttemptFails(t *testing.T) {
 	h, attempts := newHarness(t), 0
 	for id := range int64(300) {
@@ -42,11 +42,11 @@
 	}
 }
 
-// When a zone is lost, all routers refuse at once, and clients come back when they are told to. Over the fleet they come
-// back evenly: no 20 ms of the time that is advised bring more than twice their part, and none comes too soon.
+// When a zone is lost, all routers reject at once. Their Retry-After spreads the clients evenly: no 20 ms
+// bring more than twice the mean, and none returns too soon.
 func TestFleetSpreadsRetryAfter(t *testing.T) {
 	const routers, each, bin = 300, 5, 20 * time.Millisecond
-	comeBack := map[time.Duration]int{}
+	returning := map[time.Duration]int{}
 	for i := range routers {
 		set := testSettings()
 		set.Routers, set.RoutersInZone, set.RouterIndex = routers, routers, i
@@ -54,15 +54,15 @@
 		r.Handle(time.Hour, EndpointUpdate{Full: true})
 		for id := range int64(each) {
 			acts := r.Handle(time.Hour, Request{ID: id + 1, Object: fmt.Sprint(id), Remaining: 3 * time.Second})
-			refusal, ok := acts[len(acts)-1].(Reject)
-			if !ok || refusal.RetryAfter < minRetryAfter || refusal.RetryAfter >= 2*minRetryAfter {
+			rejection, ok := acts[len(acts)-1].(Reject)
+			if !ok || rejection.RetryAfter < minRetryAfter || rejection.RetryAfter >= 2*minRetryAfter {
 				t.Fatalf("router %d: %+v", i, acts)
 			}
-			comeBack[refusal.RetryAfter/bin]++
+			returning[rejection.RetryAfter/bin]++
 		}
 	}
 	part := float64(routers*each) / float64(minRetryAfter/bin)
-	for i, n := range comeBack {
+	for i, n := range returning {
 		if float64(n) > 2*part {
 			t.Errorf("%d come back in the 20 ms from %v on, %.1f are its part", n, i*bin, part)
 		}
--- a/policy/router_test.go
+++ b/policy/router_test.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// The same settings, seed and events give the same actions.
 func TestDeterministic(t *testing.T) {
 	run := func() (all [][]Action) {
 		h := newHarness(t)
@@ -23,15 +24,14 @@
 	}
 }
 
-// New settings may give a class's number to another. What is under way keeps its class, what was learned of a class
-// stays with its name, and fewer attempts hold at once.
+// New settings may give a class's number to another class. Requests keep the class they arrived with, what
+// was learned stays with a class's name, and a lower number of attempts applies at once.
 func TestNewSettings(t *testing.T) {
 	set := testSettings()
 	for i, name := range []string{"old", "fresh", "write"} {
 		set.Classes[i].Name = name
 	}
-	h := &harness{t: t, router: New(set, 1), now: time.Hour}
-	h.do(allEndpoints())
+	h := newHarnessWith(t, set)
 	h.serve(1, "x", CacheStatusHit)
 	learned := h.router.classTransferSeconds["old"].value
 	write := fetchOf(h.request(2, "y", 2))
@@ -53,8 +53,8 @@
 	if acts := h.do(Outcome{ID: 4, Result: ResultRejected}); fetchOf(acts) != nil || countFinalAnswers(acts) != 1 {
 		t.Errorf("after the one attempt: %+v", acts)
 	}
-	if acts := h.request(5, "x", 2); countFinalAnswers(acts) != 1 { // a class that is gone
+	if acts := h.request(5, "x", 2); countFinalAnswers(acts) != 1 { // a class that was removed
 		t.Errorf("%+v", acts)
 	}
-	h.do(Outcome{ID: 2, Result: ResultOK, TransferTime: time.Second, RequestFinished: true}) // of the class that had number 2
+	h.do(Outcome{ID: 2, Result: ResultOK, TransferTime: time.Second, RequestFinished: true}) // of the former class 2
 }
--- a/policy/routing_test.go
+++ b/policy/routing_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// With every cache of the zone suspect a request goes straight to a parent.
+// With every cache of the zone ejected a request goes directly to a parent.
 func TestRequestGoesToParentWhenAllCachesAreEjected(t *testing.T) {
 	h := newHarness(t)
 	for _, id := range []string{"a", "b", "c"} {
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -5,6 +5,7 @@
 	"time"
 )
 
+// All requests for an object go to the same cache, and its misses to the same parent.
 func TestSameObjectSameCacheAndParent(t *testing.T) {
 	h := newHarness(t)
 	first := h.serve(1, "x", CacheStatusFilled)
@@ -17,18 +18,18 @@
 	}
 }
 
-// A cache that drains hands its objects to the next in hash order, which fills from it no more.
+// A draining cache's objects go to the next cache in hash order, which does not fill from it.
 func TestDrainingCacheIsNeitherTargetNorSource(t *testing.T) {
 	h := newHarness(t)
 	home := h.serve(1, "x", CacheStatusFilled).Target
 	h.do(EndpointUpdate{Endpoints: []Endpoint{{ID: home, State: Draining, Zone: 1, Weight: 5}}})
 	f := fetchOf(h.request(2, "x", 0))
 	if f.Target == home || f.Source == home {
-		t.Fatalf("%s drains and is used: %+v", home, f)
+		t.Fatalf("%s is draining and is used: %+v", home, f)
 	}
 }
 
-// A cache with too many bytes under way is passed over for the next in hash order (bounded load).
+// A cache with too many transfers in flight is passed over for the next in hash order (bounded load).
 func TestFullCacheIsPassedOver(t *testing.T) {
 	h := newHarness(t)
 	home := h.serve(1, "x", CacheStatusFilled).Target
@@ -41,7 +42,7 @@
 	}
 }
 
-// A parent at the own hub is asked far more than one further off; a lost hub still fails over to others.
+// A parent at this zone's hub receives far more than a distant one; when it is removed, others take over.
 func TestNearParentsArePreferred(t *testing.T) {
 	for _, c := range []struct {
 		hubs       []int
@@ -71,8 +72,8 @@
 	}
 }
 
-// A parent whose fills last several times as long as their bytes explain is slow, with few transfers under way too:
-// the others take over what it would make late, nothing is refused, and it is tried again after a while.
+// A parent whose fills take several times as long as their bytes explain is slow, even with few transfers in
+// flight. Others fill what it would make late, nothing is rejected, and it is used again after a while.
 func TestSlowParentIsPassedOver(t *testing.T) {
 	h, object, id := newHarness(t), "", int64(0)
 	fill := func() string {
@@ -81,16 +82,16 @@
 		if f == nil {
 			t.Fatalf("request %d was not sent", id)
 		}
-		took := 200 * ms
+		elapsed := 200 * ms
 		if f.Source == "p" {
-			took = 900 * ms
+			elapsed = 900 * ms
 		}
 		h.now += 100 * ms
-		h.do(Outcome{ID: id, Result: ResultOK, CacheStatus: CacheStatusFilled, Elapsed: took, TransferTime: 200 * ms, RequestFinished: true})
-		h.do(Purge{Object: object}) // so that no sibling is expected to hold it
+		h.do(Outcome{ID: id, Result: ResultOK, CacheStatus: CacheStatusFilled, Elapsed: elapsed, TransferTime: 200 * ms, RequestFinished: true})
+		h.do(Purge{Object: object}) // so that no sibling is believed to have it cached
 		return f.Source
 	}
-	for object = "x"; fill() != "p"; { // one that hashing fills from p
+	for object = "x"; fill() != "p"; { // an object that p fills by its hash
 		object += "x"
 	}
 	for range 5 {
@@ -100,10 +101,10 @@
 		t.Errorf("filled from %s, which takes four times as long", got)
 	}
 	if h.router.zoneLink.capacity != h.router.zoneLink.nominalCapacity {
-		t.Errorf("the link is held to be congested: %v of %v", h.router.zoneLink.capacity, h.router.zoneLink.nominalCapacity)
+		t.Errorf("the link is taken for congested: %v of %v", h.router.zoneLink.capacity, h.router.zoneLink.nominalCapacity)
 	}
 	h.now += 6 * slowdownDecayTime
 	if got := fill(); got != "p" {
-		t.Errorf("%s: the slow one is not tried again", got)
+		t.Errorf("%s: the slow one is not used again", got)
 	}
 }
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A cold cache gets no more than its budget.
+// A cache in slow start receives no more than its budget.
 func TestSlowStartBudgetOfCache(t *testing.T) {
 	h := newHarness(t)
 	home := h.serve(1, "x", CacheStatusFilled).Target
@@ -17,14 +17,14 @@
 			sent++
 		}
 	}
-	// 0.1 s each; 2 times a fifth of 5 transfers for 2 s is 4 s of sending.
+	// 0.1 s each; 2 times a fifth of 5 transfers for 2 s is 4 transfer seconds.
 	if sent == 0 || float64(sent)*0.1 > 4 {
-		t.Fatalf("%d sent to a cold cache", sent)
+		t.Fatalf("%d sent to a cache in slow start", sent)
 	}
 }
 
-// A parent whose size is not told does not grow with the number of routers: the cold budgets of all of them
-// together stay inside what it can bear. Incident iddf016.
+// The assumed capacity of a parent does not grow with the number of routers: their slow-start budgets
+// together stay within what it can take. Incident iddf016.
 func TestSlowStartBudgetOfParentAcrossRouters(t *testing.T) {
 	set := testSettings()
 	set.Routers, set.RoutersInZone, set.WeightsConfigured = 100, 5, false
@@ -40,21 +40,22 @@
 			}
 		}
 	}
-	// 0.1 s each; three caches of unknownCap transfers draw 6, a tenth of them cold, twice that for 2 s.
+	// 0.1 s each; a parent for three caches of unknown capacity starts at a tenth of its own; twice that for 2 s.
 	if most := fillFraction * 3 * defaultLinkCapacity * 0.1 * 2 * 2; float64(sent)*0.1 > most {
-		t.Fatalf("%d sent to a cold parent by 100 routers", sent)
+		t.Fatalf("%d sent to a parent in slow start by 100 routers", sent)
 	}
 }
 
-// fleet is many routers that are asked all the time for what lies at one cold member.
+// fleet is many routers that receive requests all the time for objects of one endpoint in slow start.
 type fleet struct {
 	set     Settings
 	list    EndpointUpdate
 	routers []*Router
 	now     time.Duration
-	sent    []time.Duration // when the cold member was sent something
+	sent    []time.Duration // when something was sent to the starting endpoint
 }
 
+// start replaces a router by a new one that knows the endpoint list only.
 func (f *fleet) start(i int) {
 	set := f.set
 	set.RouterIndex = i
@@ -62,12 +63,12 @@
 	f.routers[i].Handle(f.now, f.list)
 }
 
-// requestColdObjects has each router asked for as many objects as it may take, and answers nothing: every one of 0.1 s.
-func (f *fleet) requestColdObjects(cold string, id int64) {
+// requestObjects requests eight objects of 0.1 s from each router and answers none.
+func (f *fleet) requestObjects(starting string, id int64) {
 	for _, r := range f.routers {
 		for n := range int64(8) {
 			q := Request{ID: id<<8 + n, Object: string(rune('a' + n)), Class: 0, SizeKB: 100, Remaining: 3 * time.Second}
-			if got := fetchOf(r.Handle(f.now, q)); got != nil && (got.Target == cold || got.Source == cold) {
+			if got := fetchOf(r.Handle(f.now, q)); got != nil && (got.Target == starting || got.Source == starting) {
 				f.sent = append(f.sent, f.now)
 			}
 			r.Handle(f.now, ClientDisconnected{q.ID})
@@ -78,7 +79,8 @@
 	}
 }
 
-// maxExcess is the largest number sent in a window beyond what is allowed at its end: N + 2 x root of N + 2.
+// maxExcess returns by how many attempts the worst window exceeds what is allowed at its end, which is
+// n + 2*sqrt(n) + 2 for a capacity of n.
 func (f *fleet) maxExcess(allowed func(at time.Duration) float64, window time.Duration) (over float64) {
 	over = math.Inf(-1)
 	for i, at := range f.sent {
@@ -94,16 +96,17 @@
 	return over
 }
 
-// However many routers there are, a cold member gets some work and all of them together push it no further than it
-// surely bears: also when it is told late, settings come anew, and routers restart and forget what they sent.
+// However many routers there are, an endpoint in slow start receives some work, and all of them together do
+// not overload it: also when its start is reported late, settings change, and routers restart and do not know
+// what they sent.
 func TestSlowStartBudgetAcrossFleet(t *testing.T) {
 	for _, routers := range []int{3, 20, 30, 300} {
-		for _, cold := range []string{"a", "p"} {
+		for _, starting := range []string{"a", "p"} {
 			f := &fleet{set: testSettings(), list: allEndpoints(), routers: make([]*Router, routers), now: time.Hour}
 			f.set.Routers, f.set.RoutersInZone = routers, routers
-			share, within, weight := f.set.SlowStartCapacity, f.set.SlowStartDuration, 5.0
-			if cold == "p" {
-				share, within, weight = f.set.ParentSlowStartCapacity, f.set.ParentSlowStartDuration, 20
+			fraction, duration, weight := f.set.SlowStartCapacity, f.set.SlowStartDuration, 5.0
+			if starting == "p" {
+				fraction, duration, weight = f.set.ParentSlowStartCapacity, f.set.ParentSlowStartDuration, 20
 			}
 			for i := range f.routers {
 				f.start(i)
@@ -112,57 +115,56 @@
 			for i := range f.list.Endpoints {
 				m := &f.list.Endpoints[i]
 				m.Started = time.Duration(0)
-				if m.ID == cold {
+				if m.ID == starting {
 					m.Started = started
-				} else if m.Kind == 0 && cold == "a" || m.Kind == 1 && cold == "p" {
+				} else if m.Kind == 0 && starting == "a" || m.Kind == 1 && starting == "p" {
 					m.State = Removed
 				}
 			}
-			for tick := int64(0); f.now < started+within-time.Second; tick++ {
+			for tick := int64(0); f.now < started+duration-time.Second; tick++ {
 				f.now += 100 * ms
-				switch at := f.now - time.Hour; {
-				case at == 2*time.Second: // told a second late
+				switch f.now - time.Hour {
+				case 2 * time.Second: // the start is reported a second late
 					for _, r := range f.routers {
 						r.Handle(f.now, f.list)
 					}
-				case at == 4*time.Second:
+				case 4 * time.Second: // the settings change
 					for i, r := range f.routers {
 						set := f.set
 						set.RouterIndex = i
 						r.Handle(f.now, set)
 					}
-				case at == 6*time.Second: // seven in ten are killed at once
+				case 6 * time.Second: // seven in ten routers restart at once
 					for i := range routers * 7 / 10 {
 						f.start(i)
 					}
 				}
 				if f.now >= time.Hour+2*time.Second {
-					f.requestColdObjects(cold, tick+1)
+					f.requestObjects(starting, tick+1)
 				}
 			}
 			over := f.maxExcess(func(at time.Duration) float64 {
-				return 2 * weight * (share + (1-share)*float64(at-started)/float64(within)) * window.Seconds() / 0.1
+				return 2 * weight * (fraction + (1-fraction)*float64(at-started)/float64(duration)) * window.Seconds() / 0.1
 			}, window)
 			if len(f.sent) == 0 || over > 0 {
-				t.Errorf("%d routers sent %d to %s, %.1f too many at most", routers, len(f.sent), cold, over)
+				t.Errorf("%d routers sent %d attempts to %s, %.1f more than allowed", routers, len(f.sent), starting, over)
 			}
 		}
 	}
 }
 
-// Calls that wait for their connections count until they go, however long that takes: all may go at once. One that was decided
-// on before its member started anew is looked at again.
+// Attempts that wait for a connection count until they are sent, however long that takes, as all may be sent
+// at once. One that was created before its endpoint restarted is checked again.
 func TestDelayedAttemptsKeepSlowStartBudget(t *testing.T) {
-	for _, startsAnew := range []bool{false, true} {
+	for _, restarts := range []bool{false, true} {
 		set := testSettings()
 		set.SlowStartCapacity, set.OverloadWindow = 0.05, time.Second
-		h := &harness{t: t, router: New(set, 1), now: time.Hour}
-		h.do(allEndpoints())
+		h := newHarnessWith(t, set)
 		home := h.serve(1, "x", CacheStatusFilled).Target
 		h.now += time.Minute
-		cold := EndpointUpdate{Endpoints: []Endpoint{{ID: home, State: Ready, Zone: 1, Weight: 5, Started: h.now}}}
-		if !startsAnew {
-			h.do(cold)
+		restart := EndpointUpdate{Endpoints: []Endpoint{{ID: home, State: Ready, Zone: 1, Weight: 5, Started: h.now}}}
+		if !restarts {
+			h.do(restart)
 		}
 		var waiting []int64
 		for id := int64(2); id < 100; id++ {
@@ -171,9 +173,9 @@
 				waiting = append(waiting, id)
 			}
 		}
-		if startsAnew {
-			cold.Endpoints[0].Started = h.now
-			h.do(cold)
+		if restarts {
+			restart.Endpoints[0].Started = h.now
+			h.do(restart)
 		}
 		sent := 0
 		for _, id := range waiting {
@@ -181,15 +183,15 @@
 				sent++
 			}
 		}
-		// 0.1 s each; 2 times the warm share of 5 transfers for 1 s.
+		// 0.1 s each; 2 times the slow-start fraction of 5 transfers for 1 s.
 		share := h.router.slowStartFraction(h.router.endpoints[home])
 		if most := 2 * share * 5; sent == 0 || float64(sent)*0.1 > most {
-			t.Errorf("started anew %v: %d of %d sent at once, %.1f s allowed", startsAnew, sent, len(waiting), most)
+			t.Errorf("restarted %v: %d of %d sent at once, %.1f s allowed", restarts, sent, len(waiting), most)
 		}
 	}
 }
 
-// Two processes that stand for one router while one takes over from the other send together what one may.
+// Two processes, of which one takes over from the other, together send what one may.
 func TestTwoProcessesShareSlowStartBudget(t *testing.T) {
 	sent := map[int]int{}
 	for _, processes := range []int{1, 2} {
--- a/policy/transfertime_test.go
+++ b/policy/transfertime_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// The bytes of an answer tell what a part takes to send, and are remembered: slow answers make neither the part
-// nor its class look larger, which would make a crowded link look free.
+// The bytes of an answer show the transfer time of a part, which is remembered. Slow answers make neither the
+// part nor its class look larger: a congested link would look free.
 func TestSizesAreRememberedByPart(t *testing.T) {
 	h := newHarness(t)
 	for id := range int64(20) {
@@ -29,18 +29,18 @@
 	}
 }
 
-// Where sizes are not told, the sending time is learned from hits on free links, and a large object on a free
-// link must not pass for a full link: small requests would be refused more and more.
+// Unknown transfer times are learned from hits over links without congestion. A large object over such a link
+// must not look like congestion: small requests would be shed.
 func TestUnknownSizesAreLearned(t *testing.T) {
 	h := newHarness(t)
 	guess := newHarness(t).router.classTransferSeconds[""].value
-	ask := func(id int64, took time.Duration) *endpointState {
+	ask := func(id int64, elapsed time.Duration) *endpointState {
 		f := fetchOf(h.do(Request{ID: id, Object: "x", Class: 0, Remaining: 3 * time.Second}))
 		if f == nil {
 			t.Fatalf("request %d was not sent", id)
 		}
-		h.now += took
-		h.do(Outcome{ID: id, Result: ResultOK, CacheStatus: CacheStatusHit, Elapsed: took, RequestFinished: true})
+		h.now += elapsed
+		h.do(Outcome{ID: id, Result: ResultOK, CacheStatus: CacheStatusHit, Elapsed: elapsed, RequestFinished: true})
 		return h.router.endpoints[f.Target]
 	}
 	var m *endpointState
@@ -53,7 +53,7 @@
 	if m.link.capacity != m.link.nominalCapacity {
 		t.Errorf("the link is taken for %v of %v transfers", m.link.capacity, m.link.nominalCapacity)
 	}
-	ask(60, 2500*ms) // no size explains this one
+	ask(60, 2500*ms) // far longer than any size explains
 	if m.link.currentSlowdown(h.now) < minSlowdown {
 		t.Errorf("one far slower than usual is held to be slower by %v", m.link.currentSlowdown(h.now))
 	}
