--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -46,54 +46,130 @@
 	}
 }
 
+// fleetStart is the time at which a fleet's routers start.
+const fleetStart = time.Hour
+
 // fleet is many routers that receive requests all the time for objects of one endpoint in slow start.
 type fleet struct {
-	set     Settings
-	list    EndpointUpdate
-	routers []*Router
-	now     time.Duration
-	sent    []time.Duration // when something was sent to the starting endpoint
+	settings Settings
+	list     EndpointUpdate
+	routers  []*Router
+	now      time.Duration
+
+	starting  string        // ID of the endpoint in slow start
+	startedAt time.Duration // a second after the routers
+	duration  time.Duration // of its slow start
+	fraction  float64       // of its capacity at its start
+	capacity  float64       // transfers
+
+	sentAt []time.Duration // when an attempt was sent to it
+}
+
+// newFleet returns a fleet whose routers have been told an endpoint list without the slow start.
+func newFleet(routers int, starting string) *fleet {
+	f := &fleet{
+		settings: testSettings(), list: allEndpoints(), routers: make([]*Router, routers), now: fleetStart,
+		starting: starting, startedAt: fleetStart + time.Second,
+	}
+	f.settings.Routers = routers
+	f.settings.RoutersInZone = routers
+	f.duration = f.settings.SlowStartDuration
+	f.fraction = f.settings.SlowStartCapacity
+	f.capacity = 5
+	if starting == "p" {
+		f.duration = f.settings.ParentSlowStartDuration
+		f.fraction = f.settings.ParentSlowStartCapacity
+		f.capacity = 20
+	}
+	for i := range f.routers {
+		f.restart(i)
+	}
+	return f
 }
 
-// start replaces a router by a new one that knows the endpoint list only.
-func (f *fleet) start(i int) {
-	set := f.set
-	set.RouterIndex = i
-	f.routers[i] = New(set, uint64(i))
+// restart replaces a router by a new one that knows the endpoint list only.
+func (f *fleet) restart(i int) {
+	f.routers[i] = New(f.settingsOf(i), uint64(i))
 	f.routers[i].Handle(f.now, f.list)
 }
 
+// settingsOf returns the settings of one router.
+func (f *fleet) settingsOf(i int) Settings {
+	settings := f.settings
+	settings.RouterIndex = i
+	return settings
+}
+
+// listSlowStart changes the endpoint list: the endpoint has started, and the others of its tier are removed.
+func (f *fleet) listSlowStart() {
+	for i := range f.list.Endpoints {
+		e := &f.list.Endpoints[i]
+		e.Started = 0
+		if e.ID == f.starting {
+			e.Started = f.startedAt
+		} else if e.Kind == 0 && f.starting == "a" || e.Kind == 1 && f.starting == "p" {
+			e.State = Removed
+		}
+	}
+}
+
+// disturb applies what happens to the routers at a time since their start.
+func (f *fleet) disturb(at time.Duration) {
+	switch at {
+	case 2 * time.Second: // the endpoint's start is reported a second late
+		for _, r := range f.routers {
+			r.Handle(f.now, f.list)
+		}
+	case 4 * time.Second: // the settings change
+		for i, r := range f.routers {
+			r.Handle(f.now, f.settingsOf(i))
+		}
+	case 6 * time.Second: // seven in ten routers restart at once
+		for i := range len(f.routers) * 7 / 10 {
+			f.restart(i)
+		}
+	}
+}
+
 // requestObjects requests eight objects of 0.1 s from each router and answers none.
-func (f *fleet) requestObjects(starting string, id int64) {
+func (f *fleet) requestObjects(tick int64) {
 	for _, r := range f.routers {
 		for n := range int64(8) {
-			q := Request{ID: id<<8 + n, Object: string(rune('a' + n)), Class: 0, SizeKB: 100, Remaining: 3 * time.Second}
-			if got := fetchOf(r.Handle(f.now, q)); got != nil && (got.Target == starting || got.Source == starting) {
-				f.sent = append(f.sent, f.now)
+			object := string(rune('a' + n))
+			req := Request{ID: tick<<8 + n, Object: object, SizeKB: 100, Remaining: 3 * time.Second}
+			sent := fetchOf(r.Handle(f.now, req))
+			if sent != nil && (sent.Target == f.starting || sent.Source == f.starting) {
+				f.sentAt = append(f.sentAt, f.now)
 			}
-			r.Handle(f.now, ClientDisconnected{q.ID})
+			r.Handle(f.now, ClientDisconnected{req.ID})
 			for i := range 2 {
-				r.Handle(f.now, Outcome{ID: q.ID, Attempt: i, Result: ResultCancelled, RequestFinished: true})
+				r.Handle(f.now, Outcome{ID: req.ID, Attempt: i, Result: ResultCancelled, RequestFinished: true})
 			}
 		}
 	}
 }
 
+// allowed is the number of attempts of 0.1 s that the endpoint takes in the window that ends at a time.
+func (f *fleet) allowed(at time.Duration) float64 {
+	risen := (1 - f.fraction) * float64(at-f.startedAt) / float64(f.duration)
+	return f.settings.OverloadMultiple * f.capacity * (f.fraction + risen) * f.settings.OverloadWindow.Seconds() / 0.1
+}
+
 // maxExcess returns by how many attempts the worst window exceeds what is allowed at its end, which is
-// n + 2*sqrt(n) + 2 for a capacity of n.
-func (f *fleet) maxExcess(allowed func(at time.Duration) float64, window time.Duration) (over float64) {
-	over = math.Inf(-1)
-	for i, at := range f.sent {
-		n := 0
-		for _, earlier := range f.sent[:i+1] {
-			if at-earlier < window {
-				n++
+// n + 2*sqrt(n) + 2 where the endpoint takes n.
+func (f *fleet) maxExcess() float64 {
+	excess := math.Inf(-1)
+	for i, at := range f.sentAt {
+		sent := 0
+		for _, earlier := range f.sentAt[:i+1] {
+			if at-earlier < f.settings.OverloadWindow {
+				sent++
 			}
 		}
-		bears := allowed(at)
-		over = max(over, float64(n)-(bears+2*math.Sqrt(bears)+2))
+		n := f.allowed(at)
+		excess = max(excess, float64(sent)-(n+2*math.Sqrt(n)+2))
 	}
-	return over
+	return excess
 }
 
 // However many routers there are, an endpoint in slow start receives some work, and all of them together do
@@ -102,52 +178,20 @@
 func TestSlowStartBudgetAcrossFleet(t *testing.T) {
 	for _, routers := range []int{3, 20, 30, 300} {
 		for _, starting := range []string{"a", "p"} {
-			f := &fleet{set: testSettings(), list: allEndpoints(), routers: make([]*Router, routers), now: time.Hour}
-			f.set.Routers, f.set.RoutersInZone = routers, routers
-			fraction, duration, weight := f.set.SlowStartCapacity, f.set.SlowStartDuration, 5.0
-			if starting == "p" {
-				fraction, duration, weight = f.set.ParentSlowStartCapacity, f.set.ParentSlowStartDuration, 20
-			}
-			for i := range f.routers {
-				f.start(i)
-			}
-			started, window := f.now+time.Second, f.set.OverloadWindow
-			for i := range f.list.Endpoints {
-				m := &f.list.Endpoints[i]
-				m.Started = time.Duration(0)
-				if m.ID == starting {
-					m.Started = started
-				} else if m.Kind == 0 && starting == "a" || m.Kind == 1 && starting == "p" {
-					m.State = Removed
-				}
-			}
-			for tick := int64(0); f.now < started+duration-time.Second; tick++ {
+			f := newFleet(routers, starting)
+			f.listSlowStart()
+			end := f.startedAt + f.duration - time.Second
+			for tick := int64(1); f.now < end; tick++ {
 				f.now += 100 * ms
-				switch f.now - time.Hour {
-				case 2 * time.Second: // the start is reported a second late
-					for _, r := range f.routers {
-						r.Handle(f.now, f.list)
-					}
-				case 4 * time.Second: // the settings change
-					for i, r := range f.routers {
-						set := f.set
-						set.RouterIndex = i
-						r.Handle(f.now, set)
-					}
-				case 6 * time.Second: // seven in ten routers restart at once
-					for i := range routers * 7 / 10 {
-						f.start(i)
-					}
-				}
-				if f.now >= time.Hour+2*time.Second {
-					f.requestObjects(starting, tick+1)
+				f.disturb(f.now - fleetStart)
+				if f.now >= fleetStart+2*time.Second {
+					f.requestObjects(tick)
 				}
 			}
-			over := f.maxExcess(func(at time.Duration) float64 {
-				return 2 * weight * (fraction + (1-fraction)*float64(at-started)/float64(duration)) * window.Seconds() / 0.1
-			}, window)
-			if len(f.sent) == 0 || over > 0 {
-				t.Errorf("%d routers sent %d attempts to %s, %.1f more than allowed", routers, len(f.sent), starting, over)
+			excess := f.maxExcess()
+			if len(f.sentAt) == 0 || excess > 0 {
+				t.Errorf("%d routers sent %d attempts to %s, %.1f more than allowed",
+					routers, len(f.sentAt), starting, excess)
 			}
 		}
 	}
@@ -184,8 +228,8 @@
 			}
 		}
 		// 0.1 s each; 2 times the slow-start fraction of 5 transfers for 1 s.
-		share := h.router.slowStartFraction(h.router.endpoints[home])
-		if most := 2 * share * 5; sent == 0 || float64(sent)*0.1 > most {
+		fraction := h.router.slowStartFraction(h.router.endpoints[home])
+		if most := 2 * fraction * 5; sent == 0 || float64(sent)*0.1 > most {
 			t.Errorf("restarted %v: %d of %d sent at once, %.1f s allowed", restarts, sent, len(waiting), most)
 		}
 	}
