--- a/policy/actions.go
+++ b/policy/actions.go
@@ -1,6 +1,6 @@
 package policy
 
-// Actions are what a Router returns. This file holds types only.
+// Actions are the results of a Router. This file holds types only.
 
 import "time"
 
@@ -35,7 +35,7 @@
 	Attempt int
 }
 
-// StartTimer asks for a TimerFired with Token after In.
+// StartTimer requests a TimerFired with Token after In.
 type StartTimer struct {
 	In    time.Duration
 	Token uint64
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -3,9 +3,9 @@
 // Load shedding rejects requests that congestion makes late, so that the links stay free for those that
 // matter most.
 //
-// Inputs: an attempt's expected transfer time in seconds, the time left to its latency objective, and the
-// request's priority weight per transfer second relative to the mean of all requests (its value). Result:
-// reject or admit.
+// Inputs: an attempt's expected transfer time in seconds, the time that remains to its latency objective, and
+// the request's priority weight per transfer second relative to the mean of all requests (its value). Result:
+// the request is admitted, or rejected with a Retry-After (rejectOrFail).
 //
 // A request of mean value or more may use all the time to its objective. One of less value may use a fraction
 // of it, which shrinks as congestion rises: large requests of low weight are shed first.
@@ -13,7 +13,7 @@
 import "math"
 
 // shouldShed reports whether to reject a request instead of starting an attempt. Without congestion nothing
-// is shed, and neither is a request whose client cannot be told to send it again.
+// is shed, and neither is a request that must not be rejected because it may have run.
 func (r *Router) shouldShed(a *attempt) bool {
 	req := a.request
 	delayed := a.congested && a.expectedSeconds > congestedMultiple*req.transferSeconds
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -1,16 +1,18 @@
 package policy
 
-// An attempt is one try to have a request answered: it is sent to a target, which fills a miss from a source.
+// An attempt sends a request to a target, which fills a miss from a source.
 //
-// Starting one estimates how long it will take and asks load shedding and the origin's concurrency limit for
-// it; a request that they do not admit is rejected. Ending one classifies its result, which decides whether
-// the request may be retried (idempotency.go) and whether the target is held to have failed (outliers.go).
+// Starting one estimates how long it will take, in seconds. A request that load shedding (admission.go) or
+// the origin's concurrency limit (originlimit.go) does not admit is rejected instead. Ending one classifies
+// its result: it never ran, may have run, or succeeded. That decides whether the request may be retried
+// (retry.go, idempotency.go) and whether the target counts as failing (outliers.go).
 
 import "time"
 
-// attemptState says what is known of an attempt's execution.
+// attemptState says whether an attempt has run, as far as is known.
 type attemptState int
 
+// The states of an attempt. It changes once, from pending to one of the others.
 const (
 	attemptPending   attemptState = iota // no result yet: it may run
 	attemptSucceeded                     // answered
@@ -20,7 +22,7 @@
 	attemptCancelled                     // this proxy stopped waiting: it may have run
 )
 
-// stateAfter classifies the result of an attempt. What is not known never to have run may have run.
+// stateAfter classifies the result of an attempt. Unless a result shows that it never ran, it may have run.
 func stateAfter(result Result) attemptState {
 	switch result {
 	case ResultOK:
@@ -35,6 +37,7 @@
 	return attemptTimedOut
 }
 
+// attempt is one attempt of a request, with the expectations from when it was created.
 type attempt struct {
 	request *request
 	number  int // among the request's attempts, from 0
@@ -102,15 +105,15 @@
 	}
 	r.addToSlowStartBudgets(a)
 	if a.countsAtOrigin {
-		r.originLimit.inFlight++
+		r.originLimit.acquire()
 	}
 	if a.number > 0 {
-		r.retryBudget--
+		r.spendRetry()
 	}
 }
 
-// estimate works out which links an attempt loads, how long it takes on each, and how long a fill's first
-// byte takes. An expected hit loads the target's link only.
+// estimate sets which links an attempt loads, how long it takes on each, and how long a fill's first byte
+// takes. An expected hit loads the target's link only.
 func (r *Router) estimate(a *attempt) {
 	a.slowestLink = &a.target.link
 	a.targetSeconds = a.addLink(&a.target.link, r.now, r.slowStartFraction(a.target))
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -1,10 +1,9 @@
 package policy
 
-// Endpoints are the caches, parents and origins of the endpoint list, with what this router knows of each.
+// Endpoints are the caches, parents and origins of the endpoint list, with this router's knowledge of each.
 //
 // Inputs: full lists and changes of them. Result: the caches of this router's zone, the parents and the
-// origin. What is known of an endpoint's contents and health ends when it restarts; what is known of its link
-// remains.
+// origin. A restart resets the contents and the health of an endpoint, but not the capacity of its link.
 
 import (
 	"maps"
@@ -15,6 +14,7 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
+// endpointState is an endpoint of the list, with this router's knowledge of it.
 type endpointState struct {
 	Endpoint
 	hash uint64 // of its ID
@@ -43,7 +43,7 @@
 	return e.Kind != r.settings.ParentKind && e.Kind != r.settings.OriginKind
 }
 
-// An endpoint that a full list does not name is removed.
+// apply updates the endpoints. One that a full list does not name is removed.
 func (update EndpointUpdate) apply(r *Router) {
 	if update.Full {
 		for _, e := range r.endpoints {
@@ -54,7 +54,7 @@
 		e := r.endpoints[listed.ID]
 		if e == nil {
 			e = &endpointState{hash: xxhash.Sum64String(listed.ID), link: newLink()}
-			e.forgetContents()
+			e.resetContents()
 			r.endpoints[listed.ID] = e
 		}
 		e.update(listed)
@@ -62,20 +62,20 @@
 	r.updateTopology()
 }
 
-// update takes over what the list says of an endpoint.
+// update replaces the listed fields of an endpoint.
 func (e *endpointState) update(listed Endpoint) {
 	restarted := e.Started != listed.Started
 	if restarted || listed.State == Removed {
-		e.forgetContents()
+		e.resetContents()
 	}
-	if restarted { // what was sent to the last incarnation does not load this one
+	if restarted { // attempts of the last incarnation do not load this one
 		e.slowStartAttempts = nil
 	}
 	e.Endpoint = listed
 }
 
-// forgetContents resets what is known of an endpoint's contents and health.
-func (e *endpointState) forgetContents() {
+// resetContents resets an endpoint's contents and health: it is empty, and its failures are over.
+func (e *endpointState) resetContents() {
 	// NewLRU fails only for a size below 1.
 	e.cacheIndex, _ = simplelru.NewLRU[uint64, cacheRecord](cacheIndexSize, nil)
 	e.misindication = ratio{}
@@ -84,7 +84,8 @@
 	e.ejectedUntil = 0
 }
 
-// A purge never moves to earlier: it must not count as older than it is.
+// apply moves the start times by the offset. A purge never moves to earlier: it must not count as older than
+// it is.
 func (correction ClockCorrection) apply(r *Router) {
 	for _, e := range r.endpoints {
 		if e.Started != 0 {
--- a/policy/events.go
+++ b/policy/events.go
@@ -1,6 +1,6 @@
 package policy
 
-// Events are what a Router is told. This file holds types only; each event's apply method is in the file of
+// Events are the inputs of a Router. This file holds types only; each event's apply method is in the file of
 // the rule that it concerns first.
 
 import "time"
@@ -102,13 +102,13 @@
 	Attempt         int   // number of the attempt, from 0
 	Result          Result
 	CacheStatus     CacheStatus
-	Elapsed         time.Duration // of the whole attempt
+	Elapsed         time.Duration // from the start of the attempt to its end
 	SourceFirstByte time.Duration // the target's wait for the source's first byte; 0: unknown
 	TransferTime    time.Duration // of the answer's bytes at full pace; 0: unknown
-	RequestFinished bool          // no further attempt is wanted
+	RequestFinished bool          // no retry follows
 }
 
-// StreamStarted says that a streamed answer has begun. The request is finished; the attempt goes on.
+// StreamStarted says that a streamed answer has begun. The request is finished; the attempt continues.
 type StreamStarted struct {
 	ID      int64 // of the request
 	Attempt int
--- a/policy/fillorders.go
+++ b/policy/fillorders.go
@@ -1,7 +1,7 @@
 package policy
 
-// Fill orders tell a cache how to serve a request: how old a copy may be, whether a miss may wait for a fill
-// that is in progress, and how long the new copy is retained.
+// Fill orders determine how a cache serves a request: how old a copy may be, whether a miss may wait for a
+// fill that is in progress, and how long the new copy is retained.
 //
 // Inputs: the request's class, the attempt's number and source, which caches had the object, and recent
 // purges. Result: a Fetch. It is worked out when the attempt is created and again when its first byte is
--- a/policy/fillsource.go
+++ b/policy/fillsource.go
@@ -1,11 +1,11 @@
 package policy
 
-// The fill source is where a cache fetches an object that it misses: a sibling cache that probably has it,
-// else a parent, else the origin.
+// The fill source is where a cache fetches an object that it misses: a sibling cache that probably has it, or
+// a parent, or the origin.
 //
 // Inputs: which siblings are believed to have the object, their misindication ratios (rho, 0 to 1), and the
 // mean waits for the first byte of a parent and of a sibling, whose quotient is the miss penalty (beta).
-// Result: the sibling with the lowest rho if 1 + beta*rho < beta, as asking it in vain costs both waits; else
+// Result: the sibling with the lowest rho if 1 + beta*rho < beta, as a miss there costs both waits; otherwise
 // a parent.
 
 import "math"
@@ -32,7 +32,7 @@
 	return r.firstWithCapacity(req, candidates)
 }
 
-// chooseSibling returns the cache of the zone that is worth asking before a parent, or nil.
+// chooseSibling returns the cache of the zone that should be tried before a parent, or nil.
 func (r *Router) chooseSibling(req *request, target *endpointState) *endpointState {
 	if r.settings.Siblings == SiblingsNone {
 		return nil
--- a/policy/guard.go
+++ b/policy/guard.go
@@ -17,8 +17,9 @@
 	ClientDisconnected bool
 }
 
-// MaySend decides whether an attempt may start now, and returns its fill orders as of now. It is called once,
-// directly before the first byte is written.
+// MaySend decides whether an attempt may start now, and returns its fill orders as of now. It is called
+// directly before the first byte is written. A denied attempt ends as ResultNotSent, after which its request
+// is routed again or rejected.
 func (r *Router) MaySend(now time.Duration, info SendInfo) (Fetch, Verdict) {
 	r.now = now
 	a := r.pendingAttempt(info.ID, info.Attempt)
@@ -61,7 +62,7 @@
 	Remaining          time.Duration // to the client's deadline
 	OpenRequests       int
 	MaxOpenRequests    int
-	MemoryFull         bool // no memory is left for requests
+	MemoryFull         bool // the memory limit for requests is reached
 }
 
 // MayAdmit decides whether a request is accepted. One that is not gets its final answer at once.
--- a/policy/idempotency.go
+++ b/policy/idempotency.go
@@ -1,6 +1,7 @@
 package policy
 
-// Idempotency decides whether a request may be sent again, and what its client may be promised.
+// Idempotency decides whether a request may be sent again, and whether it may be rejected, which invites its
+// client to send it again.
 //
 // Inputs: the class's idempotency, deduplication scope and window, the first attempt that may have run, and
 // the endpoint that would receive the repeat. Result: a verdict on the repeat, and whether a rejection may
@@ -49,7 +50,7 @@
 	return r.repeatVerdict(req, e).Allowed()
 }
 
-// mayReject reports whether the client may be told that sending the request again is harmless.
+// mayReject reports whether a request may get a Reject, which says that it may be sent again.
 func (r *Router) mayReject(req *request) bool {
 	if req.mayHaveRun == nil || req.class.Idempotency == Idempotent {
 		return true
--- a/policy/linkpace.go
+++ b/policy/linkpace.go
@@ -1,8 +1,8 @@
 package policy
 
-// The pace of answers tells what a link carries. An answer over a congested link that came faster or slower
-// than expected changes the link's learned capacity. One that was slow over a link without congestion tells
-// of a slow endpoint, and changes its slowdown.
+// The pace of answers shows the capacity of links. An answer over a congested link that came faster or slower
+// than expected changes the link's learned capacity. One that was slow over a link without congestion shows a
+// slow endpoint, and changes its slowdown.
 //
 // Inputs: the times of an answer and of its first byte, its transfer time at full pace where known, and what
 // the attempt was expected to take, in seconds. Result: updates of links (links.go) and of the fraction of
@@ -11,7 +11,7 @@
 import "math"
 
 const (
-	// minTimedSeconds is the shortest transfer whose time tells of a slowdown.
+	// minTimedSeconds is the shortest transfer whose time shows a slowdown.
 	minTimedSeconds = 0.02
 
 	// unusualMultiple is the multiple of its expected time from which a transfer is held to be slow: few
@@ -19,7 +19,7 @@
 	unusualMultiple = 3.0
 )
 
-// transferSample compares an answer's transfer with what was expected of it.
+// transferSample compares an answer's transfer with its expected time.
 type transferSample struct {
 	hit             bool    // served from the target's cache
 	bytesReported   bool    // fullPaceSeconds is that of the answer's bytes
@@ -29,6 +29,7 @@
 	measuredSeconds float64 // from the source's first byte to the end
 }
 
+// newTransferSample returns the sample of an attempt that was answered.
 func newTransferSample(a *attempt, o Outcome) transferSample {
 	sample := transferSample{
 		hit:             o.servedFromCache(),
@@ -60,7 +61,7 @@
 	return math.Max(s.measuredSeconds, s.expectedSeconds) >= congestedMultiple*s.fullPaceSeconds
 }
 
-// updateLinks learns from the pace of an answer. A coalesced one tells nothing: it waited for another's fill.
+// updateLinks learns from the pace of an answer. A coalesced one shows nothing: it waited for another's fill.
 func (r *Router) updateLinks(a *attempt, o Outcome) {
 	if o.Result != ResultOK || o.CacheStatus == CacheStatusCoalesced {
 		return
--- a/policy/links.go
+++ b/policy/links.go
@@ -39,6 +39,7 @@
 	congestedMultiple = 1.2
 )
 
+// link is the state of one link.
 type link struct {
 	nominalCapacity float64 // transfers, as configured or assumed
 	capacity        float64 // transfers, as learned from answers
@@ -50,11 +51,12 @@
 	loadUpdatedAt time.Duration
 
 	// slowdown is the time that transfers take beyond what congestion explains, in multiples of that time. It
-	// tells of an endpoint that is itself slow.
+	// shows that the endpoint itself is slow.
 	slowdown          float64
 	slowdownUpdatedAt time.Duration
 }
 
+// newLink returns a link of capacity 1, to be configured.
 func newLink() link { return link{nominalCapacity: 1, capacity: 1} }
 
 // configure sets a link's nominal capacity and scales the learned capacity with it.
--- a/policy/originlimit.go
+++ b/policy/originlimit.go
@@ -5,8 +5,8 @@
 // multiplicative decrease).
 //
 // Inputs: the outcomes of attempts whose source is a parent or the origin. Result: whether an attempt may
-// load the origin. One that may not asks a parent only for what it has cached; the origin itself is not
-// asked.
+// load the origin. One that may not receives from a parent only what that has cached; if its source is the
+// origin itself, the request is rejected.
 //
 // A limit under 1 admits attempts at random with that probability: with many routers one attempt of each may
 // be too many. The limit never falls below this router's part of what the origin's link carries.
@@ -17,12 +17,18 @@
 )
 
 const (
-	maxOriginLimit                = 128.0                  // attempts; no restriction until the origin fails
-	failureDecreaseFactor         = 0.7                    // of the limit, on a failure or rejection by the origin
-	missedObjectiveDecreaseFactor = 0.85                   // of the limit, on an answer that the origin made late
-	minDecreaseInterval           = 100 * time.Millisecond // simultaneous failures count once
+	// maxOriginLimit is the limit at the start, in attempts: in practice none until the origin fails.
+	maxOriginLimit = 128.0
+
+	// The limit decreases by a factor when the origin fails or rejects, and when it misses an objective.
+	failureDecreaseFactor         = 0.7
+	missedObjectiveDecreaseFactor = 0.85
+
+	// minDecreaseInterval is the shortest time between decreases: failures of one burst count once.
+	minDecreaseInterval = 100 * time.Millisecond
 )
 
+// originConcurrencyLimit is the present limit and what counts against it.
 type originConcurrencyLimit struct {
 	limit        float64 // attempts
 	minimum      float64 // attempts, at most 1
@@ -35,7 +41,13 @@
 	return float64(l.inFlight) < l.limit && random() < l.limit
 }
 
-// increase raises the limit by the reciprocal of its root, and under 1 by no more than its double.
+// acquire counts an attempt that may load the origin.
+func (l *originConcurrencyLimit) acquire() { l.inFlight++ }
+
+// release ends the count of an attempt.
+func (l *originConcurrencyLimit) release() { l.inFlight-- }
+
+// increase raises the limit by 1/sqrt(limit), at most to its double.
 func (l *originConcurrencyLimit) increase() {
 	step := min(1/math.Sqrt(l.limit), l.limit)
 	l.limit = min(l.limit+step, maxOriginLimit)
@@ -52,7 +64,7 @@
 	l.lastDecrease = now
 }
 
-// applyOriginLimit asks the limit for an attempt whose miss may load the origin. Hits, fills from siblings
+// applyOriginLimit applies the limit to an attempt whose miss may load the origin. Hits, fills from siblings
 // and uncacheable requests are not limited.
 func (r *Router) applyOriginLimit(a *attempt) {
 	mayLoadOrigin := !r.isCache(a.source) && !a.expectHit && !a.request.class.Uncacheable
@@ -66,7 +78,7 @@
 // updateOriginLimit updates the limit from an attempt's outcome.
 func (r *Router) updateOriginLimit(a *attempt, o Outcome) {
 	if a.countsAtOrigin {
-		r.originLimit.inFlight--
+		r.originLimit.release()
 	}
 	filledByOrigin := o.CacheStatus == CacheStatusFilledByOrigin
 	answeredByOrigin := a.source == r.origin && o.Result == ResultOK
@@ -93,8 +105,8 @@
 	return fillFailed || rejected
 }
 
-// originMissedObjective reports whether the origin took longer for its first byte than the latency objective, or made
-// the answer miss its objective by sending far slower than at full pace.
+// originMissedObjective reports whether the origin took longer for its first byte than the latency objective,
+// or made the answer miss its objective by sending far slower than at full pace.
 func (r *Router) originMissedObjective(a *attempt, o Outcome) bool {
 	if o.SourceFirstByte > a.request.class.LatencyObjective {
 		return true
--- a/policy/overdue.go
+++ b/policy/overdue.go
@@ -5,7 +5,7 @@
 // Inputs: when the target and the source last responded, and whether the target has answered attempts that
 // were created later (then this one's answer is lost). Result: a silent endpoint is ejected, and an
 // idempotent request is hedged, or its attempt cancelled, which leads to a retry. An attempt that is merely
-// slow is left alone: large objects are slow, and a second transfer would add to the load.
+// slow continues: large objects are slow, and a second transfer would add to the load.
 
 import "time"
 
@@ -31,7 +31,7 @@
 	}
 }
 
-// The attempt of a timer that fires is overdue, unless it has ended or its request is finished.
+// apply handles an overdue attempt. Nothing is to be done if it has ended or its request is finished.
 func (timer TimerFired) apply(r *Router) {
 	a := r.pendingAttempt(int64(timer.Token>>attemptNumberBits), int(timer.Token&attemptNumberMask))
 	if a == nil || a.request.finished {
@@ -53,8 +53,8 @@
 	}
 }
 
-// ejectSilent ejects the endpoint that has not responded since an overdue attempt was created: the target,
-// else the source if it had to fill.
+// ejectSilent ejects the endpoint that has not responded since an overdue attempt was created: the target, or
+// the source if that had to fill.
 func (r *Router) ejectSilent(a *attempt, lost bool) {
 	targetSilent := a.target.lastResponseAt <= a.decidedAt
 	sourceSilent := a.source.lastResponseAt <= a.decidedAt
@@ -65,8 +65,9 @@
 	}
 }
 
-// mayHedge reports whether an overdue attempt's request should be sent again. Unless its answer is lost, it
-// takes an ejected endpoint and time enough to meet the objective. Only idempotent requests are hedged.
+// mayHedge reports whether an overdue attempt's request should be sent again. Unless its answer is lost, one
+// of its endpoints must be ejected, and the second attempt must be able to meet the objective. Only
+// idempotent requests are hedged.
 func (r *Router) mayHedge(a *attempt, lost bool) bool {
 	req := a.request
 	if req.class.Idempotency != Idempotent || !r.hasRetryBudget() {
--- a/policy/purges.go
+++ b/policy/purges.go
@@ -18,6 +18,7 @@
 	groups  map[int]time.Duration
 }
 
+// newPurgeTimes returns an empty purgeTimes.
 func newPurgeTimes() purgeTimes {
 	return purgeTimes{objects: map[string]time.Duration{}, groups: map[int]time.Duration{}}
 }
@@ -38,7 +39,7 @@
 	}
 }
 
-// A purge is remembered for as long as an older copy, or a record of one, may exist. An earlier time never
+// apply remembers a purge for as long as an older copy, or a record of one, may exist. An earlier time never
 // replaces a later one.
 func (purge Purge) apply(r *Router) {
 	lifetime := max(cacheRecordLifetime, r.purgeCompletion())
--- a/policy/request.go
+++ b/policy/request.go
@@ -16,6 +16,7 @@
 // partHashFactor spreads the parts of an object over the key space (2^64 divided by the golden ratio).
 const partHashFactor = 0x9e3779b97f4a7c15
 
+// request is a request that has arrived and is not removed yet.
 type request struct {
 	Request
 	class *Class // as it was when the request arrived
@@ -29,9 +30,9 @@
 
 	attempts        []*attempt
 	pendingAttempts int
-	failedAttempts  int
+	failedAttempts  int      // that ended as attemptFailed
 	mayHaveRun      *attempt // the first attempt that may have run, nil if none may
-	finished        bool
+	finished        bool     // it has its final answer, or needs none
 
 	avoid map[*endpointState]bool // endpoints that lack the object, failed or did not answer
 }
@@ -52,7 +53,8 @@
 	return req
 }
 
-// A request of an unknown class fails: nothing is known of what a rejection may promise.
+// apply starts a request's first attempt. A request of an unknown class fails: whether it may be repeated,
+// which a rejection would say, is unknown.
 func (arrived Request) apply(r *Router) {
 	if arrived.Class < 0 || arrived.Class >= len(r.settings.Classes) {
 		r.emit(Fail{ID: arrived.ID})
@@ -66,8 +68,7 @@
 	r.route(req)
 }
 
-// The outcome of an attempt updates all that is learned from answers. Then the request is finished or
-// retried.
+// apply ends an attempt, updates all that is learned from answers, and finishes or retries the request.
 func (o Outcome) apply(r *Router) {
 	a := r.pendingAttempt(o.ID, o.Attempt)
 	if a == nil {
@@ -90,8 +91,10 @@
 	}
 }
 
+// apply finishes a request whose streamed answer has begun.
 func (started StreamStarted) apply(r *Router) { r.finishRequest(started.ID) }
 
+// apply finishes a request whose client has disconnected.
 func (disconnected ClientDisconnected) apply(r *Router) { r.finishRequest(disconnected.ID) }
 
 // finishRequest marks a request as finished and cancels its pending attempts. It is removed with its last
@@ -110,6 +113,7 @@
 	}
 }
 
+// cancelPending cancels the pending attempts of a request.
 func (r *Router) cancelPending(req *request) {
 	for _, a := range req.attempts {
 		if a.state == attemptPending {
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -7,16 +7,16 @@
 // or the final answer: Reject with a Retry-After where repeating the request is harmless, Fail where its
 // effect is unknown.
 //
-// The budget bounds what retries add to the load in an overload. It allows for a third of all attempts
-// failing.
+// What may have run is retried only where a repeat is harmless (idempotency.go). The budget bounds what
+// retries add to the load in an overload. It allows for a third of all attempts failing.
 
 import "time"
 
 const (
-	retriesPerRequest  = 0.6  // what each request adds to the budget
-	maxRetryBudget     = 10.0 // attempts
+	retriesPerRequest  = 0.6  // retries that each request adds to the budget
+	maxRetryBudget     = 10.0 // retries
 	maxFailedAttempts  = 3    // of one request: one that makes caches fail must not reach all of them
-	defaultMaxAttempts = 2    // where the settings say nothing
+	defaultMaxAttempts = 2    // of one request, where Settings.MaxAttempts is 0
 
 	// minRetryAfter is the shortest Retry-After. Each rejection adds a random part of as much again, so that
 	// clients which were rejected together do not return together.
@@ -28,6 +28,9 @@
 	r.retryBudget = min(r.retryBudget+retriesPerRequest, maxRetryBudget)
 }
 
+// spendRetry takes a retry from the budget.
+func (r *Router) spendRetry() { r.retryBudget-- }
+
 // hasRetryBudget reports whether one more retry is within the budget.
 func (r *Router) hasRetryBudget() bool { return r.retryBudget >= 1 }
 
@@ -45,8 +48,8 @@
 	r.route(req)
 }
 
-// avoidAfter excludes the endpoint that caused a failure from the request's further attempts: the source
-// where the fill failed, else the target. A first error or lost answer does not exclude a target: its cached
+// avoidAfter excludes the endpoint that caused a failure from the request's later attempts: the source where
+// the fill failed, otherwise the target. A first error or lost answer does not exclude a target: its cached
 // copy is still there.
 func (r *Router) avoidAfter(a *attempt, o Outcome) {
 	switch o.CacheStatus {
--- a/policy/router.go
+++ b/policy/router.go
@@ -1,16 +1,16 @@
 // Package policy decides, for one proxy in front of edge caches, which cache serves a request, from where a
 // miss is filled, when an attempt is retried, and when a request is rejected instead.
 //
-// A Router is told what happens as events (events.go) and returns what to do as actions (actions.go). It does
-// no I/O, reads no clock and starts no goroutine: the same settings, seed and events give the same actions.
-// Each rule is in a file of its own, which begins with what it decides:
+// A Router receives events (events.go) and returns actions (actions.go). It does no I/O, reads no clock and
+// starts no goroutine: the same settings, seed and events give the same actions. Each rule is in a file of
+// its own:
 //
 //   - a request: request.go (its life), attempt.go, routing.go (the way it takes), selection.go (the endpoint
 //     of a tier), fillsource.go and fillorders.go (misses), retry.go, overdue.go, idempotency.go
 //   - limits on load: admission.go (load shedding), slowstart.go, originlimit.go, outliers.go
-//   - what is known: endpoints.go, links.go, linkpace.go, transfertime.go, cacheindex.go, purges.go,
+//   - state and estimates: endpoints.go, links.go, linkpace.go, transfertime.go, cacheindex.go, purges.go,
 //     estimators.go
-//   - guard.go asks these rules again at the last instant before a proxy acts.
+//   - guard.go checks these rules again at the last instant before a proxy acts.
 package policy
 
 import (
@@ -84,8 +84,8 @@
 // emit adds actions to those of the present event.
 func (r *Router) emit(actions ...Action) { r.actions = append(r.actions, actions...) }
 
-// New settings take effect at once, except that a request keeps the class it arrived with. What was learned
-// about a class stays with its name, as class numbers may be reassigned.
+// apply replaces the settings. A request keeps the class it arrived with. The transfer times of a class stay
+// with its name, as class numbers may be reassigned.
 func (settings Settings) apply(r *Router) {
 	r.settings = settings
 	for _, class := range settings.Classes {
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -3,8 +3,8 @@
 // Selection picks one endpoint of a tier for a request: rendezvous hashing with bounded load.
 //
 // Inputs: the hash of the request's object and part, the endpoints' weights, and how long a transfer over
-// each link would take compared with the time left to the latency objective, in seconds. Result: the first
-// endpoint in hash order that has capacity. All routers rank an object's endpoints alike, so that it is
+// each link would take compared with the time that remains to the latency objective, in seconds. Result: the
+// first endpoint in hash order that has capacity. All routers rank an object's endpoints alike, so that it is
 // cached in few places.
 
 import (
@@ -14,8 +14,8 @@
 )
 
 const (
-	// objectiveFraction is the fraction of the time left to the objective that a transfer may take before its
-	// endpoint is passed over.
+	// objectiveFraction is the fraction of the time that remains to the objective which a transfer may take
+	// before its endpoint is passed over.
 	objectiveFraction = 0.7
 
 	// hubDistanceWeight is the factor on a parent's weight for each step between its hub and this zone's hub:
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -63,7 +63,7 @@
 	Routers            int // routers of this tier in all zones; 0: 1
 	RouterIndex        int // this router's number among them, from 0
 	RoutersInZone      int // routers of this tier in this zone; 0: as Routers
-	ProcessesPerRouter int // that run at once while one takes over from another; 0: 1
+	ProcessesPerRouter int // that run at once during a takeover; 0: 1
 
 	// ZoneHubs holds, for each zone, the position of its hub in the ring of hubs. Empty: unknown.
 	ZoneHubs []int
@@ -93,8 +93,7 @@
 	ParentSlowStartDuration time.Duration
 	ParentOverloadMultiple  float64
 
-	// After PurgeCompletedWithin no copy from before a purge is left; PurgeGrace is added to allow for
-	// delays.
+	// After PurgeCompletedWithin no copy from before a purge exists; PurgeGrace is added to allow for delays.
 	PurgeGrace           time.Duration
 	PurgeCompletedWithin time.Duration
 }
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -64,7 +64,7 @@
 }
 
 // countsInSlowStart reports whether an attempt loads an endpoint that is in slow start: as the target, or as
-// the parent that fills. A sibling cache that fills sends what it has cached already.
+// the parent that fills. A sibling that fills sends what it has cached already.
 func (r *Router) countsInSlowStart(e *endpointState, a *attempt) bool {
 	return r.slowStartFraction(e) < 1 && (e == a.target || e.Kind == r.settings.ParentKind)
 }
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -65,7 +65,7 @@
 	sentAt []time.Duration // when an attempt was sent to it
 }
 
-// newFleet returns a fleet whose routers have been told an endpoint list without the slow start.
+// newFleet returns a fleet whose routers know an endpoint list without the slow start.
 func newFleet(routers int, starting string) *fleet {
 	f := &fleet{
 		settings: testSettings(), list: allEndpoints(), routers: make([]*Router, routers), now: fleetStart,
--- a/policy/transfertime.go
+++ b/policy/transfertime.go
@@ -3,8 +3,8 @@
 // Transfer times are the unit of load: how long an answer's bytes take at the pace of a single unhindered
 // transfer.
 //
-// Inputs: the size of a request where it is reported, else the transfer times of earlier answers, of the same
-// part or of the class (seconds). Result: a request's expected transfer time, in seconds.
+// Inputs: the size of a request where it is reported, otherwise the transfer times of earlier answers, of the
+// same part or of the class (seconds). Result: a request's expected transfer time, in seconds.
 
 import "time"
 
@@ -39,7 +39,8 @@
 }
 
 // updateTransferTimes learns the transfer time of a part, and of its class, from an answer to a request of
-// unknown size: from the answer's bytes, else from the time of a cache hit over a link without congestion.
+// unknown size: from the answer's bytes, otherwise from the time of a cache hit over a link without
+// congestion.
 func (r *Router) updateTransferTimes(a *attempt, o Outcome) {
 	req := a.request
 	if o.Result != ResultOK || req.SizeKB != 0 || req.class.Uncacheable {
--- a/policy/verdict.go
+++ b/policy/verdict.go
@@ -1,7 +1,7 @@
 package policy
 
-// Verdicts are the answers of the guards (guard.go): whether an action may be carried out, else which rule it
-// would break and why. Their names are label values of figures and fields of log messages.
+// Verdicts are the answers of the guards (guard.go): whether an action may be carried out, and if not, which
+// rule it would break and why. Their names are label values of figures and fields of log messages.
 
 // Rule is a guarantee that an action could break.
 type Rule int
