--- a/policy/fillorders_test.go
+++ b/policy/fillorders_test.go
@@ -20,7 +20,8 @@
 			for group := range 32 {
 				r.Handle(time.Hour, Purge{Group: group, Age: 50 * ms})
 			}
-			f := fetchOf(r.Handle(time.Hour+ms, Request{ID: 1, Object: fmt.Sprint(object), Group: object, SizeKB: 10, Remaining: 3 * time.Second}))
+			f := fetchOf(r.Handle(time.Hour+ms, Request{ID: 1, Object: fmt.Sprint(object), Group: object,
+				SizeKB: 10, Remaining: 3 * time.Second}))
 			if f == nil || !f.CoalesceFill || f.MaxAge != 51*ms {
 				t.Fatalf("router %d, object %d: %+v", i, object, f)
 			}
--- a/policy/fillsource_test.go
+++ b/policy/fillsource_test.go
@@ -10,7 +10,10 @@
 func TestFullSiblingIsNotASource(t *testing.T) {
 	h := newHarness(t)
 	r := h.router
-	req := &request{Request: Request{Object: "x"}, class: &r.settings.Classes[0], key: 7, transferSeconds: 0.1, objectiveAt: h.now + 500*ms}
+	req := &request{
+		Request: Request{Object: "x"}, class: &r.settings.Classes[0], key: 7,
+		transferSeconds: 0.1, objectiveAt: h.now + 500*ms,
+	}
 	holder := r.endpoints["b"]
 	r.recordCached(holder, req, true)
 	if r.chooseSibling(req, r.endpoints["a"]) != holder {
@@ -51,8 +54,10 @@
 		h := newHarness(t)
 		r := h.router
 		r.parentFirstByteSeconds.value, r.siblingFirstByteSeconds.value = 0.040, 0.010
-		req := &request{Request: Request{Object: "x"}, class: &r.settings.Classes[0], key: 7, transferSeconds: 0.1,
-			objectiveAt: h.now + time.Second}
+		req := &request{
+			Request: Request{Object: "x"}, class: &r.settings.Classes[0], key: 7,
+			transferSeconds: 0.1, objectiveAt: h.now + time.Second,
+		}
 		r.recordCached(r.endpoints["b"], req, true)
 		r.endpoints["b"].misindication = ratio{fills: 1, value: c.rho}
 		if got := r.chooseSibling(req, r.endpoints["a"]) != nil; got != c.want {
--- a/policy/guard_test.go
+++ b/policy/guard_test.go
@@ -9,13 +9,17 @@
 func TestRetryDoesNotStartAfterWindow(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		set := testSettings()
-		set.Classes[0] = Class{Idempotency: IdempotencyKey, DeduplicationScope: ScopeAll, DeduplicationWindow: time.Second, LatencyObjective: 2 * time.Second, PriorityWeight: 1}
+		set.Classes[0] = Class{
+			Idempotency: IdempotencyKey, DeduplicationScope: ScopeAll, DeduplicationWindow: time.Second,
+			LatencyObjective: 2 * time.Second, PriorityWeight: 1,
+		}
 		h := newHarnessWith(t, set)
 		if fetchOf(h.request(1, "x", 0)) == nil {
 			t.Fatal("not sent")
 		}
-		if _, verdict := h.router.MaySend(h.now, SendInfo{ID: 1, Remaining: time.Second}); !verdict.Allowed() {
-			t.Fatal("the first attempt may go at any time")
+		_, verdict := h.router.MaySend(h.now, SendInfo{ID: 1, Remaining: time.Second})
+		if !verdict.Allowed() {
+			t.Fatal("the first attempt may start at any time")
 		}
 		h.now += 900 * ms
 		if fetchOf(h.do(Outcome{ID: 1, Attempt: 0, Result: ResultReset})) == nil {
@@ -24,7 +28,7 @@
 		if late {
 			h.now += 200 * ms
 		}
-		_, verdict := h.router.MaySend(h.now, SendInfo{ID: 1, Attempt: 1, Remaining: time.Second})
+		_, verdict = h.router.MaySend(h.now, SendInfo{ID: 1, Attempt: 1, Remaining: time.Second})
 		if verdict.Allowed() == late || late && verdict != (Verdict{RuleDuplicate, ReasonWindowExpired}) {
 			t.Errorf("late %v: %+v", late, verdict)
 		}
@@ -36,32 +40,40 @@
 	drain := func(id string) Event {
 		return EndpointUpdate{Endpoints: []Endpoint{{ID: id, State: Draining, Zone: 1}}}
 	}
+	nothing := func(Fetch) Event { return TimerFired{} }
+	drainTarget := func(f Fetch) Event { return drain(f.Target) }
+	drainSource := func(f Fetch) Event { return drain(f.Source) }
+	purgeObject := func(Fetch) Event { return Purge{Object: "x", Age: 70 * ms} }
+	purgeGroup := func(Fetch) Event { return Purge{Age: 70 * ms} }
+	disconnect := func(Fetch) Event { return ClientDisconnected{ID: 1} }
 	for name, c := range map[string]struct {
-		event func(Fetch) Event
-		want  Verdict
-		age   time.Duration
-		join  bool
+		event        func(Fetch) Event
+		want         Verdict
+		maxAge       time.Duration
+		coalesceFill bool
 	}{
-		"nothing new":         {func(Fetch) Event { return TimerFired{} }, Verdict{}, 0, true},
-		"its target drains":   {func(f Fetch) Event { return drain(f.Target) }, Verdict{RuleDrain, ReasonTargetDraining}, 0, false},
-		"its source drains":   {func(f Fetch) Event { return drain(f.Source) }, Verdict{RuleDrain, ReasonSourceDraining}, 0, false},
-		"its object purged":   {func(Fetch) Event { return Purge{Object: "x", Age: 70 * ms} }, Verdict{}, 90 * ms, true},
-		"its group purged":    {func(Fetch) Event { return Purge{Age: 70 * ms} }, Verdict{}, 90 * ms, true},
-		"the client has left": {func(Fetch) Event { return ClientDisconnected{ID: 1} }, Verdict{RuleAnswer, ReasonAnswered}, 0, false},
+		"nothing new":         {nothing, Verdict{}, 0, true},
+		"target draining":     {drainTarget, Verdict{RuleDrain, ReasonTargetDraining}, 0, false},
+		"source draining":     {drainSource, Verdict{RuleDrain, ReasonSourceDraining}, 0, false},
+		"object purged":       {purgeObject, Verdict{}, 90 * ms, true},
+		"group purged":        {purgeGroup, Verdict{}, 90 * ms, true},
+		"client disconnected": {disconnect, Verdict{RuleAnswer, ReasonAnswered}, 0, false},
 	} {
 		h := newHarness(t)
 		f := fetchOf(h.request(1, "x", 0))
 		h.now += 10 * ms
 		h.do(c.event(*f))
 		now, verdict := h.router.MaySend(h.now+20*ms, SendInfo{ID: 1, Remaining: time.Second})
-		if verdict != c.want || now.MaxAge != c.age || now.CoalesceFill != c.join {
+		if verdict != c.want || now.MaxAge != c.maxAge || now.CoalesceFill != c.coalesceFill {
 			t.Errorf("%s: %v %+v", name, verdict, now)
 		}
 	}
 	for want, s := range map[Verdict]SendInfo{
-		{RuleAnswer, ReasonAttemptEnded}:                   {ID: 9, Remaining: time.Second},
-		{RuleClientDisconnected, ReasonClientDisconnected}: {ID: 1, Remaining: time.Second, ClientDisconnected: true},
-		{RuleDeadline, ReasonDeadlineExceeded}:             {ID: 1},
+		{RuleAnswer, ReasonAttemptEnded}: {ID: 9, Remaining: time.Second},
+		{RuleClientDisconnected, ReasonClientDisconnected}: {
+			ID: 1, Remaining: time.Second, ClientDisconnected: true,
+		},
+		{RuleDeadline, ReasonDeadlineExceeded}: {ID: 1},
 	} {
 		h := newHarness(t)
 		h.request(1, "x", 0)
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -14,9 +14,15 @@
 		Zone: 1, ParentKind: 1, OriginKind: 2, Routers: 1, RoutersInZone: 1, WeightsConfigured: true,
 		TransferKBPerSecond: 1000, ZoneLinkTransfers: 100, DirectRequests: true, CoalesceFills: true, Siblings: SiblingsZone,
 		Classes: []Class{
-			{Idempotency: Idempotent, LatencyObjective: 500 * ms, LatencyObjectiveStretch: 2, PriorityWeight: 1},
-			{Idempotency: Idempotent, LatencyObjective: 500 * ms, LatencyObjectiveStretch: 2, PriorityWeight: 1,
-				FreshFor: 8 * time.Second, StaleFor: 10 * time.Second},
+			{
+				Idempotency: Idempotent, PriorityWeight: 1,
+				LatencyObjective: 500 * ms, LatencyObjectiveStretch: 2,
+			},
+			{
+				Idempotency: Idempotent, PriorityWeight: 1,
+				LatencyObjective: 500 * ms, LatencyObjectiveStretch: 2,
+				FreshFor: 8 * time.Second, StaleFor: 10 * time.Second,
+			},
 			{Idempotency: NonIdempotent, LatencyObjective: 500 * ms, PriorityWeight: 3, Uncacheable: true},
 		},
 		MaxAttempts: 6, MayCancel: true, MaxRetryAfter: time.Second,
@@ -94,6 +100,9 @@
 		h.t.Fatalf("request %d was not sent", id)
 	}
 	h.now += 150 * ms
-	h.do(Outcome{ID: id, Result: ResultOK, CacheStatus: status, Elapsed: 150 * ms, SourceFirstByte: 20 * ms, RequestFinished: true})
+	h.do(Outcome{
+		ID: id, Result: ResultOK, CacheStatus: status, RequestFinished: true,
+		Elapsed: 150 * ms, SourceFirstByte: 20 * ms,
+	})
 	return *f
 }
--- a/policy/idempotency_test.go
+++ b/policy/idempotency_test.go
@@ -45,7 +45,8 @@
 		{ScopeCell, Endpoint{Zone: 1, Cell: 4}, time.Second, false},
 	} {
 		r := New(testSettings(), 1)
-		req := &request{class: &Class{Idempotency: IdempotencyKey, DeduplicationScope: c.scope, DeduplicationWindow: 5 * time.Second}}
+		req := &request{class: &Class{Idempotency: IdempotencyKey, DeduplicationScope: c.scope,
+			DeduplicationWindow: 5 * time.Second}}
 		req.mayHaveRun = &attempt{target: first, decidedAt: time.Hour}
 		r.now = time.Hour + c.after
 		if got := r.mayRepeat(req, &endpointState{Endpoint: c.to}); got != c.want {
--- a/policy/linkpace_test.go
+++ b/policy/linkpace_test.go
@@ -30,7 +30,8 @@
 			}
 			full = req.attempts[0].slowestLink
 			h.now += ms
-			h.do(Outcome{ID: id + 1, Result: ResultOK, CacheStatus: CacheStatusFilled, Elapsed: 2 * time.Second, TransferTime: c.sending, RequestFinished: true})
+			h.do(Outcome{ID: id + 1, Result: ResultOK, CacheStatus: CacheStatusFilled,
+				Elapsed: 2 * time.Second, TransferTime: c.sending, RequestFinished: true})
 			break
 		}
 		if full == nil {
--- a/policy/links_test.go
+++ b/policy/links_test.go
@@ -19,8 +19,10 @@
 	for i := 0; i < 4; i++ {
 		link.add(&attempt{request: &request{transferSeconds: 0.1}, target: h.router.endpoints["a"]}, h.now)
 	}
-	if now, later := link.expectedSeconds(h.now, 0.1, 1), link.expectedSeconds(h.now+20*time.Second, 0.1, 1); later < 3*now {
-		t.Fatalf("lasting use by one router tells of the others: %v then %v", now, later)
+	now := link.expectedSeconds(h.now, 0.1, 1)
+	later := link.expectedSeconds(h.now+20*time.Second, 0.1, 1)
+	if later < 3*now {
+		t.Fatalf("lasting use by one router should imply use by the others: %v then %v", now, later)
 	}
 }
 
--- a/policy/originlimit_test.go
+++ b/policy/originlimit_test.go
@@ -28,13 +28,15 @@
 	}
 	before := h.router.originLimit.limit
 	h.now += 700 * ms
-	h.do(Outcome{ID: 1, Result: ResultOK, CacheStatus: CacheStatusFilledByOrigin, Elapsed: 700 * ms, SourceFirstByte: 600 * ms,
+	h.do(Outcome{ID: 1, Result: ResultOK, CacheStatus: CacheStatusFilledByOrigin, Elapsed: 700 * ms,
+		SourceFirstByte: 600 * ms,
 		RequestFinished: true})
 	if h.router.originLimit.limit >= before {
 		t.Fatalf("limit %v after a slow answer, %v before", h.router.originLimit.limit, before)
 	}
 	after := h.router.originLimit.limit
-	h.do(Outcome{ID: 2, Result: ResultOK, CacheStatus: CacheStatusFilledByOrigin, Elapsed: 700 * ms, SourceFirstByte: 50 * ms,
+	h.do(Outcome{ID: 2, Result: ResultOK, CacheStatus: CacheStatusFilledByOrigin, Elapsed: 700 * ms,
+		SourceFirstByte: 50 * ms,
 		RequestFinished: true})
 	if h.router.originLimit.limit <= after {
 		t.Fatal("a quick answer of the origin must raise the limit")
@@ -60,12 +62,14 @@
 		if (shut < 1) != c.below || shut <= 0 {
 			t.Fatalf("%d routers: the limit is %v", c.instances, shut)
 		}
-		a := &attempt{request: &request{class: &set.Classes[0]}, source: h.router.endpoints["p"], target: h.router.endpoints["a"]}
+		a := &attempt{request: &request{class: &set.Classes[0]}, source: h.router.endpoints["p"],
+			target: h.router.endpoints["a"]}
 		for range 20 {
 			h.router.updateOriginLimit(a, Outcome{Result: ResultOK, CacheStatus: CacheStatusFilledByOrigin})
 		}
 		if h.router.originLimit.limit < shut+1 {
-			t.Fatalf("%d routers: answers raised the limit from %v to %v only", c.instances, shut, h.router.originLimit.limit)
+			t.Fatalf("%d routers: answers raised the limit from %v to %v only", c.instances, shut,
+				h.router.originLimit.limit)
 		}
 	}
 }
@@ -89,7 +93,8 @@
 		}
 		before := h.router.originLimit.limit
 		h.now += c.elapsed
-		h.do(Outcome{ID: 1, Result: ResultOK, CacheStatus: CacheStatusFilledByOrigin, Elapsed: c.elapsed, SourceFirstByte: 50 * ms, TransferTime: c.transferTime, RequestFinished: true})
+		h.do(Outcome{ID: 1, Result: ResultOK, CacheStatus: CacheStatusFilledByOrigin, Elapsed: c.elapsed,
+			SourceFirstByte: 50 * ms, TransferTime: c.transferTime, RequestFinished: true})
 		if lowered := h.router.originLimit.limit < before; lowered != c.lowers {
 			t.Errorf("%+v: limit %v, %v before", c, h.router.originLimit.limit, before)
 		}
--- a/policy/outliers_test.go
+++ b/policy/outliers_test.go
@@ -19,13 +19,15 @@
 		if f == nil || f.Target == home {
 			t.Fatalf("after a second error: %+v", f)
 		}
-		h.do(Outcome{ID: id, Attempt: 2, Result: ResultOK, CacheStatus: CacheStatusFilled, Elapsed: 150 * ms, RequestFinished: true})
+		h.do(Outcome{ID: id, Attempt: 2, Result: ResultOK, CacheStatus: CacheStatusFilled,
+			Elapsed: 150 * ms, RequestFinished: true})
 	}
 	f := fetchOf(h.request(4, "x", 0))
 	if f.Target == home {
 		t.Fatalf("%s failed two requests that others answered, and receives a third", home)
 	}
-	h.do(Outcome{ID: 4, Result: ResultOK, CacheStatus: CacheStatusHit, Elapsed: 100 * ms, RequestFinished: true})
+	h.do(Outcome{ID: 4, Result: ResultOK, CacheStatus: CacheStatusHit, Elapsed: 100 * ms,
+		RequestFinished: true})
 	h.now += baseEjectionTime
 	h.serve(5, "x", CacheStatusHit)
 	if h.router.isEjected(h.router.endpoints[home]) {
--- a/policy/overdue_test.go
+++ b/policy/overdue_test.go
@@ -44,7 +44,8 @@
 	for id := range int64(20) {
 		ask(id+1, "small")
 		h.now += 100 * ms
-		h.do(Outcome{ID: id + 1, Result: ResultOK, CacheStatus: CacheStatusHit, Elapsed: 100 * ms, RequestFinished: true})
+		h.do(Outcome{ID: id + 1, Result: ResultOK, CacheStatus: CacheStatusHit, Elapsed: 100 * ms,
+			RequestFinished: true})
 	}
 	due := ask(30, "large")[1].(StartTimer)
 	if due.In < 700*ms {
--- a/policy/purges_test.go
+++ b/policy/purges_test.go
@@ -14,7 +14,8 @@
 	if f.MaxAge != 150*ms || !f.CoalesceFill {
 		t.Fatalf("want age 150 ms, and a join as all that miss at once would fill, got %+v", f)
 	}
-	f = fetchOf(h.do(Outcome{ID: 1, Result: ResultError, Elapsed: 20 * ms})) // the fill that it joined may be too old
+	// The fill that it joined may be too old.
+	f = fetchOf(h.do(Outcome{ID: 1, Result: ResultError, Elapsed: 20 * ms}))
 	if f == nil || f.MaxAge != 150*ms || f.CoalesceFill {
 		t.Fatalf("want age 150 ms and no join in a further attempt, got %+v", f)
 	}
@@ -33,7 +34,8 @@
 	for _, purge := range []Purge{{Object: "x", Group: 0}, {Group: 0}} {
 		h := newHarness(t)
 		m := h.router.endpoints[h.serve(1, "x", CacheStatusFilled).Target]
-		req := &request{Request: Request{Object: "x"}, class: &h.router.settings.Classes[0], key: m.cacheIndex.Keys()[0]}
+		req := &request{Request: Request{Object: "x"}, class: &h.router.settings.Classes[0],
+			key: m.cacheIndex.Keys()[0]}
 		h.now += 10 * time.Second
 		h.do(Purge{Object: "y", Group: 0})
 		h.do(Purge{Group: 9})
--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -4,7 +4,8 @@
 
 // Whatever the result of its attempts, a request gets one final answer and is removed.
 func TestEveryRequestIsFinishedOnce(t *testing.T) {
-	for _, result := range []Result{ResultError, ResultRejected, ResultTimeout, ResultConnectFailed, ResultReset,
+	for _, result := range []Result{ResultError, ResultRejected, ResultTimeout, ResultConnectFailed,
+		ResultReset,
 		ResultCancelled, ResultNotSent, ResultNotFound} {
 		for class := 0; class < 3; class++ {
 			h := newHarness(t)
@@ -16,7 +17,8 @@
 				ends += countFinalAnswers(acts)
 			}
 			if ends != 1 || len(h.router.requests) != 0 {
-				t.Errorf("result %v class %d: %d final answers, %d open", result, class, ends, len(h.router.requests))
+				t.Errorf("result %v class %d: %d final answers, %d open", result, class, ends,
+					len(h.router.requests))
 			}
 		}
 	}
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -30,11 +30,13 @@
 		f := fetchOf(h.request(id+1, "x", 0))
 		for f != nil {
 			attempts++
+			number := len(h.router.requests[id+1].attempts) - 1
 			if attempts%3 != 0 {
-				h.do(Outcome{ID: id + 1, Attempt: len(h.router.requests[id+1].attempts) - 1, Result: ResultOK, CacheStatus: CacheStatusHit, RequestFinished: true})
+				h.do(Outcome{ID: id + 1, Attempt: number, Result: ResultOK, CacheStatus: CacheStatusHit,
+					RequestFinished: true})
 				break
 			}
-			acts := h.do(Outcome{ID: id + 1, Attempt: len(h.router.requests[id+1].attempts) - 1, Result: ResultError})
+			acts := h.do(Outcome{ID: id + 1, Attempt: number, Result: ResultError})
 			if f = fetchOf(acts); f == nil {
 				t.Fatalf("request %d was given up after %d attempts in all: %+v", id+1, attempts, acts)
 			}
@@ -53,7 +55,8 @@
 		r := New(set, uint64(i))
 		r.Handle(time.Hour, EndpointUpdate{Full: true})
 		for id := range int64(each) {
-			acts := r.Handle(time.Hour, Request{ID: id + 1, Object: fmt.Sprint(id), Remaining: 3 * time.Second})
+			acts := r.Handle(time.Hour, Request{ID: id + 1, Object: fmt.Sprint(id),
+				Remaining: 3 * time.Second})
 			rejection, ok := acts[len(acts)-1].(Reject)
 			if !ok || rejection.RetryAfter < minRetryAfter || rejection.RetryAfter >= 2*minRetryAfter {
 				t.Fatalf("router %d: %+v", i, acts)
--- a/policy/router_test.go
+++ b/policy/router_test.go
@@ -14,7 +14,8 @@
 			all = append(all, h.request(i, string(rune('a'+i%40)), int(i%3)))
 			h.now += 3 * ms
 			if i > 20 {
-				all = append(all, h.do(Outcome{ID: i - 20, Result: Result(i % 9), Elapsed: 60 * ms, RequestFinished: i%9 == 1}))
+				all = append(all, h.do(Outcome{ID: i - 20, Result: Result(i % 9), Elapsed: 60 * ms,
+					RequestFinished: i%9 == 1}))
 			}
 		}
 		return all
@@ -37,24 +38,31 @@
 	write := fetchOf(h.request(2, "y", 2))
 
 	later := set
-	later.Classes = []Class{{Name: "write", Idempotency: NonIdempotent, Uncacheable: true, PriorityWeight: 3, LatencyObjective: 500 * ms}, set.Classes[0]}
+	writeClass := Class{
+		Name: "write", Idempotency: NonIdempotent, Uncacheable: true, PriorityWeight: 3, LatencyObjective: 500 * ms,
+	}
+	later.Classes = []Class{writeClass, set.Classes[0]}
 	later.MaxAttempts = 1
 	h.do(later)
 	if f := fetchOf(h.request(3, "z", 0)); f == nil || f.Target != "o" || f.Target != write.Target {
 		t.Errorf("the write, by its new number: %+v", f)
 	}
-	if h.router.classTransferSeconds["old"].value != learned || learned == 0 || h.router.requests[2].class.Name != "write" || h.router.requests[2].Class != 2 {
+	inProgress := h.router.requests[2]
+	keptLearned := h.router.classTransferSeconds["old"].value == learned && learned != 0
+	if !keptLearned || inProgress.class.Name != "write" || inProgress.Class != 2 {
 		t.Error("what was learned is gone, or a request has changed its class")
 	}
 	f := fetchOf(h.request(4, "x", 1))
 	if f == nil || f.Target == "o" {
 		t.Fatalf("the read, by its new number: %+v", f)
 	}
-	if acts := h.do(Outcome{ID: 4, Result: ResultRejected}); fetchOf(acts) != nil || countFinalAnswers(acts) != 1 {
+	acts := h.do(Outcome{ID: 4, Result: ResultRejected})
+	if fetchOf(acts) != nil || countFinalAnswers(acts) != 1 {
 		t.Errorf("after the one attempt: %+v", acts)
 	}
 	if acts := h.request(5, "x", 2); countFinalAnswers(acts) != 1 { // a class that was removed
 		t.Errorf("%+v", acts)
 	}
-	h.do(Outcome{ID: 2, Result: ResultOK, TransferTime: time.Second, RequestFinished: true}) // of the former class 2
+	// Of the former class 2.
+	h.do(Outcome{ID: 2, Result: ResultOK, TransferTime: time.Second, RequestFinished: true})
 }
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -35,7 +35,8 @@
 	home := h.serve(1, "x", CacheStatusFilled).Target
 	m := h.router.endpoints[home]
 	for i := 0; i < 40; i++ {
-		m.link.inFlight = append(m.link.inFlight, &attempt{request: &request{transferSeconds: 0.1}, target: m})
+		inFlight := &attempt{request: &request{transferSeconds: 0.1}, target: m}
+		m.link.inFlight = append(m.link.inFlight, inFlight)
 	}
 	if f := fetchOf(h.request(2, "x", 0)); f == nil || f.Target == home {
 		t.Fatalf("%s is full: %+v", home, f)
@@ -56,7 +57,8 @@
 		h.do(list)
 		near := 0
 		for i := range 100 {
-			req := &request{Request: Request{Object: "x"}, class: &h.router.settings.Classes[0], key: mixHash(uint64(i)), transferSeconds: 0.1,
+			req := &request{Request: Request{Object: "x"}, class: &h.router.settings.Classes[0],
+				key: mixHash(uint64(i)), transferSeconds: 0.1,
 				objectiveAt: h.now + time.Second}
 			if h.router.chooseParent(req).ID == "p" {
 				near++
@@ -87,7 +89,8 @@
 			elapsed = 900 * ms
 		}
 		h.now += 100 * ms
-		h.do(Outcome{ID: id, Result: ResultOK, CacheStatus: CacheStatusFilled, Elapsed: elapsed, TransferTime: 200 * ms, RequestFinished: true})
+		h.do(Outcome{ID: id, Result: ResultOK, CacheStatus: CacheStatusFilled, Elapsed: elapsed,
+			TransferTime: 200 * ms, RequestFinished: true})
 		h.do(Purge{Object: object}) // so that no sibling is believed to have it cached
 		return f.Source
 	}
@@ -101,7 +104,8 @@
 		t.Errorf("filled from %s, which takes four times as long", got)
 	}
 	if h.router.zoneLink.capacity != h.router.zoneLink.nominalCapacity {
-		t.Errorf("the link is taken for congested: %v of %v", h.router.zoneLink.capacity, h.router.zoneLink.nominalCapacity)
+		t.Errorf("the link is taken for congested: %v of %v", h.router.zoneLink.capacity,
+			h.router.zoneLink.nominalCapacity)
 	}
 	h.now += 6 * slowdownDecayTime
 	if got := fill(); got != "p" {
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -40,7 +40,7 @@
 			}
 		}
 	}
-	// 0.1 s each; a parent for three caches of unknown capacity starts at a tenth of its own; twice that for 2 s.
+	// 0.1 s each; the parent for three caches of unknown capacity starts at a tenth; twice that for 2 s.
 	if most := fillFraction * 3 * defaultLinkCapacity * 0.1 * 2 * 2; float64(sent)*0.1 > most {
 		t.Fatalf("%d sent to a parent in slow start by 100 routers", sent)
 	}
@@ -143,7 +143,8 @@
 			}
 			r.Handle(f.now, ClientDisconnected{req.ID})
 			for i := range 2 {
-				r.Handle(f.now, Outcome{ID: req.ID, Attempt: i, Result: ResultCancelled, RequestFinished: true})
+				r.Handle(f.now, Outcome{ID: req.ID, Attempt: i, Result: ResultCancelled,
+					RequestFinished: true})
 			}
 		}
 	}
@@ -152,7 +153,8 @@
 // allowed is the number of attempts of 0.1 s that the endpoint takes in the window that ends at a time.
 func (f *fleet) allowed(at time.Duration) float64 {
 	risen := (1 - f.fraction) * float64(at-f.startedAt) / float64(f.duration)
-	return f.settings.OverloadMultiple * f.capacity * (f.fraction + risen) * f.settings.OverloadWindow.Seconds() / 0.1
+	transfers := f.settings.OverloadMultiple * f.capacity * (f.fraction + risen)
+	return transfers * f.settings.OverloadWindow.Seconds() / 0.1
 }
 
 // maxExcess returns by how many attempts the worst window exceeds what is allowed at its end, which is
@@ -206,7 +208,9 @@
 		h := newHarnessWith(t, set)
 		home := h.serve(1, "x", CacheStatusFilled).Target
 		h.now += time.Minute
-		restart := EndpointUpdate{Endpoints: []Endpoint{{ID: home, State: Ready, Zone: 1, Weight: 5, Started: h.now}}}
+		restart := EndpointUpdate{Endpoints: []Endpoint{
+			{ID: home, State: Ready, Zone: 1, Weight: 5, Started: h.now},
+		}}
 		if !restarts {
 			h.do(restart)
 		}
@@ -223,14 +227,16 @@
 		}
 		sent := 0
 		for _, id := range waiting {
-			if _, verdict := h.router.MaySend(h.now, SendInfo{ID: id, Remaining: time.Second}); verdict.Allowed() {
+			_, verdict := h.router.MaySend(h.now, SendInfo{ID: id, Remaining: time.Second})
+			if verdict.Allowed() {
 				sent++
 			}
 		}
 		// 0.1 s each; 2 times the slow-start fraction of 5 transfers for 1 s.
 		fraction := h.router.slowStartFraction(h.router.endpoints[home])
 		if most := 2 * fraction * 5; sent == 0 || float64(sent)*0.1 > most {
-			t.Errorf("restarted %v: %d of %d sent at once, %.1f s allowed", restarts, sent, len(waiting), most)
+			t.Errorf("restarted %v: %d of %d sent at once, %.1f s allowed", restarts, sent, len(waiting),
+				most)
 		}
 	}
 }
@@ -246,7 +252,9 @@
 			h.do(allEndpoints())
 			home := h.serve(1, "x", CacheStatusFilled).Target
 			h.now += time.Minute
-			h.do(EndpointUpdate{Endpoints: []Endpoint{{ID: home, State: Ready, Zone: 1, Weight: 5, Started: h.now}}})
+			h.do(EndpointUpdate{Endpoints: []Endpoint{
+				{ID: home, State: Ready, Zone: 1, Weight: 5, Started: h.now},
+			}})
 			for id := int64(2); id < 60; id++ {
 				if f := fetchOf(h.request(id, "x", 0)); f != nil && f.Target == home {
 					sent[processes]++
--- a/policy/transfertime_test.go
+++ b/policy/transfertime_test.go
@@ -17,7 +17,8 @@
 		}
 		h.do(Request{ID: id + 1, Object: object, Remaining: 6 * time.Second})
 		h.now += 2 * sending
-		h.do(Outcome{ID: id + 1, Result: ResultOK, CacheStatus: CacheStatusHit, Elapsed: 2 * sending, TransferTime: sending, RequestFinished: true})
+		h.do(Outcome{ID: id + 1, Result: ResultOK, CacheStatus: CacheStatusHit, Elapsed: 2 * sending,
+			TransferTime: sending, RequestFinished: true})
 	}
 	for object, want := range map[string]float64{"small": 0.05, "large": 0.75, "unknown": 0.4} {
 		h.do(Request{ID: 99, Object: object, Remaining: 6 * time.Second})
@@ -40,7 +41,8 @@
 			t.Fatalf("request %d was not sent", id)
 		}
 		h.now += elapsed
-		h.do(Outcome{ID: id, Result: ResultOK, CacheStatus: CacheStatusHit, Elapsed: elapsed, RequestFinished: true})
+		h.do(Outcome{ID: id, Result: ResultOK, CacheStatus: CacheStatusHit, Elapsed: elapsed,
+			RequestFinished: true})
 		return h.router.endpoints[f.Target]
 	}
 	var m *endpointState
