--- a/policy/verdict.go
+++ b/policy/verdict.go
@@ -1,7 +1,8 @@
 package policy
 
 // Verdicts are the answers of the guards (guard.go): whether an action may be carried out, and if not, which
-// rule it would break and why. Their names are label values of figures and fields of log messages.
+// rule it would break and why. The names of rules and reasons are label values of the figure svc_denied and
+// fields of log messages, so they must not change.
 
 // Rule is a guarantee that an action could break.
 type Rule int
