--- a/policy/selection.go
+++ b/policy/selection.go
@@ -59,8 +59,8 @@
 	return best
 }
 
-// secondsOverObjective is by how much a transfer from an endpoint exceeds the time that it may take. A
-// transfer at full pace never does.
+// secondsOverObjective is by how much a transfer from an endpoint, with the wait for its first byte, exceeds
+// the time that it may take. That time is never less than the transfer takes at full pace.
 func (r *Router) secondsOverObjective(e *endpointState, req *request) float64 {
 	seconds := e.link.expectedSeconds(r.now, req.transferSeconds, r.slowStartFraction(e))
 	if !r.isCache(e) {
