--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// A full link refuses the long request before the short one.
+// A congested link sheds long requests before short ones of the same weight.
 func TestSheddingByWeightPerTransferTime(t *testing.T) {
-	g := newRig(t)
+	h := newHarness(t)
 	ask := func(id int64, kb float64) *Fetch {
-		return fetchOf(g.do(Request{ID: id, Object: "x", SizeKB: kb, Remaining: 5 * time.Second}))
+		return fetchOf(h.do(Request{ID: id, Object: "x", SizeKB: kb, Remaining: 5 * time.Second}))
 	}
 	short, long := 0, 0
 	for i := int64(1); i < 400; i++ {
@@ -21,6 +21,6 @@
 		}
 	}
 	if long == 0 || short >= long {
-		t.Fatalf("refused %d short and %d long ones", short, long)
+		t.Fatalf("rejected %d short and %d long requests", short, long)
 	}
 }
--- a/policy/fillorders_test.go
+++ b/policy/fillorders_test.go
@@ -6,21 +6,22 @@
 	"time"
 )
 
-// When all copies go void, each of many routers asks for the same objects at once. Their first attempts join the fill that
-// is under way at the cache that all of them pick, and go to no more than one cache and one parent for an object.
+// After a purge of everything, many routers request the same objects at once. Their first attempts join the
+// fill that is in progress at the cache that all of them select: one cache and one parent for each object.
 func TestFleetCoalescesFillsAfterPurge(t *testing.T) {
 	const routers = 80
 	for object := range 20 {
 		targets, sources := map[string]bool{}, map[string]bool{}
 		for i := range routers {
-			set := world()
+			set := testSettings()
 			set.Routers, set.RoutersInZone, set.RouterIndex = routers, routers, i
 			r := New(set, uint64(i))
-			r.Handle(time.Hour, everybody())
+			r.Handle(time.Hour, allEndpoints())
 			for group := range 32 {
 				r.Handle(time.Hour, Purge{Group: group, Age: 50 * ms})
 			}
-			f := fetchOf(r.Handle(time.Hour+ms, Request{ID: 1, Object: fmt.Sprint(object), Group: object, SizeKB: 10, Remaining: 3 * time.Second}))
+			f := fetchOf(r.Handle(time.Hour+ms, Request{ID: 1, Object: fmt.Sprint(object), Group: object,
+				SizeKB: 10, Remaining: 3 * time.Second}))
 			if f == nil || !f.CoalesceFill || f.MaxAge != 51*ms {
 				t.Fatalf("router %d, object %d: %+v", i, object, f)
 			}
--- a/policy/idempotency_test.go
+++ b/policy/idempotency_test.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// An unsafe request that may have run gets no second attempt and no refusal.
+// A request that is not idempotent and may have run is neither retried nor rejected.
 func TestNonIdempotentRequestRunsOnce(t *testing.T) {
 	for _, c := range []struct {
 		result Result
 		again  bool
 	}{{ResultReset, false}, {ResultTimeout, false}, {ResultError, false}, {ResultRejected, true},
 		{ResultConnectFailed, true}} {
-		g := newRig(t)
-		if f := fetchOf(g.request(1, "w", 2)); f == nil || f.Target != "o" {
+		h := newHarness(t)
+		if f := fetchOf(h.request(1, "w", 2)); f == nil || f.Target != "o" {
 			t.Fatalf("a write goes to the origin, got %+v", f)
 		}
-		acts := g.do(Outcome{ID: 1, Result: c.result, Elapsed: 10 * ms})
+		acts := h.do(Outcome{ID: 1, Result: c.result, Elapsed: 10 * ms})
 		if again := fetchOf(acts) != nil; again != c.again {
 			t.Errorf("result %v: sent again %v", c.result, again)
 		}
@@ -28,7 +28,7 @@
 	}
 }
 
-// A keyed request that may have run is repeated only in its scope and within its window.
+// A request with an idempotency key that may have run is retried only in its scope and within its window.
 func TestIdempotencyKeyScopeAndWindow(t *testing.T) {
 	first := &endpointState{Endpoint: Endpoint{ID: "a", Zone: 1, Cell: 3}}
 	for _, c := range []struct {
@@ -44,15 +44,16 @@
 		{ScopeCell, Endpoint{Zone: 1, Cell: 3}, time.Second, true},
 		{ScopeCell, Endpoint{Zone: 1, Cell: 4}, time.Second, false},
 	} {
-		r := New(world(), 1)
-		req := &request{class: &Class{Idempotency: IdempotencyKey, DeduplicationScope: c.scope, DeduplicationWindow: 5 * time.Second}}
+		r := New(testSettings(), 1)
+		req := &request{class: &Class{Idempotency: IdempotencyKey, DeduplicationScope: c.scope,
+			DeduplicationWindow: 5 * time.Second}}
 		req.mayHaveRun = &attempt{target: first, decidedAt: time.Hour}
 		r.now = time.Hour + c.after
 		if got := r.mayRepeat(req, &endpointState{Endpoint: c.to}); got != c.want {
 			t.Errorf("%+v: %v", c, got)
 		}
 		if got := r.mayReject(req); got != (c.scope == ScopeAll) {
-			t.Errorf("scope %v: may refuse %v", c.scope, got)
+			t.Errorf("scope %v: may reject %v", c.scope, got)
 		}
 	}
 }
--- a/policy/routing_test.go
+++ b/policy/routing_test.go
@@ -2,13 +2,13 @@
 
 import "testing"
 
-// With every cache of the zone suspect a request goes straight to a parent.
+// With every cache of the zone ejected a request goes directly to a parent.
 func TestRequestGoesToParentWhenAllCachesAreEjected(t *testing.T) {
-	g := newRig(t)
+	h := newHarness(t)
 	for _, id := range []string{"a", "b", "c"} {
-		g.r.endpoints[id].eject(g.n)
+		h.router.endpoints[id].eject(h.now)
 	}
-	if f := fetchOf(g.request(1, "x", 0)); f.Target != "p" && f.Target != "q" || f.Source != "o" {
+	if f := fetchOf(h.request(1, "x", 0)); f.Target != "p" && f.Target != "q" || f.Source != "o" {
 		t.Fatalf("%+v", f)
 	}
 }
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -64,7 +64,7 @@
 }
 
 // countsInSlowStart reports whether an attempt loads an endpoint that is in slow start: as the target, or as
-// the parent that fills. A sibling cache that fills sends what it has cached already.
+// the parent that fills. A sibling that fills sends what it has cached already.
 func (r *Router) countsInSlowStart(e *endpointState, a *attempt) bool {
 	return r.slowStartFraction(e) < 1 && (e == a.target || e.Kind == r.settings.ParentKind)
 }
@@ -157,7 +157,7 @@
 }
 
 // slowStartCostSeconds is what a request takes of a quota: its own transfer time, or the mean of its class if
-// that is longer: the size of an object that was seen once or never is uncertain.
+// that is longer.
 func (r *Router) slowStartCostSeconds(req *request) float64 {
 	return max(req.transferSeconds, r.classTransferSeconds[req.class.Name].value)
 }
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -6,207 +6,261 @@
 	"time"
 )
 
-// A cold cache gets no more than its budget.
+// A cache in slow start receives no more than its budget.
 func TestSlowStartBudgetOfCache(t *testing.T) {
-	g := newRig(t)
-	home := g.serve(1, "x", CacheStatusFilled).Target
-	g.do(EndpointUpdate{Endpoints: []Endpoint{{ID: home, State: Ready, Zone: 1, Weight: 5, Started: g.n}}})
+	h := newHarness(t)
+	home := h.serve(1, "x", CacheStatusFilled).Target
+	h.do(EndpointUpdate{Endpoints: []Endpoint{{ID: home, State: Ready, Zone: 1, Weight: 5, Started: h.now}}})
 	sent := 0
 	for i := int64(2); i < 60; i++ {
-		if f := fetchOf(g.request(i, "x", 0)); f != nil && f.Target == home {
+		if f := fetchOf(h.request(i, "x", 0)); f != nil && f.Target == home {
 			sent++
 		}
 	}
-	// 0.1 s each; 2 times a fifth of 5 transfers for 2 s is 4 s of sending.
+	// 0.1 s each; 2 times a fifth of 5 transfers for 2 s is 4 transfer seconds.
 	if sent == 0 || float64(sent)*0.1 > 4 {
-		t.Fatalf("%d sent to a cold cache", sent)
+		t.Fatalf("%d sent to a cache in slow start", sent)
 	}
 }
 
-// A parent whose size is not told does not grow with the number of routers: the cold budgets of all of them
-// together stay inside what it can bear. Incident iddf016.
+// The assumed capacity of a parent does not grow with the number of routers: their slow-start budgets
+// together stay within what it can take. Incident iddf016.
 func TestSlowStartBudgetOfParentAcrossRouters(t *testing.T) {
-	set := world()
+	set := testSettings()
 	set.Routers, set.RoutersInZone, set.WeightsConfigured = 100, 5, false
 	sent := 0
 	for i := range set.Routers {
-		g := &rig{t: t, r: New(set, uint64(i)), n: time.Hour}
-		list := everybody()
-		list.Endpoints[3].Started, list.Endpoints[4].State = g.n, Removed
-		g.do(list)
+		h := &harness{t: t, router: New(set, uint64(i)), now: time.Hour}
+		list := allEndpoints()
+		list.Endpoints[3].Started, list.Endpoints[4].State = h.now, Removed
+		h.do(list)
 		for id := int64(1); id < 20; id++ {
-			if f := fetchOf(g.request(id, string(rune('a'+id)), 0)); f != nil && f.Source == "p" {
+			if f := fetchOf(h.request(id, string(rune('a'+id)), 0)); f != nil && f.Source == "p" {
 				sent++
 			}
 		}
 	}
-	// 0.1 s each; three caches of unknownCap transfers draw 6, a tenth of them cold, twice that for 2 s.
+	// 0.1 s each; the parent for three caches of unknown capacity starts at a tenth; twice that for 2 s.
 	if most := fillFraction * 3 * defaultLinkCapacity * 0.1 * 2 * 2; float64(sent)*0.1 > most {
-		t.Fatalf("%d sent to a cold parent by 100 routers", sent)
+		t.Fatalf("%d sent to a parent in slow start by 100 routers", sent)
 	}
 }
 
-// fleet is many routers that are asked all the time for what lies at one cold member.
+// fleetStart is the time at which a fleet's routers start.
+const fleetStart = time.Hour
+
+// fleet is many routers that receive requests all the time for objects of one endpoint in slow start.
 type fleet struct {
-	set     Settings
-	list    EndpointUpdate
-	routers []*Router
-	now     time.Duration
-	sent    []time.Duration // when the cold member was sent something
+	settings Settings
+	list     EndpointUpdate
+	routers  []*Router
+	now      time.Duration
+
+	starting  string        // ID of the endpoint in slow start
+	startedAt time.Duration // a second after the routers
+	duration  time.Duration // of its slow start
+	fraction  float64       // of its capacity at its start
+	capacity  float64       // transfers
+
+	sentAt []time.Duration // when an attempt was sent to it
+}
+
+// newFleet returns a fleet whose routers know an endpoint list without the slow start.
+func newFleet(routers int, starting string) *fleet {
+	f := &fleet{
+		settings: testSettings(), list: allEndpoints(), routers: make([]*Router, routers), now: fleetStart,
+		starting: starting, startedAt: fleetStart + time.Second,
+	}
+	f.settings.Routers = routers
+	f.settings.RoutersInZone = routers
+	f.duration = f.settings.SlowStartDuration
+	f.fraction = f.settings.SlowStartCapacity
+	f.capacity = 5
+	if starting == "p" {
+		f.duration = f.settings.ParentSlowStartDuration
+		f.fraction = f.settings.ParentSlowStartCapacity
+		f.capacity = 20
+	}
+	for i := range f.routers {
+		f.restart(i)
+	}
+	return f
 }
 
-func (f *fleet) start(i int) {
-	set := f.set
-	set.RouterIndex = i
-	f.routers[i] = New(set, uint64(i))
+// restart replaces a router by a new one that knows the endpoint list only.
+func (f *fleet) restart(i int) {
+	f.routers[i] = New(f.settingsOf(i), uint64(i))
 	f.routers[i].Handle(f.now, f.list)
 }
 
-// ask has each router asked for as many objects as it may take, and answers nothing: every one of 0.1 s.
-func (f *fleet) ask(cold string, id int64) {
+// settingsOf returns the settings of one router.
+func (f *fleet) settingsOf(i int) Settings {
+	settings := f.settings
+	settings.RouterIndex = i
+	return settings
+}
+
+// listSlowStart changes the endpoint list: the endpoint has started, and the others of its tier are removed.
+func (f *fleet) listSlowStart() {
+	for i := range f.list.Endpoints {
+		e := &f.list.Endpoints[i]
+		e.Started = 0
+		if e.ID == f.starting {
+			e.Started = f.startedAt
+		} else if e.Kind == 0 && f.starting == "a" || e.Kind == 1 && f.starting == "p" {
+			e.State = Removed
+		}
+	}
+}
+
+// disturb applies what happens to the routers at a time since their start.
+func (f *fleet) disturb(at time.Duration) {
+	switch at {
+	case 2 * time.Second: // the endpoint's start is reported a second late
+		for _, r := range f.routers {
+			r.Handle(f.now, f.list)
+		}
+	case 4 * time.Second: // the settings change
+		for i, r := range f.routers {
+			r.Handle(f.now, f.settingsOf(i))
+		}
+	case 6 * time.Second: // seven in ten routers restart at once
+		for i := range len(f.routers) * 7 / 10 {
+			f.restart(i)
+		}
+	}
+}
+
+// requestObjects requests eight objects of 0.1 s from each router and answers none.
+func (f *fleet) requestObjects(tick int64) {
 	for _, r := range f.routers {
 		for n := range int64(8) {
-			q := Request{ID: id<<8 + n, Object: string(rune('a' + n)), Class: 0, SizeKB: 100, Remaining: 3 * time.Second}
-			if got := fetchOf(r.Handle(f.now, q)); got != nil && (got.Target == cold || got.Source == cold) {
-				f.sent = append(f.sent, f.now)
+			object := string(rune('a' + n))
+			req := Request{ID: tick<<8 + n, Object: object, SizeKB: 100, Remaining: 3 * time.Second}
+			sent := fetchOf(r.Handle(f.now, req))
+			if sent != nil && (sent.Target == f.starting || sent.Source == f.starting) {
+				f.sentAt = append(f.sentAt, f.now)
 			}
-			r.Handle(f.now, ClientDisconnected{q.ID})
+			r.Handle(f.now, ClientDisconnected{req.ID})
 			for i := range 2 {
-				r.Handle(f.now, Outcome{ID: q.ID, Attempt: i, Result: ResultCancelled, RequestFinished: true})
+				r.Handle(f.now, Outcome{ID: req.ID, Attempt: i, Result: ResultCancelled,
+					RequestFinished: true})
 			}
 		}
 	}
 }
 
-// most is the largest number sent in a window beyond what is allowed at its end: N + 2 x root of N + 2.
-func (f *fleet) most(allowed func(at time.Duration) float64, window time.Duration) (over float64) {
-	over = math.Inf(-1)
-	for i, at := range f.sent {
-		n := 0
-		for _, earlier := range f.sent[:i+1] {
-			if at-earlier < window {
-				n++
+// allowed is the number of attempts of 0.1 s that the endpoint takes in the window that ends at a time.
+func (f *fleet) allowed(at time.Duration) float64 {
+	risen := (1 - f.fraction) * float64(at-f.startedAt) / float64(f.duration)
+	transfers := f.settings.OverloadMultiple * f.capacity * (f.fraction + risen)
+	return transfers * f.settings.OverloadWindow.Seconds() / 0.1
+}
+
+// maxExcess returns by how many attempts the worst window exceeds what is allowed at its end, which is
+// n + 2*sqrt(n) + 2 where the endpoint takes n.
+func (f *fleet) maxExcess() float64 {
+	excess := math.Inf(-1)
+	for i, at := range f.sentAt {
+		sent := 0
+		for _, earlier := range f.sentAt[:i+1] {
+			if at-earlier < f.settings.OverloadWindow {
+				sent++
 			}
 		}
-		bears := allowed(at)
-		over = max(over, float64(n)-(bears+2*math.Sqrt(bears)+2))
+		n := f.allowed(at)
+		excess = max(excess, float64(sent)-(n+2*math.Sqrt(n)+2))
 	}
-	return over
+	return excess
 }
 
-// However many routers there are, a cold member gets some work and all of them together push it no further than it
-// surely bears: also when it is told late, settings come anew, and routers restart and forget what they sent.
+// However many routers there are, an endpoint in slow start receives some work, and all of them together do
+// not overload it: also when its start is reported late, settings change, and routers restart and do not know
+// what they sent.
 func TestSlowStartBudgetAcrossFleet(t *testing.T) {
 	for _, routers := range []int{3, 20, 30, 300} {
-		for _, cold := range []string{"a", "p"} {
-			f := &fleet{set: world(), list: everybody(), routers: make([]*Router, routers), now: time.Hour}
-			f.set.Routers, f.set.RoutersInZone = routers, routers
-			share, within, weight := f.set.SlowStartCapacity, f.set.SlowStartDuration, 5.0
-			if cold == "p" {
-				share, within, weight = f.set.ParentSlowStartCapacity, f.set.ParentSlowStartDuration, 20
-			}
-			for i := range f.routers {
-				f.start(i)
-			}
-			started, window := f.now+time.Second, f.set.OverloadWindow
-			for i := range f.list.Endpoints {
-				m := &f.list.Endpoints[i]
-				m.Started = time.Duration(0)
-				if m.ID == cold {
-					m.Started = started
-				} else if m.Kind == 0 && cold == "a" || m.Kind == 1 && cold == "p" {
-					m.State = Removed
-				}
-			}
-			for tick := int64(0); f.now < started+within-time.Second; tick++ {
+		for _, starting := range []string{"a", "p"} {
+			f := newFleet(routers, starting)
+			f.listSlowStart()
+			end := f.startedAt + f.duration - time.Second
+			for tick := int64(1); f.now < end; tick++ {
 				f.now += 100 * ms
-				switch at := f.now - time.Hour; {
-				case at == 2*time.Second: // told a second late
-					for _, r := range f.routers {
-						r.Handle(f.now, f.list)
-					}
-				case at == 4*time.Second:
-					for i, r := range f.routers {
-						set := f.set
-						set.RouterIndex = i
-						r.Handle(f.now, set)
-					}
-				case at == 6*time.Second: // seven in ten are killed at once
-					for i := range routers * 7 / 10 {
-						f.start(i)
-					}
-				}
-				if f.now >= time.Hour+2*time.Second {
-					f.ask(cold, tick+1)
+				f.disturb(f.now - fleetStart)
+				if f.now >= fleetStart+2*time.Second {
+					f.requestObjects(tick)
 				}
 			}
-			over := f.most(func(at time.Duration) float64 {
-				return 2 * weight * (share + (1-share)*float64(at-started)/float64(within)) * window.Seconds() / 0.1
-			}, window)
-			if len(f.sent) == 0 || over > 0 {
-				t.Errorf("%d routers sent %d to %s, %.1f too many at most", routers, len(f.sent), cold, over)
+			excess := f.maxExcess()
+			if len(f.sentAt) == 0 || excess > 0 {
+				t.Errorf("%d routers sent %d attempts to %s, %.1f more than allowed",
+					routers, len(f.sentAt), starting, excess)
 			}
 		}
 	}
 }
 
-// Calls that wait for their connections count until they go, however long that takes: all may go at once. One that was decided
-// on before its member started anew is looked at again.
+// Attempts that wait for a connection count until they are sent, however long that takes, as all may be sent
+// at once. One that was created before its endpoint restarted is checked again.
 func TestDelayedAttemptsKeepSlowStartBudget(t *testing.T) {
-	for _, startsAnew := range []bool{false, true} {
-		set := world()
+	for _, restarts := range []bool{false, true} {
+		set := testSettings()
 		set.SlowStartCapacity, set.OverloadWindow = 0.05, time.Second
-		g := &rig{t: t, r: New(set, 1), n: time.Hour}
-		g.do(everybody())
-		home := g.serve(1, "x", CacheStatusFilled).Target
-		g.n += time.Minute
-		cold := EndpointUpdate{Endpoints: []Endpoint{{ID: home, State: Ready, Zone: 1, Weight: 5, Started: g.n}}}
-		if !startsAnew {
-			g.do(cold)
+		h := newHarnessWith(t, set)
+		home := h.serve(1, "x", CacheStatusFilled).Target
+		h.now += time.Minute
+		restart := EndpointUpdate{Endpoints: []Endpoint{
+			{ID: home, State: Ready, Zone: 1, Weight: 5, Started: h.now},
+		}}
+		if !restarts {
+			h.do(restart)
 		}
 		var waiting []int64
 		for id := int64(2); id < 100; id++ {
-			g.n += 100 * ms
-			if f := fetchOf(g.request(id, "x", 0)); f != nil && f.Target == home {
+			h.now += 100 * ms
+			if f := fetchOf(h.request(id, "x", 0)); f != nil && f.Target == home {
 				waiting = append(waiting, id)
 			}
 		}
-		if startsAnew {
-			cold.Endpoints[0].Started = g.n
-			g.do(cold)
+		if restarts {
+			restart.Endpoints[0].Started = h.now
+			h.do(restart)
 		}
 		sent := 0
 		for _, id := range waiting {
-			if _, verdict := g.r.MaySend(g.n, SendInfo{ID: id, Remaining: time.Second}); verdict.Allowed() {
+			_, verdict := h.router.MaySend(h.now, SendInfo{ID: id, Remaining: time.Second})
+			if verdict.Allowed() {
 				sent++
 			}
 		}
-		// 0.1 s each; 2 times the warm share of 5 transfers for 1 s.
-		share := g.r.slowStartFraction(g.r.endpoints[home])
-		if most := 2 * share * 5; sent == 0 || float64(sent)*0.1 > most {
-			t.Errorf("started anew %v: %d of %d sent at once, %.1f s allowed", startsAnew, sent, len(waiting), most)
+		// 0.1 s each; 2 times the slow-start fraction of 5 transfers for 1 s.
+		fraction := h.router.slowStartFraction(h.router.endpoints[home])
+		if most := 2 * fraction * 5; sent == 0 || float64(sent)*0.1 > most {
+			t.Errorf("restarted %v: %d of %d sent at once, %.1f s allowed", restarts, sent, len(waiting),
+				most)
 		}
 	}
 }
 
-// Two processes that stand for one router while one takes over from the other send together what one may.
+// Two processes, of which one takes over from the other, together send what one may.
 func TestTwoProcessesShareSlowStartBudget(t *testing.T) {
 	sent := map[int]int{}
 	for _, processes := range []int{1, 2} {
-		set := world()
+		set := testSettings()
 		set.ProcessesPerRouter = processes
 		for i := range processes {
-			g := &rig{t: t, r: New(set, uint64(i)), n: time.Hour}
-			g.do(everybody())
-			home := g.serve(1, "x", CacheStatusFilled).Target
-			g.n += time.Minute
-			g.do(EndpointUpdate{Endpoints: []Endpoint{{ID: home, State: Ready, Zone: 1, Weight: 5, Started: g.n}}})
+			h := &harness{t: t, router: New(set, uint64(i)), now: time.Hour}
+			h.do(allEndpoints())
+			home := h.serve(1, "x", CacheStatusFilled).Target
+			h.now += time.Minute
+			h.do(EndpointUpdate{Endpoints: []Endpoint{
+				{ID: home, State: Ready, Zone: 1, Weight: 5, Started: h.now},
+			}})
 			for id := int64(2); id < 60; id++ {
-				if f := fetchOf(g.request(id, "x", 0)); f != nil && f.Target == home {
+				if f := fetchOf(h.request(id, "x", 0)); f != nil && f.Target == home {
 					sent[processes]++
 				}
-				g.do(ClientDisconnected{ID: id})
-				g.do(Outcome{ID: id, Result: ResultCancelled, RequestFinished: true})
+				h.do(ClientDisconnected{ID: id})
+				h.do(Outcome{ID: id, Result: ResultCancelled, RequestFinished: true})
 			}
 		}
 	}
