--- a/internal/proxy/actions.go
+++ b/internal/proxy/actions.go
@@ -5,22 +5,39 @@
 	"cloverdoor/policy"
 )
 
-func (p *Proxy) execute(a policy.Action) {
-	switch a := a.(type) {
+// execute carries out one action of the decision module. An action for a request that has been released
+// meanwhile is void.
+func (p *Proxy) execute(action policy.Action) {
+	switch action := action.(type) {
 	case policy.Fetch:
-		if q := p.requests[a.ID]; q != nil {
-			p.startAttempt(q, a)
+		if q := p.requests[action.ID]; q != nil {
+			p.startAttempt(q, action)
 		}
 	case policy.Reject:
-		p.answer(p.requests[a.ID], Answer{Status: Rejected, RetryAfter: a.RetryAfter})
+		p.answer(p.requests[action.ID], Answer{Status: Rejected, RetryAfter: action.RetryAfter})
 	case policy.Fail:
-		p.answer(p.requests[a.ID], Answer{Status: Failed})
+		p.answer(p.requests[action.ID], Answer{Status: Failed})
 	case policy.Cancel:
-		if q := p.requests[a.ID]; q != nil && a.Attempt < len(q.attempts) && p.canCancel(q.attempts[a.Attempt]) {
-			p.endAttempt(q.attempts[a.Attempt], resp.Answer{}, policy.ResultCancelled)
-		}
+		p.cancelAttempt(action)
 	case policy.StartTimer:
-		token := a.Token
-		p.loop.At(p.loop.Now()+a.In, func() { p.notify(policy.TimerFired{Token: token}) })
+		p.startTimer(action)
+	}
+}
+
+// cancelAttempt ends an attempt whose answer is no longer wanted. One that can't be cancelled goes on until
+// its answer or its deadline.
+func (p *Proxy) cancelAttempt(action policy.Cancel) {
+	q := p.requests[action.ID]
+	if q == nil || action.Attempt >= len(q.attempts) {
+		return
 	}
+	a := q.attempts[action.Attempt]
+	if p.canCancel(a) {
+		p.endAttempt(a, resp.Answer{}, policy.ResultCancelled)
+	}
+}
+
+// startTimer has the decision module notified after the time that it asks for.
+func (p *Proxy) startTimer(action policy.StartTimer) {
+	p.loop.At(p.loop.Now()+action.In, func() { p.notify(policy.TimerFired{Token: action.Token}) })
 }
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -1,51 +1,47 @@
 package proxy
 
 import (
-	"errors"
-	"time"
-
 	"cloverdoor/internal/connpool"
 	"cloverdoor/internal/eventloop"
 	"cloverdoor/internal/resp"
 	"cloverdoor/policy"
 )
 
-// maxReassignments is how often a call moves on from a connection that is late: of those that a third are, three in a row are
-// few.
+// maxReassignments is how often a call may be moved from a connection that is late to another one. With a
+// third of all connections late, three late ones in succession are few.
 const maxReassignments = 2
 
-// maxPartialWriteTime is how long a call may be written in part: a server must not be told a deadline that is over 0.15 s too late.
-const maxPartialWriteTime = 100 * time.Millisecond
+// attempt is one call of a request to a cache, a parent or the origin. It ends once, with one result.
+type attempt struct {
+	p         *Proxy
+	req       *request
+	number    int    // index among the request's attempts
+	target    string // id of the endpoint that is called
+	source    string // id of the endpoint from which a miss is filled; the target itself: it is not filled
+	createdAt eventloop.Timestamp
 
-var errPartialWrite = errors.New("peer takes a call only in part")
+	upstream  *upstream // the connection on which the call is queued or sent; nil: it got none
+	lastEntry int       // number of the last queueEntry; those before it are void
+	started   bool      // the first byte has been written
+	written   bool      // the last byte has been written: the call may be executed
 
-// maxAgeTolerance is what the age of a copy may exceed its bound by: both are told in whole milliseconds.
-const maxAgeTolerance = 2 * time.Millisecond
+	// oldestCopyMillis is the Unix millisecond before which no copy in the answer may have been made; 0: no
+	// bound.
+	oldestCopyMillis int64
 
-// attempt is one sending of a request to a cache, a parent or the origin. It ends once, with one result.
-type attempt struct {
-	p                *Proxy
-	req              *request
-	number           int
-	target           string
-	created          eventloop.Timestamp
-	upstream         *upstream           // nil: it got no connection
-	lastEntry        int                 // how often it has been put on a connection
-	started          bool                // its first byte has been written
-	written          bool                // its last byte has been written: it may run
-	source           string              // from which a miss is filled
-	sentAt           eventloop.Timestamp // when its first byte was written, as the audit knows
-	oldestCopyMillis int64               // Unix millisecond before which no copy that answers it may have been made; 0: not bound
-	ended            bool
-	result           policy.Result // how it ended
+	ended  bool
+	result policy.Result // valid once it has ended
+	record attemptRecord // of the invariant checker
 }
 
-// startAttempt carries out a Fetch: it queues the call on a connection to the target.
-func (p *Proxy) startAttempt(q *request, f policy.Fetch) {
-	a := &attempt{p: p, req: q, number: len(q.attempts), target: f.Target, created: p.loop.Now()}
+// startAttempt starts the attempt that the decision module asks for: its call is queued on a connection to
+// the target.
+func (p *Proxy) startAttempt(q *request, fetch policy.Fetch) {
+	a := &attempt{p: p, req: q, number: len(q.attempts), target: fetch.Target, createdAt: p.loop.Now()}
 	if a.number > 0 {
-		last := q.attempts[a.number-1]
-		p.log.Info("further attempt", "request", q.ID, "attempt", a.number, "server", f.Target, "after", last.target, "result", last.result)
+		previous := q.attempts[a.number-1]
+		p.log.Info("further attempt", "request", q.ID, "attempt", a.number, "server", a.target,
+			"after", previous.target, "result", previous.result)
 	}
 	q.attempts = append(q.attempts, a)
 	q.openAttempts++
@@ -53,34 +49,42 @@
 		p.endAttempt(a, resp.Answer{}, policy.ResultNotSent)
 		return
 	}
-	slot, err := p.pools.Acquire(f.Target, !q.isIdempotent(), func(s *connpool.PooledConn) bool { return s.Owner.(*upstream).accepts(q) })
+	conn, err := p.pools.Acquire(fetch.Target, !q.isIdempotent(), q.fitsOn)
 	if err != nil {
 		p.endAttempt(a, resp.Answer{}, resultOfConnectError(err))
 		return
 	}
-	a.enqueue(slot, maxReassignments)
+	a.enqueue(conn, maxReassignments)
 }
 
-// enqueue queues the call on a connection. While that is late to come up, the call may move on to another: it has not been
-// sent. Some connections come up after a second only, when the client's time is over.
-func (a *attempt) enqueue(slot *connpool.PooledConn, moves int) {
-	a.upstream = slot.Owner.(*upstream)
+// fitsOn reports whether a call for the request can be sent on a connection.
+func (q *request) fitsOn(conn *connpool.PooledConn) bool { return conn.Owner.(*upstream).accepts(q) }
+
+// enqueue queues the call on a connection. If that is not up in the usual time, the call is moved to another
+// one, as nothing of it has been sent: some connections come up only after a second, which is beyond most
+// deadlines.
+func (a *attempt) enqueue(conn *connpool.PooledConn, reassignmentsLeft int) {
+	a.upstream = conn.Owner.(*upstream)
 	a.upstream.calls[a.req.ID] = a
 	a.lastEntry++
-	slot.Send(queueEntry{a, a.lastEntry})
-	if slot.Connected() || moves == 0 {
+	conn.Send(queueEntry{a, a.lastEntry})
+	if conn.Connected() || reassignmentsLeft == 0 {
+		return
+	}
+	patience := max(0, conn.ConnectPatience()-conn.Age())
+	a.p.loop.At(a.p.loop.Now()+patience, func() { a.reassign(conn, reassignmentsLeft) })
+}
+
+// reassign moves the call from a connection that is late to another one, if there is one.
+func (a *attempt) reassign(late *connpool.PooledConn, reassignmentsLeft int) {
+	if a.ended || a.started || late.Connected() || late.Ended() {
+		return
+	}
+	other, err := a.p.pools.Reassign(late, a.req.fitsOn)
+	if err != nil {
 		return
 	}
-	a.p.loop.At(a.p.loop.Now()+max(0, slot.ConnectPatience()-slot.Age()), func() {
-		if a.ended || a.started || slot.Connected() || slot.Ended() {
-			return
-		}
-		other, err := a.p.pools.Reassign(slot, func(s *connpool.PooledConn) bool { return s.Owner.(*upstream).accepts(a.req) })
-		if err != nil {
-			return
-		}
-		delete(a.upstream.calls, a.req.ID)
-		slot.Release()
-		a.enqueue(other, moves-1)
-	})
+	delete(a.upstream.calls, a.req.ID)
+	late.Release()
+	a.enqueue(other, reassignmentsLeft-1)
 }
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -30,7 +30,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
+	t.Cleanup(func() {
+		if err := ln.Close(); err != nil {
+			t.Error(err)
+		}
+	})
 	seen := make(chan string, 10)
 	go func() {
 		for {
--- a/internal/proxy/call.go
+++ b/internal/proxy/call.go
@@ -1,6 +1,7 @@
 package proxy
 
 import (
+	"errors"
 	"strconv"
 	"time"
 
@@ -9,79 +10,113 @@
 	"cloverdoor/policy"
 )
 
-// queueEntry is a call in the queue of a connection. Only the place where it was put last counts: one that moves
-// on and comes back to a connection that is up by then is in its queue twice, and would be sent twice.
+const (
+	// maxPartialWriteTime is how long a call may be written in part. The call carries the time that is left,
+	// which may be outdated by 0.15 s at most when the server has read it.
+	maxPartialWriteTime = 100 * time.Millisecond
+	// maxAgeTolerance is by how much the age of a copy may exceed its bound: both are rounded to
+	// milliseconds.
+	maxAgeTolerance = 2 * time.Millisecond
+)
+
+var errPartialWrite = errors.New("peer has read only a part of the call")
+
+// queueEntry is an attempt's call in the output queue of a connection (an eventloop.Message). Only the
+// attempt's last entry counts: a call that was moved to another connection and back is in the first one's
+// queue twice, and must be sent once.
 type queueEntry struct {
 	*attempt
 	number int
 }
 
-// Encode makes the call when its first byte is about to go. The module is asked once more: while the call
-// waited for its connection its target may have been drained or its object purged.
-func (s queueEntry) Encode() ([]byte, bool) {
-	a := s.attempt
-	if a.ended || a.started || a.lastEntry != s.number {
+// Encode makes the call when its first byte is about to be written. The decision module is asked again, as
+// the target may have begun to drain, or the object may have been purged, while the call waited for its
+// connection.
+func (e queueEntry) Encode() ([]byte, bool) {
+	a := e.attempt
+	if a.ended || a.started || a.lastEntry != e.number {
 		return nil, false
 	}
-	now := a.p.loop.CurrentTime() // the process may have been without its core since the turn began
-	f, ok := a.maySend(now)
-	if !ok {
+	now := a.p.loop.CurrentTime() // the process may have been suspended since the turn began
+	fetch, allowed := a.maySend(now)
+	if !allowed {
 		a.p.endAttempt(a, resp.Answer{}, policy.ResultNotSent)
 		return nil, false
 	}
-	a.source = f.Source
-	if f.MaxAge > 0 {
-		a.oldestCopyMillis = (a.p.clock.unix(now) - f.MaxAge - maxAgeTolerance).Milliseconds()
+	a.source = fetch.Source
+	if fetch.MaxAge > 0 {
+		a.oldestCopyMillis = (a.p.clock.unix(now) - fetch.MaxAge - maxAgeTolerance).Milliseconds()
 	}
-	c := resp.Call{
-		ID: a.req.ID, Class: a.req.ClassName, Object: a.req.Object, Part: strconv.Itoa(a.req.Part),
-		Timeout: max(a.req.deadline-now, time.Millisecond), RetentionRank: f.RetentionRank, MaxAge: f.MaxAge, KnownVersion: a.req.KnownVersion, IdempotencyKey: a.req.IdempotencyKey,
-		CoalesceFill: f.CoalesceFill, CachedOnly: f.CachedOnly, StaleWhileRevalidate: f.StaleWhileRevalidate, Body: a.req.Body,
+	call := a.call(fetch, now)
+	return resp.AppendCall(nil, &call), true
+}
+
+// call is the call as the decision module wants it at the time now.
+func (a *attempt) call(fetch policy.Fetch, now eventloop.Timestamp) resp.Call {
+	call := resp.Call{
+		ID:                   a.req.ID,
+		Class:                a.req.ClassName,
+		Object:               a.req.Object,
+		Part:                 strconv.Itoa(a.req.Part),
+		Timeout:              max(a.req.deadline-now, time.Millisecond),
+		RetentionRank:        fetch.RetentionRank,
+		MaxAge:               fetch.MaxAge,
+		KnownVersion:         a.req.KnownVersion,
+		IdempotencyKey:       a.req.IdempotencyKey,
+		CoalesceFill:         fetch.CoalesceFill,
+		CachedOnly:           fetch.CachedOnly,
+		StaleWhileRevalidate: fetch.StaleWhileRevalidate,
+		Body:                 a.req.Body,
 	}
-	if f.Source != f.Target {
-		c.Source = f.Source
+	if fetch.Source != fetch.Target {
+		call.Source = fetch.Source
 	}
-	return resp.AppendCall(nil, &c), true
+	return call
 }
 
-// maySend asks the module once more whether the call may begin, and with which orders.
+// maySend asks the decision module whether the call may be sent now, and with which parameters.
 func (a *attempt) maySend(now eventloop.Timestamp) (policy.Fetch, bool) {
-	a.req.responder.PollClient()
-	_, left := a.req.responder.ClientDisconnected()
-	if a.req.finished { // answered or given up since, perhaps in this very turn
+	a.req.responder.PollClient() // may finish the request
+	_, disconnected := a.req.responder.ClientDisconnected()
+	if a.req.finished {
 		a.p.counters.allows(actionSend, policy.Verdict{Rule: policy.RuleAnswer, Reason: policy.ReasonAnswered})
 		return policy.Fetch{}, false
 	}
-	f, verdict := a.p.router.MaySend(now, policy.SendInfo{ID: a.req.moduleID, Attempt: a.number, Remaining: a.req.deadline - now, ClientDisconnected: left})
-	if !a.p.counters.allows(actionSend, verdict) {
-		a.p.log.Info("call not sent", "request", a.req.ID, "attempt", a.number, "server", a.target, "rule", verdict.Rule, "reason", verdict.Reason)
-		if verdict.Rule == policy.RuleClientDisconnected {
-			a.p.CancelAfterDisconnect(a.req.moduleID)
-		}
-		return policy.Fetch{}, false
+	fetch, verdict := a.p.router.MaySend(now, policy.SendInfo{
+		ID:                 a.req.moduleID,
+		Attempt:            a.number,
+		Remaining:          a.req.deadline - now,
+		ClientDisconnected: disconnected,
+	})
+	if a.p.counters.allows(actionSend, verdict) {
+		return fetch, true
+	}
+	a.p.log.Info("call not sent", "request", a.req.ID, "attempt", a.number, "server", a.target,
+		"rule", verdict.Rule, "reason", verdict.Reason)
+	if verdict.Rule == policy.RuleClientDisconnected {
+		a.p.CancelAfterDisconnect(a.req.moduleID)
 	}
-	return f, true
+	return policy.Fetch{}, false
 }
 
-// Started notes that the call may run once its last byte has gone. The rest of one that its peer takes only in part must
-// not wait for long: the deadline that it passes on would be too late.
-func (a *attempt) Started(whole bool) {
+// Started notes that the first byte has been written; complete says that the last one has been too.
+func (a *attempt) Started(complete bool) {
 	a.started = true
 	a.upstream.noteSent()
-	a.p.invariants.checkSent(a, a.source)
-	if !whole {
+	a.p.invariants.checkSent(a)
+	if !complete {
 		a.p.loop.At(a.p.loop.CurrentTime()+maxPartialWriteTime, a.failPartialWrite)
 	}
 }
 
-// Written counts the call: it has gone to its target whole.
+// Written notes that the last byte has been written, and counts the attempt as forwarded.
 func (a *attempt) Written() {
 	a.written = true
 	a.p.invariants.checkWritten(a)
 	a.p.counters.count(a.req.ClassName, relayed)
 }
 
-// failPartialWrite ends the connection of a call of which the peer still has not taken the last byte.
+// failPartialWrite fails the connection of a call of which the peer still has not taken the last byte.
 func (a *attempt) failPartialWrite() {
 	if !a.written && !a.ended {
 		a.upstream.conn.Fail(errPartialWrite)
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -2,51 +2,106 @@
 
 import (
 	"cmp"
+	"time"
 
 	"cloverdoor/internal/connpool"
 	"cloverdoor/internal/settings"
 	"cloverdoor/internal/watch"
 )
 
-// Config is what a proxy is told at its start.
+const (
+	// maxOpenRequests bounds the open requests; the settings may set a lower limit.
+	maxOpenRequests = 4096
+	// maxSharedCalls is how many idempotent calls share a connection where handshakes are priced. More calls
+	// would save less than an eighth of the remaining handshakes, and lose more calls with a connection that
+	// breaks.
+	maxSharedCalls = 8
+	// descriptorsForOthers are neither for clients nor for caches: 16 are for operators, the rest for the
+	// coordinator's stream, the listening sockets, the event loop and the configuration file.
+	descriptorsForOthers = 20
+
+	// Defaults of settings that are optional.
+	defaultServerIdleTimeout = 15 * time.Second
+	defaultConnectTimeout    = time.Second
+)
+
+// Config is what a proxy needs at its start. Its settings and transfer rate can be replaced later.
 type Config struct {
 	Settings               settings.Settings
-	Seed                   uint64
-	InitialState           watch.InitialState
-	MaxDescriptors         int     // descriptors that the process may hold
-	MaxMemoryBytes         int     // bytes that the process may use
-	TransferBytesPerSecond float64 // bytes a second of one transfer; 0: not told
-
-	DroppedLogLines func() int64 // how many lines of the log were dropped; nil: not known
-	OnViolation     func(string) // called when the program finds that it has broken a rule; nil: it is only counted
+	Seed                   uint64             // of the random decisions
+	InitialState           watch.InitialState // endpoints and purges known at the start
+	MaxDescriptors         int                // descriptors that the process may hold
+	MaxMemoryBytes         int                // bytes that the process may use
+	TransferBytesPerSecond float64            // rate of one transfer; 0: unknown
+
+	DroppedLogLines func() int64      // number of log lines dropped so far; nil: unknown
+	OnViolation     func(text string) // called when the invariant checker finds a violation; nil: it is only counted
+}
+
+// runtimeConfig is the part of the configuration that a reload replaces, with the values derived from it. It
+// is replaced as a whole and never modified: requests that are open keep the class and the idempotency that
+// they were admitted with.
+type runtimeConfig struct {
+	settings.Settings
+	classIndexes           map[string]int // by class name: the index among the settings' classes
+	transferBytesPerSecond float64        // rate of one transfer; 0: unknown
+}
+
+// newRuntimeConfig returns the configuration for settings that have been checked.
+func newRuntimeConfig(set settings.Settings, transferBytesPerSecond float64) runtimeConfig {
+	c := runtimeConfig{
+		Settings:               set,
+		classIndexes:           map[string]int{},
+		transferBytesPerSecond: transferBytesPerSecond,
+	}
+	for i, class := range set.Policy.Classes {
+		c.classIndexes[class.Name] = i
+	}
+	return c
+}
+
+// openRequestLimit is how many requests may be open at once.
+func (c *runtimeConfig) openRequestLimit() int {
+	return min(maxOpenRequests, cmp.Or(c.MaxOpenRequests, maxOpenRequests))
 }
 
-// apply takes over settings, at the start and later, wherever the proxy goes by them itself.
-func (p *Proxy) apply(set settings.Settings, flow float64) {
-	p.set, p.transferBytesPerSecond, p.classIndexes = set, flow, map[string]int{}
-	for i, c := range set.Policy.Classes {
-		p.classIndexes[c.Name] = i
-		p.counters.addClass(c.Name)
+// poolLimits bounds the connections to caches, parents and the origin; maxConns is for all of them together.
+func (c *runtimeConfig) poolLimits(maxConns int) connpool.Limits {
+	sharedCalls := 0
+	if c.HandshakesPriced {
+		sharedCalls = maxSharedCalls
 	}
-	p.maxOpen = min(maxOpenRequests, cmp.Or(set.MaxOpenRequests, maxOpenRequests))
-	shared := 0
-	if set.HandshakesPriced {
-		shared = maxSharedCalls
+	serverIdleTimeout := cmp.Or(c.ServerIdleTimeout, defaultServerIdleTimeout)
+	return connpool.Limits{
+		MaxUsesPerConn: max(1, c.MaxStreamsPerConn),
+		SharedUses:     sharedCalls,
+		MaxConns:       maxConns,
+		DedicatedConns: maxConns / 2,
+		ConnectTimeout: cmp.Or(c.ConnectTimeout, defaultConnectTimeout),
+		// Well before the server closes the connection: a call that crosses the server's close is lost.
+		IdleTimeout: serverIdleTimeout * 2 / 3,
+	}
+}
+
+// transferTime is how long a body takes at the rate of one transfer; 0: unknown.
+func (c *runtimeConfig) transferTime(bodyBytes int) time.Duration {
+	if c.transferBytesPerSecond <= 0 {
+		return 0
+	}
+	return time.Duration(float64(bodyBytes) / c.transferBytesPerSecond * float64(time.Second))
+}
+
+// withAllowedRetryAfter removes the Retry-After advice from an answer where the settings disable it.
+func (c *runtimeConfig) withAllowedRetryAfter(a Answer) Answer {
+	if c.RetryAfterDisabled {
+		a.RetryAfter = 0
 	}
-	p.pools.SetLimits(connpool.Limits{
-		MaxUsesPerConn: max(1, set.MaxStreamsPerConn),
-		SharedUses:     shared,
-		MaxConns:       p.sockets,
-		DedicatedConns: p.sockets / 2,
-		ConnectTimeout: cmp.Or(set.ConnectTimeout, defaultConnectTimeout),
-		// Before the server closes it: a call that crosses the server's close would be lost.
-		IdleTimeout: cmp.Or(set.ServerIdleTimeout, defaultServerIdleTimeout) * 2 / 3,
-	})
+	return a
 }
 
-// ClientSockets is the part of the descriptors that clients may hold: they keep to a third.
-func ClientSockets(all int) int { return all * 2 / 5 }
+// ClientSockets is how many of the process's descriptors clients may hold: two fifths.
+func ClientSockets(descriptors int) int { return descriptors * 2 / 5 }
 
-// UpstreamSockets is the part for caches. The rest is for operators (16), and for what must never be missing: the
-// coordinator's stream, the listening sockets, the loop, the configuration when it is read again.
-func UpstreamSockets(all int) int { return max(1, all/2-20) }
+// UpstreamSockets is how many of the process's descriptors connections to caches, parents and the origin may
+// hold.
+func UpstreamSockets(descriptors int) int { return max(1, descriptors/2-descriptorsForOthers) }
--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -71,7 +71,8 @@
 	return &counters{outcomes: map[string]*[outcomeCount]int64{}, denials: map[denial]int64{}}
 }
 
-// addClass makes a class known, so that its figures are listed from now on. A class that is removed keeps its counts.
+// addClass makes a class known, so that its figures are listed from now on. A class that is removed keeps its
+// counts.
 func (c *counters) addClass(class string) *[outcomeCount]int64 {
 	counts := c.outcomes[class]
 	if counts == nil {
--- a/internal/proxy/invariants.go
+++ b/internal/proxy/invariants.go
@@ -13,178 +13,220 @@
 )
 
 const (
-	// checkTolerance is what the rules allow on sockets beyond their own times.
+	// checkTolerance is added to each time limit, for the delay between a decision and its effect on a
+	// socket.
 	checkTolerance = 50 * time.Millisecond
-	// drainGracePeriod is how long after a server was told to leave it may be sent something, where the settings tell nothing.
+	// drainGracePeriod is how long after the notice of its drain an endpoint may still be sent calls.
 	drainGracePeriod = 500 * time.Millisecond
-	// drainingRetention is for how long a server that has been told to leave is looked out for: no request lives as long.
+	// drainingRetention is how long a draining endpoint is remembered: longer than any request lives.
 	drainingRetention = 11 * time.Minute
-	// disconnectGracePeriod is how long after its client has left an attempt may begin.
+	// disconnectGracePeriod is how long after a client's disconnect calls may still be started for it.
 	disconnectGracePeriod = 100 * time.Millisecond
+	// purgeRetentionMargin is how long a purge is remembered after it must be completed everywhere.
+	purgeRetentionMargin = time.Second
 )
 
-// invariantChecker checks after the fact what has been done, by records of its own: what the guards go by is not looked at. In service it
-// counts; a test has it end the program.
+// violation is an invariant that can be violated.
+type violation int
+
+// The invariants, by how they are violated.
+const (
+	secondAnswer           violation = iota // a request got more than one final answer
+	unanswered                              // a client connection was closed by the proxy while a request was open on it
+	executedTwice                           // a non-idempotent call was written completely while another may have been executed
+	rejectedAfterExecution                  // a non-idempotent request was rejected although it may have been executed
+	sentToDraining                          // a call was started on, or with a fill from, a draining endpoint
+	servedPurged                            // an answer was made before a purge
+	startedAfterDisconnect                  // a call was started for a client that had disconnected
+	violationCount
+)
+
+// violationNames are the names in the figures and in the log.
+var violationNames = [violationCount]string{
+	secondAnswer:           "second_answer",
+	unanswered:             "unanswered",
+	executedTwice:          "ran_twice",
+	rejectedAfterExecution: "refused_after_run",
+	sentToDraining:         "sent_to_leaving",
+	servedPurged:           "served_purged",
+	startedAfterDisconnect: "begun_after_left",
+}
+
+// invariantChecker checks what the proxy has done, after the fact. It is independent of the guards, so that a
+// fault in these does not hide itself: it keeps records of its own of drains, purges, answers and calls, and
+// does not read the state that the guards decide by. It takes from the proxy only the clock, the settings
+// and, for a full endpoint list, the ids of the endpoints before it. In service, violations are counted and
+// logged; tests have onViolation end the program.
 type invariantChecker struct {
 	p             *Proxy
-	drainingSince map[string]eventloop.Timestamp // when each server was told to leave
-	purges        map[any]purgeRecord            // by object or group
+	drainingSince map[string]eventloop.Timestamp // by endpoint: when its drain was notified
+	purges        map[any]purgeRecord            // by object (string) or group (int)
 	counts        [violationCount]int64
-	onViolation   func(text string) // nil: only counted
+	onViolation   func(text string) // nil: violations are only counted and logged
 }
 
-// purgeRecord is a purge as the coordinator told it.
+// purgeRecord is a purge as the coordinator reported it.
 type purgeRecord struct {
-	createdBefore int64               // Unix millisecond
-	receivedAt    eventloop.Timestamp // to this process
+	createdBefore int64               // Unix millisecond; copies made before it are purged
+	receivedAt    eventloop.Timestamp // when this process was notified
 }
 
-// violation is a rule that was broken.
-type violation int
-
-// The violationCount that are counted.
-const (
-	secondAnswer violation = iota
-	unanswered
-	executedTwice
-	rejectedAfterExecution
-	sentToDraining
-	servedPurged
-	startedAfterDisconnect
-	violationCount
-)
+// requestRecord is what the checker knows of a request.
+type requestRecord struct {
+	finalAnswers    int
+	mayHaveExecuted bool // a call was written completely and is not known to be without effect
+}
 
-var violationNames = [violationCount]string{
-	"second_answer", "unanswered", "ran_twice", "refused_after_run", "sent_to_leaving", "served_purged", "begun_after_left",
+// attemptRecord is what the checker knows of an attempt.
+type attemptRecord struct {
+	sentAt eventloop.Timestamp // when the first byte of its call was written
 }
 
-func newInvariantChecker(p *Proxy, violated func(string)) *invariantChecker {
-	return &invariantChecker{p: p, drainingSince: map[string]eventloop.Timestamp{}, purges: map[any]purgeRecord{}, onViolation: violated}
+func newInvariantChecker(p *Proxy, onViolation func(text string)) *invariantChecker {
+	return &invariantChecker{
+		p:             p,
+		drainingSince: map[string]eventloop.Timestamp{},
+		purges:        map[any]purgeRecord{},
+		onViolation:   onViolation,
+	}
 }
 
-// report counts a violation.
-func (u *invariantChecker) report(v violation, q *request, detail string) {
-	u.counts[v]++
-	u.p.log.Error("rule broken", "violation", violationNames[v], "request", q.ID, "class", q.ClassName, "detail", detail)
-	if u.onViolation != nil {
-		u.onViolation(fmt.Sprintf("%s: request %s of class %s: %s", violationNames[v], q.ID, q.ClassName, detail))
+// report counts and logs a violation.
+func (c *invariantChecker) report(v violation, q *request, detail string) {
+	c.counts[v]++
+	c.p.log.Error("rule broken", "violation", violationNames[v], "request", q.ID, "class", q.ClassName, "detail", detail)
+	if c.onViolation != nil {
+		c.onViolation(fmt.Sprintf("%s: request %s of class %s: %s", violationNames[v], q.ID, q.ClassName, detail))
 	}
 }
 
-// observeEvent takes note of an event of the coordinator.
-func (u *invariantChecker) observeEvent(ev watch.Event) {
-	now := u.p.loop.Now()
-	if v := ev.Purge; v != nil && v.At > 0 {
-		u.recordPurge(v, now)
+// observeEvent records the drains and purges of a watch event. It must be called before the event is applied.
+func (c *invariantChecker) observeEvent(ev watch.Event) {
+	now := c.p.loop.Now()
+	if ev.Purge != nil && ev.Purge.At > 0 {
+		c.recordPurge(ev.Purge, now)
 	}
-	if ev.Endpoints == nil {
-		return
+	if ev.Endpoints != nil {
+		c.recordDrains(ev.Endpoints, now)
 	}
-	maps.DeleteFunc(u.drainingSince, func(_ string, since eventloop.Timestamp) bool { return now-since > drainingRetention })
-	if ev.Endpoints.Full {
-		for id := range u.p.servers {
-			u.markDraining(id, now)
+}
+
+// recordDrains records which endpoints are draining or removed from now on. A full list removes those that it
+// leaves out.
+func (c *invariantChecker) recordDrains(update *watch.EndpointUpdate, now eventloop.Timestamp) {
+	maps.DeleteFunc(c.drainingSince, func(_ string, since eventloop.Timestamp) bool { return now-since > drainingRetention })
+	if update.Full {
+		for id := range c.p.servers {
+			c.markDraining(id, now)
 		}
 	}
-	for _, s := range ev.Endpoints.Endpoints {
-		if s.State == watch.StateServing {
-			delete(u.drainingSince, s.ID)
+	for _, endpoint := range update.Endpoints {
+		if endpoint.State == watch.StateServing {
+			delete(c.drainingSince, endpoint.ID)
 		} else {
-			u.markDraining(s.ID, now)
+			c.markDraining(endpoint.ID, now)
 		}
 	}
 }
 
-func (u *invariantChecker) markDraining(id string, now eventloop.Timestamp) {
-	if _, known := u.drainingSince[id]; !known {
-		u.drainingSince[id] = now
+// markDraining records a drain, unless it is known already.
+func (c *invariantChecker) markDraining(id string, now eventloop.Timestamp) {
+	if _, known := c.drainingSince[id]; !known {
+		c.drainingSince[id] = now
 	}
 }
 
-func (u *invariantChecker) recordPurge(v *watch.Purge, now eventloop.Timestamp) {
-	for key, record := range u.purges {
-		if now-record.receivedAt > u.p.set.Policy.PurgeCompletedWithin+time.Second {
-			delete(u.purges, key)
-		}
-	}
-	key := any(v.Object)
-	if v.Object == "" {
-		if v.Group == nil {
-			return
-		}
-		key = *v.Group
+// recordPurge records a purge and forgets those that are completed everywhere. The latest purge of an object
+// or group counts.
+func (c *invariantChecker) recordPurge(purge *watch.Purge, now eventloop.Timestamp) {
+	retention := c.p.set.Policy.PurgeCompletedWithin + purgeRetentionMargin
+	maps.DeleteFunc(c.purges, func(_ any, record purgeRecord) bool { return now-record.receivedAt > retention })
+	var key any
+	switch {
+	case purge.Object != "":
+		key = purge.Object
+	case purge.Group != nil:
+		key = *purge.Group
+	default:
+		return
 	}
-	if u.purges[key].createdBefore < v.At {
-		u.purges[key] = purgeRecord{createdBefore: v.At, receivedAt: now}
+	if c.purges[key].createdBefore < purge.At {
+		c.purges[key] = purgeRecord{createdBefore: purge.At, receivedAt: now}
 	}
 }
 
-// checkSent looks at an attempt whose first byte has gone.
-func (u *invariantChecker) checkSent(a *attempt, source string) {
-	now := u.p.loop.CurrentTime()
-	for _, id := range []string{a.target, source} {
-		if since, leaving := u.drainingSince[id]; leaving && now-since > drainGracePeriod+checkTolerance {
-			u.report(sentToDraining, a.req, id)
+// checkSent checks an attempt of whose call the first byte has been written.
+func (c *invariantChecker) checkSent(a *attempt) {
+	now := c.p.loop.CurrentTime()
+	for _, id := range []string{a.target, a.source} {
+		since, draining := c.drainingSince[id]
+		if draining && now-since > drainGracePeriod+checkTolerance {
+			c.report(sentToDraining, a.req, id)
 		}
 	}
-	if since, _ := a.req.responder.ClientDisconnected(); since != 0 && now-since > disconnectGracePeriod+checkTolerance {
-		u.report(startedAfterDisconnect, a.req, fmt.Sprintf("%v after", now-since))
+	since, _ := a.req.responder.ClientDisconnected()
+	if since != 0 && now-since > disconnectGracePeriod+checkTolerance {
+		c.report(startedAfterDisconnect, a.req, fmt.Sprintf("%v after", now-since))
 	}
-	a.sentAt = now
+	a.record.sentAt = now
 }
 
-// checkWritten looks at an attempt whose last byte has gone: it may run from now on.
-func (u *invariantChecker) checkWritten(a *attempt) {
-	if a.req.idempotency == policy.NonIdempotent && a.req.mayHaveRun {
-		u.report(executedTwice, a.req, a.target)
+// checkWritten checks an attempt of whose call the last byte has been written: it may be executed from now
+// on.
+func (c *invariantChecker) checkWritten(a *attempt) {
+	if a.req.idempotency == policy.NonIdempotent && a.req.record.mayHaveExecuted {
+		c.report(executedTwice, a.req, a.target)
 	}
-	a.req.mayHaveRun = true
+	a.req.record.mayHaveExecuted = true
 }
 
-// observeEnd looks at the end of an attempt that was written whole.
-func (u *invariantChecker) observeEnd(a *attempt, result policy.Result) {
+// observeEnd records that a call which was written completely turned out to be without effect.
+func (c *invariantChecker) observeEnd(a *attempt, result policy.Result) {
 	switch result {
 	case policy.ResultRejected, policy.ResultNotFound, policy.ResultNotSent, policy.ResultConnectFailed:
 		if a.written {
-			a.req.mayHaveRun = false
+			a.req.record.mayHaveExecuted = false
 		}
 	}
 }
 
-// checkServed looks at a good answer.
-func (u *invariantChecker) checkServed(a *attempt, ans resp.Answer) {
+// checkServed checks a good answer. Answers without a time can't be checked.
+func (c *invariantChecker) checkServed(a *attempt, ans resp.Answer) {
 	if ans.CreatedAtMillis == 0 {
 		return
 	}
+	limit := c.p.set.Policy.PurgeGrace + checkTolerance
 	for _, key := range []any{a.req.Object, a.req.Group} {
-		purge, known := u.purges[key]
-		if known && a.sentAt-purge.receivedAt > u.p.set.Policy.PurgeGrace+checkTolerance && ans.CreatedAtMillis < purge.createdBefore {
-			u.report(servedPurged, a.req, fmt.Sprintf("%d ms older than the purge", purge.createdBefore-ans.CreatedAtMillis))
+		purge, known := c.purges[key]
+		if known && a.record.sentAt-purge.receivedAt > limit && ans.CreatedAtMillis < purge.createdBefore {
+			c.report(servedPurged, a.req, fmt.Sprintf("%d ms older than the purge", purge.createdBefore-ans.CreatedAtMillis))
 		}
 	}
 }
 
-// checkFinalAnswer looks at a final answer.
-func (u *invariantChecker) checkFinalAnswer(q *request, status Status) {
-	if q.finalAnswers++; q.finalAnswers > 1 {
-		u.report(secondAnswer, q, "")
+// checkFinalAnswer checks a final answer.
+func (c *invariantChecker) checkFinalAnswer(q *request, status Status) {
+	q.record.finalAnswers++
+	if q.record.finalAnswers > 1 {
+		c.report(secondAnswer, q, "")
 	}
-	refused := status == Rejected || status == Overloaded
-	if refused && q.idempotency == policy.NonIdempotent && q.mayHaveRun {
-		u.report(rejectedAfterExecution, q, "")
+	rejected := status == Rejected || status == Overloaded
+	if rejected && q.idempotency == policy.NonIdempotent && q.record.mayHaveExecuted {
+		c.report(rejectedAfterExecution, q, "")
 	}
 }
 
-// checkConnectionClosed looks at requests that are given up as their connection ends. Only the peer may end it so.
-func (u *invariantChecker) checkConnectionClosed(q *request, byPeer bool) {
-	if !byPeer && q.finalAnswers == 0 {
-		u.report(unanswered, q, "connection closed")
+// checkConnectionClosed checks a request that is given up as its client connection has closed: only the peer
+// may close it.
+func (c *invariantChecker) checkConnectionClosed(q *request, byPeer bool) {
+	if !byPeer && q.record.finalAnswers == 0 {
+		c.report(unanswered, q, "connection closed")
 	}
 }
 
-// writeFigures adds the figures.
-func (u *invariantChecker) writeFigures(b *strings.Builder) {
-	for v, count := range u.counts {
+// writeFigures adds a line for each invariant.
+func (c *invariantChecker) writeFigures(b *strings.Builder) {
+	for v, count := range c.counts {
 		fmt.Fprintf(b, "svc_violations{rule=%q} %d\n", violationNames[v], count)
 	}
 }
--- a/internal/proxy/lifecycle.go
+++ b/internal/proxy/lifecycle.go
@@ -8,26 +8,26 @@
 	"cloverdoor/internal/eventloop"
 )
 
-// The times of a graceful shutdown and of an operator's drain. The platform may kill the process killGrace after the longest
-// deadline of the settings, counted from the signal.
+// The times of a graceful shutdown and of an operator's drain. The platform may kill the process killGrace
+// after the longest deadline of the settings, counted from the signal.
 const (
-	// shutdownAcceptTime is how long after the signal clients may still connect (0.4 s) and send on open connections (0.2 s
-	// more), with a margin.
+	// shutdownAcceptTime is how long after the signal clients may still connect (0.4 s) and send on open
+	// connections (0.2 s more), with a margin.
 	shutdownAcceptTime = 700 * time.Millisecond
-	// killGrace is what the platform adds to the longest deadline before it kills the process, and killMargin how much
-	// earlier everything has been answered.
+	// killGrace is what the platform adds to the longest deadline before it kills the process, and killMargin
+	// how much earlier everything has been answered.
 	killGrace  = 700 * time.Millisecond
 	killMargin = 200 * time.Millisecond
-	// maxShutdownDeadline bounds the longest deadline that the platform waits for; also the default where the settings name
-	// none.
+	// maxShutdownDeadline bounds the longest deadline that the platform waits for; also the default where the
+	// settings name none.
 	maxShutdownDeadline = 3 * time.Second
 	// shutdownRejectTime is how long before the end of a shutdown new requests are rejected.
 	shutdownRejectTime = 500 * time.Millisecond
-	// drainAcceptTime is how long after an operator's drain order clients are served as before: the load balancer in front
-	// checks health every 0.1 s and sends for 0.2 s more.
+	// drainAcceptTime is how long after an operator's drain order clients are served as before: the load
+	// balancer in front checks health every 0.1 s and sends for 0.2 s more.
 	drainAcceptTime = 300 * time.Millisecond
-	// drainRejectAfter is how long after the drain order new requests are rejected, so that connections that are never idle
-	// become idle and can be closed.
+	// drainRejectAfter is how long after the drain order new requests are rejected, so that connections that
+	// are never idle become idle and can be closed.
 	drainRejectAfter = 1900 * time.Millisecond
 )
 
@@ -73,8 +73,8 @@
 	l.rejectFrom = l.loop.Now() + drainRejectAfter
 }
 
-// beginStop sets the times of a graceful shutdown. longestDeadline is that of the settings, 0: none. Where another process
-// accepts clients on the same socket (takeover), idle connections are closed at once.
+// beginStop sets the times of a graceful shutdown. longestDeadline is that of the settings, 0: none. Where
+// another process accepts clients on the same socket (takeover), idle connections are closed at once.
 func (l *lifecycle) beginStop(longestDeadline time.Duration, takeover bool, openRequests int) {
 	l.enter(Stopping, openRequests)
 	l.disconnectFrom = l.loop.Now() + shutdownAcceptTime
@@ -91,6 +91,6 @@
 	return (l.phase == Draining || l.phase == Stopping) && l.loop.Now() >= l.disconnectFrom
 }
 
-// rejecting reports whether new requests are to be rejected. Without it, clients that always have a request open would
-// never be disconnected.
+// rejecting reports whether new requests are to be rejected. Without it, clients that always have a request
+// open would never be disconnected.
 func (l *lifecycle) rejecting() bool { return l.disconnecting() && l.loop.Now() >= l.rejectFrom }
--- a/internal/proxy/memory.go
+++ b/internal/proxy/memory.go
@@ -2,13 +2,15 @@
 
 import "cloverdoor/internal/eventloop"
 
-// The memory budget, as fractions of the process's memory limit. The rest is the runtime's and the garbage collector's.
+// The memory budget, as fractions of the process's memory limit. The rest is the runtime's and the garbage
+// collector's.
 const (
 	rejectFraction   = 4 // at 1/4 of the limit new requests are rejected
 	criticalMultiple = 2 // at twice that, connections that only hold memory are closed
 )
 
-// memoryBudget counts the bytes that are buffered for clients and caches, and decides when there are too many.
+// memoryBudget counts the bytes that are buffered for clients and caches, and decides when there are too
+// many.
 type memoryBudget struct {
 	loop          *eventloop.Loop // its buffers count too
 	rejectAt      int             // bytes
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -8,81 +8,84 @@
 
 	"cloverdoor/internal/connpool"
 	"cloverdoor/internal/eventloop"
-	"cloverdoor/internal/settings"
 	"cloverdoor/internal/watch"
 	"cloverdoor/policy"
 )
 
 const (
-	// answerReserve is what is kept of a request's time to write its answer and get it to the client, and answerPart the
-	// share of a short time that is: the client allows 50 ms more, and the answer may come while it waits.
-	answerReserve        = 60 * time.Millisecond
-	answerReserveDivisor = 4
-	closingRetryAfter    = 100 * time.Millisecond // told to those refused meanwhile: their connection is closed soon
-	maxPollTime          = 50 * time.Millisecond  // between looks at the order to stop
-	idleSweepInterval    = time.Second
-	maxOpenRequests      = 4096 // requests open at once; the settings may say fewer
-	// maxSharedCalls is how many calls that may be repeated share a connection where new ones are priced: more would save
-	// less than an eighth of the handshakes, and lose more calls with a connection that breaks.
-	maxSharedCalls = 8
-
-	// Where the settings tell nothing.
-	defaultServerIdleTimeout = 15 * time.Second
-	defaultConnectTimeout    = time.Second
+	// maxPollTime is how long the event loop waits at most before it looks at signals again.
+	maxPollTime = 50 * time.Millisecond
+	// idleSweepInterval is how often idle connections to caches are closed.
+	idleSweepInterval = time.Second
 )
 
-// Proxy is one edge proxy. Everything in it runs on the loop's goroutine.
+// Proxy is one edge proxy. It owns the open requests and their attempts, hands what happens to them to the
+// decision module as events, and executes the actions that the module returns. All of it runs on the event
+// loop's goroutine.
 type Proxy struct {
-	loop                   *eventloop.Loop
-	router                 *policy.Router
-	set                    settings.Settings
-	classIndexes           map[string]int // by name: its number in the settings
-	transferBytesPerSecond float64        // bytes a second of one transfer; 0: not told
-	log                    *slog.Logger
-	rng                    *rand.Rand
-	lifecycle              *lifecycle
-
-	inbox    []policy.Event // of this turn, for the module
-	requests map[int64]*request
-	lastID   int64
-	maxOpen  int
-	sockets  int // connections to caches
-	memory   *memoryBudget
+	loop       *eventloop.Loop
+	log        *slog.Logger
+	rng        *rand.Rand
+	router     *policy.Router // the decision module
+	set        runtimeConfig
+	lifecycle  *lifecycle
+	memory     *memoryBudget
+	counters   *counters
+	invariants *invariantChecker
+
+	inbox             []policy.Event     // events that the decision module has not seen yet
+	requests          map[int64]*request // by moduleID
+	lastModuleID      int64
+	openRequests      int // admitted and not yet answered or given up by their clients
+	maxUpstreamConns  int
+	countDroppedLines func() int64 // log lines dropped so far; nil: unknown
+	configLoader      configLoader
 
 	servers        map[string]int64 // by id: when it started
 	pools          *connpool.Pools
 	fastcgiServers []*FastCGIServer
 	follower       *follower
-
-	openRequests int // requests taken and not ended
-	counters     *counters
-	logDropped   func() int64
-	configLoader configLoader
-	clock        peerClock
-	newestKnown  eventloop.Timestamp // the latest time that the configuration's purges tell; 0: none
-	invariants   *invariantChecker
+	clock          peerClock
+	newestKnown    eventloop.Timestamp // the latest time that the configuration's purges tell; 0: none
 }
 
-// New returns a proxy that knows what the configuration knows.
+// New returns a proxy with the endpoints and purges of the configuration's initial state. It accepts no
+// client yet.
 func New(loop *eventloop.Loop, cfg Config, logger *slog.Logger) *Proxy {
 	p := &Proxy{
-		loop: loop, router: policy.New(cfg.Settings.Policy, cfg.Seed), log: logger,
-		rng:      rand.New(rand.NewPCG(cfg.Seed, 1)),
-		requests: map[int64]*request{}, servers: map[string]int64{},
-		sockets: UpstreamSockets(cfg.MaxDescriptors), memory: newMemoryBudget(loop, cfg.MaxMemoryBytes),
-		counters:  newCounters(),
-		lifecycle: &lifecycle{loop: loop, log: logger}, logDropped: cfg.DroppedLogLines,
+		loop:              loop,
+		log:               logger,
+		rng:               rand.New(rand.NewPCG(cfg.Seed, 1)),
+		router:            policy.New(cfg.Settings.Policy, cfg.Seed),
+		lifecycle:         &lifecycle{loop: loop, log: logger},
+		memory:            newMemoryBudget(loop, cfg.MaxMemoryBytes),
+		counters:          newCounters(),
+		requests:          map[int64]*request{},
+		maxUpstreamConns:  UpstreamSockets(cfg.MaxDescriptors),
+		countDroppedLines: cfg.DroppedLogLines,
+		servers:           map[string]int64{},
 	}
 	p.invariants = newInvariantChecker(p, cfg.OnViolation)
 	p.pools = connpool.New(loop, connpool.Limits{}, p.openUpstream)
-	p.apply(cfg.Settings, cfg.TransferBytesPerSecond)
+	p.applyConfig(newRuntimeConfig(cfg.Settings, cfg.TransferBytesPerSecond))
 	p.applyKnown(cfg.InitialState.Events)
 	p.processEvents()
 	p.closeIdleUpstreams()
 	return p
 }
 
-// applyKnown takes the events that the configuration tells. How long ago its purges were is certain only against the latest.
+// applyConfig replaces the configuration that can change at run time. The decision module is told by the
+// caller.
+func (p *Proxy) applyConfig(c runtimeConfig) {
+	p.set = c
+	for _, class := range c.Policy.Classes {
+		p.counters.addClass(class.Name)
+	}
+	p.pools.SetLimits(c.poolLimits(p.maxUpstreamConns))
+}
+
+// applyKnown takes the events that the configuration tells. How long ago its purges were is certain only
+// against the latest.
 func (p *Proxy) applyKnown(events []watch.Event) {
 	for _, ev := range events {
 		if ev.Purge != nil {
@@ -94,20 +97,21 @@
 	}
 }
 
-// Run serves until it has been stopped. Orders are looked at between turns.
-func (p *Proxy) Run(orders Signals) error {
+// Run serves until the proxy has stopped. Signals are looked at between the turns of the event loop.
+func (p *Proxy) Run(signals Signals) error {
 	for p.lifecycle.phase != Stopped {
 		if err := p.loop.Wait(maxPollTime); err != nil {
 			return fmt.Errorf("event loop: %w", err)
 		}
 		p.processEvents()
-		p.pollReload(orders)
-		p.advancePhase(orders.Stop)
+		p.pollReload(signals)
+		p.advancePhase(signals.Stop)
 	}
 	return nil
 }
 
-// processEvents hands what has gathered to the module, carries out its actions and writes, until nothing is left.
+// processEvents dispatches events and writes output until no event is left. Connections of clients are closed
+// last, when everything that has been received is processed and all output of the turn is written.
 func (p *Proxy) processEvents() {
 	for {
 		p.dispatchEvents()
@@ -119,13 +123,16 @@
 			break
 		}
 	}
-	if p.lifecycle.disconnecting() {
-		for _, f := range p.fastcgiServers {
-			f.closeDrained()
-		}
+	if !p.lifecycle.disconnecting() {
+		return
+	}
+	for _, f := range p.fastcgiServers {
+		f.closeDrained()
 	}
 }
 
+// dispatchEvents hands the queued events to the decision module and executes its actions, which may queue
+// further events.
 func (p *Proxy) dispatchEvents() {
 	for len(p.inbox) > 0 {
 		events := p.inbox
@@ -137,22 +144,20 @@
 		for _, a := range actions {
 			p.execute(a)
 		}
-		for _, ev := range events {
-			if ev, ok := ev.(policy.Request); ok {
-				p.markRouted(p.requests[ev.ID])
-			}
-		}
+		p.markRouted(events)
 	}
 }
 
+// notify queues an event for the decision module.
 func (p *Proxy) notify(ev policy.Event) { p.inbox = append(p.inbox, ev) }
 
-// classIndex is a class's number in the settings.
+// classIndex is a class's index among the classes of the settings in use.
 func (p *Proxy) classIndex(name string) (index int, known bool) {
-	index, known = p.classIndexes[name]
+	index, known = p.set.classIndexes[name]
 	return index, known
 }
 
+// closeIdleUpstreams closes idle connections to caches, now and periodically.
 func (p *Proxy) closeIdleUpstreams() {
 	p.pools.CloseIdle()
 	p.loop.At(p.loop.Now()+idleSweepInterval, p.closeIdleUpstreams)
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -10,91 +10,112 @@
 	"cloverdoor/internal/settings"
 )
 
-// loadTimeout is how long the configuration file may take to be read before the order counts as failed.
+// loadTimeout is how long the configuration may take to be read before the reload counts as failed.
 const loadTimeout = 5 * time.Second
 
-var errLoadTimeout = errors.New("the file could not be read in time")
+var errLoadTimeout = errors.New("reading the configuration timed out")
 
-// Signals are what the program is told from outside while it runs.
+// Signals is how the process is controlled from outside while Run serves.
 type Signals struct {
-	Stop   <-chan os.Signal // drain, then end
-	Reload <-chan os.Signal // read the configuration again
-	// Load reads the configuration. It may block, and is called on a goroutine of its own.
+	Stop   <-chan os.Signal // starts a graceful shutdown
+	Reload <-chan os.Signal // reloads the configuration
+	// Load reads the configuration. It is called on a goroutine of its own, as it may block, and so must not
+	// touch the proxy. A call that exceeds the time limit goes on while the next one may be made.
 	Load func() (PrepareUpdate, error)
 }
 
-// PrepareUpdate checks a configuration that has been read against the one in use, and returns what to take over from it. It is
-// called on the loop's goroutine. An error says that the configuration can't be used.
+// PrepareUpdate checks a configuration that has been read against the one in use and returns what the proxy
+// has to replace. It is called on the event loop's goroutine, once, and must not block. An error rejects the
+// configuration as a whole.
 type PrepareUpdate func() (ConfigUpdate, error)
 
-// ConfigUpdate is what a running proxy takes over from a configuration read again.
+// ConfigUpdate is what a reload replaces while the proxy serves.
 type ConfigUpdate struct {
 	Coordinator            netip.AddrPort
-	Settings               settings.Settings
-	TransferBytesPerSecond float64 // bytes a second of one transfer
+	Settings               settings.Settings // checked: the proxy takes them as they are
+	TransferBytesPerSecond float64           // rate of one transfer; 0: unknown
 }
 
-// configLoader reads the configuration off the loop: a slow disk must not hold up requests.
+// configLoader reads the configuration on a goroutine of its own, as a slow disk must not hold up requests.
+// One read is under way at a time. Its goroutine only calls load and puts the result into a channel with room
+// for it, so that it ends when load returns, whether the result is still awaited or not. Everything else
+// belongs to the event loop's goroutine.
 type configLoader struct {
-	results   chan loadResult     // of the read under way; nil: none is
-	startedAt eventloop.Timestamp // when that was begun
-	pending   bool                // it was ordered once more meanwhile
+	results   chan loadResult     // of the read under way; nil: there is none
+	startedAt eventloop.Timestamp // of the read under way
+	requested bool                // a reload has been requested for which no read has been started
 }
 
+// loadResult is what a read has brought: a configuration or an error.
 type loadResult struct {
-	apply PrepareUpdate
-	err   error
+	prepare PrepareUpdate
+	err     error
 }
 
-// pollReload carries out orders to read the configuration again. One that can't be used changes nothing: the proxy goes on
-// serving with the one it has.
-func (p *Proxy) pollReload(orders Signals) {
-	select {
-	case <-orders.Reload:
-		p.configLoader.pending = true
-	default:
-	}
-	if p.configLoader.results != nil {
-		p.finishLoad()
-	}
-	if p.configLoader.pending && p.configLoader.results == nil {
-		p.startLoad(orders.Load)
+// start starts a read if one has been requested and none is under way.
+func (l *configLoader) start(load func() (PrepareUpdate, error), now eventloop.Timestamp) {
+	if !l.requested || l.results != nil {
+		return
 	}
-}
-
-func (p *Proxy) startLoad(load func() (PrepareUpdate, error)) {
 	results := make(chan loadResult, 1)
-	p.configLoader = configLoader{results: results, startedAt: p.loop.Now()}
+	*l = configLoader{results: results, startedAt: now}
 	go func() {
-		apply, err := load()
-		results <- loadResult{apply, err}
+		prepare, err := load()
+		results <- loadResult{prepare, err}
 	}()
 }
 
-// finishLoad looks for the result of the read under way.
-func (p *Proxy) finishLoad() {
-	var result loadResult
+// poll returns the result of the read under way if that is done or has exceeded its time limit.
+func (l *configLoader) poll(now eventloop.Timestamp) (result loadResult, done bool) {
+	if l.results == nil {
+		return loadResult{}, false
+	}
 	select {
-	case result = <-p.configLoader.results:
+	case result = <-l.results:
 	default:
-		if p.loop.Now()-p.configLoader.startedAt < loadTimeout {
-			return
+		if now-l.startedAt < loadTimeout {
+			return loadResult{}, false
 		}
 		result.err = errLoadTimeout
 	}
-	p.configLoader.results = nil
-	var update ConfigUpdate
-	if result.err == nil {
-		update, result.err = result.apply()
+	l.results = nil
+	return result, true
+}
+
+// pollReload handles requests to reload the configuration. It is called once in each turn of the event loop.
+func (p *Proxy) pollReload(signals Signals) {
+	select {
+	case <-signals.Reload:
+		p.configLoader.requested = true
+	default:
+	}
+	result, done := p.configLoader.poll(p.loop.Now())
+	if done {
+		p.finishReload(result)
 	}
-	if result.err != nil {
+	p.configLoader.start(signals.Load, p.loop.Now())
+}
+
+// finishReload applies a configuration that has been read. If it can't be used, the proxy goes on with the
+// one in use.
+func (p *Proxy) finishReload(result loadResult) {
+	update, err := result.update()
+	if err != nil {
 		p.counters.configsRejected++
-		p.log.Warn("not taken over", "error", result.err)
+		p.log.Warn("not taken over", "error", err)
 		return
 	}
 	p.counters.configsAccepted++
 	p.log.Info("configuration read again", "coordinator", update.Coordinator, "classes", len(update.Settings.Policy.Classes))
-	p.apply(update.Settings, update.TransferBytesPerSecond)
-	p.notify(update.Settings.Policy) // before any request by the new classes: none has come since the last turn
+	p.applyConfig(newRuntimeConfig(update.Settings, update.TransferBytesPerSecond))
+	p.notify(update.Settings.Policy) // precedes the requests by the new classes, which are parsed from the next turn on
 	p.SwitchCoordinator(update.Coordinator)
 }
+
+// update checks the configuration that has been read.
+func (r loadResult) update() (ConfigUpdate, error) {
+	if r.err != nil {
+		return ConfigUpdate{}, r.err
+	}
+	return r.prepare()
+}
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -1,167 +1,245 @@
 package proxy
 
 import (
+	"time"
+
 	"cloverdoor/internal/eventloop"
 	"cloverdoor/internal/resp"
 	"cloverdoor/policy"
 )
 
-// request is one client request until its answer is given and its last attempt has ended.
+const (
+	// answerReserve is how long before the client's timeout a request must have its answer: the answer has to
+	// be written and to reach the client. Of a short timeout, only the part given by answerReserveDivisor is
+	// reserved: the client allows 50 ms more than it says.
+	answerReserve = 60 * time.Millisecond
+	// answerReserveDivisor bounds the reserve to a quarter of the timeout.
+	answerReserveDivisor = 4
+	// expiryRecheckTime is how long the decision module has for the final answer once the open attempts were
+	// ended at the deadline.
+	expiryRecheckTime = answerReserve / 4
+	// closingRetryAfter is the Retry-After advice while the proxy drains: the client's connection is closed
+	// by then, and the client is served by another proxy.
+	closingRetryAfter = 100 * time.Millisecond
+)
+
+// request is one client request, from its admission until it is finished and its last attempt has ended.
 type request struct {
 	Request
-	moduleID     int64 // the module's
+	moduleID     int64 // identifies the request in the decision module's events and actions
 	responder    Responder
-	deadline     eventloop.Timestamp // by which the answer must have been written
 	idempotency  policy.Idempotency
-	finalAnswers int  // final answers so far, as the audit counts
-	mayHaveRun   bool // a call was written whole and not proven not to have run, as the audit knows
-	timer        *eventloop.Timer
-	attempts     []*attempt
-	openAttempts int
-	routed       bool // the module has heard of it and its first actions have been carried out
-	finished     bool // answered, or the client has left
+	deadline     eventloop.Timestamp // the final answer must have been written by then
+	timer        *eventloop.Timer    // fires at the deadline
+	attempts     []*attempt          // in the order in which they were started
+	openAttempts int                 // attempts that have not ended
+	routed       bool                // the decision module has processed the request, and its first actions were executed
+	finished     bool                // answered, or given up by the client
+	record       requestRecord       // of the invariant checker
 }
 
-// isIdempotent says that the request may be repeated freely.
+// isIdempotent reports whether the request may be executed any number of times.
 func (q *request) isIdempotent() bool { return q.idempotency == policy.Idempotent }
 
-// Submit takes a request whose last byte has just come. It returns the request's number, for Abandon, or 0
-// when it was answered at once.
-func (p *Proxy) Submit(in Request, to Responder) int64 {
-	_, left := to.ClientDisconnected()
-	verdict := policy.MayAdmit(policy.AdmitInfo{ClientDisconnected: left, Stopping: p.lifecycle.rejecting(), Remaining: in.Timeout,
-		OpenRequests: len(p.requests), MaxOpenRequests: p.maxOpen, MemoryFull: p.memory.full()})
+// Submit admits a request whose last byte has just been received. It returns the id under which
+// HandleDisconnect and CancelAfterDisconnect know the request, or 0 if the request was rejected and thereby
+// answered.
+func (p *Proxy) Submit(in Request, responder Responder) int64 {
+	verdict := p.mayAdmit(in, responder)
 	if !p.counters.allows(actionStart, verdict) {
-		answer := Answer{Status: Rejected, RetryAfter: closingRetryAfter}
-		if verdict.Rule == policy.RuleLimits { // a refusal is all that memory allows; clients come again
-			answer = Answer{Status: Overloaded}
-		}
 		p.log.Info("request not taken", "request", in.ID, "rule", verdict.Rule, "reason", verdict.Reason)
-		p.rejectUnsubmitted(in, to, answer)
+		p.rejectUnsubmitted(in, responder, rejection(verdict))
 		return 0
 	}
-	p.lastID++
-	now := p.loop.Now()
-	q := &request{Request: in, moduleID: p.lastID, responder: to, deadline: now + in.Timeout - min(answerReserve, in.Timeout/answerReserveDivisor),
-		idempotency: p.set.Policy.Classes[in.Class].Idempotency}
-	if p.lifecycle.phase == Stopping {
-		q.deadline = max(now, min(q.deadline, p.lifecycle.answerBy))
+	q := p.admit(in, responder)
+	p.notify(policy.Request{
+		ID:        q.moduleID,
+		Object:    in.Object,
+		Part:      in.Part,
+		Group:     in.Group,
+		Class:     in.Class,
+		SizeKB:    in.SizeKB,
+		Remaining: q.deadline - p.loop.Now(),
+	})
+	return q.moduleID
+}
+
+// mayAdmit asks the guard whether a request may be admitted.
+func (p *Proxy) mayAdmit(in Request, responder Responder) policy.Verdict {
+	_, disconnected := responder.ClientDisconnected()
+	return policy.MayAdmit(policy.AdmitInfo{
+		ClientDisconnected: disconnected,
+		Stopping:           p.lifecycle.rejecting(),
+		Remaining:          in.Timeout,
+		OpenRequests:       len(p.requests),
+		MaxOpenRequests:    p.set.openRequestLimit(),
+		MemoryFull:         p.memory.full(),
+	})
+}
+
+// rejection is the answer to a request that is not admitted. Where a limit is reached, the shortest form of
+// answer is used.
+func rejection(verdict policy.Verdict) Answer {
+	if verdict.Rule == policy.RuleLimits {
+		return Answer{Status: Overloaded}
+	}
+	return Answer{Status: Rejected, RetryAfter: closingRetryAfter}
+}
+
+// admit opens a request and starts its timer.
+func (p *Proxy) admit(in Request, responder Responder) *request {
+	p.lastModuleID++
+	q := &request{
+		Request:     in,
+		moduleID:    p.lastModuleID,
+		responder:   responder,
+		idempotency: p.set.Policy.Classes[in.Class].Idempotency,
+		deadline:    p.answerDeadline(in.Timeout),
 	}
 	p.requests[q.moduleID] = q
 	p.openRequests++
 	p.memory.requestBodies += len(q.Body)
 	q.timer = p.loop.At(q.deadline, func() { p.expire(q) })
-	p.notify(policy.Request{ID: q.moduleID, Object: in.Object, Part: in.Part, Group: in.Group, Class: in.Class,
-		SizeKB: in.SizeKB, Remaining: q.deadline - now})
-	return q.moduleID
+	return q
 }
 
-// rejectUnsubmitted answers a request that has not been submitted to the decision module.
-func (p *Proxy) rejectUnsubmitted(in Request, to Responder, a Answer) {
-	p.counters.count(in.ClassName, a.Status.outcome())
-	to.Respond(p.withAllowedRetryAfter(a))
+// answerDeadline is when a request that is admitted now must have its answer. During a shutdown it is no
+// later than the shutdown's own deadline.
+func (p *Proxy) answerDeadline(timeout time.Duration) eventloop.Timestamp {
+	now := p.loop.Now()
+	deadline := now + timeout - min(answerReserve, timeout/answerReserveDivisor)
+	if p.lifecycle.phase == Stopping {
+		return max(now, min(deadline, p.lifecycle.answerBy))
+	}
+	return deadline
 }
 
-// HandleDisconnect takes note that the client has given a request up; it gets no answer.
-func (p *Proxy) HandleDisconnect(number int64) {
-	if q := p.requests[number]; q != nil && !q.finished {
-		p.finish(q)
-		p.counters.count(q.ClassName, faulted)
-		p.notify(policy.ClientDisconnected{ID: number})
-	}
+// rejectUnsubmitted answers a request that has not been submitted to the decision module.
+func (p *Proxy) rejectUnsubmitted(in Request, responder Responder, a Answer) {
+	p.counters.count(in.ClassName, a.Status.outcome())
+	responder.Respond(p.set.withAllowedRetryAfter(a))
 }
 
-// handleConnectionClosed ends an open request whose client connection has closed. byPeer says that the client closed it.
-func (p *Proxy) handleConnectionClosed(number int64, byPeer bool) {
-	if q := p.requests[number]; q != nil {
-		p.invariants.checkConnectionClosed(q, byPeer)
+// markRouted marks the requests among events that the decision module has processed. Those that were given up
+// in the meantime can be released now.
+func (p *Proxy) markRouted(events []policy.Event) {
+	for _, ev := range events {
+		arrival, isRequest := ev.(policy.Request)
+		if !isRequest {
+			continue
+		}
+		q := p.requests[arrival.ID]
+		q.routed = true
+		p.releaseIfDone(q)
 	}
-	p.HandleDisconnect(number)
 }
 
-// CancelAfterDisconnect answers a request whose client has probably left, and stops what is out for it. A client that has only ended
-// its own side learns what to make of it.
-func (p *Proxy) CancelAfterDisconnect(number int64) {
-	q := p.requests[number]
+// answer gives the final answer. A request that is finished already, or nil, gets none.
+func (p *Proxy) answer(q *request, a Answer) {
 	if q == nil || q.finished {
 		return
 	}
-	status := Rejected
-	for _, a := range q.attempts {
-		if a.started && !q.isIdempotent() { // it may have run
-			status = Failed
-		}
+	if a.Status != Served && a.Status != NotModified {
+		p.log.Info("request not served", "request", q.ID, "class", q.ClassName, "answer", a.Status.outcome(),
+			"attempts", len(q.attempts))
 	}
-	p.answer(q, Answer{Status: status})
-	p.notify(policy.ClientDisconnected{ID: number})
+	p.finish(q)
+	p.invariants.checkFinalAnswer(q, a.Status)
+	p.counters.count(q.ClassName, a.Status.outcome())
+	q.responder.Respond(p.set.withAllowedRetryAfter(a))
 }
 
-// expire ends what is still out when a request's time is over; the module then gives the final answer. One that
-// it holds without an attempt is failed here: every request gets its answer in time.
+// expire handles a request's deadline. Its open attempts are ended, upon which the decision module gives the
+// final answer. A request that the module holds without an attempt is failed here: every request gets its
+// answer in time.
 func (p *Proxy) expire(q *request) {
 	if q.openAttempts == 0 {
 		p.answer(q, Answer{Status: Failed})
 		p.notify(policy.ClientDisconnected{ID: q.moduleID})
 		return
 	}
-	q.timer = p.loop.At(p.loop.Now()+answerReserve/4, func() { p.expire(q) })
+	q.timer = p.loop.At(p.loop.Now()+expiryRecheckTime, func() { p.expire(q) })
 	for _, a := range q.attempts {
 		p.endAttempt(a, resp.Answer{}, policy.ResultTimeout)
 	}
 }
 
-// answer gives the final answer, once.
-func (p *Proxy) answer(q *request, a Answer) {
-	if q == nil || q.finished {
+// shortenDeadline moves a request's deadline forward to deadline; an earlier one stays.
+func (p *Proxy) shortenDeadline(q *request, deadline eventloop.Timestamp) {
+	if q.deadline <= deadline {
 		return
 	}
-	if a.Status != Served && a.Status != NotModified {
-		p.log.Info("request not served", "request", q.ID, "class", q.ClassName, "answer", a.Status.outcome(), "attempts", len(q.attempts))
+	q.deadline = deadline
+	p.loop.Stop(q.timer)
+	q.timer = p.loop.At(deadline, func() { p.expire(q) })
+}
+
+// HandleDisconnect gives up a request whose client aborted it or is disconnected. The request gets no answer.
+func (p *Proxy) HandleDisconnect(moduleID int64) {
+	q := p.requests[moduleID]
+	if q == nil || q.finished {
+		return
 	}
 	p.finish(q)
-	p.invariants.checkFinalAnswer(q, a.Status)
-	p.counters.count(q.ClassName, a.Status.outcome())
-	q.responder.Respond(p.withAllowedRetryAfter(a))
+	p.counters.count(q.ClassName, faulted)
+	p.notify(policy.ClientDisconnected{ID: moduleID})
 }
 
-// withAllowedRetryAfter leaves the advice to stay away out of an answer where the settings do not allow it.
-func (p *Proxy) withAllowedRetryAfter(a Answer) Answer {
-	if p.set.RetryAfterDisabled {
-		a.RetryAfter = 0
+// handleConnectionClosed gives up an open request whose client connection has closed. byPeer says that the
+// client closed it.
+func (p *Proxy) handleConnectionClosed(moduleID int64, byPeer bool) {
+	if q := p.requests[moduleID]; q != nil {
+		p.invariants.checkConnectionClosed(q, byPeer)
 	}
-	return a
+	p.HandleDisconnect(moduleID)
 }
 
-func (p *Proxy) finish(q *request) {
-	q.finished = true
-	p.openRequests--
-	p.releaseIfDone(q)
+// CancelAfterDisconnect answers a request whose client has probably disconnected, and cancels its attempts. A
+// client that has only closed its sending side learns from the answer whether the request may have been
+// executed.
+func (p *Proxy) CancelAfterDisconnect(moduleID int64) {
+	q := p.requests[moduleID]
+	if q == nil || q.finished {
+		return
+	}
+	status := Rejected
+	if q.mayHaveBeenExecuted() {
+		status = Failed
+	}
+	p.answer(q, Answer{Status: status})
+	p.notify(policy.ClientDisconnected{ID: moduleID})
 }
 
-// releaseIfDone drops a request that is over. One whose attempts are still out keeps its timer, which ends them: a
-// silent cache would else keep them for good. One that is taken back in the turn it came in stays until the
-// module has heard of it: the module decides on an attempt first, waits for its end, and would else count it as
-// under way for good, a link's place lost with each.
-func (p *Proxy) releaseIfDone(q *request) {
-	if q.routed && q.finished && q.openAttempts == 0 && p.requests[q.moduleID] == q {
-		p.loop.Stop(q.timer)
-		p.memory.requestBodies -= len(q.Body)
-		delete(p.requests, q.moduleID)
+// mayHaveBeenExecuted reports whether a call for a request that may not be repeated freely has begun to be
+// sent.
+func (q *request) mayHaveBeenExecuted() bool {
+	if q.isIdempotent() {
+		return false
+	}
+	for _, a := range q.attempts {
+		if a.started {
+			return true
+		}
 	}
+	return false
 }
 
-// markRouted notes that the module knows a request.
-func (p *Proxy) markRouted(q *request) {
-	q.routed = true
+// finish marks a request as answered or given up.
+func (p *Proxy) finish(q *request) {
+	q.finished = true
+	p.openRequests--
 	p.releaseIfDone(q)
 }
 
-// shortenDeadline moves a request's deadline forward to deadline; an earlier one stays.
-func (p *Proxy) shortenDeadline(q *request, deadline eventloop.Timestamp) {
-	if q.deadline <= deadline {
+// releaseIfDone releases a request that is finished and has no open attempt. While an attempt is open the
+// timer stays, as it ends the attempt if the server never answers. A request that is finished in the turn in
+// which it was received stays until the decision module has processed it: the module's first attempt would
+// otherwise never be reported as ended, and its place on the link would stay occupied.
+func (p *Proxy) releaseIfDone(q *request) {
+	if !q.routed || !q.finished || q.openAttempts > 0 || p.requests[q.moduleID] != q {
 		return
 	}
-	q.deadline = deadline
 	p.loop.Stop(q.timer)
-	q.timer = p.loop.At(deadline, func() { p.expire(q) })
+	p.memory.requestBodies -= len(q.Body)
+	delete(p.requests, q.moduleID)
 }
--- a/internal/proxy/result.go
+++ b/internal/proxy/result.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"time"
 
 	"cloverdoor/internal/connpool"
 	"cloverdoor/internal/eventloop"
@@ -10,92 +9,150 @@
 	"cloverdoor/policy"
 )
 
-// handleAnswer takes the answer to an attempt. The first good one is the request's.
+// This file decides how an attempt ended, and so what is known of the effect of its call. The decision module bases retries
+// on that knowledge.
+//
+//	result         cause                                                            call executed
+//	OK             good answer                                                      yes
+//	NotFound       the server answered that it lacks the object                     no
+//	Rejected       the server answered that it is overloaded                        no
+//	NotSent        not written completely, for a reason on this side; or the
+//	               server answered that it did not execute the call                 no
+//	ConnectFailed  no connection came up, or it broke or the request's deadline
+//	               passed before the last byte was written                          no
+//	Reset          the connection broke after the last byte                         unknown
+//	Timeout        no answer by the request's deadline, after the last byte         unknown
+//	Cancelled      cancelled after the last byte, or a part, was written            unknown
+//	Error          the server answered that it crashed, or with an answer that
+//	               can't be used                                                    unknown
+
+// resultByStatus is the result of an attempt that was answered. Any status that is not in it is a
+// ResultError.
+var resultByStatus = map[resp.Status]policy.Result{
+	resp.StatusServed:      policy.ResultOK,
+	resp.StatusNotModified: policy.ResultOK,
+	resp.StatusNotFound:    policy.ResultNotFound,
+	resp.StatusOverloaded:  policy.ResultRejected,
+	resp.StatusCrashed:     policy.ResultError,
+	resp.StatusNotRun:      policy.ResultNotSent,
+}
+
+// handleAnswer ends an attempt by the server's answer. The first good answer is the request's final one.
 func (p *Proxy) handleAnswer(a *attempt, ans resp.Answer) {
-	result := resultByStatus[ans.Status]
-	// A fill that was joined may have begun before a purge. Its copy is not passed on; another attempt follows.
-	if result == policy.ResultOK && a.exceedsMaxAge(ans) {
-		result = policy.ResultError
-	}
-	// Otherwise the client would take a copy for current that nobody has named. The answer is well formed all the same:
-	// what else is out on the connection is not harmed.
-	if ans.Status == resp.StatusNotModified && (a.req.KnownVersion == "" || ans.Version != a.req.KnownVersion) {
-		result = policy.ResultError
-	}
+	result := a.resultOfAnswer(ans)
 	if result == policy.ResultOK {
 		p.invariants.checkServed(a, ans)
 		status := Served
 		if ans.Status == resp.StatusNotModified {
-			status, ans.Body = NotModified, nil
+			status = NotModified
+			ans.Body = nil
 		}
 		p.answer(a.req, Answer{Status: status, Version: ans.Version, Body: ans.Body})
 	}
 	p.endAttempt(a, ans, result)
 }
 
-// exceedsMaxAge says that a copy was made before what the call asked for. Answers that do not say when are trusted.
+// resultOfAnswer is how an answer ends its attempt.
+func (a *attempt) resultOfAnswer(ans resp.Answer) policy.Result {
+	result := resultByStatus[ans.Status]
+	if result != policy.ResultOK {
+		return result
+	}
+	if a.exceedsMaxAge(ans) {
+		// A coalesced fill may have begun before a purge.
+		return policy.ResultError
+	}
+	if ans.Status == resp.StatusNotModified && !a.confirmsKnownVersion(ans) {
+		// The client would take a copy for current that the server has not named. The answer is well formed:
+		// other calls on the connection are not affected.
+		return policy.ResultError
+	}
+	return policy.ResultOK
+}
+
+// exceedsMaxAge reports whether a copy is older than the call allowed. Answers without a time are trusted.
 func (a *attempt) exceedsMaxAge(ans resp.Answer) bool {
 	return ans.CreatedAtMillis > 0 && ans.CreatedAtMillis < a.oldestCopyMillis
 }
 
-// A word without a result counts as an error: it may have run.
-var resultByStatus = map[resp.Status]policy.Result{
-	resp.StatusServed: policy.ResultOK, resp.StatusNotModified: policy.ResultOK, resp.StatusNotFound: policy.ResultNotFound,
-	resp.StatusOverloaded: policy.ResultRejected, resp.StatusCrashed: policy.ResultError, resp.StatusNotRun: policy.ResultNotSent,
+// confirmsKnownVersion reports whether an answer names the version of which the client has a copy.
+func (a *attempt) confirmsKnownVersion(ans resp.Answer) bool {
+	return a.req.KnownVersion != "" && ans.Version == a.req.KnownVersion
+}
+
+// resultOfClose is how the end of a connection ends the attempts on it.
+func resultOfClose(err error) policy.Result {
+	if errors.Is(err, eventloop.ErrNotConnected) {
+		return resultOfConnectError(err)
+	}
+	return policy.ResultReset
+}
+
+// resultOfConnectError is how an attempt ends whose connection did not come up. A lack of resources on this
+// machine does not count against the server.
+func resultOfConnectError(err error) policy.Result {
+	if errors.Is(err, eventloop.ErrLocalResources) || errors.Is(err, connpool.ErrConnLimit) {
+		return policy.ResultNotSent
+	}
+	return policy.ResultConnectFailed
 }
 
-// requiresConnClose says that a call is given up so that another may follow, where no second one may be out: a
-// server that hangs does not read the STOP; only the end of its connection gives up what is open on it.
+// resultIfNeverSent refines the result of an attempt whose call was not written completely: it was not
+// executed.
+func resultIfNeverSent(result policy.Result) policy.Result {
+	switch result {
+	case policy.ResultCancelled:
+		return policy.ResultNotSent
+	case policy.ResultTimeout, policy.ResultReset:
+		return policy.ResultConnectFailed
+	}
+	return result
+}
+
+// neverSent reports whether the call of an attempt that has ended was not written completely, and never will
+// be.
+func (a *attempt) neverSent() bool {
+	return !a.started || !a.written && a.upstream.conn.Ended()
+}
+
+// requiresConnClose reports whether an attempt can be cancelled only by closing its connection. That is so
+// where no hedging is allowed and a retry may follow: a server that hangs does not read the STOP command, and
+// would execute both calls.
 func (p *Proxy) requiresConnClose(a *attempt) bool {
 	return !p.set.Policy.Hedging && a.started && !a.req.finished
 }
 
-// canCancel says whether a call can be given up: one that must close its connection only where no other call is on it.
-// It goes on then, until its answer or its deadline.
+// canCancel reports whether an attempt can be cancelled without harm to other calls on its connection.
 func (p *Proxy) canCancel(a *attempt) bool {
 	return !p.requiresConnClose(a) || a.ended || a.upstream.conn.InUse == 1
 }
 
-// endAttempt ends an attempt and tells the module of it, once. A call that is out is stopped.
+// endAttempt ends an attempt and notifies the decision module, once. ans is the zero Answer if the server
+// gave none; the call is stopped then, if it has been sent.
 func (p *Proxy) endAttempt(a *attempt, ans resp.Answer, result policy.Result) {
 	if a.ended {
 		return
 	}
 	a.ended = true
 	a.req.openAttempts--
+	answered := ans.Status != 0
 	if a.upstream != nil {
-		a.upstream.release(a, ans.Status == 0)
+		a.upstream.release(a, answered) // may close the connection, which decides neverSent
 	}
-	if a.neverSent() && ans.Status == 0 { // whatever ended it
-		switch result {
-		case policy.ResultCancelled:
-			result = policy.ResultNotSent
-		case policy.ResultTimeout, policy.ResultReset:
-			result = policy.ResultConnectFailed
-		}
+	if !answered && a.neverSent() {
+		result = resultIfNeverSent(result)
 	}
 	a.result = result
 	p.invariants.observeEnd(a, result)
-	p.notify(policy.Outcome{ID: a.req.moduleID, Attempt: a.number, Result: result, CacheStatus: policy.CacheStatus(ans.CacheStatus),
-		Elapsed: p.loop.Now() - a.created, SourceFirstByte: ans.SourceFirstByte, TransferTime: p.transferTime(ans), RequestFinished: a.req.finished})
+	p.notify(policy.Outcome{
+		ID:              a.req.moduleID,
+		Attempt:         a.number,
+		Result:          result,
+		CacheStatus:     policy.CacheStatus(ans.CacheStatus),
+		Elapsed:         p.loop.Now() - a.createdAt,
+		SourceFirstByte: ans.SourceFirstByte,
+		TransferTime:    p.set.transferTime(len(ans.Body)),
+		RequestFinished: a.req.finished,
+	})
 	p.releaseIfDone(a.req)
 }
-
-// neverSent says that a call that has ended was not written whole, and never will be.
-func (a *attempt) neverSent() bool { return !a.started || !a.written && a.upstream.conn.Ended() }
-
-// transferTime is how long an answer's bytes take at the pace of one transfer.
-func (p *Proxy) transferTime(ans resp.Answer) time.Duration {
-	if p.transferBytesPerSecond <= 0 {
-		return 0
-	}
-	return time.Duration(float64(len(ans.Body)) / p.transferBytesPerSecond * float64(time.Second))
-}
-
-// resultOfConnectError is how a call ended whose connection did not come up. What this machine lacks is no fault of the server.
-func resultOfConnectError(err error) policy.Result {
-	if errors.Is(err, eventloop.ErrLocalResources) || errors.Is(err, connpool.ErrConnLimit) {
-		return policy.ResultNotSent
-	}
-	return policy.ResultConnectFailed
-}
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// advancePhase moves to the phase that is due. A shutdown ends when clients have stopped coming and every request has been
-// answered.
+// advancePhase moves to the phase that is due. A shutdown ends when clients have stopped coming and every
+// request has been answered.
 func (p *Proxy) advancePhase(stop <-chan os.Signal) {
 	select {
 	case <-stop:
@@ -20,8 +20,8 @@
 	}
 }
 
-// beginStop begins a graceful shutdown. Requests that are open get no more time than the platform leaves to the process: one
-// that a kill finds unanswered is lost.
+// beginStop begins a graceful shutdown. Requests that are open get no more time than the platform leaves to
+// the process: one that a kill finds unanswered is lost.
 func (p *Proxy) beginStop() {
 	p.lifecycle.beginStop(p.set.MaxDeadline, p.isTakenOver(), p.openRequests)
 	for _, q := range p.requests {
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -36,10 +36,11 @@
 	}
 }
 
-// droppedLogLines is how many lines of the log were dropped because its reader was slow; 0 where that is not known.
+// droppedLogLines is how many lines of the log were dropped because its reader was slow; 0 where that is not
+// known.
 func (p *Proxy) droppedLogLines() int {
-	if p.logDropped == nil {
+	if p.countDroppedLines == nil {
 		return 0
 	}
-	return int(p.logDropped())
+	return int(p.countDroppedLines())
 }
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -1,53 +1,63 @@
 package proxy
 
 import (
+	"cmp"
 	"errors"
+	"maps"
 	"slices"
 	"time"
 
 	"cloverdoor/internal/connpool"
 	"cloverdoor/internal/eventloop"
 	"cloverdoor/internal/resp"
-	"cloverdoor/policy"
 )
 
-// unresponsiveAfter is how long a connection with calls out may bring nothing before new calls go elsewhere.
+// unresponsiveAfter is how long a connection with open calls may bring no byte before it takes no new calls.
 const unresponsiveAfter = time.Second
 
 // upstream is one connection to a cache, a parent or the origin, with the calls that are open on it.
 type upstream struct {
 	p            *Proxy
 	conn         *connpool.PooledConn
-	calls        map[string]*attempt // by the request's id, which answers come under
-	waitingSince eventloop.Timestamp // from when on an answer has been waited for without a byte; 0: none is due
+	calls        map[string]*attempt // by the id of the client's request, which the answers carry
+	waitingSince eventloop.Timestamp // since when an answer is due and no byte has come; 0: none is due
 }
 
-// openUpstream makes the owner of a new connection.
-func (p *Proxy) openUpstream(s *connpool.PooledConn) eventloop.Handler {
-	return &upstream{p: p, conn: s, calls: map[string]*attempt{}}
+// openUpstream makes the handler of a new connection.
+func (p *Proxy) openUpstream(conn *connpool.PooledConn) eventloop.Handler {
+	return &upstream{p: p, conn: conn, calls: map[string]*attempt{}}
 }
 
-// accepts says whether a call for q can go here. Answers come under the request's id alone: an answer to an
-// earlier call for it, given up meanwhile, would be taken for the new one's.
+// accepts reports whether a call for q can be sent here. No two calls for one request share a connection:
+// answers carry the request's id alone, so that the answer to a cancelled call would be taken for that of the
+// next one.
 func (u *upstream) accepts(q *request) bool {
-	return !u.unresponsive() && u.calls[q.ID] == nil && !slices.ContainsFunc(q.attempts, func(a *attempt) bool { return a.upstream == u })
+	if u.unresponsive() || u.calls[q.ID] != nil {
+		return false
+	}
+	for _, a := range q.attempts {
+		if a.upstream == u {
+			return false
+		}
+	}
+	return true
 }
 
-// unresponsive says that a call was sent long ago and nothing at all has come since. The machine may be cut off: calls
-// put on this connection would wait for good, and one that must not run twice could not be sent again. A new
-// connection finds out. It counts from the first call, also of several that were given up soon.
+// unresponsive reports whether nothing has come for too long since a call was sent. The server may be cut off
+// from the network: a call would wait here until its deadline, and a non-idempotent one could not be retried.
+// Time counts from the first unanswered call on, even if several were cancelled since.
 func (u *upstream) unresponsive() bool {
 	return u.waitingSince != 0 && u.p.loop.Now()-u.waitingSince > unresponsiveAfter
 }
 
-// noteSent notes that a call has been written.
+// noteSent notes that a call has been sent.
 func (u *upstream) noteSent() {
 	if u.waitingSince == 0 {
 		u.waitingSince = u.p.loop.Now()
 	}
 }
 
-// noteReceived notes that something has come; what is still out is waited for from now on.
+// noteReceived notes that bytes have come. The answers to the calls that are still open are due from now on.
 func (u *upstream) noteReceived() {
 	u.waitingSince = 0
 	if len(u.calls) > 0 {
@@ -55,53 +65,52 @@
 	}
 }
 
-// Receive takes whole answers off what has come in.
+// Receive handles the complete answers in data. An answer to a call that is not open any more has crossed its
+// STOP command.
 func (u *upstream) Receive(data []byte) (used int, err error) {
 	u.conn.MarkAlive()
 	defer u.noteReceived()
 	for {
-		n, ans, err := resp.Decode(data[used:])
-		if n == 0 || err != nil {
+		size, ans, err := resp.Decode(data[used:])
+		if size == 0 || err != nil {
 			return used, err
 		}
-		used += n
-		if a := u.calls[ans.ID]; a != nil { // else it was given up, and the answer crossed the STOP
+		used += size
+		if a := u.calls[ans.ID]; a != nil {
 			u.p.handleAnswer(a, ans)
 		}
 	}
 }
 
-// Closed ends all calls that were open here. What was not written never ran; the rest may have.
+// Closed ends the calls that are open on the connection, in the order in which their requests were admitted.
 func (u *upstream) Closed(err error) {
 	u.conn.RemoveFromPool()
 	if len(u.calls) > 0 {
 		u.p.log.Info("connection to a server lost under calls", "calls", len(u.calls), "error", err)
 	}
-	result := policy.ResultReset
-	switch {
-	case errors.Is(err, eventloop.ErrNotConnected):
-		result = resultOfConnectError(err)
-	case errors.Is(err, resp.ErrMalformed):
+	if errors.Is(err, resp.ErrMalformed) && !errors.Is(err, eventloop.ErrNotConnected) {
 		u.p.log.Warn("connection to a server dropped", "error", err)
 	}
-	calls := make([]*attempt, 0, len(u.calls))
-	for _, a := range u.calls {
-		calls = append(calls, a)
-	}
-	slices.SortFunc(calls, func(a, b *attempt) int { return int(a.req.moduleID - b.req.moduleID) })
-	for _, a := range calls {
-		u.p.endAttempt(a, resp.Answer{}, result)
+	byAdmission := func(a, b *attempt) int { return cmp.Compare(a.req.moduleID, b.req.moduleID) }
+	for _, a := range slices.SortedFunc(maps.Values(u.calls), byAdmission) {
+		u.p.endAttempt(a, resp.Answer{}, resultOfClose(err))
 	}
 }
 
-// release takes an ended attempt off the connection. One that was sent and not answered is stopped.
-func (u *upstream) release(a *attempt, unanswered bool) {
+// release takes an attempt that has ended off the connection. A call that was sent and not answered is
+// stopped.
+func (u *upstream) release(a *attempt, answered bool) {
 	delete(u.calls, a.req.ID)
-	if a.started && unanswered && !u.conn.Ended() {
-		// An answer that stopped short would take the next one's bytes for its own.
-		// One that was written in part must not come whole any more.
-		u.conn.Stale = u.conn.Stale || u.unresponsive() || u.conn.UnparsedBytes() > 0 || u.p.requiresConnClose(a) || !a.written
+	if a.started && !answered && !u.conn.Ended() {
+		u.conn.Stale = u.conn.Stale || u.isUnusableAfter(a)
 		u.conn.Write(resp.AppendStop(nil, a.req.ID))
 	}
 	u.conn.Release()
 }
+
+// isUnusableAfter reports whether the connection must take no new calls once a call that was sent on it has
+// been stopped. That is also so if an answer has come in part, as it would take the bytes of the next one for
+// its own, and if the call has been written in part, as the rest must not be sent any more.
+func (u *upstream) isUnusableAfter(stopped *attempt) bool {
+	return u.unresponsive() || u.conn.UnparsedBytes() > 0 || !stopped.written || u.p.requiresConnClose(stopped)
+}
