--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -40,8 +40,8 @@
 	a := &attempt{p: p, req: q, number: len(q.attempts), target: fetch.Target, createdAt: p.loop.Now()}
 	if a.number > 0 {
 		previous := q.attempts[a.number-1]
-		p.log.Info("further attempt", "request", q.ID, "attempt", a.number, "server", a.target,
-			"after", previous.target, "result", previous.result)
+		p.log.Info("retry", "request", q.ID, "attempt", a.number, "server", a.target,
+			"previous_server", previous.target, "previous_result", previous.result)
 	}
 	q.attempts = append(q.attempts, a)
 	q.openAttempts++
--- a/internal/proxy/call.go
+++ b/internal/proxy/call.go
@@ -91,7 +91,7 @@
 	if a.p.counters.allows(actionSend, verdict) {
 		return fetch, true
 	}
-	a.p.log.Info("call not sent", "request", a.req.ID, "attempt", a.number, "server", a.target,
+	a.p.log.Info("attempt not sent", "request", a.req.ID, "attempt", a.number, "server", a.target,
 		"rule", verdict.Rule, "reason", verdict.Reason)
 	if verdict.Rule == policy.RuleClientDisconnected {
 		a.p.CancelAfterDisconnect(a.req.moduleID)
--- a/internal/proxy/invariants.go
+++ b/internal/proxy/invariants.go
@@ -94,7 +94,7 @@
 // report counts and logs a violation.
 func (c *invariantChecker) report(v violation, q *request, detail string) {
 	c.counts[v]++
-	c.p.log.Error("rule broken", "violation", violationNames[v], "request", q.ID, "class", q.ClassName, "detail", detail)
+	c.p.log.Error("invariant violated", "violation", violationNames[v], "request", q.ID, "class", q.ClassName, "detail", detail)
 	if c.onViolation != nil {
 		c.onViolation(fmt.Sprintf("%s: request %s of class %s: %s", violationNames[v], q.ID, q.ClassName, detail))
 	}
--- a/internal/proxy/lifecycle.go
+++ b/internal/proxy/lifecycle.go
@@ -62,7 +62,7 @@
 
 // enter changes the phase. openRequests is for the log.
 func (l *lifecycle) enter(next Phase, openRequests int) {
-	l.log.Info("phase", "from", l.phase, "to", next, "open", openRequests)
+	l.log.Info("phase changed", "from", l.phase, "to", next, "open_requests", openRequests)
 	l.phase = next
 }
 
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -102,11 +102,11 @@
 	update, err := result.update()
 	if err != nil {
 		p.counters.configsRejected++
-		p.log.Warn("not taken over", "error", err)
+		p.log.Warn("configuration rejected", "error", err)
 		return
 	}
 	p.counters.configsAccepted++
-	p.log.Info("configuration read again", "coordinator", update.Coordinator, "classes", len(update.Settings.Policy.Classes))
+	p.log.Info("configuration reloaded", "coordinator", update.Coordinator, "classes", len(update.Settings.Policy.Classes))
 	p.applyConfig(newRuntimeConfig(update.Settings, update.TransferBytesPerSecond))
 	p.notify(update.Settings.Policy) // precedes the requests by the new classes, which are parsed from the next turn on
 	p.SwitchCoordinator(update.Coordinator)
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -47,7 +47,7 @@
 func (p *Proxy) Submit(in Request, responder Responder) int64 {
 	verdict := p.mayAdmit(in, responder)
 	if !p.counters.allows(actionStart, verdict) {
-		p.log.Info("request not taken", "request", in.ID, "rule", verdict.Rule, "reason", verdict.Reason)
+		p.log.Info("request not admitted", "request", in.ID, "rule", verdict.Rule, "reason", verdict.Reason)
 		p.rejectUnsubmitted(in, responder, rejection(verdict))
 		return 0
 	}
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -86,10 +86,10 @@
 func (u *upstream) Closed(err error) {
 	u.conn.RemoveFromPool()
 	if len(u.calls) > 0 {
-		u.p.log.Info("connection to a server lost under calls", "calls", len(u.calls), "error", err)
+		u.p.log.Info("upstream connection lost", "open_calls", len(u.calls), "error", err)
 	}
 	if errors.Is(err, resp.ErrMalformed) && !errors.Is(err, eventloop.ErrNotConnected) {
-		u.p.log.Warn("connection to a server dropped", "error", err)
+		u.p.log.Warn("upstream connection closed after a malformed answer", "error", err)
 	}
 	byAdmission := func(a, b *attempt) int { return cmp.Compare(a.req.moduleID, b.req.moduleID) }
 	for _, a := range slices.SortedFunc(maps.Values(u.calls), byAdmission) {
