--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -14,14 +14,19 @@
 
 // The outcomes that are counted for each class.
 const (
-	fulfilled outcome = iota
-	throttled
-	faulted
-	relayed // attempts, not requests
+	fulfilled outcome = iota // answered as asked
+	throttled                // rejected: not executed, and may be sent again
+	faulted                  // failed, or given up by the client
+	relayed                  // forwarded: counts attempts, not requests
 	outcomeCount
 )
 
-var outcomeNames = [outcomeCount]string{"fulfilled", "throttled", "faulted", "relayed"}
+var outcomeNames = [outcomeCount]string{
+	fulfilled: "fulfilled",
+	throttled: "throttled",
+	faulted:   "faulted",
+	relayed:   "relayed",
+}
 
 // String is the outcome's name in the figures and in the log.
 func (o outcome) String() string { return outcomeNames[o] }
--- a/internal/proxy/lifecycle.go
+++ b/internal/proxy/lifecycle.go
@@ -21,13 +21,13 @@
 	// maxShutdownDeadline bounds the longest deadline that the platform waits for; also the default where the
 	// settings name none.
 	maxShutdownDeadline = 3 * time.Second
-	// shutdownRejectTime is how long before the end of a shutdown new requests are rejected.
+	// shutdownRejectTime is how long before the end of a shutdown new requests begin to be rejected.
 	shutdownRejectTime = 500 * time.Millisecond
 	// drainAcceptTime is how long after an operator's drain order clients are served as before: the load
 	// balancer in front checks health every 0.1 s and sends for 0.2 s more.
 	drainAcceptTime = 300 * time.Millisecond
-	// drainRejectAfter is how long after the drain order new requests are rejected, so that connections that
-	// are never idle become idle and can be closed.
+	// drainRejectAfter is how long after the drain order new requests begin to be rejected, so that connections
+	// that are never idle become idle and can be closed.
 	drainRejectAfter = 1900 * time.Millisecond
 )
 
@@ -43,7 +43,13 @@
 	Stopped
 )
 
-var phaseNames = [...]string{"starting", "serving", "draining", "stopping", "stopped"}
+var phaseNames = [...]string{
+	Starting: "starting",
+	Serving:  "serving",
+	Draining: "draining",
+	Stopping: "stopping",
+	Stopped:  "stopped",
+}
 
 // String is the phase's name in the log and in readiness answers.
 func (p Phase) String() string { return phaseNames[p] }
@@ -81,8 +87,8 @@
 	if takeover {
 		l.disconnectFrom = l.loop.Now()
 	}
-	waited := min(maxShutdownDeadline, cmp.Or(longestDeadline, maxShutdownDeadline))
-	l.answerBy = l.loop.Now() + waited + killGrace - killMargin
+	platformWaits := min(maxShutdownDeadline, cmp.Or(longestDeadline, maxShutdownDeadline)) + killGrace
+	l.answerBy = l.loop.Now() + platformWaits - killMargin
 	l.rejectFrom = l.answerBy - shutdownRejectTime
 }
 
