--- a/cmd/edgeproxy/config.go
+++ b/cmd/edgeproxy/config.go
@@ -13,30 +13,42 @@
 	"cloverdoor/internal/watch"
 )
 
-// config is the file that BALANCER_CONFIG names.
+const (
+	minMemoryMB = 16
+	minSockets  = 64
+	// firstInheritableFD is the first descriptor after standard input, output and error.
+	firstInheritableFD = 3
+	// overlappingProcesses is how many processes of one router run at a time while a new one replaces the old
+	// one on the listening socket that they inherit. They share the limits.
+	overlappingProcesses = 2
+)
+
+// config is the configuration file that BALANCER_CONFIG names, with the values of the environment applied and
+// everything decoded.
 type config struct {
-	Name   string `json:"name"`
-	Listen string `json:"listen"`
-	Admin  string `json:"admin_addr"` // empty: operators can't call
-	Seed   string `json:"seed"`
+	Name   string `json:"name"`       // of this instance, in the log
+	Listen string `json:"listen"`     // address for clients
+	Admin  string `json:"admin_addr"` // address for operators; empty: there is none
+	Seed   string `json:"seed"`       // hexadecimal
 	Limits struct {
-		MemoryMB int `json:"memory_mb"`
-		Sockets  int `json:"sockets"`
+		MemoryMB int `json:"memory_mb"` // MiB
+		Sockets  int `json:"sockets"`   // descriptors
 	} `json:"limits"`
-	Coordinator string             `json:"coordinator"`
-	Flow        float64            `json:"flow_bytes_per_s"` // of one transfer
-	Known       watch.InitialState `json:"known"`
-	Settings    json.RawMessage    `json:"settings"`
+	Coordinator            string             `json:"coordinator"`
+	TransferBytesPerSecond float64            `json:"flow_bytes_per_s"` // rate of one transfer; 0: unknown
+	Known                  watch.InitialState `json:"known"`
+	Settings               json.RawMessage    `json:"settings"`
 
-	fields map[string]json.RawMessage // the file's, as they came
+	fields map[string]json.RawMessage // the file's, as they were read
 
 	listen, admin, coordinator netip.AddrPort
-	inheritedListenFD          int // descriptor of the clients' listening socket; 0: none
+	inheritedListenFD          int // descriptor of an open listening socket for clients; 0: none
 	proxy                      proxy.Config
 }
 
-// loadConfig reads the configuration. The environment's address and name go before the file's.
-func loadConfig(env func(string) string) (*config, error) {
+// loadConfig reads and checks the configuration. Values of the environment take precedence over those of the
+// file.
+func loadConfig(env func(name string) string) (*config, error) {
 	path := env("BALANCER_CONFIG")
 	if path == "" {
 		return nil, errors.New("BALANCER_CONFIG names no file")
@@ -46,25 +58,11 @@
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
 	var c config
-	if err = json.Unmarshal(text, &c); err == nil {
-		err = json.Unmarshal(text, &c.fields)
-	}
-	if err != nil {
+	if err := c.decode(text); err != nil {
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
 	}
-	if listen := env("BALANCER_LISTEN"); listen != "" {
-		c.Listen = listen
-	}
-	if admin := env("BALANCER_ADMIN_ADDR"); admin != "" {
-		c.Admin = admin
-	}
-	if fd := env("BALANCER_LISTEN_FD"); fd != "" {
-		if c.inheritedListenFD, err = strconv.Atoi(fd); err != nil || c.inheritedListenFD <= 2 {
-			return nil, fmt.Errorf("BALANCER_LISTEN_FD: %q is no descriptor", fd)
-		}
-	}
-	if name := env("BALANCER_NAME"); name != "" {
-		c.Name = name
+	if err := c.applyEnvironment(env); err != nil {
+		return nil, err
 	}
 	if err := c.check(); err != nil {
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
@@ -72,37 +70,90 @@
 	return &c, nil
 }
 
-func (c *config) check() (err error) {
-	if c.listen, err = netip.ParseAddrPort(c.Listen); err != nil {
-		return fmt.Errorf("listen: %w", err)
+// decode decodes the file, and keeps its fields for comparison with a later one.
+func (c *config) decode(text []byte) error {
+	if err := json.Unmarshal(text, c); err != nil {
+		return err
 	}
-	if c.Admin != "" {
-		if c.admin, err = netip.ParseAddrPort(c.Admin); err != nil {
-			return fmt.Errorf("admin_addr: %w", err)
+	return json.Unmarshal(text, &c.fields)
+}
+
+// applyEnvironment applies the values that the environment has.
+func (c *config) applyEnvironment(env func(name string) string) error {
+	for _, override := range []struct {
+		variable string
+		value    *string
+	}{
+		{"BALANCER_LISTEN", &c.Listen},
+		{"BALANCER_ADMIN_ADDR", &c.Admin},
+		{"BALANCER_NAME", &c.Name},
+	} {
+		if value := env(override.variable); value != "" {
+			*override.value = value
 		}
 	}
-	if c.coordinator, err = netip.ParseAddrPort(c.Coordinator); err != nil {
-		return fmt.Errorf("coordinator: %w", err)
+	text := env("BALANCER_LISTEN_FD")
+	if text == "" {
+		return nil
+	}
+	fd, err := strconv.Atoi(text)
+	if err != nil || fd < firstInheritableFD {
+		return fmt.Errorf("BALANCER_LISTEN_FD: %q is no descriptor", text)
+	}
+	c.inheritedListenFD = fd
+	return nil
+}
+
+// check decodes the values that the file holds as text, and checks all values.
+func (c *config) check() error {
+	if err := c.parseAddresses(); err != nil {
+		return err
 	}
 	seed, err := strconv.ParseUint(c.Seed, 16, 64)
 	if err != nil {
 		return fmt.Errorf("seed: %w", err)
 	}
-	if c.Limits.MemoryMB < 16 || c.Limits.Sockets < 64 {
-		return errors.New("limits: memory_mb must be 16 or more and sockets 64 or more")
+	if c.Limits.MemoryMB < minMemoryMB || c.Limits.Sockets < minSockets {
+		return fmt.Errorf("limits: memory_mb must be %d or more and sockets %d or more", minMemoryMB, minSockets)
 	}
 	set, err := settings.Decode(c.Settings)
-	if err == nil {
-		err = set.Check()
-	}
 	if err != nil {
 		return err
 	}
-	c.proxy = proxy.Config{Settings: set, Seed: seed, InitialState: c.Known, MaxDescriptors: c.Limits.Sockets,
-		MaxMemoryBytes: c.Limits.MemoryMB << 20, TransferBytesPerSecond: c.Flow}
-	if c.inheritedListenFD != 0 { // for a while, two processes share the limits
-		c.proxy.MaxDescriptors, c.proxy.MaxMemoryBytes = c.proxy.MaxDescriptors/2, c.proxy.MaxMemoryBytes/2
-		c.proxy.Settings.Policy.ProcessesPerRouter = 2
+	if err := set.Check(); err != nil {
+		return err
+	}
+	c.proxy = proxy.Config{
+		Settings:               set,
+		Seed:                   seed,
+		InitialState:           c.Known,
+		MaxDescriptors:         c.Limits.Sockets,
+		MaxMemoryBytes:         c.Limits.MemoryMB << 20,
+		TransferBytesPerSecond: c.TransferBytesPerSecond,
+	}
+	if c.inheritedListenFD != 0 {
+		c.proxy.MaxDescriptors /= overlappingProcesses
+		c.proxy.MaxMemoryBytes /= overlappingProcesses
+		c.proxy.Settings.Policy.ProcessesPerRouter = overlappingProcesses
+	}
+	return nil
+}
+
+// parseAddresses parses the addresses for clients, for operators and of the coordinator.
+func (c *config) parseAddresses() (err error) {
+	c.listen, err = netip.ParseAddrPort(c.Listen)
+	if err != nil {
+		return fmt.Errorf("listen: %w", err)
+	}
+	if c.Admin != "" {
+		c.admin, err = netip.ParseAddrPort(c.Admin)
+		if err != nil {
+			return fmt.Errorf("admin_addr: %w", err)
+		}
+	}
+	c.coordinator, err = netip.ParseAddrPort(c.Coordinator)
+	if err != nil {
+		return fmt.Errorf("coordinator: %w", err)
 	}
 	return nil
 }
--- a/cmd/edgeproxy/main.go
+++ b/cmd/edgeproxy/main.go
@@ -1,5 +1,5 @@
 // Command edgeproxy is one edge proxy: it takes requests from clients over FastCGI, has package policy decide
-// which cache answers each, and keeps up with the coordinator's list of caches and purges.
+// which cache answers each, and follows the coordinator's endpoint list and purges.
 package main
 
 import (
@@ -18,21 +18,26 @@
 )
 
 const (
-	startupRetryTimeout  = 5 * time.Second // for what this machine lacks at the start
+	// startupRetryTimeout is how long the start is retried while the machine lacks descriptors or memory for
+	// it.
+	startupRetryTimeout  = 5 * time.Second
 	startupRetryInterval = 20 * time.Millisecond
+	// logFlushTimeout is how long the end of the program waits for the last log lines to be written.
+	logFlushTimeout = 200 * time.Millisecond
+	// heapLimitPercent is the part of the process's memory limit that the garbage collector is given. The
+	// rest is for memory that it does not count.
+	heapLimitPercent = 60
 )
 
-// logFlushTimeout is how long the end of the program waits for its last lines to be written.
-const logFlushTimeout = 200 * time.Millisecond
-
-// onViolation is called when the program finds that it has broken a rule; nil in service, where that is only counted and logged.
+// onViolation is called when the invariant checker finds a violation. It is nil in service, where violations
+// are counted and logged; tests set it.
 var onViolation func(text string)
 
 func main() { serve(eventloop.SystemClock()) }
 
-// serve runs the program by a clock until it has been stopped. It exits with status 1 when that went wrong.
+// serve runs the program by a clock until it has been stopped. It exits with status 1 on an error.
 func serve(clock eventloop.TimeSource) {
-	signals := listenForSignals() // ahead of all else: one that comes early must not end the program
+	signals := listenForSignals() // comes first: an early signal must not end the program unhandled
 	out := logging.NewWriter(os.Stderr)
 	name := "edgeproxy"
 	cfg, err := loadConfig(os.Getenv)
@@ -49,47 +54,57 @@
 	}
 }
 
-// signals are what the program is sent while it runs.
+// signals are the signals that the program handles: SIGTERM and SIGINT stop it, SIGHUP reloads its
+// configuration.
 type signals struct{ stop, reload chan os.Signal }
 
+// listenForSignals starts to handle signals. SIGPIPE is ignored, as the program goes on when its log's reader
+// is gone.
 func listenForSignals() signals {
-	signal.Ignore(syscall.SIGPIPE) // a log that nobody reads any more is no reason to stop
+	signal.Ignore(syscall.SIGPIPE)
 	s := signals{stop: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
 	signal.Notify(s.stop, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(s.reload, syscall.SIGHUP)
 	return s
 }
 
+// run starts a proxy by a configuration and serves until it has been stopped.
 func run(cfg *config, clock eventloop.TimeSource, s signals, logger *slog.Logger, out *logging.Writer) error {
-	// A garbage collector that knows the limit works harder near it; the platform would kill the process.
-	debug.SetMemoryLimit(int64(cfg.proxy.MaxMemoryBytes) * 6 / 10)
-	var loop *eventloop.Loop
-	if err := retryOnLocalResources(func() (err error) { loop, err = eventloop.NewLoop(clock); return err }); err != nil {
+	// The platform kills the process at its memory limit; the garbage collector works harder before.
+	debug.SetMemoryLimit(int64(cfg.proxy.MaxMemoryBytes) * heapLimitPercent / 100)
+	loop, err := newLoop(clock)
+	if err != nil {
 		return err
 	}
-	cfg.proxy.DroppedLogLines, cfg.proxy.OnViolation = out.Dropped, onViolation
+	cfg.proxy.DroppedLogLines = out.Dropped
+	cfg.proxy.OnViolation = onViolation
 	p := proxy.New(loop, cfg.proxy, logger)
-	if err := openAddresses(p, cfg); err != nil {
+	if err := openListeners(p, cfg); err != nil {
 		return err
 	}
 	p.WatchCoordinator(cfg.coordinator, cfg.Known.Index)
-	return p.Run(proxy.Signals{Stop: s.stop, Reload: s.reload, Load: func() (proxy.PrepareUpdate, error) {
-		now, err := loadConfig(os.Getenv)
-		if err != nil {
-			return nil, err
-		}
-		return func() (proxy.ConfigUpdate, error) { return cfg.prepareUpdate(now, logger) }, nil
-	}})
+	return p.Run(proxy.Signals{Stop: s.stop, Reload: s.reload, Load: cfg.reloader(logger)})
+}
+
+// newLoop returns an event loop that goes by a clock.
+func newLoop(clock eventloop.TimeSource) (*eventloop.Loop, error) {
+	var loop *eventloop.Loop
+	err := retryOnLocalResources(func() error {
+		var err error
+		loop, err = eventloop.NewLoop(clock)
+		return err
+	})
+	return loop, err
 }
 
-// openAddresses listens for clients and operators.
-func openAddresses(p *proxy.Proxy, cfg *config) (err error) {
-	most := proxy.ClientSockets(cfg.Limits.Sockets)
-	err = retryOnLocalResources(func() error {
+// openListeners opens the addresses for clients and for operators.
+func openListeners(p *proxy.Proxy, cfg *config) error {
+	maxClients := proxy.ClientSockets(cfg.Limits.Sockets)
+	err := retryOnLocalResources(func() error {
 		if cfg.inheritedListenFD != 0 {
-			return p.ListenOn(cfg.inheritedListenFD, most)
+			return p.ListenOn(cfg.inheritedListenFD, maxClients)
 		}
-		return p.Listen(cfg.listen, most)
+		return p.Listen(cfg.listen, maxClients)
 	})
 	if err != nil || cfg.Admin == "" {
 		return err
@@ -97,11 +112,15 @@
 	return retryOnLocalResources(func() error { return p.ListenAdmin(cfg.admin) })
 }
 
-// retryOnLocalResources tries again for a while what fails as this machine lacks something: a program that refuses to start serves nobody.
-func retryOnLocalResources(start func() error) (err error) {
-	for end := time.Now().Add(startupRetryTimeout); ; time.Sleep(startupRetryInterval) {
-		if err = start(); !errors.Is(err, eventloop.ErrLocalResources) || time.Now().After(end) {
+// retryOnLocalResources retries a step of the start for a while if it fails for a lack of descriptors or
+// memory, which may pass. It returns the last error.
+func retryOnLocalResources(start func() error) error {
+	end := time.Now().Add(startupRetryTimeout)
+	for {
+		err := start()
+		if !errors.Is(err, eventloop.ErrLocalResources) || time.Now().After(end) {
 			return err
 		}
+		time.Sleep(startupRetryInterval)
 	}
 }
--- a/cmd/edgeproxy/reload.go
+++ b/cmd/edgeproxy/reload.go
@@ -1,63 +1,94 @@
 package main
 
 import (
+	"encoding/json"
 	"fmt"
 	"log/slog"
+	"os"
 	"strings"
 
 	"cloverdoor/internal/proxy"
 	"cloverdoor/internal/settings"
 )
 
-// prepareUpdate checks a configuration read later against the one in use, and makes it the one in use.
-func (c *config) prepareUpdate(now *config, logger *slog.Logger) (proxy.ConfigUpdate, error) {
-	if err := now.checkReplacement(c); err != nil {
+// reloader returns the function by which the proxy reads the configuration again. Reading does not touch the
+// configuration in use; the function that it returns checks what was read against that, and replaces it, on
+// the event loop's goroutine.
+func (c *config) reloader(logger *slog.Logger) func() (proxy.PrepareUpdate, error) {
+	return func() (proxy.PrepareUpdate, error) {
+		later, err := loadConfig(os.Getenv)
+		if err != nil {
+			return nil, err
+		}
+		return func() (proxy.ConfigUpdate, error) { return c.replaceBy(later, logger) }, nil
+	}
+}
+
+// replaceBy checks a configuration that was read later and, if it can be used, makes it the one in use.
+func (c *config) replaceBy(later *config, logger *slog.Logger) (proxy.ConfigUpdate, error) {
+	if err := c.checkReplacement(later); err != nil {
 		return proxy.ConfigUpdate{}, err
 	}
-	if kept := c.restartOnlyChanges(now); kept != "" {
-		logger.Warn("changed in the configuration, and taken over at the next start only", "fields", kept)
+	if fields := c.restartOnlyChanges(later); fields != "" {
+		logger.Warn("configuration changes need a restart", "fields", fields)
 	}
-	c.fields, c.proxy.Settings = now.fields, now.proxy.Settings
-	return proxy.ConfigUpdate{Coordinator: now.coordinator, Settings: now.proxy.Settings, TransferBytesPerSecond: now.Flow}, nil
+	c.fields = later.fields
+	c.proxy.Settings = later.proxy.Settings
+	return proxy.ConfigUpdate{
+		Coordinator:            later.coordinator,
+		Settings:               later.proxy.Settings,
+		TransferBytesPerSecond: later.TransferBytesPerSecond,
+	}, nil
 }
 
-// checkReplacement says whether a configuration read later may be taken over. Half of one, such as a file that was cut off
-// or lacks a key, must not be: its absent values would pass for 'not told'.
-func (c *config) checkReplacement(earlier *config) error {
-	for name, was := range earlier.fields {
-		is, ok := c.fields[name]
-		if !ok {
+// checkReplacement checks whether a later configuration may replace this one. Everything that is in this one
+// must be in the later one too: a file that was cut off, or lacks a key, would otherwise set values to their
+// defaults unnoticed.
+func (c *config) checkReplacement(later *config) error {
+	for name, value := range c.fields {
+		laterValue, present := later.fields[name]
+		if !present {
 			return fmt.Errorf("configuration: %s is missing", name)
 		}
-		if name == "known" { // each of its events is of another form
-			continue
-		}
-		path, err := settings.MissingKey(was, is)
-		if err == nil && path != "" {
-			err = fmt.Errorf("%s%s is missing or of another type", name, path)
-		}
-		if err != nil {
+		if err := checkKeys(name, value, laterValue); err != nil {
 			return fmt.Errorf("configuration: %w", err)
 		}
 	}
-	return c.proxy.Settings.CheckAfter(earlier.proxy.Settings)
+	return later.proxy.Settings.CheckAfter(c.proxy.Settings)
+}
+
+// checkKeys checks that a field's later value has all keys of the earlier one, with values of the same types.
+// The events of the initial state are exempt, as each kind of event has keys of its own.
+func checkKeys(name string, earlier, later json.RawMessage) error {
+	if name == "known" {
+		return nil
+	}
+	path, err := settings.MissingKey(earlier, later)
+	if err != nil {
+		return err
+	}
+	if path != "" {
+		return fmt.Errorf("%s%s is missing or of another type", name, path)
+	}
+	return nil
 }
 
-// restartOnlyChanges names what differs in a configuration read later and holds until the next start all the same. Sockets and
-// limits are fixed while the proxy runs; the settings, the pace of a transfer and the coordinator's address are taken
-// over. The known events are not among them: every one since is told by the coordinator.
+// restartOnlyChanges names the fields that differ in a later configuration but take effect only at the next
+// start: addresses and limits are fixed while the proxy runs. The settings, the transfer rate and the
+// coordinator's address take effect at once. The initial state is not used again: the coordinator has
+// reported everything since.
 func (c *config) restartOnlyChanges(later *config) string {
 	var names []string
 	for _, field := range []struct {
-		name string
-		same bool
+		name    string
+		changed bool
 	}{
-		{"name", c.Name == later.Name},
-		{"listen", c.listen == later.listen},
-		{"admin_addr", c.admin == later.admin},
-		{"limits", c.Limits == later.Limits},
+		{"name", c.Name != later.Name},
+		{"listen", c.listen != later.listen},
+		{"admin_addr", c.admin != later.admin},
+		{"limits", c.Limits != later.Limits},
 	} {
-		if !field.same {
+		if field.changed {
 			names = append(names, field.name)
 		}
 	}
