--- a/internal/proxy/actions.go
+++ b/internal/proxy/actions.go
@@ -1,5 +1,7 @@
 package proxy
 
+// This file executes the actions of the decision module.
+
 import (
 	"cloverdoor/internal/resp"
 	"cloverdoor/policy"
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -1,5 +1,7 @@
 package proxy
 
+// This file starts attempts and chooses the connections on which their calls are queued.
+
 import (
 	"cloverdoor/internal/connpool"
 	"cloverdoor/internal/eventloop"
@@ -34,8 +36,8 @@
 	record attemptRecord // of the invariant checker
 }
 
-// startAttempt starts the attempt that the decision module asks for: its call is queued on a connection to
-// the target.
+// startAttempt starts an attempt as ordered by the decision module: its call is queued on a connection to the
+// target.
 func (p *Proxy) startAttempt(q *request, fetch policy.Fetch) {
 	a := &attempt{p: p, req: q, number: len(q.attempts), target: fetch.Target, createdAt: p.loop.Now()}
 	if a.number > 0 {
--- a/internal/proxy/call.go
+++ b/internal/proxy/call.go
@@ -1,5 +1,8 @@
 package proxy
 
+// This file sends the call of an attempt: the last check by the decision module, the encoding, and what
+// follows from its first and last byte being written.
+
 import (
 	"errors"
 	"strconv"
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -1,5 +1,8 @@
 package proxy
 
+// This file holds the configuration: what is fixed at the start, what a reload replaces, and the limits that
+// are derived from either.
+
 import (
 	"cmp"
 	"time"
--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -1,5 +1,7 @@
 package proxy
 
+// This file counts what the figures report: outcomes of requests, denials by guards, reloads.
+
 import (
 	"fmt"
 	"maps"
--- a/internal/proxy/invariants.go
+++ b/internal/proxy/invariants.go
@@ -1,5 +1,8 @@
 package proxy
 
+// This file checks after the fact that the proxy has kept its promises, independently of the code that keeps
+// them.
+
 import (
 	"fmt"
 	"maps"
@@ -73,8 +76,8 @@
 
 // requestRecord is what the checker knows of a request.
 type requestRecord struct {
-	finalAnswers    int
-	mayHaveExecuted bool // a call was written completely and is not known to be without effect
+	finalAnswers     int
+	possiblyExecuted bool // a call was written completely and is not known to be without effect
 }
 
 // attemptRecord is what the checker knows of an attempt.
@@ -174,10 +177,10 @@
 // checkWritten checks an attempt of whose call the last byte has been written: it may be executed from now
 // on.
 func (c *invariantChecker) checkWritten(a *attempt) {
-	if a.req.idempotency == policy.NonIdempotent && a.req.record.mayHaveExecuted {
+	if a.req.idempotency == policy.NonIdempotent && a.req.record.possiblyExecuted {
 		c.report(executedTwice, a.req, a.target)
 	}
-	a.req.record.mayHaveExecuted = true
+	a.req.record.possiblyExecuted = true
 }
 
 // observeEnd records that a call which was written completely turned out to be without effect.
@@ -185,7 +188,7 @@
 	switch result {
 	case policy.ResultRejected, policy.ResultNotFound, policy.ResultNotSent, policy.ResultConnectFailed:
 		if a.written {
-			a.req.record.mayHaveExecuted = false
+			a.req.record.possiblyExecuted = false
 		}
 	}
 }
@@ -211,7 +214,7 @@
 		c.report(secondAnswer, q, "")
 	}
 	rejected := status == Rejected || status == Overloaded
-	if rejected && q.idempotency == policy.NonIdempotent && q.record.mayHaveExecuted {
+	if rejected && q.idempotency == policy.NonIdempotent && q.record.possiblyExecuted {
 		c.report(rejectedAfterExecution, q, "")
 	}
 }
--- a/internal/proxy/lifecycle.go
+++ b/internal/proxy/lifecycle.go
@@ -1,5 +1,7 @@
 package proxy
 
+// This file holds the phases of the process and the times of a drain and of a graceful shutdown.
+
 import (
 	"cmp"
 	"log/slog"
@@ -26,8 +28,8 @@
 	// drainAcceptTime is how long after an operator's drain order clients are served as before: the load
 	// balancer in front checks health every 0.1 s and sends for 0.2 s more.
 	drainAcceptTime = 300 * time.Millisecond
-	// drainRejectAfter is how long after the drain order new requests begin to be rejected, so that connections
-	// that are never idle become idle and can be closed.
+	// drainRejectAfter is how long after the drain order new requests begin to be rejected, so that
+	// connections that are never idle become idle and can be closed.
 	drainRejectAfter = 1900 * time.Millisecond
 )
 
--- a/internal/proxy/memory.go
+++ b/internal/proxy/memory.go
@@ -1,5 +1,7 @@
 package proxy
 
+// This file bounds the memory that is buffered for clients and caches.
+
 import "cloverdoor/internal/eventloop"
 
 // The memory budget, as fractions of the process's memory limit. The rest is the runtime's and the garbage
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,5 +1,8 @@
 package proxy
 
+// This file holds the proxy as a whole: what it consists of, its main loop, and the exchange of events and
+// actions with the decision module.
+
 import (
 	"fmt"
 	"log/slog"
@@ -13,7 +16,7 @@
 )
 
 const (
-	// maxPollTime is how long the event loop waits at most before it looks at signals again.
+	// maxPollTime is how long the event loop waits at most before signals are polled again.
 	maxPollTime = 50 * time.Millisecond
 	// idleSweepInterval is how often idle connections to caches are closed.
 	idleSweepInterval = time.Second
@@ -74,8 +77,8 @@
 	return p
 }
 
-// applyConfig replaces the configuration that can change at run time. The decision module is told by the
-// caller.
+// applyConfig replaces the configuration that can change at run time. The caller notifies the decision
+// module.
 func (p *Proxy) applyConfig(c runtimeConfig) {
 	p.set = c
 	for _, class := range c.Policy.Classes {
@@ -97,7 +100,7 @@
 	}
 }
 
-// Run serves until the proxy has stopped. Signals are looked at between the turns of the event loop.
+// Run serves until the proxy has stopped. Signals are polled between the turns of the event loop.
 func (p *Proxy) Run(signals Signals) error {
 	for p.lifecycle.phase != Stopped {
 		if err := p.loop.Wait(maxPollTime); err != nil {
@@ -110,8 +113,8 @@
 	return nil
 }
 
-// processEvents dispatches events and writes output until no event is left. Connections of clients are closed
-// last, when everything that has been received is processed and all output of the turn is written.
+// processEvents dispatches events and writes output until no event is queued. Connections of clients are
+// closed last, when everything that has been received is processed and all output of the turn is written.
 func (p *Proxy) processEvents() {
 	for {
 		p.dispatchEvents()
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -1,5 +1,7 @@
 package proxy
 
+// This file reloads the configuration while the proxy serves.
+
 import (
 	"errors"
 	"net/netip"
@@ -20,7 +22,8 @@
 	Stop   <-chan os.Signal // starts a graceful shutdown
 	Reload <-chan os.Signal // reloads the configuration
 	// Load reads the configuration. It is called on a goroutine of its own, as it may block, and so must not
-	// touch the proxy. A call that exceeds the time limit goes on while the next one may be made.
+	// touch the proxy. A call that exceeds the time limit is abandoned, not ended: the next one may overlap
+	// with it.
 	Load func() (PrepareUpdate, error)
 }
 
@@ -37,9 +40,9 @@
 }
 
 // configLoader reads the configuration on a goroutine of its own, as a slow disk must not hold up requests.
-// One read is under way at a time. Its goroutine only calls load and puts the result into a channel with room
-// for it, so that it ends when load returns, whether the result is still awaited or not. Everything else
-// belongs to the event loop's goroutine.
+// One read is under way at a time. Its goroutine only calls load and puts the result into a buffered channel,
+// so that it ends when load returns, whether the result is still awaited or not. Everything else belongs to
+// the event loop's goroutine.
 type configLoader struct {
 	results   chan loadResult     // of the read under way; nil: there is none
 	startedAt eventloop.Timestamp // of the read under way
--- /dev/null
+++ b/internal/proxy/reload_test.go
@@ -0,0 +1,79 @@
+package proxy
+
+import (
+	"errors"
+	"testing"
+	"time"
+
+	"cloverdoor/internal/eventloop"
+)
+
+// awaitLoad polls a loader until its read is done.
+func awaitLoad(t *testing.T, l *configLoader, now eventloop.Timestamp) loadResult {
+	t.Helper()
+	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
+		if result, done := l.poll(now); done {
+			return result
+		}
+	}
+	t.Fatal("the read is not done")
+	return loadResult{}
+}
+
+// One read is under way at a time. Requests for a reload that come meanwhile lead to one more.
+func TestConfigLoaderReadsOneAtATime(t *testing.T) {
+	errRead := errors.New("read")
+	goOn, begun := make(chan bool), make(chan bool, 10)
+	load := func() (PrepareUpdate, error) {
+		begun <- true
+		<-goOn
+		return nil, errRead
+	}
+	var l configLoader
+	l.start(load, 0)
+	if l.results != nil {
+		t.Fatal("a read was started that nobody requested")
+	}
+	l.requested = true
+	for range 3 {
+		l.start(load, 0)
+		l.requested = true
+	}
+	<-begun
+	if _, done := l.poll(0); done || len(begun) != 0 {
+		t.Fatalf("done %v, %d more reads", done, len(begun))
+	}
+	goOn <- true
+	if result := awaitLoad(t, &l, 0); !errors.Is(result.err, errRead) {
+		t.Errorf("%v", result.err)
+	}
+	l.start(load, 0)
+	<-begun
+	goOn <- true
+	awaitLoad(t, &l, 0)
+	l.start(load, 0)
+	if l.results != nil {
+		t.Error("a third read")
+	}
+}
+
+// A read that exceeds its time limit has failed. What it brings later is not taken for the result of the next one.
+func TestConfigLoaderTimeLimit(t *testing.T) {
+	slow := make(chan bool)
+	errLate, errNext := errors.New("late"), errors.New("next")
+	l := configLoader{requested: true}
+	l.start(func() (PrepareUpdate, error) { <-slow; return nil, errLate }, time.Second)
+	if _, done := l.poll(time.Second + loadTimeout - 1); done {
+		t.Error("the read has failed too early")
+	}
+	result, done := l.poll(time.Second + loadTimeout)
+	if !done || !errors.Is(result.err, errLoadTimeout) {
+		t.Errorf("done %v, error %v", done, result.err)
+	}
+	l.requested = true
+	l.start(func() (PrepareUpdate, error) { return nil, errNext }, 2*time.Second)
+	slow <- true
+	if result := awaitLoad(t, &l, 2*time.Second); !errors.Is(result.err, errNext) {
+		t.Errorf("%v", result.err)
+	}
+}
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -1,5 +1,8 @@
 package proxy
 
+// This file holds the life of a request: admission, the deadline, the one final answer, the client's
+// disconnect, and its release once the last attempt has ended.
+
 import (
 	"time"
 
@@ -10,10 +13,10 @@
 
 const (
 	// answerReserve is how long before the client's timeout a request must have its answer: the answer has to
-	// be written and to reach the client. Of a short timeout, only the part given by answerReserveDivisor is
-	// reserved: the client allows 50 ms more than it says.
+	// be written and to reach the client. The client allows 50 ms more than its timeout.
 	answerReserve = 60 * time.Millisecond
-	// answerReserveDivisor bounds the reserve to a quarter of the timeout.
+	// answerReserveDivisor bounds the reserve to a quarter of the timeout, so that short ones leave time to
+	// serve.
 	answerReserveDivisor = 4
 	// expiryRecheckTime is how long the decision module has for the final answer once the open attempts were
 	// ended at the deadline.
@@ -174,7 +177,8 @@
 	q.timer = p.loop.At(deadline, func() { p.expire(q) })
 }
 
-// HandleDisconnect gives up a request whose client aborted it or is disconnected. The request gets no answer.
+// HandleDisconnect gives up a request whose client aborted it or is disconnected. The request gets no answer,
+// and counts as faulted.
 func (p *Proxy) HandleDisconnect(moduleID int64) {
 	q := p.requests[moduleID]
 	if q == nil || q.finished {
@@ -203,16 +207,16 @@
 		return
 	}
 	status := Rejected
-	if q.mayHaveBeenExecuted() {
+	if q.possiblyExecuted() {
 		status = Failed
 	}
 	p.answer(q, Answer{Status: status})
 	p.notify(policy.ClientDisconnected{ID: moduleID})
 }
 
-// mayHaveBeenExecuted reports whether a call for a request that may not be repeated freely has begun to be
+// possiblyExecuted reports whether a call for a request that may not be repeated freely has begun to be
 // sent.
-func (q *request) mayHaveBeenExecuted() bool {
+func (q *request) possiblyExecuted() bool {
 	if q.isIdempotent() {
 		return false
 	}
--- a/internal/proxy/result.go
+++ b/internal/proxy/result.go
@@ -1,5 +1,22 @@
 package proxy
 
+// This file decides how an attempt ended, and so what is known of the effect of its call. The decision module
+// bases retries on that knowledge.
+//
+//	result         cause                                                          call executed
+//	OK             good answer                                                    yes
+//	NotFound       the server answered that it lacks the object                   no
+//	Rejected       the server answered that it is overloaded                      no
+//	NotSent        not written completely, for a reason on this side; or the
+//	               server answered that it did not execute the call               no
+//	ConnectFailed  no connection came up, or it broke or the request's deadline
+//	               passed before the last byte was written                        no
+//	Reset          the connection broke after the last byte                       unknown
+//	Timeout        no answer by the request's deadline, after the last byte       unknown
+//	Cancelled      cancelled after the last byte, or a part, was written          unknown
+//	Error          the server answered that it crashed, or with an answer that
+//	               can't be used                                                  unknown
+
 import (
 	"errors"
 
@@ -9,23 +26,6 @@
 	"cloverdoor/policy"
 )
 
-// This file decides how an attempt ended, and so what is known of the effect of its call. The decision module bases retries
-// on that knowledge.
-//
-//	result         cause                                                            call executed
-//	OK             good answer                                                      yes
-//	NotFound       the server answered that it lacks the object                     no
-//	Rejected       the server answered that it is overloaded                        no
-//	NotSent        not written completely, for a reason on this side; or the
-//	               server answered that it did not execute the call                 no
-//	ConnectFailed  no connection came up, or it broke or the request's deadline
-//	               passed before the last byte was written                          no
-//	Reset          the connection broke after the last byte                         unknown
-//	Timeout        no answer by the request's deadline, after the last byte         unknown
-//	Cancelled      cancelled after the last byte, or a part, was written            unknown
-//	Error          the server answered that it crashed, or with an answer that
-//	               can't be used                                                    unknown
-
 // resultByStatus is the result of an attempt that was answered. Any status that is not in it is a
 // ResultError.
 var resultByStatus = map[resp.Status]policy.Result{
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -1,5 +1,7 @@
 package proxy
 
+// This file carries out a graceful shutdown, by the times that lifecycle.go sets.
+
 import (
 	"os"
 	"slices"
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -1,5 +1,7 @@
 package proxy
 
+// This file writes the figures that operators fetch.
+
 import (
 	"fmt"
 	"strings"
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -1,5 +1,8 @@
 package proxy
 
+// This file holds one connection to a cache, a parent or the origin: which calls it accepts, and how answers
+// and its end reach the attempts.
+
 import (
 	"cmp"
 	"errors"
