--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -15,6 +15,7 @@
 	"cloverdoor/internal/watch"
 )
 
+// discardResponder is the responder of a client that stays connected and ignores its answer.
 type discardResponder struct{}
 
 func (discardResponder) Respond(Answer) {}
@@ -23,8 +24,8 @@
 
 func (discardResponder) ClientDisconnected() (eventloop.Timestamp, bool) { return 0, false }
 
-// A call that moves on from a late connection and comes back to it, as it is up by then, is in its queue twice: it is
-// sent once all the same. Otherwise a write would run twice.
+// A call that was moved from a late connection to another and back is in the first one's queue twice, and is sent
+// once: a write would otherwise be executed twice.
 func TestReassignedCallIsSentOnce(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -59,12 +60,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := New(loop, Config{Settings: set, MaxDescriptors: 100, MaxMemoryBytes: 1 << 26, InitialState: watch.InitialState{Index: 1, Events: []watch.Event{{Index: 1,
-		Endpoints: &watch.EndpointUpdate{Full: true, Endpoints: []watch.Endpoint{{ID: "o", Addr: ln.Addr().String(), Zone: "hub", Kind: "origin",
-			State: watch.StateServing, Weight: 100}}}}}}}, slog.New(slog.DiscardHandler))
-	number := p.Submit(Request{ID: "9b1f03aa5c7e2d41", ClassName: "w", Object: "7f3a9c21e0b4d655", Timeout: time.Minute}, discardResponder{})
+	endpoint := watch.Endpoint{
+		ID: "o", Addr: ln.Addr().String(), Zone: "hub", Kind: "origin", State: watch.StateServing, Weight: 100,
+	}
+	p := New(loop, Config{
+		Settings:       set,
+		MaxDescriptors: 100,
+		MaxMemoryBytes: 1 << 26,
+		InitialState: watch.InitialState{Index: 1, Events: []watch.Event{
+			{Index: 1, Endpoints: &watch.EndpointUpdate{Full: true, Endpoints: []watch.Endpoint{endpoint}}},
+		}},
+	}, slog.New(slog.DiscardHandler))
+	in := Request{ID: "9b1f03aa5c7e2d41", ClassName: "w", Object: "7f3a9c21e0b4d655", Timeout: time.Minute}
+	id := p.Submit(in, discardResponder{})
 	p.dispatchEvents() // the call is queued on a connection that is not up yet
-	a := p.requests[number].attempts[0]
+	a := p.requests[id].attempts[0]
 	first := a.upstream.conn
 	second, err := p.pools.Reassign(first, func(s *connpool.PooledConn) bool { return s != first })
 	if err != nil || second == first {
--- a/internal/proxy/invariants_test.go
+++ b/internal/proxy/invariants_test.go
@@ -7,11 +7,13 @@
 	"time"
 
 	"cloverdoor/internal/eventloop"
+	"cloverdoor/internal/resp"
 	"cloverdoor/internal/watch"
+	"cloverdoor/policy"
 )
 
-// What is kept of servers that have left is forgotten after a while: servers are replaced under new ids for as long as a process
-// runs. One that has just left is still known.
+// A draining endpoint is forgotten after a while, as endpoints are replaced under new ids for as long as a process
+// runs. One that has just begun to drain is known.
 func TestInvariantCheckerForgetsServers(t *testing.T) {
 	clock := &handClock{now: eventloop.Timestamp(time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC).UnixNano())}
 	loop, err := eventloop.NewLoop(clock)
@@ -19,16 +21,116 @@
 		t.Fatal(err)
 	}
 	p := &Proxy{loop: loop, log: slog.New(slog.DiscardHandler)}
-	u := newInvariantChecker(p, nil)
+	checker := newInvariantChecker(p, nil)
 	const replaced, every = 2000, time.Second
 	for i := range replaced {
 		clock.now += every
 		if err := loop.Wait(0); err != nil {
 			t.Fatal(err)
 		}
-		u.observeEvent(watch.Event{Endpoints: &watch.EndpointUpdate{Endpoints: []watch.Endpoint{{ID: fmt.Sprint(i), State: watch.StateDeleted}}}})
+		removed := watch.Endpoint{ID: fmt.Sprint(i), State: watch.StateDeleted}
+		checker.observeEvent(watch.Event{Endpoints: &watch.EndpointUpdate{Endpoints: []watch.Endpoint{removed}}})
 	}
-	if _, known := u.drainingSince[fmt.Sprint(replaced-1)]; !known || len(u.drainingSince) > replaced/2 {
-		t.Errorf("%d servers are kept, the last one %v", len(u.drainingSince), known)
+	if _, known := checker.drainingSince[fmt.Sprint(replaced-1)]; !known || len(checker.drainingSince) > replaced/2 {
+		t.Errorf("%d endpoints are remembered, the last one %v", len(checker.drainingSince), known)
+	}
+}
+
+// disconnectedResponder is the responder of a client that has disconnected long ago.
+type disconnectedResponder struct{ discardResponder }
+
+func (disconnectedResponder) ClientDisconnected() (eventloop.Timestamp, bool) { return 1, true }
+
+// checkerScene is a checker that has been notified of a drain and a purge, and one attempt.
+type checkerScene struct {
+	*invariantChecker
+	attempt *attempt
+	wait    func(time.Duration) // lets time pass
+}
+
+// Each violation is counted once, under its own name, and none is counted where the proxy keeps its promises.
+func TestInvariantCheckerFindsEachViolation(t *testing.T) {
+	const drained, served, purgedGroup = "c1", "c2", 7
+	for _, c := range []struct {
+		want    violation // violationCount: none
+		request request
+		do      func(s checkerScene)
+	}{
+		{violationCount, request{}, func(s checkerScene) {
+			s.attempt.target, s.attempt.source = drained, drained
+			s.checkSent(s.attempt) // within the grace period
+			s.attempt.target, s.attempt.source = served, served
+			s.wait(time.Second)
+			s.checkSent(s.attempt)
+			s.checkWritten(s.attempt)
+			s.attempt.written = true
+			s.observeEnd(s.attempt, policy.ResultRejected) // not executed: another call may follow
+			s.checkWritten(s.attempt)
+			s.checkServed(s.attempt, resp.Answer{CreatedAtMillis: 2000})
+			s.checkFinalAnswer(s.attempt.req, Served)
+			s.checkConnectionClosed(s.attempt.req, false)
+		}},
+		{secondAnswer, request{}, func(s checkerScene) {
+			s.checkFinalAnswer(s.attempt.req, Served)
+			s.checkFinalAnswer(s.attempt.req, Failed)
+		}},
+		{unanswered, request{}, func(s checkerScene) {
+			s.checkConnectionClosed(s.attempt.req, true) // the client gave it up
+			s.checkConnectionClosed(s.attempt.req, false)
+		}},
+		{executedTwice, request{}, func(s checkerScene) {
+			s.checkWritten(s.attempt)
+			s.attempt.written = true
+			s.observeEnd(s.attempt, policy.ResultReset) // it may have been executed
+			s.checkWritten(s.attempt)
+		}},
+		{rejectedAfterExecution, request{}, func(s checkerScene) {
+			s.checkWritten(s.attempt)
+			s.checkFinalAnswer(s.attempt.req, Rejected)
+		}},
+		{sentToDraining, request{}, func(s checkerScene) {
+			s.attempt.target, s.attempt.source = served, drained
+			s.wait(time.Second)
+			s.checkSent(s.attempt)
+		}},
+		{servedPurged, request{Request: Request{Group: purgedGroup}}, func(s checkerScene) {
+			s.wait(time.Second)
+			s.checkSent(s.attempt)
+			s.checkServed(s.attempt, resp.Answer{CreatedAtMillis: 999})
+		}},
+		{startedAfterDisconnect, request{responder: disconnectedResponder{}}, func(s checkerScene) {
+			s.checkSent(s.attempt)
+		}},
+	} {
+		clock := &handClock{now: eventloop.Timestamp(time.Hour)}
+		loop, err := eventloop.NewLoop(clock)
+		if err != nil {
+			t.Fatal(err)
+		}
+		p := &Proxy{loop: loop, log: slog.New(slog.DiscardHandler)}
+		p.set.Policy.PurgeCompletedWithin = time.Minute
+		var reports []string
+		checker := newInvariantChecker(p, func(text string) { reports = append(reports, text) })
+		group := purgedGroup
+		checker.observeEvent(watch.Event{
+			Purge: &watch.Purge{Group: &group, At: 1000},
+			Endpoints: &watch.EndpointUpdate{Endpoints: []watch.Endpoint{
+				{ID: drained, State: watch.StateDraining}, {ID: served, State: watch.StateServing},
+			}},
+		})
+		q := c.request
+		if q.responder == nil {
+			q.responder = discardResponder{}
+		}
+		q.idempotency = policy.NonIdempotent
+		wait := func(d time.Duration) { clock.now += d }
+		c.do(checkerScene{invariantChecker: checker, attempt: &attempt{p: p, req: &q}, wait: wait})
+		var want [violationCount]int64
+		if c.want < violationCount {
+			want[c.want] = 1
+		}
+		if checker.counts != want || (len(reports) == 0) != (c.want == violationCount) {
+			t.Errorf("%v: counted %v, reported %q", c.want, checker.counts, reports)
+		}
 	}
 }
