--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -19,7 +19,7 @@
 	req       *request
 	number    int    // index among the request's attempts
 	target    string // id of the endpoint that is called
-	source    string // id of the endpoint from which a miss is filled; the target itself: it is not filled
+	source    string // as of the last Encode: from which endpoint a miss is filled; the target itself: it is not
 	createdAt eventloop.Timestamp
 
 	upstream  *upstream // the connection on which the call is queued or sent; nil: it got none
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -19,8 +19,9 @@
 	// would save less than an eighth of the remaining handshakes, and lose more calls with a connection that
 	// breaks.
 	maxSharedCalls = 8
-	// descriptorsForOthers are neither for clients nor for caches: 16 are for operators, the rest for the
-	// coordinator's stream, the listening sockets, the event loop and the configuration file.
+	// descriptorsForOthers is taken from the caches' half of the descriptors. With the tenth that clients and
+	// caches leave, it is for operators (16), the coordinator's streams, the listening sockets, the event loop
+	// and the configuration file.
 	descriptorsForOthers = 20
 
 	// Defaults of settings that are optional.
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -40,12 +40,12 @@
 }
 
 // configLoader reads the configuration on a goroutine of its own, as a slow disk must not hold up requests.
-// One read is under way at a time. Its goroutine only calls load and puts the result into a buffered channel,
+// One read is awaited at a time. Its goroutine only calls load and puts the result into a buffered channel,
 // so that it ends when load returns, whether the result is still awaited or not. Everything else belongs to
 // the event loop's goroutine.
 type configLoader struct {
-	results   chan loadResult     // of the read under way; nil: there is none
-	startedAt eventloop.Timestamp // of the read under way
+	results   chan loadResult     // of the read that is awaited; nil: there is none
+	startedAt eventloop.Timestamp // of that read
 	requested bool                // a reload has been requested for which no read has been started
 }
 
@@ -55,7 +55,7 @@
 	err     error
 }
 
-// start starts a read if one has been requested and none is under way.
+// start starts a read if one has been requested and none is awaited.
 func (l *configLoader) start(load func() (PrepareUpdate, error), now eventloop.Timestamp) {
 	if !l.requested || l.results != nil {
 		return
@@ -68,7 +68,7 @@
 	}()
 }
 
-// poll returns the result of the read under way if that is done or has exceeded its time limit.
+// poll returns the result of the awaited read if that is done or has exceeded its time limit.
 func (l *configLoader) poll(now eventloop.Timestamp) (result loadResult, done bool) {
 	if l.results == nil {
 		return loadResult{}, false
