--- /dev/null
+++ b/internal/proxy/adminserver.go
@@ -0,0 +1,110 @@
+package proxy
+
+import (
+	"errors"
+	"time"
+
+	"cloverdoor/internal/eventloop"
+	"cloverdoor/internal/http1"
+)
+
+const (
+	// maxAdminConns bounds the operators' connections. It is small, as their descriptors are not available to
+	// clients.
+	maxAdminConns = 16
+	// adminCallTimeout is how long a connection may stay open, from its accept to the end of the answer.
+	adminCallTimeout = 2 * time.Second
+	// adminCheckInterval is the time between checks of that timeout.
+	adminCheckInterval = adminCallTimeout / 10
+	// minAdminCallTime is how long a connection stays open at least, however many others wait to be accepted.
+	minAdminCallTime = 50 * time.Millisecond
+)
+
+// errAdminCallTimeout closes a connection whose call has not been completed in time.
+var errAdminCallTimeout = errors.New("call was not completed in time")
+
+// AdminServer answers the operators' HTTP calls, on an address of their own. A connection carries one call.
+type AdminServer struct {
+	handler adminHandler
+	loop    *eventloop.Loop
+	conns   map[*adminConn]bool
+}
+
+// hasCapacity reports whether one more connection can be accepted. When there are too many, the oldest is
+// closed for it, so that callers that send nothing don't keep out others; while none has had
+// minAdminCallTime, the new one waits to be accepted.
+func (a *AdminServer) hasCapacity() bool {
+	if len(a.conns) < maxAdminConns {
+		return true
+	}
+	var oldest *adminConn
+	for c := range a.conns {
+		if c.age() >= minAdminCallTime && (oldest == nil || c.acceptedAt < oldest.acceptedAt) {
+			oldest = c
+		}
+	}
+	if oldest == nil {
+		return false
+	}
+	oldest.closeOverdue()
+	return true
+}
+
+// accept makes the handler of a new connection.
+func (a *AdminServer) accept(conn *eventloop.Conn) eventloop.Handler {
+	c := &adminConn{server: a, conn: conn, acceptedAt: a.loop.Now()}
+	a.conns[c] = true
+	return c
+}
+
+// closeOverdueConns closes the connections that have exceeded adminCallTimeout, and looks again after
+// adminCheckInterval.
+func (a *AdminServer) closeOverdueConns() {
+	for c := range a.conns {
+		if c.age() > adminCallTimeout {
+			c.closeOverdue()
+		}
+	}
+	a.loop.At(a.loop.Now()+adminCheckInterval, a.closeOverdueConns)
+}
+
+// adminConn is one connection of an operator.
+type adminConn struct {
+	server     *AdminServer
+	conn       *eventloop.Conn
+	acceptedAt eventloop.Timestamp
+}
+
+// age is the time since the connection was accepted.
+func (c *adminConn) age() time.Duration { return c.server.loop.Now() - c.acceptedAt }
+
+// closeOverdue closes the connection without an answer.
+func (c *adminConn) closeOverdue() {
+	c.conn.Close()
+	c.Closed(errAdminCallTimeout)
+}
+
+// Receive answers the call once it is complete.
+func (c *adminConn) Receive(data []byte) (used int, err error) {
+	used, call, err := http1.Decode(data)
+	switch {
+	case errors.Is(err, http1.ErrTooLarge):
+		c.respond(http1.Response{Status: 431})
+	case err != nil:
+		c.respond(http1.Response{Status: 400, Body: err.Error() + "\n"})
+	case used > 0:
+		c.respond(runAdminCall(c.server.handler, call))
+	default:
+		return 0, nil
+	}
+	return len(data), nil
+}
+
+// respond writes the answer and closes the connection after it.
+func (c *adminConn) respond(r http1.Response) {
+	c.conn.Write(http1.AppendResponse(nil, r))
+	c.conn.CloseAfterFlush()
+}
+
+// Closed forgets the connection.
+func (c *adminConn) Closed(error) { delete(c.server.conns, c) }
--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -25,7 +25,7 @@
 	completeRequests int              // requests that have been received completely, or rejected before that
 	closeWhenDone    bool             // no further request will be read: close once all are answered
 
-	partialBytes    int                 // buffered bytes of requests that are not complete or blocked
+	partialBytes    int                 // buffered bytes of partial and blocked requests
 	skipBytes       int                 // bytes still to come of a record that is discarded
 	incompleteSince eventloop.Timestamp // start of the wait for a request, or the rest of one; 0: none
 
@@ -54,7 +54,7 @@
 	return used, nil
 }
 
-// updateIncompleteSince keeps the start of the wait for the rest of a request. The wait begins anew with each
+// updateIncompleteSince keeps the start of the wait for the rest of a request. The wait restarts with each
 // request that has been completed, as what is incomplete then is another one.
 func (c *clientConn) updateIncompleteSince(hasPartial, completedRequest bool) {
 	if !hasPartial && c.completeRequests > 0 {
@@ -134,6 +134,7 @@
 	return max(c.server.loop.SchedulingDelay(maxPollTime), c.conn.QueueingDelay())
 }
 
+// answerHealthCheck answers 200 while the proxy is serving, otherwise 503.
 func (c *clientConn) answerHealthCheck(to *responder) {
 	status := 503
 	if c.server.lifecycle.phase == Serving {
@@ -171,8 +172,8 @@
 // stopReading ignores further input after a protocol error. Requests that were complete before it are still
 // answered, and the connection is closed after the last answer.
 func (c *clientConn) stopReading(err error) {
-	c.server.log.Warn("client's connection is not read any more",
-		"connection", c.number, "error", err, "open", len(c.openRequests))
+	c.server.log.Warn("client connection not read further, protocol error",
+		"connection", c.number, "error", err, "open_requests", len(c.openRequests))
 	c.conn.StopReading()
 	c.closeWhenDone = true
 	c.incompleteSince = 0
--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -1,5 +1,7 @@
 package proxy
 
+// This file counts what the figures report: outcomes of requests, denials by guards, reloads.
+
 import (
 	"fmt"
 	"maps"
@@ -14,14 +16,19 @@
 
 // The outcomes that are counted for each class.
 const (
-	fulfilled outcome = iota
-	throttled
-	faulted
-	relayed // attempts, not requests
+	fulfilled outcome = iota // answered as asked
+	throttled                // rejected: not executed, and may be sent again
+	faulted                  // failed, or given up by the client
+	relayed                  // forwarded: counts attempts, not requests
 	outcomeCount
 )
 
-var outcomeNames = [outcomeCount]string{"fulfilled", "throttled", "faulted", "relayed"}
+var outcomeNames = [outcomeCount]string{
+	fulfilled: "fulfilled",
+	throttled: "throttled",
+	faulted:   "faulted",
+	relayed:   "relayed",
+}
 
 // String is the outcome's name in the figures and in the log.
 func (o outcome) String() string { return outcomeNames[o] }
@@ -71,7 +78,8 @@
 	return &counters{outcomes: map[string]*[outcomeCount]int64{}, denials: map[denial]int64{}}
 }
 
-// addClass makes a class known, so that its figures are listed from now on. A class that is removed keeps its counts.
+// addClass makes a class known, so that its figures are listed from now on. A class that is removed keeps its
+// counts.
 func (c *counters) addClass(class string) *[outcomeCount]int64 {
 	counts := c.outcomes[class]
 	if counts == nil {
--- a/internal/proxy/lifecycle.go
+++ b/internal/proxy/lifecycle.go
@@ -1,5 +1,7 @@
 package proxy
 
+// This file holds the phases of the process and the times of a drain and of a graceful shutdown.
+
 import (
 	"cmp"
 	"log/slog"
@@ -8,26 +10,26 @@
 	"cloverdoor/internal/eventloop"
 )
 
-// The times of a graceful shutdown and of an operator's drain. The platform may kill the process killGrace after the longest
-// deadline of the settings, counted from the signal.
+// The times of a graceful shutdown and of an operator's drain. The platform may kill the process killGrace
+// after the longest deadline of the settings, counted from the signal.
 const (
-	// shutdownAcceptTime is how long after the signal clients may still connect (0.4 s) and send on open connections (0.2 s
-	// more), with a margin.
+	// shutdownAcceptTime is how long after the signal clients may still connect (0.4 s) and send on open
+	// connections (0.2 s more), with a margin.
 	shutdownAcceptTime = 700 * time.Millisecond
-	// killGrace is what the platform adds to the longest deadline before it kills the process, and killMargin how much
-	// earlier everything has been answered.
+	// killGrace is what the platform adds to the longest deadline before it kills the process, and killMargin
+	// how much earlier everything has been answered.
 	killGrace  = 700 * time.Millisecond
 	killMargin = 200 * time.Millisecond
-	// maxShutdownDeadline bounds the longest deadline that the platform waits for; also the default where the settings name
-	// none.
+	// maxShutdownDeadline bounds the longest deadline that the platform waits for; also the default where the
+	// settings name none.
 	maxShutdownDeadline = 3 * time.Second
-	// shutdownRejectTime is how long before the end of a shutdown new requests are rejected.
+	// shutdownRejectTime is how long before the end of a shutdown new requests begin to be rejected.
 	shutdownRejectTime = 500 * time.Millisecond
-	// drainAcceptTime is how long after an operator's drain order clients are served as before: the load balancer in front
-	// checks health every 0.1 s and sends for 0.2 s more.
+	// drainAcceptTime is how long after an operator's drain order clients are served as before: the load
+	// balancer in front checks health every 0.1 s and sends for 0.2 s more.
 	drainAcceptTime = 300 * time.Millisecond
-	// drainRejectAfter is how long after the drain order new requests are rejected, so that connections that are never idle
-	// become idle and can be closed.
+	// drainRejectAfter is how long after the drain order new requests begin to be rejected, so that
+	// connections that are never idle become idle and can be closed.
 	drainRejectAfter = 1900 * time.Millisecond
 )
 
@@ -43,7 +45,13 @@
 	Stopped
 )
 
-var phaseNames = [...]string{"starting", "serving", "draining", "stopping", "stopped"}
+var phaseNames = [...]string{
+	Starting: "starting",
+	Serving:  "serving",
+	Draining: "draining",
+	Stopping: "stopping",
+	Stopped:  "stopped",
+}
 
 // String is the phase's name in the log and in readiness answers.
 func (p Phase) String() string { return phaseNames[p] }
@@ -62,7 +70,7 @@
 
 // enter changes the phase. openRequests is for the log.
 func (l *lifecycle) enter(next Phase, openRequests int) {
-	l.log.Info("phase", "from", l.phase, "to", next, "open", openRequests)
+	l.log.Info("phase changed", "from", l.phase, "to", next, "open_requests", openRequests)
 	l.phase = next
 }
 
@@ -73,16 +81,16 @@
 	l.rejectFrom = l.loop.Now() + drainRejectAfter
 }
 
-// beginStop sets the times of a graceful shutdown. longestDeadline is that of the settings, 0: none. Where another process
-// accepts clients on the same socket (takeover), idle connections are closed at once.
+// beginStop sets the times of a graceful shutdown. longestDeadline is that of the settings, 0: none. Where
+// another process accepts clients on the same socket (takeover), idle connections are closed at once.
 func (l *lifecycle) beginStop(longestDeadline time.Duration, takeover bool, openRequests int) {
 	l.enter(Stopping, openRequests)
 	l.disconnectFrom = l.loop.Now() + shutdownAcceptTime
 	if takeover {
 		l.disconnectFrom = l.loop.Now()
 	}
-	waited := min(maxShutdownDeadline, cmp.Or(longestDeadline, maxShutdownDeadline))
-	l.answerBy = l.loop.Now() + waited + killGrace - killMargin
+	platformWaits := min(maxShutdownDeadline, cmp.Or(longestDeadline, maxShutdownDeadline)) + killGrace
+	l.answerBy = l.loop.Now() + platformWaits - killMargin
 	l.rejectFrom = l.answerBy - shutdownRejectTime
 }
 
@@ -91,6 +99,6 @@
 	return (l.phase == Draining || l.phase == Stopping) && l.loop.Now() >= l.disconnectFrom
 }
 
-// rejecting reports whether new requests are to be rejected. Without it, clients that always have a request open would
-// never be disconnected.
+// rejecting reports whether new requests are to be rejected. Without it, clients that always have a request
+// open would never be disconnected.
 func (l *lifecycle) rejecting() bool { return l.disconnecting() && l.loop.Now() >= l.rejectFrom }
--- a/internal/proxy/listen.go
+++ b/internal/proxy/listen.go
@@ -30,6 +30,7 @@
 	return nil
 }
 
+// newFastCGIServer returns a server that does not listen yet.
 func (p *Proxy) newFastCGIServer(maxConns int) *FastCGIServer {
 	return &FastCGIServer{
 		handler:      p,
@@ -44,7 +45,19 @@
 	}
 }
 
+// addFastCGIServer starts a server on its listener.
 func (p *Proxy) addFastCGIServer(f *FastCGIServer, ln *eventloop.Listener) {
 	p.fastcgiServers = append(p.fastcgiServers, f)
 	f.start(ln)
 }
+
+// ListenAdmin opens the operators' server on addr.
+func (p *Proxy) ListenAdmin(addr netip.AddrPort) error {
+	a := &AdminServer{handler: p, loop: p.loop, conns: map[*adminConn]bool{}}
+	_, err := p.loop.Listen(addr, a.hasCapacity, a.accept)
+	if err != nil {
+		return err
+	}
+	a.closeOverdueConns()
+	return nil
+}
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -1,5 +1,7 @@
 package proxy
 
+// This file writes the figures that operators fetch.
+
 import (
 	"fmt"
 	"strings"
@@ -26,7 +28,7 @@
 func (p *Proxy) gauges() []gauge {
 	return []gauge{
 		{"open_requests", p.openRequests},
-		{"registry_entries", len(p.servers)},
+		{"registry_entries", p.endpoints.count()},
 		{"out_of_rotation", p.router.OutOfRotation(p.loop.Now())},
 		{"cfg_accepted", p.counters.configsAccepted},
 		{"cfg_invalid", p.counters.configsRejected},
@@ -36,10 +38,11 @@
 	}
 }
 
-// droppedLogLines is how many lines of the log were dropped because its reader was slow; 0 where that is not known.
+// droppedLogLines is how many lines of the log were dropped because its reader was slow; 0 where that is not
+// known.
 func (p *Proxy) droppedLogLines() int {
-	if p.logDropped == nil {
+	if p.countDroppedLines == nil {
 		return 0
 	}
-	return int(p.logDropped())
+	return int(p.countDroppedLines())
 }
--- a/internal/proxy/watch.go
+++ b/internal/proxy/watch.go
@@ -67,7 +67,7 @@
 
 	addr                netip.AddrPort
 	streams             []*watchStream // the oldest first
-	consecutiveFailures int            // streams in a row that exceeded a timeout
+	consecutiveFailures int            // streams since the last complete line that exceeded a timeout
 	reconnectTimer      *eventloop.Timer
 	backoff             time.Duration // before the next reconnect
 
@@ -151,7 +151,7 @@
 // replaceStalled opens a stream beside a stalled one, or instead of the older of two.
 func (w *coordinatorWatch) replaceStalled() {
 	if len(w.streams) < maxWatchStreams {
-		w.log.Warn("coordinator brings no whole line, followed on a second connection", "event", w.lastIndex)
+		w.log.Warn("coordinator watch stalled, second stream opened", "event", w.lastIndex)
 	} else {
 		byLastLine := func(a, b *watchStream) int { return int(a.lastLineAt - b.lastLineAt) }
 		w.closeStream(slices.MinFunc(w.streams, byLastLine))
@@ -166,6 +166,7 @@
 	w.removeStream(s)
 }
 
+// removeStream forgets a stream that is closed.
 func (w *coordinatorWatch) removeStream(s *watchStream) {
 	w.streams = slices.DeleteFunc(w.streams, func(other *watchStream) bool { return other == s })
 }
@@ -216,7 +217,7 @@
 		return
 	}
 	if w.backoff == minReconnectBackoff { // once for each outage
-		w.log.Warn("coordinator lost, followed again", "error", err, "event", w.lastIndex)
+		w.log.Warn("coordinator watch lost, reconnecting", "error", err, "event", w.lastIndex)
 	}
 	w.reconnectTimer = w.loop.At(w.loop.Now()+jitteredBackoff(w.backoff, w.rng), w.openStream)
 	w.backoff = min(2*w.backoff, maxReconnectBackoff)
--- a/internal/proxy/watch_test.go
+++ b/internal/proxy/watch_test.go
@@ -1,7 +1,6 @@
 package proxy
 
 import (
-	"log/slog"
 	"math/rand/v2"
 	"testing"
 	"time"
@@ -11,10 +10,10 @@
 	"cloverdoor/policy"
 )
 
-// A coordinator that is gone for 8 s is called by each of 300 processes again and again. Over all of them the calls come
-// evenly once the first pauses are over: no 20 ms bring more than twice their part. When it is back, all are with it
-// again within the longest pause.
-func TestFleetFollowsAnewEvenly(t *testing.T) {
+// A coordinator that is down for 8 s is called by each of 300 processes again and again. Over all of them the
+// calls come evenly once the first pauses are over: no 20 ms bring more than twice their part. When it is
+// back, all are with it again within the longest pause.
+func TestFleetReconnectsEvenly(t *testing.T) {
 	const processes, outage, bin = 300, 8 * time.Second, 20 * time.Millisecond
 	calls := make([]int, outage/bin)
 	all := 0
@@ -42,7 +41,8 @@
 	}
 }
 
-// heldClock goes by the system's clock, but the first look at it was long ago: a process that was held up in its turn.
+// heldClock goes by the system's clock, but the first look at it was long ago: a process that was held up in
+// its turn.
 type heldClock struct {
 	eventloop.TimeSource
 	held   time.Duration
@@ -59,14 +59,13 @@
 }
 
 // A purge that is told in a turn in which the process was held up is as old as it was when the turn began.
-func TestPurgeToldInALongTurn(t *testing.T) {
+func TestPurgeReportedInALongTurn(t *testing.T) {
 	const held, ago = 10 * time.Second, 12 * time.Second
 	loop, err := eventloop.NewLoop(&heldClock{TimeSource: eventloop.SystemClock(), held: held})
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &Proxy{loop: loop, log: slog.New(slog.DiscardHandler), coordinator: &coordinatorWatch{}}
-	p.invariants = newInvariantChecker(p, nil)
+	p := newEventProxy(loop)
 	p.applyEvent(watch.Event{Purge: &watch.Purge{Object: "w", At: loop.Now().Milliseconds()}}) // in time: the clock is right
 	p.applyEvent(watch.Event{Purge: &watch.Purge{Object: "x", At: time.Now().Add(-ago).UnixMilli()}})
 	if age := p.inbox[1].(policy.Purge).Age; age < ago-held-time.Second || age > ago-held+time.Second {
