--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -108,7 +108,7 @@
 	}
 	a.source = f.Source
 	if f.MaxAge > 0 {
-		a.oldest = (a.p.clock.unix(now) - f.MaxAge - ageSlack).Milliseconds()
+		a.oldest = (a.p.clock.toCoordinator(now) - f.MaxAge - ageSlack).Milliseconds()
 	}
 	c := resp.Call{
 		ID: a.req.ID, Class: a.req.ClassName, Object: a.req.Object, Part: strconv.Itoa(a.req.Part),
--- a/internal/proxy/peerclock_test.go
+++ b/internal/proxy/coordinatorclock_test.go
@@ -40,7 +40,7 @@
 			if got > ago {
 				t.Errorf("%v wrong: %v ago counts as %v", wrongBy, ago, got)
 			}
-			if ago == 2*time.Second && got < ago-tellDelay {
+			if ago == 2*time.Second && got < ago-maxReportDelay {
 				t.Errorf("%v wrong: %v ago counts as only %v", wrongBy, ago, got)
 			}
 		}
@@ -59,11 +59,11 @@
 	if p.clock.offset == 0 {
 		t.Error("the wrong time was not heard at all")
 	}
-	clock.now += sampleAge + time.Second
+	clock.now += maxSampleAge + time.Second
 	if err := p.loop.Wait(0); err != nil {
 		t.Fatal(err)
 	}
-	age(-sampleAge-time.Second, true) // what is right by now
+	age(-maxSampleAge-time.Second, true) // what is right by now
 	if p.clock.offset != 0 {
 		t.Errorf("off by %v", p.clock.offset)
 	}
@@ -75,7 +75,7 @@
 	at := func(ago time.Duration) watch.Event {
 		return watch.Event{Purge: &watch.Purge{Object: "x", At: (p.loop.Now() - time.Hour - ago).Milliseconds()}}
 	}
-	p.applyKnown([]watch.Event{at(5 * time.Second), at(2 * time.Second)})
+	p.applyInitialState([]watch.Event{at(5 * time.Second), at(2 * time.Second)})
 	for i, want := range []time.Duration{3 * time.Second, 0} {
 		if age := p.inbox[i].(policy.Purge).Age; age > want || age < want-time.Second {
 			t.Errorf("the %d. counts as %v old, want %v", i+1, age, want)
--- a/internal/proxy/membership.go
+++ b/internal/proxy/endpoints.go
@@ -48,7 +48,7 @@
 	}
 }
 
-var states = map[string]policy.State{
+var endpointStates = map[string]policy.State{
 	watch.StateServing: policy.Ready, watch.StateDraining: policy.Draining, watch.StateDeleted: policy.Removed,
 }
 
@@ -100,13 +100,13 @@
 	}
 	told := time.Duration(unixMillis) * time.Millisecond
 	p.observeTime(told, false)
-	return p.clock.local(told)
+	return p.clock.toLocal(told)
 }
 
 // member decodes one entry of the list.
 func (p *Proxy) member(s watch.Endpoint) (policy.Endpoint, netip.AddrPort, error) {
 	m := policy.Endpoint{
-		ID: s.ID, State: states[s.State], Started: p.startTime(s.Started),
+		ID: s.ID, State: endpointStates[s.State], Started: p.startTime(s.Started),
 		Kind: slices.Index(p.set.Kinds, s.Kind), Zone: slices.Index(p.set.Zones, s.Zone),
 		Weight: s.Weight, Cell: s.Cell,
 	}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -69,13 +69,13 @@
 	fastcgiServers []*FastCGIServer
 	coordinator    *coordinatorWatch
 
-	open        int // requests taken and not ended
-	counters    *counters
-	logDropped  func() int64
-	loader      loader
-	clock       peerClock
-	newestKnown eventloop.Timestamp // the latest time that the configuration's purges tell; 0: none
-	audit       *audit
+	open               int // requests taken and not ended
+	counters           *counters
+	logDropped         func() int64
+	loader             loader
+	clock              coordinatorClock
+	newestInitialPurge eventloop.Timestamp // the latest time that the configuration's purges tell; 0: none
+	audit              *audit
 }
 
 // request is one client request until its answer is given and its last attempt has ended.
@@ -110,17 +110,17 @@
 	p.audit = newAudit(p, cfg.OnViolation)
 	p.pools = connpool.New(loop, connpool.Limits{}, p.openUpstream)
 	p.apply(cfg.Settings, cfg.TransferBytesPerSecond)
-	p.applyKnown(cfg.InitialState.Events)
+	p.applyInitialState(cfg.InitialState.Events)
 	p.settle()
 	p.sweep()
 	return p
 }
 
-// applyKnown takes the events that the configuration tells. How long ago its purges were is certain only against the latest.
-func (p *Proxy) applyKnown(events []watch.Event) {
+// applyInitialState takes the events that the configuration tells. How long ago its purges were is certain only against the latest.
+func (p *Proxy) applyInitialState(events []watch.Event) {
 	for _, ev := range events {
 		if ev.Purge != nil {
-			p.newestKnown = max(p.newestKnown, time.Duration(ev.Purge.At)*time.Millisecond)
+			p.newestInitialPurge = max(p.newestInitialPurge, time.Duration(ev.Purge.At)*time.Millisecond)
 		}
 	}
 	for _, ev := range events {
