--- a/internal/proxy/audit.go
+++ b/internal/proxy/audit.go
@@ -82,7 +82,7 @@
 	}
 	maps.DeleteFunc(u.leaving, func(_ string, since eventloop.Timestamp) bool { return now-since > leavingMemory })
 	if ev.Endpoints.Full {
-		for id := range u.p.servers {
+		for id := range u.p.endpoints.startMillis {
 			u.leave(id, now)
 		}
 	}
--- a/internal/proxy/coordinatorclock.go
+++ b/internal/proxy/coordinatorclock.go
@@ -1,7 +1,7 @@
 package proxy
 
 import (
-	"cmp"
+	"log/slog"
 	"slices"
 	"time"
 
@@ -10,48 +10,82 @@
 )
 
 const (
-	// maxReportDelay is how late a purge is told at the most while all is well: one that is told within it shows nothing wrong.
+	// maxReportDelay is how late a purge is reported at most in normal operation. A report within it is
+	// consistent with the process's own clock.
 	maxReportDelay = 500 * time.Millisecond
-	// maxSampleAge is for how long a time that was told counts: one wrong time, or news that is late, is forgotten after that.
+	// maxSampleAge is how long a reported time counts: a wrong or late one has no effect after it.
 	maxSampleAge = 10 * time.Second
-	// minCorrection is the smallest change that is worth to be applied.
+	// minCorrection is the smallest change of the offset that is applied.
 	minCorrection = 200 * time.Millisecond
 )
 
-// coordinatorClock relates the Unix times that the coordinator tells to the loop's clock. That was taken from this machine's wall
-// clock once, at the start, and may have been wrong by then. What is told has happened before it comes, so the latest of the
-// recent times is a bound on what time it is; the own clock is believed as long as it agrees with that.
+// coordinatorClock converts between the loop's time and the coordinator's, which reports Unix times.
+//
+// The loop's time was set from the machine's wall clock when the process started, and may have been wrong
+// then. An event is reported after it happened, so the latest of the recently reported times is a lower bound
+// of the coordinator's time. The process's own clock is used unchanged as long as it agrees with that bound.
 type coordinatorClock struct {
-	samples []clockSample
-	offset  time.Duration // added to the loop's clock, it gives the coordinator's time
+	loop   *eventloop.Loop
+	log    *slog.Logger
+	notify func(policy.Event) // receives corrections
+
+	samples []clockSample // recent ones, the highest lead first
+	offset  time.Duration // coordinator's time minus the loop's
+
+	// newestInitialPurge is the latest time of a purge in the configuration's initial state; 0: none.
+	newestInitialPurge eventloop.Timestamp
 }
 
-// clockSample is how far a time that was told lay ahead of the loop's clock as it came.
+// clockSample is by how much a reported time led the loop's when it arrived; reports of the past have a
+// negative lead.
 type clockSample struct {
-	at    eventloop.Timestamp
-	ahead time.Duration
+	at   eventloop.Timestamp
+	lead time.Duration
 }
 
-// observe takes note of a time that was told just now. It returns how much later than thought the coordinator's clock is,
-// 0 for no change that counts.
-func (c *coordinatorClock) observe(told, now eventloop.Timestamp) time.Duration {
-	c.samples = slices.DeleteFunc(c.samples, func(s clockSample) bool { return now-s.at > maxSampleAge || s.ahead <= told-now })
-	c.samples = append(c.samples, clockSample{at: now, ahead: told - now})
-	least, offset := c.samples[0].ahead, time.Duration(0) // each one lies further ahead than those after it
-	if least > 0 || least < -maxReportDelay {
-		offset = least
+// observe compares a time that the coordinator reported with the loop's, and reports a correction. live is
+// true for a purge that has just been reported: only that shows that the clock is ahead. Any time in the
+// future shows that it is behind.
+func (c *coordinatorClock) observe(reported eventloop.Timestamp, live bool) {
+	now := c.loop.Now()
+	if !live && reported <= c.toCoordinator(now) {
+		return
+	}
+	change := c.addSample(reported-now, now)
+	if change == 0 {
+		return
 	}
-	change := offset - c.offset
+	c.log.Warn("clock differs from the coordinator's", "offset", c.offset)
+	c.notify(policy.ClockCorrection{Offset: -change})
+}
+
+// addSample adds a sample and returns by how much the offset has changed; 0: it stays.
+func (c *coordinatorClock) addSample(lead time.Duration, now eventloop.Timestamp) time.Duration {
+	c.samples = slices.DeleteFunc(c.samples, func(s clockSample) bool {
+		return now-s.at > maxSampleAge || s.lead <= lead
+	})
+	c.samples = append(c.samples, clockSample{at: now, lead: lead})
+	change := c.estimate() - c.offset
 	if change.Abs() < minCorrection {
 		return 0
 	}
-	c.offset = offset
+	c.offset += change
 	return change
 }
 
-// toLocal is the loop's time at which something happened.
-func (c *coordinatorClock) toLocal(told eventloop.Timestamp) eventloop.Timestamp {
-	return told - c.offset
+// estimate is the offset that the samples show: 0 as long as they are consistent with the process's own
+// clock.
+func (c *coordinatorClock) estimate() time.Duration {
+	highestLead := c.samples[0].lead
+	if -maxReportDelay <= highestLead && highestLead <= 0 {
+		return 0
+	}
+	return highestLead
+}
+
+// toLocal is the loop's time at a time of the coordinator.
+func (c *coordinatorClock) toLocal(reported eventloop.Timestamp) eventloop.Timestamp {
+	return reported - c.offset
 }
 
 // toCoordinator is the coordinator's time at a time of the loop.
@@ -59,27 +93,15 @@
 	return at + c.offset
 }
 
-// observeTime compares a Unix time that was told with the loop's clock. Only a purge that has just been told shows that the
-// clock is ahead; any time that lies in the future shows that it is behind.
-func (p *Proxy) observeTime(told eventloop.Timestamp, justNow bool) {
-	now := p.loop.Now()
-	if !justNow && told <= p.clock.toCoordinator(now) {
-		return
-	}
-	if change := p.clock.observe(told, now); change != 0 {
-		p.log.Warn("clock differs from the coordinator's", "offset", p.clock.offset)
-		p.notify(policy.ClockCorrection{Offset: -change})
-	}
-}
-
-// purgeAge is how long ago a purge took place, never more than is certain.
-func (p *Proxy) purgeAge(unixMillis int64) time.Duration {
-	// The moment is told in whole milliseconds: a copy made within that one may be older than the purge. Its age is counted
-	// back from the turn's time, as the module does.
-	at := time.Duration(unixMillis+1) * time.Millisecond
-	now := p.clock.toCoordinator(p.loop.Now())
-	if len(p.clock.samples) == 0 { // the own clock has yet to be compared
-		now = min(now, cmp.Or(p.newestInitialPurge, now))
+// age is how long ago, counted from the turn's time, something took place that the coordinator reported with
+// a Unix time. It is a lower bound. The Unix time has whole milliseconds: a copy made within that millisecond
+// may be older than the purge, so the age counts from its end. Before any sample the process's own clock may
+// be wrong: then only the times of the initial state's purges are certain.
+func (c *coordinatorClock) age(unixMillis int64) time.Duration {
+	end := time.Duration(unixMillis+1) * time.Millisecond
+	now := c.toCoordinator(c.loop.Now())
+	if len(c.samples) == 0 && c.newestInitialPurge != 0 {
+		now = min(now, c.newestInitialPurge)
 	}
-	return max(0, now-at)
+	return max(0, now-end)
 }
--- a/internal/proxy/coordinatorclock_test.go
+++ b/internal/proxy/coordinatorclock_test.go
@@ -10,33 +10,57 @@
 	"cloverdoor/policy"
 )
 
-// told returns a proxy whose wall clock is wrong by so much, and a function that has a purge of so long ago told to it and
-// returns how old it counts as.
-func told(t *testing.T, wrongBy time.Duration) (*Proxy, func(ago time.Duration, live bool) time.Duration) {
+// newEventProxy returns a proxy that has just what purges need.
+func newEventProxy(loop *eventloop.Loop) *Proxy {
+	log := slog.New(slog.DiscardHandler)
+	p := &Proxy{loop: loop, log: log}
+	p.clock = &coordinatorClock{loop: loop, log: log, notify: p.notify}
+	p.audit = newAudit(p, nil)
+	return p
+}
+
+// clockTest is a proxy whose wall clock is wrong, set by hand.
+type clockTest struct {
+	p     *Proxy
+	clock *handClock
+	right eventloop.Timestamp // the correct time at the test's start
+}
+
+func newClockTest(t testing.TB, wrongBy time.Duration) *clockTest {
 	t.Helper()
 	right := eventloop.Timestamp(time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC).UnixNano())
-	loop, err := eventloop.NewLoop(&handClock{now: right + wrongBy})
+	clock := &handClock{now: right + wrongBy}
+	loop, err := eventloop.NewLoop(clock)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &Proxy{loop: loop, log: slog.New(slog.DiscardHandler)}
-	p.audit = newAudit(p, nil)
-	return p, func(ago time.Duration, live bool) time.Duration {
-		if p.coordinator = nil; live {
-			p.coordinator = &coordinatorWatch{}
-		}
-		p.inbox = nil
-		p.applyEvent(watch.Event{Purge: &watch.Purge{Object: "x", At: (right - ago).Milliseconds()}})
-		return p.inbox[len(p.inbox)-1].(policy.Purge).Age
+	return &clockTest{p: newEventProxy(loop), clock: clock, right: right}
+}
+
+// report has the coordinator report a purge that took place the given time before the test's start, and
+// returns as how old it counts.
+func (c *clockTest) report(ago time.Duration) time.Duration {
+	c.p.inbox = nil
+	c.p.applyEvent(watch.Event{Purge: &watch.Purge{Object: "x", At: (c.right - ago).Milliseconds()}})
+	return c.p.inbox[len(c.p.inbox)-1].(policy.Purge).Age
+}
+
+// advance moves the clock on.
+func (c *clockTest) advance(t testing.TB, by time.Duration) {
+	t.Helper()
+	c.clock.now += by
+	if err := c.p.loop.Wait(0); err != nil {
+		t.Fatal(err)
 	}
 }
 
-// However wrong the clock is, a purge never counts as older than it is, and about as old once one has been told in time.
+// However wrong the clock is, a purge never counts as older than it is, and counts as about as old once one
+// has been reported in time.
 func TestPurgeAgeByAWrongClock(t *testing.T) {
 	for _, wrongBy := range []time.Duration{0, time.Hour, -time.Hour, 3 * time.Second, -3 * time.Second} {
-		_, age := told(t, wrongBy)
+		c := newClockTest(t, wrongBy)
 		for _, ago := range []time.Duration{400 * time.Millisecond, 100 * time.Millisecond, 2 * time.Second, 0} {
-			got := age(ago, true)
+			got := c.report(ago)
 			if got > ago {
 				t.Errorf("%v wrong: %v ago counts as %v", wrongBy, ago, got)
 			}
@@ -49,68 +73,56 @@
 
 // One wrong time from the coordinator is forgotten.
 func TestWrongTimeIsForgotten(t *testing.T) {
-	p, age := told(t, 0)
-	clock := &handClock{now: p.loop.Now()}
-	var err error
-	if p.loop, err = eventloop.NewLoop(clock); err != nil {
-		t.Fatal(err)
-	}
-	age(-time.Hour, true)
-	if p.clock.offset == 0 {
-		t.Error("the wrong time was not heard at all")
-	}
-	clock.now += maxSampleAge + time.Second
-	if err := p.loop.Wait(0); err != nil {
-		t.Fatal(err)
+	c := newClockTest(t, 0)
+	c.report(-time.Hour)
+	if c.p.clock.offset == 0 {
+		t.Error("the wrong time had no effect at all")
 	}
-	age(-maxSampleAge-time.Second, true) // what is right by now
-	if p.clock.offset != 0 {
-		t.Errorf("off by %v", p.clock.offset)
+	c.advance(t, maxSampleAge+time.Second)
+	c.report(-maxSampleAge - time.Second) // what is right by now
+	if c.p.clock.offset != 0 {
+		t.Errorf("off by %v", c.p.clock.offset)
 	}
 }
 
-// Before anything has been told live, purges of the configuration are certain only against the latest of them.
-func TestKnownPurgesByAWrongClock(t *testing.T) {
-	p, _ := told(t, time.Hour)
-	at := func(ago time.Duration) watch.Event {
-		return watch.Event{Purge: &watch.Purge{Object: "x", At: (p.loop.Now() - time.Hour - ago).Milliseconds()}}
+// Before anything has been reported live, purges of the initial state are certain only against the latest of
+// them.
+func TestInitialPurgesByAWrongClock(t *testing.T) {
+	c := newClockTest(t, time.Hour)
+	purge := func(ago time.Duration) watch.Event {
+		return watch.Event{Purge: &watch.Purge{Object: "x", At: (c.right - ago).Milliseconds()}}
 	}
-	p.applyInitialState([]watch.Event{at(5 * time.Second), at(2 * time.Second)})
+	c.p.applyInitialState([]watch.Event{purge(5 * time.Second), purge(2 * time.Second)})
 	for i, want := range []time.Duration{3 * time.Second, 0} {
-		if age := p.inbox[i].(policy.Purge).Age; age > want || age < want-time.Second {
+		if age := c.p.inbox[i].(policy.Purge).Age; age > want || age < want-time.Second {
 			t.Errorf("the %d. counts as %v old, want %v", i+1, age, want)
 		}
 	}
 }
 
-// After a pause many purges come at once, the oldest first: late news says nothing of the clock, and no purge counts as older
-// than it is once the last of them has come.
+// After a pause many purges are reported at once, the oldest first: late reports say nothing of the clock,
+// and no purge counts as older than it is once the last of them has been reported.
 func TestPurgesThatCatchUp(t *testing.T) {
-	p, age := told(t, 0)
-	clock := &handClock{now: p.loop.Now()}
-	loop, err := eventloop.NewLoop(clock)
-	if err != nil {
-		t.Fatal(err)
-	}
-	p.loop = loop
-	age(0, true) // in time
-	router := policy.New(policy.Settings{ParentKind: -1, OriginKind: 1, Classes: []policy.Class{{Idempotency: policy.Idempotent, LatencyObjective: time.Second}},
-		PurgeCompletedWithin: 6 * time.Second, PurgeGrace: 300 * time.Millisecond}, 1)
+	c := newClockTest(t, 0)
+	c.report(0) // in time
+	loop := c.p.loop
+	router := policy.New(policy.Settings{
+		ParentKind: -1, OriginKind: 1,
+		Classes:              []policy.Class{{Idempotency: policy.Idempotent, LatencyObjective: time.Second}},
+		PurgeCompletedWithin: 6 * time.Second, PurgeGrace: 300 * time.Millisecond,
+	}, 1)
 	router.Handle(loop.Now(), policy.EndpointUpdate{Full: true, Endpoints: []policy.Endpoint{
 		{ID: "c", State: policy.Ready, Weight: 10}, {ID: "o", State: policy.Ready, Kind: 1}}})
-	clock.now += 3 * time.Second // nothing was heard meanwhile
-	if err := loop.Wait(0); err != nil {
-		t.Fatal(err)
-	}
+	c.advance(t, 3*time.Second) // nothing is reported meanwhile
 	const last = 950 * time.Millisecond
 	for ago := 3 * time.Second; ago >= 0; ago -= 50 * time.Millisecond {
 		object := "another"
 		if ago == last {
 			object = "x"
 		}
-		p.inbox = nil
-		p.applyEvent(watch.Event{Purge: &watch.Purge{Object: object, At: (loop.Now() - ago).Milliseconds()}})
-		for _, ev := range p.inbox {
+		c.p.inbox = nil
+		c.p.applyEvent(watch.Event{Purge: &watch.Purge{Object: object, At: (loop.Now() - ago).Milliseconds()}})
+		for _, ev := range c.p.inbox {
 			router.Handle(loop.Now(), ev)
 		}
 	}
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"log/slog"
 	"net/netip"
 	"slices"
 	"time"
@@ -11,111 +12,106 @@
 	"cloverdoor/policy"
 )
 
-// applyEvent passes one event of the coordinator on to the module and keeps the pools in step with it.
-func (p *Proxy) applyEvent(ev watch.Event) {
-	p.audit.told(ev)
-	if v := ev.Purge; v != nil {
-		age := time.Duration(0) // where it is not told when
-		if v.At != 0 {
-			p.observeTime(time.Duration(v.At)*time.Millisecond, p.coordinator != nil)
-			age = p.purgeAge(v.At)
-		}
-		p.purge(v, age)
-	}
-	if ev.Endpoints != nil {
-		p.applyServers(ev.Endpoints)
-	}
-	if ev.Unreadable > 0 {
-		p.counters.unreadableParts += ev.Unreadable
-		p.log.Error("parts of an event can't be read: servers named in them count as gone", "event", ev.Index, "parts", ev.Unreadable)
-	}
+// endpointPools is what the endpoint table needs of the connection pools.
+type endpointPools interface {
+	// SetAddress sets where an endpoint's connections lead.
+	SetAddress(id string, addr netip.AddrPort)
+	// DiscardConns stops using an endpoint's present connections, as it has restarted.
+	DiscardConns(id string)
+	// RemoveEndpoint closes an endpoint's connections.
+	RemoveEndpoint(id string)
 }
 
-// groups is how many groups of objects there are.
-const groups = 256
+// endpointTable holds the endpoints in use. It turns the coordinator's updates into updates for the decision
+// module and keeps the connection pools in step with them.
+type endpointTable struct {
+	log    *slog.Logger
+	clock  *coordinatorClock
+	pools  endpointPools
+	notify func(policy.Event) // receives one update for each of the coordinator's
 
-// purge passes a purge on to the module. One of something that can't be read is one of every group.
-func (p *Proxy) purge(v *watch.Purge, age time.Duration) {
-	switch {
-	case v.Object != "":
-		p.notify(policy.Purge{Object: v.Object, Age: age})
-	case v.Group != nil:
-		p.notify(policy.Purge{Group: *v.Group, Age: age})
-	default:
-		for group := range groups {
-			p.notify(policy.Purge{Group: group, Age: age})
-		}
-	}
+	kinds, zones []string         // the settings' names; the decision module knows their indices
+	startMillis  map[string]int64 // of each endpoint in use, by id: Unix millisecond of its start as reported
 }
 
 var endpointStates = map[string]policy.State{
-	watch.StateServing: policy.Ready, watch.StateDraining: policy.Draining, watch.StateDeleted: policy.Removed,
+	watch.StateServing:  policy.Ready,
+	watch.StateDraining: policy.Draining,
+	watch.StateDeleted:  policy.Removed,
 }
 
-func (p *Proxy) applyServers(list *watch.EndpointUpdate) {
-	named := map[string]bool{}
-	members := policy.EndpointUpdate{Full: list.Full}
-	for _, s := range list.Endpoints {
-		m, addr, err := p.member(s)
-		if err != nil {
-			// What can't be read can't be used, and it may have told of a drain.
-			p.log.Warn("server counts as gone", "server", s.ID, "error", err)
-			m.State = policy.Removed
-		}
-		if !list.Full { // a whole list may have thousands
-			p.log.Info("server changed", "server", s.ID, "state", s.State, "started_ms", s.Started)
-		}
-		named[s.ID] = m.State != policy.Removed
-		members.Endpoints = append(members.Endpoints, m)
-		p.place(m, s.Started, addr)
+// count is how many endpoints are in use.
+func (t *endpointTable) count() int { return len(t.startMillis) }
+
+// apply takes a full list of endpoints or changes to it.
+func (t *endpointTable) apply(update *watch.EndpointUpdate) {
+	inUse := map[string]bool{} // whether each endpoint that the update names is in use from now on
+	decoded := policy.EndpointUpdate{Full: update.Full}
+	for _, entry := range update.Endpoints {
+		endpoint := t.applyEntry(entry, update.Full)
+		inUse[entry.ID] = endpoint.State != policy.Removed
+		decoded.Endpoints = append(decoded.Endpoints, endpoint)
 	}
-	for id := range p.servers {
-		if live, told := named[id]; told && !live || !told && list.Full {
-			delete(p.servers, id)
-			p.pools.RemoveEndpoint(id)
+	for id := range t.startMillis {
+		stays, named := inUse[id]
+		if named && !stays || !named && update.Full {
+			delete(t.startMillis, id)
+			t.pools.RemoveEndpoint(id)
 		}
 	}
-	p.notify(members)
-	if p.lifecycle.phase == Starting {
-		p.lifecycle.enter(Serving, p.open)
-	}
+	t.notify(decoded)
 }
 
-// place tells the pools where a server is, and of its restarts.
-func (p *Proxy) place(m policy.Endpoint, started int64, addr netip.AddrPort) {
-	if m.State == policy.Removed {
-		return
+// applyEntry decodes one endpoint and tells the pools of it. One that can't be decoded counts as removed, as
+// it can't be used, and as the entry may have said that it is draining.
+func (t *endpointTable) applyEntry(entry watch.Endpoint, fullList bool) policy.Endpoint {
+	endpoint, addr, err := t.decode(entry)
+	if err != nil {
+		t.log.Warn("server counts as gone", "server", entry.ID, "error", err)
+		endpoint.State = policy.Removed
 	}
-	if before, known := p.servers[m.ID]; known && before != started {
-		p.pools.DiscardConns(m.ID)
+	if !fullList { // a full list may have thousands
+		t.log.Info("server changed", "server", entry.ID, "state", entry.State, "started_ms", entry.Started)
 	}
-	p.servers[m.ID] = started
-	p.pools.SetAddress(m.ID, addr)
-}
-
-// startTime is the loop's time of a late start that is told as a Unix millisecond; 0: long ago.
-func (p *Proxy) startTime(unixMillis int64) eventloop.Timestamp {
-	if unixMillis == 0 {
-		return 0
+	if endpoint.State == policy.Removed {
+		return endpoint
+	}
+	before, known := t.startMillis[entry.ID]
+	if known && before != entry.Started {
+		t.pools.DiscardConns(entry.ID)
 	}
-	told := time.Duration(unixMillis) * time.Millisecond
-	p.observeTime(told, false)
-	return p.clock.toLocal(told)
+	t.startMillis[entry.ID] = entry.Started
+	t.pools.SetAddress(entry.ID, addr)
+	return endpoint
 }
 
-// member decodes one entry of the list.
-func (p *Proxy) member(s watch.Endpoint) (policy.Endpoint, netip.AddrPort, error) {
-	m := policy.Endpoint{
-		ID: s.ID, State: endpointStates[s.State], Started: p.startTime(s.Started),
-		Kind: slices.Index(p.set.Kinds, s.Kind), Zone: slices.Index(p.set.Zones, s.Zone),
-		Weight: s.Weight, Cell: s.Cell,
+// decode decodes one entry of the list. One that is removed needs no valid address, kind or zone.
+func (t *endpointTable) decode(entry watch.Endpoint) (policy.Endpoint, netip.AddrPort, error) {
+	endpoint := policy.Endpoint{
+		ID:      entry.ID,
+		State:   endpointStates[entry.State],
+		Started: t.startTime(entry.Started),
+		Kind:    slices.Index(t.kinds, entry.Kind),
+		Zone:    slices.Index(t.zones, entry.Zone),
+		Weight:  entry.Weight,
+		Cell:    entry.Cell,
 	}
-	if m.State == policy.Removed {
-		return m, netip.AddrPort{}, nil
+	if endpoint.State == policy.Removed {
+		return endpoint, netip.AddrPort{}, nil
 	}
-	if m.Kind < 0 || m.Zone < 0 {
-		return m, netip.AddrPort{}, errors.New("unknown kind or zone")
+	if endpoint.Kind < 0 || endpoint.Zone < 0 {
+		return endpoint, netip.AddrPort{}, errors.New("unknown kind or zone")
+	}
+	addr, err := netip.ParseAddrPort(entry.Addr)
+	return endpoint, addr, err
+}
+
+// startTime is the loop's time of a start that was reported as a Unix millisecond; 0: it started long ago.
+func (t *endpointTable) startTime(unixMillis int64) eventloop.Timestamp {
+	if unixMillis == 0 {
+		return 0
 	}
-	addr, err := netip.ParseAddrPort(s.Addr)
-	return m, addr, err
+	reported := time.Duration(unixMillis) * time.Millisecond
+	t.clock.observe(reported, false)
+	return t.clock.toLocal(reported)
 }
--- a/internal/proxy/fields.go
+++ b/internal/proxy/fields.go
@@ -17,7 +17,7 @@
 const (
 	maxTimeoutMillis        = 600_000
 	maxPart                 = 1 << 31
-	maxGroup                = groups - 1
+	maxGroup                = groupCount - 1
 	maxSizeKB               = 1e9
 	idLength                = 16 // hex digits of request ids, objects and versions
 	maxIdempotencyKeyLength = 64 // characters
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -64,18 +64,17 @@
 	sockets  int // connections to caches
 	memory   *memoryBudget
 
-	servers        map[string]int64 // by id: when it started
+	endpoints      *endpointTable
 	pools          *connpool.Pools
 	fastcgiServers []*FastCGIServer
 	coordinator    *coordinatorWatch
 
-	open               int // requests taken and not ended
-	counters           *counters
-	logDropped         func() int64
-	loader             loader
-	clock              coordinatorClock
-	newestInitialPurge eventloop.Timestamp // the latest time that the configuration's purges tell; 0: none
-	audit              *audit
+	open       int // requests taken and not ended
+	counters   *counters
+	logDropped func() int64
+	loader     loader
+	clock      *coordinatorClock
+	audit      *audit
 }
 
 // request is one client request until its answer is given and its last attempt has ended.
@@ -102,13 +101,17 @@
 	p := &Proxy{
 		loop: loop, router: policy.New(cfg.Settings.Policy, cfg.Seed), log: logger,
 		rng:      rand.New(rand.NewPCG(cfg.Seed, 1)),
-		requests: map[int64]*request{}, servers: map[string]int64{},
-		sockets: UpstreamSockets(cfg.MaxDescriptors), memory: newMemoryBudget(loop, cfg.MaxMemoryBytes),
+		requests: map[int64]*request{},
+		sockets:  UpstreamSockets(cfg.MaxDescriptors), memory: newMemoryBudget(loop, cfg.MaxMemoryBytes),
 		counters:  newCounters(),
 		lifecycle: &lifecycle{loop: loop, log: logger}, logDropped: cfg.DroppedLogLines,
 	}
 	p.audit = newAudit(p, cfg.OnViolation)
 	p.pools = connpool.New(loop, connpool.Limits{}, p.openUpstream)
+	p.clock = &coordinatorClock{loop: loop, log: logger, notify: p.notify}
+	p.endpoints = &endpointTable{
+		log: logger, clock: p.clock, pools: p.pools, notify: p.notify, startMillis: map[string]int64{},
+	}
 	p.apply(cfg.Settings, cfg.TransferBytesPerSecond)
 	p.applyInitialState(cfg.InitialState.Events)
 	p.settle()
@@ -116,21 +119,10 @@
 	return p
 }
 
-// applyInitialState takes the events that the configuration tells. How long ago its purges were is certain only against the latest.
-func (p *Proxy) applyInitialState(events []watch.Event) {
-	for _, ev := range events {
-		if ev.Purge != nil {
-			p.newestInitialPurge = max(p.newestInitialPurge, time.Duration(ev.Purge.At)*time.Millisecond)
-		}
-	}
-	for _, ev := range events {
-		p.applyEvent(ev)
-	}
-}
-
 // apply takes over settings, at the start and later, wherever the proxy goes by them itself.
 func (p *Proxy) apply(set settings.Settings, flow float64) {
 	p.set, p.flow, p.class = set, flow, map[string]int{}
+	p.endpoints.kinds, p.endpoints.zones = set.Kinds, set.Zones
 	for i, c := range set.Policy.Classes {
 		p.class[c.Name] = i
 		p.counters.addClass(c.Name)
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -26,7 +26,7 @@
 func (p *Proxy) gauges() []gauge {
 	return []gauge{
 		{"open_requests", p.open},
-		{"registry_entries", len(p.servers)},
+		{"registry_entries", p.endpoints.count()},
 		{"out_of_rotation", p.router.OutOfRotation(p.loop.Now())},
 		{"cfg_accepted", p.counters.configsAccepted},
 		{"cfg_invalid", p.counters.configsRejected},
--- a/internal/proxy/watch_test.go
+++ b/internal/proxy/watch_test.go
@@ -1,7 +1,6 @@
 package proxy
 
 import (
-	"log/slog"
 	"math/rand/v2"
 	"testing"
 	"time"
@@ -65,8 +64,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &Proxy{loop: loop, log: slog.New(slog.DiscardHandler), coordinator: &coordinatorWatch{}}
-	p.audit = newAudit(p, nil)
+	p := newEventProxy(loop)
 	p.applyEvent(watch.Event{Purge: &watch.Purge{Object: "w", At: loop.Now().Milliseconds()}}) // in time: the clock is right
 	p.applyEvent(watch.Event{Purge: &watch.Purge{Object: "x", At: time.Now().Add(-ago).UnixMilli()}})
 	if age := p.inbox[1].(policy.Purge).Age; age < ago-held-time.Second || age > ago-held+time.Second {
--- a/internal/proxy/watchevents.go
+++ b/internal/proxy/watchevents.go
@@ -2,8 +2,15 @@
 
 import (
 	"net/netip"
+	"time"
+
+	"cloverdoor/internal/watch"
+	"cloverdoor/policy"
 )
 
+// groupCount is how many groups of objects there are; they are numbered from 0.
+const groupCount = 256
+
 // WatchCoordinator starts to watch the coordinator at addr for events after lastIndex.
 func (p *Proxy) WatchCoordinator(addr netip.AddrPort, lastIndex int64) {
 	p.coordinator = &coordinatorWatch{
@@ -16,5 +23,62 @@
 // before.
 func (p *Proxy) SwitchCoordinator(addr netip.AddrPort) { p.coordinator.switchTo(addr) }
 
+// applyInitialState takes the events of the configuration. They have not just happened, so their times say
+// little about the clock.
+func (p *Proxy) applyInitialState(events []watch.Event) {
+	for _, ev := range events {
+		if ev.Purge != nil {
+			purgedAt := time.Duration(ev.Purge.At) * time.Millisecond
+			p.clock.newestInitialPurge = max(p.clock.newestInitialPurge, purgedAt)
+		}
+	}
+	for _, ev := range events {
+		p.takeEvent(ev, false)
+	}
+}
+
+// applyEvent implements watchHandler.
+func (p *Proxy) applyEvent(ev watch.Event) { p.takeEvent(ev, true) }
+
 // countUnreadable implements watchHandler.
 func (p *Proxy) countUnreadable(parts int) { p.counters.unreadableParts += parts }
+
+// takeEvent passes an event on to the decision module. live is true for one that the coordinator has just
+// reported. The first endpoint list ends the start of the program.
+func (p *Proxy) takeEvent(ev watch.Event, live bool) {
+	p.audit.told(ev)
+	if ev.Purge != nil {
+		p.takePurge(ev.Purge, live)
+	}
+	if ev.Endpoints != nil {
+		p.endpoints.apply(ev.Endpoints)
+		if p.lifecycle.phase == Starting {
+			p.lifecycle.enter(Serving, p.open)
+		}
+	}
+	if ev.Unreadable > 0 {
+		p.countUnreadable(ev.Unreadable)
+		p.log.Error("parts of an event can't be read: servers named in them count as gone",
+			"event", ev.Index, "parts", ev.Unreadable)
+	}
+}
+
+// takePurge passes on a purge. One whose time is not reported counts as new, and one whose target can't be
+// decoded purges every group.
+func (p *Proxy) takePurge(purge *watch.Purge, live bool) {
+	age := time.Duration(0)
+	if purge.At != 0 {
+		p.clock.observe(time.Duration(purge.At)*time.Millisecond, live)
+		age = p.clock.age(purge.At)
+	}
+	switch {
+	case purge.Object != "":
+		p.notify(policy.Purge{Object: purge.Object, Age: age})
+	case purge.Group != nil:
+		p.notify(policy.Purge{Group: *purge.Group, Age: age})
+	default:
+		for group := range groupCount {
+			p.notify(policy.Purge{Group: group, Age: age})
+		}
+	}
+}
