--- /dev/null
+++ b/internal/proxy/endpoints_test.go
@@ -0,0 +1,79 @@
+package proxy
+
+import (
+	"log/slog"
+	"net/netip"
+	"slices"
+	"testing"
+
+	"cloverdoor/internal/watch"
+	"cloverdoor/policy"
+)
+
+// recordedPools records what an endpoint table asks of the pools.
+type recordedPools struct{ calls []string }
+
+func (r *recordedPools) SetAddress(id string, addr netip.AddrPort) {
+	r.calls = append(r.calls, "set "+id+" "+addr.String())
+}
+func (r *recordedPools) DiscardConns(id string)   { r.calls = append(r.calls, "discard "+id) }
+func (r *recordedPools) RemoveEndpoint(id string) { r.calls = append(r.calls, "remove "+id) }
+
+// Each update reaches the pools and the decision module: new endpoints, restarts, entries that can't be
+// decoded, and those that a full list leaves out.
+func TestEndpointUpdates(t *testing.T) {
+	pools := &recordedPools{}
+	var events []policy.Event
+	table := &endpointTable{
+		log: slog.New(slog.DiscardHandler), pools: pools, startMillis: map[string]int64{},
+		notify: func(ev policy.Event) { events = append(events, ev) },
+		kinds:  []string{"std", "origin"}, zones: []string{"hub"},
+	}
+	entry := func(id, state, zone string) watch.Endpoint {
+		return watch.Endpoint{ID: id, Addr: "10.0.0.1:80", Zone: zone, Kind: "std", State: state, Weight: 3}
+	}
+	serving, draining, removed := policy.Ready, policy.Draining, policy.Removed
+	table.clock = newClockTest(t, 0).p.clock
+	restarted := entry("a", watch.StateServing, "hub")
+	restarted.Started = table.clock.loop.Now().Milliseconds()
+	for _, step := range []struct {
+		name   string
+		update watch.EndpointUpdate
+		calls  []string
+		states []policy.State
+		count  int
+	}{
+		{"full list", watch.EndpointUpdate{Full: true, Endpoints: []watch.Endpoint{
+			entry("a", watch.StateServing, "hub"), entry("b", watch.StateDraining, "hub")}},
+			[]string{"set a 10.0.0.1:80", "set b 10.0.0.1:80"}, []policy.State{serving, draining}, 2},
+		{"restart", watch.EndpointUpdate{Endpoints: []watch.Endpoint{restarted}},
+			[]string{"discard a", "set a 10.0.0.1:80"}, []policy.State{serving}, 2},
+		{"unknown zone", watch.EndpointUpdate{Endpoints: []watch.Endpoint{entry("b", watch.StateServing, "nowhere")}},
+			[]string{"remove b"}, []policy.State{removed}, 1},
+		{"deleted before it was known", watch.EndpointUpdate{Endpoints: []watch.Endpoint{entry("c", watch.StateDeleted, "hub")}},
+			nil, []policy.State{removed}, 1},
+		{"full list without a", watch.EndpointUpdate{Full: true, Endpoints: []watch.Endpoint{entry("d", watch.StateServing, "hub")}},
+			[]string{"set d 10.0.0.1:80", "remove a"}, []policy.State{serving}, 1},
+	} {
+		pools.calls = nil
+		events = nil
+		table.apply(&step.update)
+		if !slices.Equal(pools.calls, step.calls) {
+			t.Errorf("%s: pools were asked %q, want %q", step.name, pools.calls, step.calls)
+		}
+		if len(events) != 1 {
+			t.Fatalf("%s: %d events", step.name, len(events))
+		}
+		update := events[0].(policy.EndpointUpdate)
+		var states []policy.State
+		for _, e := range update.Endpoints {
+			states = append(states, e.State)
+		}
+		if update.Full != step.update.Full || !slices.Equal(states, step.states) {
+			t.Errorf("%s: %+v", step.name, update)
+		}
+		if table.count() != step.count {
+			t.Errorf("%s: %d endpoints in use, want %d", step.name, table.count(), step.count)
+		}
+	}
+}
--- /dev/null
+++ b/internal/proxy/watchstream_test.go
@@ -0,0 +1,57 @@
+package proxy
+
+import (
+	"errors"
+	"log/slog"
+	"slices"
+	"testing"
+
+	"cloverdoor/internal/watch"
+)
+
+// recordedEvents records what a watch passes on.
+type recordedEvents struct {
+	indices    []int64
+	unreadable int
+}
+
+func (r *recordedEvents) applyEvent(ev watch.Event) { r.indices = append(r.indices, ev.Index) }
+func (r *recordedEvents) countUnreadable(parts int) { r.unreadable += parts }
+
+// Events are passed on in order and once. A gap closes the stream the first time, and is skipped the second
+// time once an event behind it arrives; skipped lines may have been the missing events.
+func TestEventOrder(t *testing.T) {
+	event := func(index int64) watch.Event { return watch.Event{Index: index, Purge: &watch.Purge{Object: "x"}} }
+	heartbeat := func(index int64) watch.Event { return watch.Event{Index: index} }
+	for _, c := range []struct {
+		name       string
+		lastGap    eventGap
+		skipped    int64 // lines
+		event      watch.Event
+		isGap      bool
+		passedOn   []int64
+		unreadable int
+	}{
+		{name: "next", event: event(6), passedOn: []int64{6}},
+		{name: "repeat", event: event(5)},
+		{name: "heartbeat", event: heartbeat(5)},
+		{name: "gap", event: event(7), isGap: true},
+		{name: "gap before a heartbeat", event: heartbeat(6), isGap: true},
+		{name: "another gap than before", lastGap: eventGap{5, 8}, event: event(7), isGap: true},
+		{name: "repeated gap", lastGap: eventGap{5, 7}, event: event(7), passedOn: []int64{7}, unreadable: 1},
+		{name: "repeated gap before a heartbeat", lastGap: eventGap{5, 6}, event: heartbeat(6)},
+		{name: "skipped line before an event", skipped: 1, event: event(7), passedOn: []int64{7}},
+		{name: "skipped line before a heartbeat", skipped: 1, event: heartbeat(6), passedOn: []int64{6}},
+		{name: "more missing than skipped lines", skipped: 1, event: event(8), isGap: true},
+	} {
+		handler := &recordedEvents{}
+		w := &coordinatorWatch{handler: handler, log: slog.New(slog.DiscardHandler), lastIndex: 5, lastGap: c.lastGap}
+		s := &watchStream{owner: w, skippedLines: c.skipped}
+		if err := s.handleEvent(c.event); errors.Is(err, errEventGap) != c.isGap {
+			t.Errorf("%s: error %v", c.name, err)
+		}
+		if !slices.Equal(handler.indices, c.passedOn) || handler.unreadable != c.unreadable {
+			t.Errorf("%s: passed on %v, %d parts unreadable", c.name, handler.indices, handler.unreadable)
+		}
+	}
+}
