--- a/internal/proxy/admin.go
+++ b/internal/proxy/adminserver.go
@@ -10,77 +10,77 @@
 )
 
 const (
-	// mostAdmin bounds the operators' connections: few, so that theirs are never missing to clients.
-	mostAdmin = 16
-	// callAfter is how long a caller may take over its call.
-	callAfter = 2 * time.Second
-	// callLeast is how long it has for it at least, however many others come.
-	callLeast = 50 * time.Millisecond
+	// maxAdminConns bounds the operators' connections: few, so that theirs are never missing to clients.
+	maxAdminConns = 16
+	// adminCallTimeout is how long a caller may take over its call.
+	adminCallTimeout = 2 * time.Second
+	// minAdminCallTime is how long it has for it at least, however many others come.
+	minAdminCallTime = 50 * time.Millisecond
 )
 
-var errSlowCaller = errors.New("call did not come whole in time")
+var errAdminCallTimeout = errors.New("call did not come whole in time")
 
-// Admin answers the operators, on an address of their own.
-type Admin struct {
+// AdminServer answers the operators, on an address of their own.
+type AdminServer struct {
 	p     *Proxy
 	conns map[*adminConn]bool
 }
 
 // ListenAdmin opens the address for operators.
 func (p *Proxy) ListenAdmin(addr netip.AddrPort) error {
-	a := &Admin{p: p, conns: map[*adminConn]bool{}}
-	if _, err := p.loop.Listen(addr, a.room, a.accept); err != nil {
+	a := &AdminServer{p: p, conns: map[*adminConn]bool{}}
+	if _, err := p.loop.Listen(addr, a.hasCapacity, a.accept); err != nil {
 		return err
 	}
-	a.watch()
+	a.closeOverdueConns()
 	return nil
 }
 
-// room closes the first caller that has yet to make its call when there is no place for another: callers that say
+// hasCapacity closes the first caller that has yet to make its call when there is no place for another: callers that say
 // nothing must not keep out those that ask. While none has had its time, others wait to be accepted.
-func (a *Admin) room() bool {
-	if len(a.conns) < mostAdmin {
+func (a *AdminServer) hasCapacity() bool {
+	if len(a.conns) < maxAdminConns {
 		return true
 	}
 	var oldest *adminConn
 	for c := range a.conns {
-		if a.p.loop.Now()-c.since >= callLeast && (oldest == nil || c.since < oldest.since) {
+		if a.p.loop.Now()-c.acceptedAt >= minAdminCallTime && (oldest == nil || c.acceptedAt < oldest.acceptedAt) {
 			oldest = c
 		}
 	}
 	if oldest == nil {
 		return false
 	}
-	oldest.end()
+	oldest.closeOverdue()
 	return true
 }
 
-func (a *Admin) accept(c *eventloop.Conn) eventloop.Handler {
-	ac := &adminConn{admin: a, conn: c, since: a.p.loop.Now()}
+func (a *AdminServer) accept(c *eventloop.Conn) eventloop.Handler {
+	ac := &adminConn{server: a, conn: c, acceptedAt: a.p.loop.Now()}
 	a.conns[ac] = true
 	return ac
 }
 
-// watch closes the callers that take too long, over their call or over its answer.
-func (a *Admin) watch() {
+// closeOverdueConns closes the callers that take too long, over their call or over its answer.
+func (a *AdminServer) closeOverdueConns() {
 	for c := range a.conns {
-		if a.p.loop.Now()-c.since > callAfter {
-			c.end()
+		if a.p.loop.Now()-c.acceptedAt > adminCallTimeout {
+			c.closeOverdue()
 		}
 	}
-	a.p.loop.At(a.p.loop.Now()+callAfter/10, a.watch)
+	a.p.loop.At(a.p.loop.Now()+adminCallTimeout/10, a.closeOverdueConns)
 }
 
 // adminConn is one connection of an operator: one call, one answer.
 type adminConn struct {
-	admin *Admin
-	conn  *eventloop.Conn
-	since eventloop.Timestamp
+	server     *AdminServer
+	conn       *eventloop.Conn
+	acceptedAt eventloop.Timestamp
 }
 
-func (c *adminConn) end() {
+func (c *adminConn) closeOverdue() {
 	c.conn.Close()
-	c.Closed(errSlowCaller)
+	c.Closed(errAdminCallTimeout)
 }
 
 // Receive waits for a whole call and answers it.
@@ -92,7 +92,7 @@
 	case err != nil:
 		c.respond(http1.Response{Status: 400, Body: err.Error() + "\n"})
 	case used > 0:
-		c.respond(c.admin.p.operate(call))
+		c.respond(c.server.p.operate(call))
 	default:
 		return 0, nil
 	}
@@ -105,7 +105,7 @@
 }
 
 // Closed forgets the connection.
-func (c *adminConn) Closed(error) { delete(c.admin.conns, c) }
+func (c *adminConn) Closed(error) { delete(c.server.conns, c) }
 
 // operations are what operators may call, with the one method of each.
 var operations = map[string]struct {
