--- a/internal/proxy/listen.go
+++ b/internal/proxy/listen.go
@@ -48,3 +48,14 @@
 	p.fastcgiServers = append(p.fastcgiServers, f)
 	f.start(ln)
 }
+
+// ListenAdmin opens the operators' server on addr.
+func (p *Proxy) ListenAdmin(addr netip.AddrPort) error {
+	a := &AdminServer{handler: p, loop: p.loop, conns: map[*adminConn]bool{}}
+	_, err := p.loop.Listen(addr, a.hasCapacity, a.accept)
+	if err != nil {
+		return err
+	}
+	a.closeOverdueConns()
+	return nil
+}
