--- a/internal/proxy/adminserver.go
+++ b/internal/proxy/adminserver.go
@@ -20,7 +20,7 @@
 	minAdminCallTime = 50 * time.Millisecond
 )
 
-var errAdminCallTimeout = errors.New("call did not come whole in time")
+var errAdminCallTimeout = errors.New("call was not completed in time")
 
 // AdminServer answers the operators' HTTP calls, on an address of their own. A connection carries one call.
 type AdminServer struct {
--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -171,8 +171,8 @@
 // stopReading ignores further input after a protocol error. Requests that were complete before it are still
 // answered, and the connection is closed after the last answer.
 func (c *clientConn) stopReading(err error) {
-	c.server.log.Warn("client's connection is not read any more",
-		"connection", c.number, "error", err, "open", len(c.openRequests))
+	c.server.log.Warn("client connection not read further, protocol error",
+		"connection", c.number, "error", err, "open_requests", len(c.openRequests))
 	c.conn.StopReading()
 	c.closeWhenDone = true
 	c.incompleteSince = 0
--- a/internal/proxy/coordinatorclock.go
+++ b/internal/proxy/coordinatorclock.go
@@ -55,7 +55,7 @@
 	if change == 0 {
 		return
 	}
-	c.log.Warn("clock differs from the coordinator's", "offset", c.offset)
+	c.log.Warn("clock offset from coordinator changed", "offset", c.offset)
 	c.notify(policy.ClockCorrection{Offset: -change})
 }
 
--- a/internal/proxy/eviction.go
+++ b/internal/proxy/eviction.go
@@ -79,7 +79,7 @@
 }
 
 func (f *FastCGIServer) evict(c *clientConn) {
-	f.log.Info("client's connection closed to make room", "connection", c.number, "idle", c.idleTime())
+	f.log.Info("client connection evicted", "connection", c.number, "idle", c.idleTime())
 	c.conn.Close()
 	c.Closed(nil)
 }
--- a/internal/proxy/fastcgiserver.go
+++ b/internal/proxy/fastcgiserver.go
@@ -96,7 +96,7 @@
 	c.rejectBlocked(f.loop.Now())
 	if c.isStalledFor(writeStallTimeout) || f.memory.critical() && c.isStalledFor(criticalWriteStallTimeout) {
 		queuedBytes, _ := c.conn.QueuedOutput()
-		f.log.Info("client's connection closed, it takes nothing", "connection", c.number, "bytes", queuedBytes)
+		f.log.Info("client connection closed, write stalled", "connection", c.number, "queued_bytes", queuedBytes)
 		c.conn.Close()
 		c.Closed(eventloop.ErrWriteStalled)
 		return
--- a/internal/proxy/left_test.go
+++ b/internal/proxy/left_test.go
@@ -42,8 +42,8 @@
 	return append(out, record(5, "")...)
 }
 
-// Nothing begins for a client that leaves, or takes its request back, while the turn in which that was read lasts: the process
-// may lose its core between reading and writing.
+// Nothing begins for a client that leaves, or takes its request back, while the turn in which that was read
+// lasts: the process may lose its core between reading and writing.
 func TestNothingBeginsForAClientThatLeavesInALongTurn(t *testing.T) {
 	for name, leave := range map[string]func(*net.TCPConn){
 		"close":   func(c *net.TCPConn) { c.Close() },
--- a/internal/proxy/watch_test.go
+++ b/internal/proxy/watch_test.go
@@ -10,9 +10,9 @@
 	"cloverdoor/policy"
 )
 
-// A coordinator that is gone for 8 s is called by each of 300 processes again and again. Over all of them the calls come
-// evenly once the first pauses are over: no 20 ms bring more than twice their part. When it is back, all are with it
-// again within the longest pause.
+// A coordinator that is gone for 8 s is called by each of 300 processes again and again. Over all of them the
+// calls come evenly once the first pauses are over: no 20 ms bring more than twice their part. When it is
+// back, all are with it again within the longest pause.
 func TestFleetFollowsAnewEvenly(t *testing.T) {
 	const processes, outage, bin = 300, 8 * time.Second, 20 * time.Millisecond
 	calls := make([]int, outage/bin)
@@ -41,7 +41,8 @@
 	}
 }
 
-// heldClock goes by the system's clock, but the first look at it was long ago: a process that was held up in its turn.
+// heldClock goes by the system's clock, but the first look at it was long ago: a process that was held up in
+// its turn.
 type heldClock struct {
 	eventloop.TimeSource
 	held   time.Duration
--- a/internal/proxy/watchevents.go
+++ b/internal/proxy/watchevents.go
@@ -58,7 +58,7 @@
 	}
 	if ev.Unreadable > 0 {
 		p.countUnreadable(ev.Unreadable)
-		p.log.Error("parts of an event can't be read: servers named in them count as gone",
+		p.log.Error("event partly unreadable, endpoints in those parts removed",
 			"event", ev.Index, "parts", ev.Unreadable)
 	}
 }
--- a/internal/proxy/watchstream.go
+++ b/internal/proxy/watchstream.go
@@ -88,8 +88,8 @@
 func (s *watchStream) skipLine(sizeBytes int) {
 	s.skippedLines++
 	s.owner.handler.countUnreadable(1)
-	s.owner.log.Error("coordinator's line can't be read and is passed over",
-		"event", s.owner.lastIndex, "bytes", sizeBytes)
+	s.owner.log.Error("coordinator line skipped, malformed",
+		"last_event", s.owner.lastIndex, "bytes", sizeBytes)
 }
 
 // handleEvent passes on an event if it is next in order; events up to lastIndex are repeats and are dropped.
@@ -111,7 +111,7 @@
 			return nil
 		}
 		w.handler.countUnreadable(1)
-		w.log.Error("events are missing for good", "after", w.lastIndex, "before", ev.Index)
+		w.log.Error("coordinator events skipped, missing", "after", w.lastIndex, "before", ev.Index)
 	}
 	w.lastIndex = ev.Index
 	s.skippedLines = 0
