--- a/internal/proxy/left_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -29,8 +29,8 @@
 	return append(head, content...)
 }
 
-// wholeRequest is a request for an object, in one piece.
-func wholeRequest() []byte {
+// completeRequest is a request for an object, in one piece.
+func completeRequest() []byte {
 	var pairs []byte
 	for _, p := range [][2]string{{"SCRIPT_NAME", "/ops/w"}, {"HTTP_REQ_ID", "9b1f03aa5c7e2d41"}, {"HTTP_REQ_KEY", "7f3a9c21e0b4d655"},
 		{"HTTP_REQ_WAIT_MS", "5000"}, {"HTTP_X_PIECE", "0"}, {"HTTP_X_LOT", "0"}} {
@@ -44,7 +44,7 @@
 
 // Nothing begins for a client that leaves, or takes its request back, while the turn in which that was read
 // lasts: the process may lose its core between reading and writing.
-func TestNothingBeginsForAClientThatLeavesInALongTurn(t *testing.T) {
+func TestNothingBeginsForAClientThatDisconnectsInALongTurn(t *testing.T) {
 	for name, leave := range map[string]func(*net.TCPConn){
 		"close":   func(c *net.TCPConn) { c.Close() },
 		"reset":   func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
@@ -91,7 +91,7 @@
 				p.settle()
 			}
 		}
-		client.Write(wholeRequest()) //nolint:errcheck // shows in what the proxy knows
+		client.Write(completeRequest()) //nolint:errcheck // shows in what the proxy knows
 		for end := time.Now().Add(5 * time.Second); len(p.requests) == 0 && time.Now().Before(end); {
 			turn(false)
 		}
--- a/internal/proxy/fields_test.go
+++ b/internal/proxy/fields_test.go
@@ -7,7 +7,7 @@
 )
 
 // Sizes are read where clients tell them, as the decision module needs them; what is no size is turned down.
-func TestToldSizes(t *testing.T) {
+func TestObjectSizes(t *testing.T) {
 	f := &FastCGIServer{handler: &Proxy{class: map[string]int{"artes": 0}}}
 	for text, want := range map[string]float64{"": 0, "0": 0, "2666.007": 2666.007, "1e3": 1000} {
 		in, err := f.parse(requestWith("HTTP_REQ_KB", text))
--- a/internal/proxy/front_test.go
+++ b/internal/proxy/partialrequest_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // What a closed connection held is given back, also when it is counted once more after its end.
-func TestClosedConnectionHoldsNothing(t *testing.T) {
+func TestClosedConnectionBuffersNothing(t *testing.T) {
 	f := &FastCGIServer{memory: &memoryBudget{}, conns: map[*clientConn]bool{}}
 	c := &clientConn{server: f, openRequests: map[uint16]int64{}}
 	f.conns[c] = true
--- a/internal/proxy/watch_test.go
+++ b/internal/proxy/watch_test.go
@@ -13,7 +13,7 @@
 // A coordinator that is gone for 8 s is called by each of 300 processes again and again. Over all of them the
 // calls come evenly once the first pauses are over: no 20 ms bring more than twice their part. When it is
 // back, all are with it again within the longest pause.
-func TestFleetFollowsAnewEvenly(t *testing.T) {
+func TestFleetReconnectsEvenly(t *testing.T) {
 	const processes, outage, bin = 300, 8 * time.Second, 20 * time.Millisecond
 	calls := make([]int, outage/bin)
 	all := 0
@@ -59,7 +59,7 @@
 }
 
 // A purge that is told in a turn in which the process was held up is as old as it was when the turn began.
-func TestPurgeToldInALongTurn(t *testing.T) {
+func TestPurgeReportedInALongTurn(t *testing.T) {
 	const held, ago = 10 * time.Second, 12 * time.Second
 	loop, err := eventloop.NewLoop(&heldClock{TimeSource: eventloop.SystemClock(), held: held})
 	if err != nil {
