--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -67,11 +67,11 @@
 func (t *endpointTable) applyEntry(entry watch.Endpoint, fullList bool) policy.Endpoint {
 	endpoint, addr, err := t.decode(entry)
 	if err != nil {
-		t.log.Warn("endpoint removed, entry unreadable", "endpoint", entry.ID, "error", err)
+		t.log.Warn("endpoint removed, entry unreadable", "server", entry.ID, "error", err)
 		endpoint.State = policy.Removed
 	}
 	if !fullList { // a full list may have thousands
-		t.log.Info("endpoint changed", "endpoint", entry.ID, "state", entry.State, "started_ms", entry.Started)
+		t.log.Info("endpoint changed", "server", entry.ID, "state", entry.State, "started_ms", entry.Started)
 	}
 	if endpoint.State == policy.Removed {
 		return endpoint
--- a/internal/proxy/watch.go
+++ b/internal/proxy/watch.go
@@ -151,7 +151,7 @@
 // replaceStalled opens a stream beside a stalled one, or instead of the older of two.
 func (w *coordinatorWatch) replaceStalled() {
 	if len(w.streams) < maxWatchStreams {
-		w.log.Warn("coordinator watch stalled, second stream opened", "last_event", w.lastIndex)
+		w.log.Warn("coordinator watch stalled, second stream opened", "event", w.lastIndex)
 	} else {
 		byLastLine := func(a, b *watchStream) int { return int(a.lastLineAt - b.lastLineAt) }
 		w.closeStream(slices.MinFunc(w.streams, byLastLine))
@@ -216,7 +216,7 @@
 		return
 	}
 	if w.backoff == minReconnectBackoff { // once for each outage
-		w.log.Warn("coordinator watch lost, reconnecting", "error", err, "last_event", w.lastIndex)
+		w.log.Warn("coordinator watch lost, reconnecting", "error", err, "event", w.lastIndex)
 	}
 	w.reconnectTimer = w.loop.At(w.loop.Now()+jitteredBackoff(w.backoff, w.rng), w.openStream)
 	w.backoff = min(2*w.backoff, maxReconnectBackoff)
--- a/internal/proxy/watchstream.go
+++ b/internal/proxy/watchstream.go
@@ -89,7 +89,7 @@
 	s.skippedLines++
 	s.owner.handler.countUnreadable(1)
 	s.owner.log.Error("coordinator line skipped, malformed",
-		"last_event", s.owner.lastIndex, "bytes", sizeBytes)
+		"event", s.owner.lastIndex, "bytes", sizeBytes)
 }
 
 // handleEvent passes on an event if it is next in order; events up to lastIndex are repeats and are dropped.
