--- a/internal/proxy/coordinatorclock_test.go
+++ b/internal/proxy/coordinatorclock_test.go
@@ -26,7 +26,7 @@
 	right eventloop.Timestamp // the correct time at the test's start
 }
 
-func newClockTest(t testing.TB, wrongBy time.Duration) *clockTest {
+func newClockTest(t *testing.T, wrongBy time.Duration) *clockTest {
 	t.Helper()
 	right := eventloop.Timestamp(time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC).UnixNano())
 	clock := &handClock{now: right + wrongBy}
@@ -46,7 +46,7 @@
 }
 
 // advance moves the clock on.
-func (c *clockTest) advance(t testing.TB, by time.Duration) {
+func (c *clockTest) advance(t *testing.T, by time.Duration) {
 	t.Helper()
 	c.clock.now += by
 	if err := c.p.loop.Wait(0); err != nil {
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -3,6 +3,8 @@
 import (
 	"encoding/binary"
 	"encoding/json"
+	"errors"
+	"io"
 	"log/slog"
 	"net"
 	"net/netip"
@@ -29,7 +31,7 @@
 	return append(head, content...)
 }
 
-// completeRequest is a request for an object, in one piece.
+// completeRequest is a request for an object, with the records that complete it.
 func completeRequest() []byte {
 	var pairs []byte
 	for _, p := range [][2]string{{"SCRIPT_NAME", "/ops/w"}, {"HTTP_REQ_ID", "9b1f03aa5c7e2d41"}, {"HTTP_REQ_KEY", "7f3a9c21e0b4d655"},
@@ -42,73 +44,134 @@
 	return append(out, record(5, "")...)
 }
 
-// Nothing begins for a client that leaves, or takes its request back, while the turn in which that was read
-// lasts: the process may lose its core between reading and writing.
+// Nothing begins for a client that disconnects, or aborts its request, while the turn in which its request
+// was read lasts: the process may lose its core between reading and writing.
 func TestNothingBeginsForAClientThatDisconnectsInALongTurn(t *testing.T) {
-	for name, leave := range map[string]func(*net.TCPConn){
-		"close":   func(c *net.TCPConn) { c.Close() },
-		"reset":   func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
-		"abort":   func(c *net.TCPConn) { c.Write(record(2, "")) },
-		"nothing": func(*net.TCPConn) {},
-	} {
-		clock := &handClock{now: eventloop.Timestamp(time.Now().UnixNano())}
-		loop, err := eventloop.NewLoop(clock)
-		if err != nil {
-			t.Fatal(err)
-		}
-		origin, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer origin.Close()
-		set, err := settings.Decode(json.RawMessage(`{"areas":["hub"],"host-types":["std","parent","origin"],"group-size":1,
-			"classes":[{"name":"w","semantics":"non_idempotent","promise-us":500000,"gain":1}],
-			"domain":{"direct":true,"root-kind":2,"upper-kind":1,"pass-on":[true]},"limits":{"may-cancel":true,"max-attempts":4}}`))
-		if err != nil {
-			t.Fatal(err)
-		}
-		p := New(loop, Config{Settings: set, MaxDescriptors: 100, MaxMemoryBytes: 1 << 26, InitialState: watch.InitialState{Index: 1, Events: []watch.Event{{Index: 1,
-			Endpoints: &watch.EndpointUpdate{Full: true, Endpoints: []watch.Endpoint{{ID: "o", Addr: origin.Addr().String(), Zone: "hub", Kind: "origin",
-				State: watch.StateServing, Weight: 100}}}}}}}, slog.New(slog.DiscardHandler))
-		free, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		free.Close()
-		if err := p.Listen(netip.MustParseAddrPort(free.Addr().String()), 10); err != nil {
-			t.Fatal(err)
-		}
-		client, err := net.Dial("tcp", free.Addr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		turn := func(flush bool) {
-			clock.now += time.Millisecond
-			if err := loop.Wait(time.Millisecond); err != nil {
+	for name, disconnect := range map[string]func(*testing.T, *net.TCPConn){
+		"close": func(t *testing.T, c *net.TCPConn) {
+			t.Helper()
+			closeConn(t, c)
+		},
+		"reset": func(t *testing.T, c *net.TCPConn) {
+			t.Helper()
+			if err := c.SetLinger(0); err != nil {
 				t.Fatal(err)
 			}
-			if p.consult(); flush {
-				p.settle()
+			closeConn(t, c)
+		},
+		"abort": func(t *testing.T, c *net.TCPConn) {
+			t.Helper()
+			if _, err := c.Write(record(2, "")); err != nil {
+				t.Fatal(err)
 			}
+		},
+		"nothing": func(*testing.T, *net.TCPConn) {},
+	} {
+		t.Run(name, func(t *testing.T) {
+			l := newLongTurn(t)
+			a := l.waitForAttempt(t)
+			disconnect(t, l.client)
+			time.Sleep(20 * time.Millisecond) // on loopback it has arrived long before
+			l.clock.now += 200 * time.Millisecond
+			l.p.settle()
+			if want := name == "nothing"; a.started != want {
+				t.Errorf("begun %v", a.started)
+			}
+		})
+	}
+}
+
+// longTurn is a proxy with one endpoint and one client, whose turns a test takes.
+type longTurn struct {
+	p      *Proxy
+	loop   *eventloop.Loop
+	clock  *handClock
+	client *net.TCPConn
+}
+
+func newLongTurn(t *testing.T) *longTurn {
+	t.Helper()
+	clock := &handClock{now: eventloop.Timestamp(time.Now().UnixNano())}
+	loop, err := eventloop.NewLoop(clock)
+	if err != nil {
+		t.Fatal(err)
+	}
+	origin, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { closeConn(t, origin) })
+	set, err := settings.Decode(json.RawMessage(`{"areas":["hub"],"host-types":["std","parent","origin"],"group-size":1,
+		"classes":[{"name":"w","semantics":"non_idempotent","promise-us":500000,"gain":1}],
+		"domain":{"direct":true,"root-kind":2,"upper-kind":1,"pass-on":[true]},"limits":{"may-cancel":true,"max-attempts":4}}`))
+	if err != nil {
+		t.Fatal(err)
+	}
+	list := &watch.EndpointUpdate{Full: true, Endpoints: []watch.Endpoint{{
+		ID: "o", Addr: origin.Addr().String(), Zone: "hub", Kind: "origin", State: watch.StateServing, Weight: 100,
+	}}}
+	p := New(loop, Config{
+		Settings: set, MaxDescriptors: 100, MaxMemoryBytes: 1 << 26,
+		InitialState: watch.InitialState{Index: 1, Events: []watch.Event{{Index: 1, Endpoints: list}}},
+	}, slog.New(slog.DiscardHandler))
+	addr := freeAddr(t)
+	if err := p.Listen(addr, 10); err != nil {
+		t.Fatal(err)
+	}
+	client, err := net.Dial("tcp", addr.String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { closeConn(t, client) })
+	return &longTurn{p: p, loop: loop, clock: clock, client: client.(*net.TCPConn)}
+}
+
+// freeAddr returns a local address on which nobody listens.
+func freeAddr(t *testing.T) netip.AddrPort {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	closeConn(t, listener)
+	return netip.MustParseAddrPort(listener.Addr().String())
+}
+
+// closeConn closes a connection or a listener that may have been closed before.
+func closeConn(tb testing.TB, c io.Closer) {
+	tb.Helper()
+	if err := c.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
+		tb.Error(err)
+	}
+}
+
+// waitForAttempt sends a request and takes turns, in which nothing is written, until its attempt has a
+// connection.
+func (l *longTurn) waitForAttempt(t *testing.T) *attempt {
+	t.Helper()
+	if _, err := l.client.Write(completeRequest()); err != nil {
+		t.Fatal(err)
+	}
+	l.turnUntil(t, func() bool { return len(l.p.requests) > 0 })
+	var a *attempt
+	for _, q := range l.p.requests {
+		a = q.attempts[0]
+	}
+	l.turnUntil(t, a.on.slot.Connected)
+	return a
+}
+
+// turnUntil takes turns until done reports true, for 5 s at most.
+func (l *longTurn) turnUntil(t *testing.T, done func() bool) {
+	t.Helper()
+	for end := time.Now().Add(5 * time.Second); !done(); {
+		if time.Now().After(end) {
+			t.Fatal("not done after 5 s")
 		}
-		client.Write(completeRequest()) //nolint:errcheck // shows in what the proxy knows
-		for end := time.Now().Add(5 * time.Second); len(p.requests) == 0 && time.Now().Before(end); {
-			turn(false)
-		}
-		var a *attempt
-		for _, q := range p.requests {
-			a = q.attempts[0]
-		}
-		for end := time.Now().Add(5 * time.Second); !a.on.slot.Connected() && time.Now().Before(end); {
-			turn(false)
-		}
-		leave(client.(*net.TCPConn))
-		time.Sleep(20 * time.Millisecond) // on loopback it has arrived long before
-		clock.now += 200 * time.Millisecond
-		p.settle()
-		if want := name == "nothing"; a.started != want {
-			t.Errorf("%s: begun %v", name, a.started)
+		l.clock.now += time.Millisecond
+		if err := l.loop.Wait(time.Millisecond); err != nil {
+			t.Fatal(err)
 		}
-		client.Close()
+		l.p.consult()
 	}
 }
