--- a/internal/proxy/backpressure.go
+++ b/internal/proxy/backpressure.go
@@ -1,6 +1,6 @@
 package proxy
 
-// Backpressure: while a client leaves too many bytes of its answers unread, its further requests are blocked.
+// Backpressure: while a client has too many unread bytes of answers, its further requests are blocked.
 // A blocked request is open, so that its client can abort it, but it is not submitted.
 
 import (
@@ -11,14 +11,15 @@
 	"cloverdoor/internal/fastcgi"
 )
 
-// backpressureBytes is how many bytes of answers a client may leave unread before its further requests are
+// backpressureBytes is how many bytes of answers may wait for a client before its further requests are
 // blocked.
 const backpressureBytes = 1 << 20
 
-// maxBlockedFraction is the part of a request's timeout, as 1/n, for which it may stay blocked before it is
-// rejected. A later rejection would leave the client too little time for a retry.
-const maxBlockedFraction = 2
+// blockedTimeoutDivisor sets how long a request may stay blocked before it is rejected: for its timeout divided by
+// this. A later rejection would leave the client too little time for a retry.
+const blockedTimeoutDivisor = 2
 
+// errMemoryLimit closes a connection whose unread answers take memory that the process does not have.
 var errMemoryLimit = errors.New("memory for clients is used up")
 
 // blockedRequest is a request that is blocked by backpressure.
@@ -28,7 +29,7 @@
 	blockedAt eventloop.Timestamp
 }
 
-// isBackpressured reports whether the client has left too many bytes unread.
+// isBackpressured reports whether the client has too many unread bytes.
 func (c *clientConn) isBackpressured() bool {
 	queuedBytes, _ := c.conn.QueuedOutput()
 	return queuedBytes >= backpressureBytes
@@ -80,11 +81,12 @@
 
 // rejectBlocked rejects the requests that have been blocked for too long at the given time.
 func (c *clientConn) rejectBlocked(now eventloop.Timestamp) {
-	for len(c.blocked) > 0 && now-c.blocked[0].blockedAt >= c.blocked[0].parsed.Timeout/maxBlockedFraction {
+	for len(c.blocked) > 0 && now-c.blocked[0].blockedAt >= c.blocked[0].parsed.Timeout/blockedTimeoutDivisor {
 		c.reject(c.popBlocked())
 	}
 }
 
+// reject rejects a blocked request, with advice to retry on another connection.
 func (c *clientConn) reject(b blockedRequest) {
 	to := &responder{conn: c, id: b.request.ID}
 	c.server.handler.rejectUnsubmitted(b.parsed, to, Answer{Status: Rejected, RetryAfter: goneIn})
--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -54,7 +54,7 @@
 	return used, nil
 }
 
-// updateIncompleteSince keeps the start of the wait for the rest of a request. The wait begins anew with each
+// updateIncompleteSince keeps the start of the wait for the rest of a request. The wait restarts with each
 // request that has been completed, as what is incomplete then is another one.
 func (c *clientConn) updateIncompleteSince(hasPartial, completedRequest bool) {
 	if !hasPartial && c.completeRequests > 0 {
--- a/internal/proxy/coordinatorclock.go
+++ b/internal/proxy/coordinatorclock.go
@@ -94,7 +94,7 @@
 }
 
 // age is how long ago, counted from the turn's time, something took place that the coordinator reported with
-// a Unix time. It is a lower bound. The Unix time has whole milliseconds: a copy made within that millisecond
+// a Unix time. It is a lower bound. The Unix time is in milliseconds: a copy made within that millisecond
 // may be older than the purge, so the age counts from its end. Before any sample the process's own clock may
 // be wrong: then only the times of the initial state's purges are certain.
 func (c *coordinatorClock) age(unixMillis int64) time.Duration {
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -62,8 +62,8 @@
 	t.notify(decoded)
 }
 
-// applyEntry decodes one endpoint and tells the pools of it. One that can't be decoded counts as removed, as
-// it can't be used, and as the entry may have said that it is draining.
+// applyEntry decodes one endpoint and passes its address to the pools. One that can't be decoded counts as
+// removed, as it can't be used, and as the entry may have said that it is draining.
 func (t *endpointTable) applyEntry(entry watch.Endpoint, fullList bool) policy.Endpoint {
 	endpoint, addr, err := t.decode(entry)
 	if err != nil {
--- a/internal/proxy/fastcgiserver.go
+++ b/internal/proxy/fastcgiserver.go
@@ -130,7 +130,7 @@
 // closeDrainedConns closes, while clients are to be disconnected, the connections that hold nothing any more.
 // It is called at the end of a turn, when all input has been read and all output written and acknowledged:
 // data that arrives while a closed connection still has output would be lost. A connection that can't be
-// closed is looked at again in the next turn, so its denial isn't counted.
+// closed is checked again in the next turn, so its denial isn't counted.
 func (f *FastCGIServer) closeDrainedConns() {
 	for c := range f.conns {
 		if c.conn.Ended() {
--- a/internal/proxy/fields.go
+++ b/internal/proxy/fields.go
@@ -101,14 +101,14 @@
 	return size, nil
 }
 
-// decimal decodes a decimal number between least and most. Only the canonical form is accepted, so that the
-// number is forwarded just as it came.
-func decimal(s string, least, most int) (int, error) {
+// decimal decodes a decimal number between minimum and maximum. Only the canonical form is accepted, so that
+// the number is forwarded just as it came.
+func decimal(s string, minimum, maximum int) (int, error) {
 	n, err := strconv.Atoi(s)
 	if err != nil {
 		return 0, err
 	}
-	if n < least || n > most || strconv.Itoa(n) != s {
+	if n < minimum || n > maximum || strconv.Itoa(n) != s {
 		return 0, fmt.Errorf("%q is out of range", s)
 	}
 	return n, nil
--- a/internal/proxy/partialrequest.go
+++ b/internal/proxy/partialrequest.go
@@ -31,20 +31,20 @@
 
 // updatePartialBytes counts the bytes that the connection's partial and blocked requests take.
 func (c *clientConn) updatePartialBytes() {
-	held := c.decoder.BufferedBytes()
+	buffered := c.decoder.BufferedBytes()
 	for _, b := range c.blocked {
-		held += len(b.request.Body)
+		buffered += len(b.request.Body)
 	}
-	c.setPartialBytes(held)
+	c.setPartialBytes(buffered)
 }
 
 // setPartialBytes keeps the memory budget's sum in step with the connection's bytes. A connection may be
 // closed while its input is being handled: counting it again after that would leave its bytes in the sum, and
 // the server would reject ever more.
-func (c *clientConn) setPartialBytes(held int) {
+func (c *clientConn) setPartialBytes(buffered int) {
 	if c.openRequests == nil {
-		held = 0
+		buffered = 0
 	}
-	c.server.memory.partial += held - c.partialBytes
-	c.partialBytes = held
+	c.server.memory.partial += buffered - c.partialBytes
+	c.partialBytes = buffered
 }
--- a/internal/proxy/partialrequest_test.go
+++ b/internal/proxy/partialrequest_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// What a closed connection held is given back, also when it is counted once more after its end.
+// The bytes that a closed connection has buffered are released, also when they are counted once more after
+// its close.
 func TestClosedConnectionBuffersNothing(t *testing.T) {
 	f := &FastCGIServer{memory: &memoryBudget{}, conns: map[*clientConn]bool{}}
 	c := &clientConn{server: f, openRequests: map[uint16]int64{}}
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -1,6 +1,6 @@
 // Package proxy turns client requests into events of the decision module, and the module's actions into
 // attempts at caches. It holds requests and attempts, the watch of the coordinator and the phases of the
-// program. Which cache is asked, and what follows from the result, is decided in package policy.
+// program. Which cache a request goes to, and what follows from the result, is decided in package policy.
 package proxy
 
 import (
@@ -33,7 +33,7 @@
 	Served      Status = iota
 	NotModified        // served: the client's copy is current
 	Rejected           // not executed; a retry is safe
-	Overloaded         // rejected before the decision module heard of it
+	Overloaded         // rejected without being submitted to the decision module
 	Failed             // may or may not have been executed
 )
 
--- a/internal/proxy/responder.go
+++ b/internal/proxy/responder.go
@@ -56,7 +56,7 @@
 	r.conn.finishRequest(r.id, fastcgi.AppendResponse(buffer, r.id, response))
 }
 
-// versionHeader names the served copy's version. A version that is not in the form of one is left out.
+// versionHeader names the served copy's version. A version in any other form than 16 hex digits is omitted.
 func versionHeader(version string) [][2]string {
 	if !isHex(version) {
 		return nil
@@ -64,7 +64,7 @@
 	return [][2]string{{"X-Ver", version}}
 }
 
-// retryAfterHeader tells the client for how many milliseconds it should not retry.
+// retryAfterHeader advises the client for how many milliseconds not to retry.
 func retryAfterHeader(a Answer) [][2]string {
 	millis := a.RetryAfter.Milliseconds()
 	if millis <= 0 {
--- a/internal/proxy/watch.go
+++ b/internal/proxy/watch.go
@@ -67,7 +67,7 @@
 
 	addr                netip.AddrPort
 	streams             []*watchStream // the oldest first
-	consecutiveFailures int            // streams in a row that exceeded a timeout
+	consecutiveFailures int            // streams since the last complete line that exceeded a timeout
 	reconnectTimer      *eventloop.Timer
 	backoff             time.Duration // before the next reconnect
 
--- a/internal/proxy/watch_test.go
+++ b/internal/proxy/watch_test.go
@@ -10,7 +10,7 @@
 	"cloverdoor/policy"
 )
 
-// A coordinator that is gone for 8 s is called by each of 300 processes again and again. Over all of them the
+// A coordinator that is down for 8 s is called by each of 300 processes again and again. Over all of them the
 // calls come evenly once the first pauses are over: no 20 ms bring more than twice their part. When it is
 // back, all are with it again within the longest pause.
 func TestFleetReconnectsEvenly(t *testing.T) {
--- a/internal/proxy/watchstream.go
+++ b/internal/proxy/watchstream.go
@@ -11,8 +11,8 @@
 // watchStream is one connection to the coordinator. It decodes lines and passes on the events that are next
 // in order.
 //
-// What can't be decoded, or is missing, is asked for once more on a new stream, from the last event that was
-// passed on. When it is the same then, it is skipped and counted: asking again would bring the same.
+// What can't be decoded, or is missing, is requested once more on a new stream, from the last event that was
+// passed on. When it is the same then, it is skipped and counted: another request would bring the same.
 type watchStream struct {
 	owner          *coordinatorWatch
 	conn           *eventloop.Conn
@@ -56,7 +56,7 @@
 
 // handleLine handles one line. An error closes the stream, and the watch reconnects. One that can't be
 // decoded is skipped at once where more follows it, as the stream is intact then and what follows may be a
-// drain. At the end of the input the connection may have been cut, so the line is asked for once more first.
+// drain. At the end of the input the connection may have been cut, so the line is requested once more first.
 func (s *watchStream) handleLine(line []byte, moreFollows bool) error {
 	if s.discardingLine {
 		s.discardingLine = false
