--- a/internal/proxy/adminoperations.go
+++ b/internal/proxy/adminoperations.go
@@ -41,18 +41,22 @@
 	return operation.run(handler)
 }
 
+// answerReadiness answers 200 while the program is serving, otherwise 503.
 func answerReadiness(handler adminHandler) http1.Response {
 	return phaseResponse(handler.currentPhase(), Serving, 503)
 }
 
+// answerStats answers with all figures.
 func answerStats(handler adminHandler) http1.Response {
 	return http1.Response{Status: 200, Body: handler.stats()}
 }
 
+// answerStartDrain answers 200 if the program is draining now, otherwise 409.
 func answerStartDrain(handler adminHandler) http1.Response {
 	return phaseResponse(handler.startDrain(), Draining, 409)
 }
 
+// answerStopDrain answers 200 if the program is serving now, otherwise 409.
 func answerStopDrain(handler adminHandler) http1.Response {
 	return phaseResponse(handler.stopDrain(), Serving, 409)
 }
--- a/internal/proxy/adminserver.go
+++ b/internal/proxy/adminserver.go
@@ -20,6 +20,7 @@
 	minAdminCallTime = 50 * time.Millisecond
 )
 
+// errAdminCallTimeout closes a connection whose call has not been completed in time.
 var errAdminCallTimeout = errors.New("call was not completed in time")
 
 // AdminServer answers the operators' HTTP calls, on an address of their own. A connection carries one call.
@@ -77,6 +78,7 @@
 // age is the time since the connection was accepted.
 func (c *adminConn) age() time.Duration { return c.server.loop.Now() - c.acceptedAt }
 
+// closeOverdue closes the connection without an answer.
 func (c *adminConn) closeOverdue() {
 	c.conn.Close()
 	c.Closed(errAdminCallTimeout)
--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -134,6 +134,7 @@
 	return max(c.server.loop.SchedulingDelay(longestNap), c.conn.QueueingDelay())
 }
 
+// answerHealthCheck answers 200 while the proxy is serving, otherwise 503.
 func (c *clientConn) answerHealthCheck(to *responder) {
 	status := 503
 	if c.server.lifecycle.phase == Serving {
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -34,6 +34,7 @@
 	startMillis  map[string]int64 // of each endpoint in use, by id: Unix millisecond of its start as reported
 }
 
+// endpointStates are the decision module's states by the coordinator's; any other counts as removed.
 var endpointStates = map[string]policy.State{
 	watch.StateServing:  policy.Ready,
 	watch.StateDraining: policy.Draining,
--- a/internal/proxy/eviction.go
+++ b/internal/proxy/eviction.go
@@ -78,6 +78,7 @@
 	return candidate
 }
 
+// evict closes a connection to free its place.
 func (f *FastCGIServer) evict(c *clientConn) {
 	f.log.Info("client connection evicted", "connection", c.number, "idle", c.idleTime())
 	c.conn.Close()
@@ -103,6 +104,7 @@
 	return c.idleTime() > other.idleTime()
 }
 
+// evictionClass is the class of the connection in its present state.
 func (c *clientConn) evictionClass() evictionClass {
 	switch {
 	case c.hasPartialRequest():
--- a/internal/proxy/fields_test.go
+++ b/internal/proxy/fields_test.go
@@ -6,7 +6,7 @@
 	"cloverdoor/internal/fastcgi"
 )
 
-// Sizes are read where clients tell them, as the decision module needs them; what is no size is turned down.
+// A size that a client sends is decoded; anything that is not a size in range is rejected.
 func TestObjectSizes(t *testing.T) {
 	f := &FastCGIServer{handler: &Proxy{class: map[string]int{"artes": 0}}}
 	for text, want := range map[string]float64{"": 0, "0": 0, "2666.007": 2666.007, "1e3": 1000} {
--- a/internal/proxy/listen.go
+++ b/internal/proxy/listen.go
@@ -30,6 +30,7 @@
 	return nil
 }
 
+// newFastCGIServer returns a server that does not listen yet.
 func (p *Proxy) newFastCGIServer(maxConns int) *FastCGIServer {
 	return &FastCGIServer{
 		handler:      p,
@@ -44,6 +45,7 @@
 	}
 }
 
+// addFastCGIServer starts a server on its listener.
 func (p *Proxy) addFastCGIServer(f *FastCGIServer, ln *eventloop.Listener) {
 	p.fastcgiServers = append(p.fastcgiServers, f)
 	f.start(ln)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -122,7 +122,8 @@
 // apply takes over settings, at the start and later, wherever the proxy goes by them itself.
 func (p *Proxy) apply(set settings.Settings, flow float64) {
 	p.set, p.flow, p.class = set, flow, map[string]int{}
-	p.endpoints.kinds, p.endpoints.zones = set.Kinds, set.Zones
+	p.endpoints.kinds = set.Kinds
+	p.endpoints.zones = set.Zones
 	for i, c := range set.Policy.Classes {
 		p.class[c.Name] = i
 		p.counters.addClass(c.Name)
--- a/internal/proxy/watch.go
+++ b/internal/proxy/watch.go
@@ -166,6 +166,7 @@
 	w.removeStream(s)
 }
 
+// removeStream forgets a stream that is closed.
 func (w *coordinatorWatch) removeStream(s *watchStream) {
 	w.streams = slices.DeleteFunc(w.streams, func(other *watchStream) bool { return other == s })
 }
