--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -25,7 +25,7 @@
 	completeRequests int              // requests that have been received completely, or rejected before that
 	closeWhenDone    bool             // no further request will be read: close once all are answered
 
-	partialBytes    int                 // buffered bytes of requests that are not complete or blocked
+	partialBytes    int                 // buffered bytes of partial and blocked requests
 	skipBytes       int                 // bytes still to come of a record that is discarded
 	incompleteSince eventloop.Timestamp // start of the wait for a request, or the rest of one; 0: none
 
