--- a/internal/connpool/acquire.go
+++ b/internal/connpool/acquire.go
@@ -1,95 +1,148 @@
 package connpool
 
 import (
+	"errors"
 	"fmt"
 	"slices"
 )
 
-// Acquire returns a connection to the server for one more use: one that is up rather than one still connecting,
-// the least used first, of unused ones the last used, and a new one when none fits. While connections are few
-// each use gets one of its own: what spoils or ends a connection hits all uses that share it. Where the limits say so,
-// a few that can be repeated share one. A careful use, which can't be, takes a new one if those lately were lost less
-// often.
-func (ps *Pools) Acquire(id string, careful bool, fits func(*PooledConn) bool) (*PooledConn, error) {
-	p := ps.endpoints[id]
-	if p == nil {
+// ErrConnLimit says that a connection would exceed the limits on connections.
+var ErrConnLimit = errors.New("budget for sockets is used up")
+
+// ErrEndpointRemoved says that a pool's server has been removed.
+var ErrEndpointRemoved = errors.New("server is gone")
+
+// UseInfo describes a use that needs a connection.
+type UseInfo struct {
+	// NonIdempotent says that the use can't be repeated when its connection is lost.
+	NonIdempotent bool
+
+	// Accepts reports whether the use may go on a connection. It must not block or change the pools.
+	Accepts func(*PooledConn) bool
+}
+
+// Acquire returns a connection to a server for one more use, which Release ends. It prefers an existing
+// connection that accepts the use and dials a new one if there is none or prefersNew says so.
+func (ps *Pools) Acquire(id string, use UseInfo) (*PooledConn, error) {
+	pool := ps.endpoints[id]
+	if pool == nil {
 		return nil, ErrEndpointRemoved
 	}
+	existing := pool.pickExisting(use)
+	if existing != nil && !ps.prefersNew(existing, use) {
+		return existing.startUse(), nil
+	}
+	dialed, err := pool.dial()
+	switch {
+	case err == nil:
+		return dialed.startUse(), nil
+	case existing != nil:
+		return existing.startUse(), nil
+	default:
+		return nil, err
+	}
+}
+
+// Reassign returns another connection for a use that waits for an overdue one: an established one that has
+// received something since the overdue one was dialed, which shows that the server is reachable, or else a
+// new one. The caller releases the overdue one, which serves other uses once it is established.
+func (ps *Pools) Reassign(overdue *PooledConn, accepts func(*PooledConn) bool) (*PooledConn, error) {
+	pool := overdue.pool
+	existing := pool.pickProvenSince(overdue, accepts)
+	if existing != nil {
+		return existing.startUse(), nil
+	}
+	if overdue.Stale || !ps.belowDedicatedConns() {
+		return nil, ErrConnLimit
+	}
+	dialed, err := pool.dial()
+	if err != nil {
+		return nil, err
+	}
+	return dialed.startUse(), nil
+}
+
+// prefersNew reports whether a use gets a new connection although an existing one accepts it. While there are
+// fewer connections than DedicatedConns, uses share a connection only if they are idempotent and at most
+// SharedUses: whatever ends or corrupts a connection affects all its uses. A non-idempotent use also gets a
+// new connection if those have lately been lost less often than ones that were idle for as long as the
+// existing one.
+func (ps *Pools) prefersNew(existing *PooledConn, use UseInfo) bool {
+	if !ps.belowDedicatedConns() {
+		return false
+	}
+	if existing.InUse > 0 {
+		return use.NonIdempotent || existing.InUse >= ps.limits.SharedUses
+	}
+	return use.NonIdempotent && ps.idleLoss[existing.idleBucket()] > ps.idleLoss[newConnBucket]
+}
+
+func (ps *Pools) belowDedicatedConns() bool { return ps.connCount < ps.limits.DedicatedConns }
+
+// pickExisting returns the most suitable of the pool's connections that accept a use, nil if none does. It
+// closes connections that have likely been lost.
+func (p *endpointPool) pickExisting(use UseInfo) *PooledConn {
 	var best *PooledConn
-	for _, s := range slices.Clone(p.conns) {
-		s.recordConnect()
-		if s.closeIfLikelyLost(); s.Stale || s.Ended() || s.InUse >= ps.limits.MaxUsesPerConn || s.overdue() || !fits(s) {
+	for _, conn := range slices.Clone(p.conns) {
+		conn.recordConnect()
+		conn.closeIfLikelyLost()
+		if !conn.hasCapacity() || conn.overdue() || !use.Accepts(conn) {
 			continue
 		}
-		if best == nil || s.preferredTo(best) {
-			best = s
-		}
-	}
-	worse := best != nil && careful && best.InUse == 0 && ps.idleLoss[best.idleBucket()] > ps.idleLoss[0]
-	crowded := best != nil && best.InUse > 0 && (careful || best.InUse >= ps.limits.SharedUses)
-	if best == nil || (crowded || worse) && ps.connCount < ps.limits.DedicatedConns {
-		fresh, err := p.dial()
-		switch {
-		case err == nil:
-			best = fresh
-		case best == nil:
-			return nil, err
+		if best == nil || conn.preferredTo(best) {
+			best = conn
 		}
 	}
-	best.startUse()
-	return best, nil
+	return best
 }
 
-// Reassign returns another connection for a use that waits for one that is late to come up: one that is up and has
-// brought something since the late one was begun, as its server may be gone, else a new one. The caller releases the
-// late one, which is there for others when it comes up.
-func (ps *Pools) Reassign(late *PooledConn, fits func(*PooledConn) bool) (*PooledConn, error) {
-	p := late.pool
+// pickProvenSince returns the most suitable established connection that accepts a use and has received
+// something since the overdue one was dialed, nil if there is none.
+func (p *endpointPool) pickProvenSince(overdue *PooledConn, accepts func(*PooledConn) bool) *PooledConn {
 	var best *PooledConn
-	for _, s := range p.conns {
-		if !s.Stale && s.Connected() && !s.Ended() && s.InUse < ps.limits.MaxUsesPerConn && s.LastReceived() > late.CreatedAt() && fits(s) &&
-			(best == nil || s.preferredTo(best)) {
-			best = s
-		}
-	}
-	if best == nil {
-		if late.Stale || ps.connCount >= ps.limits.DedicatedConns {
-			return nil, ErrConnLimit
+	for _, conn := range p.conns {
+		proven := conn.Connected() && conn.LastReceived() > overdue.CreatedAt()
+		if !proven || !conn.hasCapacity() || !accepts(conn) {
+			continue
 		}
-		fresh, err := p.dial()
-		if err != nil {
-			return nil, err
+		if best == nil || conn.preferredTo(best) {
+			best = conn
 		}
-		best = fresh
 	}
-	best.startUse()
-	return best, nil
+	return best
 }
 
+// hasCapacity reports whether the connection may get one more use.
+func (c *PooledConn) hasCapacity() bool {
+	return !c.Stale && !c.Ended() && c.InUse < c.pool.pools.limits.MaxUsesPerConn
+}
+
+// preferredTo reports whether c is more suitable for a new use than other: an established connection rather
+// than one that is connecting, then the one with fewer uses, then the one used last.
+func (c *PooledConn) preferredTo(other *PooledConn) bool {
+	if c.Connected() != other.Connected() {
+		return c.Connected()
+	}
+	if c.InUse != other.InUse {
+		return c.InUse < other.InUse
+	}
+	return c.lastReleasedAt > other.lastReleasedAt
+}
+
+// dial adds a new connection to the pool.
 func (p *endpointPool) dial() (*PooledConn, error) {
 	ps := p.pools
 	if ps.connCount >= ps.limits.MaxConns {
 		return nil, fmt.Errorf("%s: %w", p.addr, ErrConnLimit)
 	}
-	s := &PooledConn{pool: p}
-	s.Owner = ps.newHandler(s)
-	conn, err := ps.loop.Dial(p.addr, ps.limits.ConnectTimeout, s.Owner)
+	pooled := &PooledConn{pool: p}
+	pooled.Owner = ps.newHandler(pooled)
+	conn, err := ps.loop.Dial(p.addr, ps.limits.ConnectTimeout, pooled.Owner)
 	if err != nil {
 		return nil, err
 	}
-	s.Conn = conn
+	pooled.Conn = conn
 	ps.connCount++
-	p.conns = append(p.conns, s)
-	return s, nil
-}
-
-// preferredTo says whether s is better than other for a new use.
-func (s *PooledConn) preferredTo(other *PooledConn) bool {
-	switch {
-	case s.Connected() != other.Connected():
-		return s.Connected()
-	case s.InUse != other.InUse:
-		return s.InUse < other.InUse
-	}
-	return s.lastReleasedAt > other.lastReleasedAt
+	p.conns = append(p.conns, pooled)
+	return pooled, nil
 }
--- a/internal/connpool/conn.go
+++ b/internal/connpool/conn.go
@@ -1,101 +1,131 @@
 package connpool
 
 import (
-	"cloverdoor/internal/eventloop"
-	"math/bits"
 	"slices"
 	"time"
+
+	"cloverdoor/internal/eventloop"
+)
+
+const (
+	// initialConnectTime is the assumed median of a server's connect times before any has been seen.
+	initialConnectTime = 10 * time.Millisecond
+
+	// medianStepDivisor makes the step by which the estimated median moves a fraction of itself.
+	medianStepDivisor = 5
+
+	// overdueFactor is the multiple of the median connect time after which a connection is overdue.
+	overdueFactor = 3
+
+	// minConnectPatience is the least time after which a connection is overdue.
+	minConnectPatience = 5 * time.Millisecond
 )
 
 // PooledConn is one pooled connection.
 type PooledConn struct {
 	*eventloop.Conn
-	Owner           eventloop.Handler
+	Owner eventloop.Handler // the connection's handler, made by the function that New was given
+	InUse int               // uses in progress
+	Stale bool              // accepts no new use and is closed when the last one has ended
+
 	pool            *endpointPool
-	InUse           int  // uses under way
-	Stale           bool // takes no new use; closed when the last one is over
-	lastReleasedAt  eventloop.Timestamp
-	connectRecorded bool // how long it took to come up has been counted
+	connectRecorded bool                // the connect time has been counted
+	lastReleasedAt  eventloop.Timestamp // when a use last ended; 0: none has
 
-	trialBucket  int                 // how long it had been idle when its last use began, as a place in risks; -1: known by now
-	useStartedAt eventloop.Timestamp // when that was
+	trialBucket  idleBucket          // bucket of the first of the uses in progress until its loss or success is counted
+	useStartedAt eventloop.Timestamp // when that use began
 }
 
-func (s *PooledConn) startUse() {
-	if s.InUse++; s.InUse == 1 {
-		s.trialBucket, s.useStartedAt = s.idleBucket(), s.pool.pools.loop.Now()
+// startUse counts one more use and returns the connection.
+func (c *PooledConn) startUse() *PooledConn {
+	c.InUse++
+	if c.InUse == 1 {
+		c.trialBucket = c.idleBucket()
+		c.useStartedAt = c.now()
 	}
+	return c
 }
 
-// ConnectPatience is how long a connection to this server may take to come up before it is late.
-func (s *PooledConn) ConnectPatience() time.Duration {
-	return max(minConnectPatience, overdueFactor*s.pool.medianConnectTime)
+// MarkAlive records that input has arrived since the last use began: the connection was not lost.
+func (c *PooledConn) MarkAlive() {
+	if c.trialBucket != noBucket {
+		c.pool.pools.idleLoss.recordSuccess(c.trialBucket)
+		c.trialBucket = noBucket
+	}
 }
 
-// overdue says that a connection has not come up in the usual time.
-func (s *PooledConn) overdue() bool { return !s.Connected() && s.Age() > s.ConnectPatience() }
-
-// recordConnect counts how long the connection took to come up, once: the estimate follows the median in small steps, so that those
-// that come up late, however late, do not make late the rule.
-func (s *PooledConn) recordConnect() {
-	if !s.Connected() || s.connectRecorded {
-		return
-	}
-	s.connectRecorded = true
-	if s.ConnectDuration() > s.pool.medianConnectTime {
-		s.pool.medianConnectTime += s.pool.medianConnectTime / medianStepDivisor
-	} else {
-		s.pool.medianConnectTime -= s.pool.medianConnectTime / medianStepDivisor
+// Release ends one use.
+func (c *PooledConn) Release() {
+	c.InUse--
+	c.lastReleasedAt = c.now()
+	if c.InUse == 0 && !c.Ended() {
+		c.trialBucket = noBucket // a use that was abandoned shows neither loss nor success
 	}
+	c.closeIfStaleAndUnused()
 }
 
-// idleBucket is the place in risks for how long a connection without uses has been idleBucket; 0: it is new.
-func (s *PooledConn) idleBucket() int {
-	if s.lastReleasedAt == 0 {
-		return 0
+// RemoveFromPool removes an ended connection from its pool. A connection that ends immediately after its use
+// began counts as lost before.
+func (c *PooledConn) RemoveFromPool() {
+	inTrial := c.Connected() && c.InUse > 0 && c.trialBucket != noBucket
+	if inTrial && c.now()-c.useStartedAt < immediateLoss {
+		c.pool.pools.idleLoss.recordLoss(c.trialBucket)
 	}
-	return 1 + min(bits.Len64(uint64((s.pool.pools.loop.Now()-s.lastReleasedAt)/minIdleTime)), len(s.pool.pools.idleLoss)-2)
+	before := len(c.pool.conns)
+	c.pool.conns = slices.DeleteFunc(c.pool.conns, func(other *PooledConn) bool { return other == c })
+	c.pool.pools.connCount -= before - len(c.pool.conns)
 }
 
-// closeIfLikelyLost closes a connection that has been idle for so long that its next use would be at risk.
-func (s *PooledConn) closeIfLikelyLost() {
-	if s.InUse == 0 && s.Connected() && s.pool.pools.idleLoss.maxUpTo(s.idleBucket()) > maxLossShare {
-		s.Stale = true
-		s.closeIfStaleAndUnused()
-	}
+// ConnectPatience is how long a connection to this server may take to be established before it is overdue.
+func (c *PooledConn) ConnectPatience() time.Duration {
+	return max(minConnectPatience, overdueFactor*c.pool.medianConnectTime)
 }
 
-// MarkAlive notes that the connection has brought something since its last use began: it was alive.
-func (s *PooledConn) MarkAlive() {
-	if s.trialBucket >= 0 {
-		s.pool.pools.idleLoss.count(s.trialBucket, false)
-		s.trialBucket = -1
+// overdue reports whether the connection has not been established within ConnectPatience.
+func (c *PooledConn) overdue() bool { return !c.Connected() && c.Age() > c.ConnectPatience() }
+
+// recordConnect counts the connect time once. The estimate follows the median in small steps, so that a few
+// very long connect times do not raise it much.
+func (c *PooledConn) recordConnect() {
+	if !c.Connected() || c.connectRecorded {
+		return
+	}
+	c.connectRecorded = true
+	step := c.pool.medianConnectTime / medianStepDivisor
+	if c.ConnectDuration() > c.pool.medianConnectTime {
+		c.pool.medianConnectTime += step
+	} else {
+		c.pool.medianConnectTime -= step
 	}
 }
 
-// Release ends one use.
-func (s *PooledConn) Release() {
-	s.InUse--
-	s.lastReleasedAt = s.pool.pools.loop.Now()
-	if s.InUse == 0 && !s.Ended() {
-		s.trialBucket = -1 // given up: it tells nothing
+// idleBucket is the bucket of the time for which a connection without uses has been idle.
+func (c *PooledConn) idleBucket() idleBucket {
+	if c.lastReleasedAt == 0 {
+		return newConnBucket
 	}
-	s.closeIfStaleAndUnused()
+	return bucketOfIdleTime(c.now() - c.lastReleasedAt)
 }
 
-func (s *PooledConn) closeIfStaleAndUnused() {
-	if s.Stale && s.InUse == 0 && !s.Ended() {
-		s.Close()
-		s.RemoveFromPool()
+// closeIfLikelyLost closes a connection that has been idle for so long that its next use would likely be
+// lost.
+func (c *PooledConn) closeIfLikelyLost() {
+	if c.InUse == 0 && c.Connected() && c.pool.pools.idleLoss.maxUpTo(c.idleBucket()) > maxLossShare {
+		c.retire()
 	}
 }
 
-// RemoveFromPool takes an ended connection out of its pool. One that ended as soon as it was used had ended before.
-func (s *PooledConn) RemoveFromPool() {
-	if s.Connected() && s.InUse > 0 && s.trialBucket >= 0 && s.pool.pools.loop.Now()-s.useStartedAt < immediateLoss {
-		s.pool.pools.idleLoss.count(s.trialBucket, true)
+// retire gives the connection no new use and closes it once it has none.
+func (c *PooledConn) retire() {
+	c.Stale = true
+	c.closeIfStaleAndUnused()
+}
+
+func (c *PooledConn) closeIfStaleAndUnused() {
+	if c.Stale && c.InUse == 0 && !c.Ended() {
+		c.Close()
+		c.RemoveFromPool()
 	}
-	before := len(s.pool.conns)
-	s.pool.conns = slices.DeleteFunc(s.pool.conns, func(other *PooledConn) bool { return other == s })
-	s.pool.pools.connCount -= before - len(s.pool.conns)
 }
+
+func (c *PooledConn) now() eventloop.Timestamp { return c.pool.pools.loop.Now() }
--- a/internal/connpool/idleloss.go
+++ b/internal/connpool/idleloss.go
@@ -1,38 +1,76 @@
 package connpool
 
-import "time"
+import (
+	"math/bits"
+	"time"
+)
 
 const (
-	minIdleTime   = 20 * time.Millisecond  // idle times are told apart from here on, in doublings
-	immediateLoss = 100 * time.Millisecond // a connection that breaks so soon after its use began was dead before
-	maxLossShare  = 0.15                   // share of uses lost from which a connection is not used: two in half a dozen
-	newestWeight  = 0.1                    // weight of the last use
-	decayFactor   = 0.97                   // of what was learned, after a second
+	// minIdleTime is the upper end of the shortest idle time that is told apart; each further bucket doubles
+	// it.
+	minIdleTime = 20 * time.Millisecond
+
+	// immediateLoss is how soon after the start of a use a connection that ends counts as lost before the
+	// use.
+	immediateLoss = 100 * time.Millisecond
+
+	// maxLossShare is the share of lost uses above which a connection is not used any more: two of six.
+	maxLossShare = 0.15
+
+	// newestWeight is the weight of the last use in an estimate.
+	newestWeight = 0.1
+
+	// decayFactor is applied to the estimates once a second, so that idle times that were given up are tried
+	// again.
+	decayFactor = 0.97
 )
 
-// idleLossEstimates holds what share of uses was lost at once lately, by how long the connection had been idle: the first
-// place is for new ones, the others for idle times that double. Servers, and what stands between, close idle
-// connections sooner than they are said to, some without a word; the next use finds out.
-type idleLossEstimates [12]float64
+// idleBucket is a range of the time for which a connection had been idle when a use began.
+type idleBucket int
 
-func (r *idleLossEstimates) count(place int, lost bool) {
-	x := 0.0
-	if lost {
-		x = 1
-	}
-	r[place] += newestWeight * (x - r[place])
+const (
+	noBucket        idleBucket = -1
+	newConnBucket   idleBucket = 0 // connections that have not been used
+	firstIdleBucket idleBucket = 1 // idle for less than minIdleTime; each further bucket is for twice the time
+	idleBucketCount            = 12
+	lastIdleBucket  idleBucket = idleBucketCount - 1
+)
+
+// bucketOfIdleTime returns the bucket of a used connection that has been idle for the given time.
+func bucketOfIdleTime(idle time.Duration) idleBucket {
+	doublings := bits.Len64(uint64(idle / minIdleTime))
+	return min(firstIdleBucket+idleBucket(doublings), lastIdleBucket)
+}
+
+// idleLossEstimates holds for each idle bucket the share of recent uses, 0 to 1, that were lost because the
+// connection had ended unnoticed. Servers and middleboxes close idle connections sooner than announced, some
+// without sending anything; only the next use finds out.
+type idleLossEstimates [idleBucketCount]float64
+
+// recordLoss counts a use that was lost.
+func (e *idleLossEstimates) recordLoss(bucket idleBucket) { e.record(bucket, 1) }
+
+// recordSuccess counts a use that was not lost.
+func (e *idleLossEstimates) recordSuccess(bucket idleBucket) { e.record(bucket, 0) }
+
+// record counts one use of which the given share was lost.
+func (e *idleLossEstimates) record(bucket idleBucket, lostShare float64) {
+	e[bucket] += newestWeight * (lostShare - e[bucket])
 }
 
-// maxUpTo is the risk of a connection that has been idle so long: no lower than that of a shorter time.
-func (r *idleLossEstimates) maxUpTo(place int) (most float64) {
-	for _, x := range r[1 : place+1] {
-		most = max(most, x)
+// maxUpTo is the largest estimate of the idle buckets up to the given one: a longer idle time is at least as
+// risky as a shorter one. The bucket of new connections does not count.
+func (e *idleLossEstimates) maxUpTo(bucket idleBucket) float64 {
+	largest := 0.0
+	for _, share := range e[firstIdleBucket : bucket+1] {
+		largest = max(largest, share)
 	}
-	return most
+	return largest
 }
 
-func (r *idleLossEstimates) decay() {
-	for i := range r {
-		r[i] *= decayFactor
+// decay reduces all estimates. It is called once a second.
+func (e *idleLossEstimates) decay() {
+	for bucket := range e {
+		e[bucket] *= decayFactor
 	}
 }
--- a/internal/connpool/idleloss_test.go
+++ b/internal/connpool/idleloss_test.go
@@ -2,31 +2,31 @@
 
 import "testing"
 
-// What is lost after one idle time is at risk after longer ones too, not after shorter ones, and is tried again.
-func TestRisksByIdleTime(t *testing.T) {
-	var r idleLossEstimates
-	r.count(4, true)
-	if r.maxUpTo(4) > maxLossShare {
-		t.Error("one loss proves nothing")
+// Losses after one idle time count for longer ones too, not for shorter ones, and decay.
+func TestIdleLossEstimates(t *testing.T) {
+	var e idleLossEstimates
+	e.recordLoss(4)
+	if e.maxUpTo(4) > maxLossShare {
+		t.Error("one loss is enough")
 	}
-	r.count(4, true)
-	for place, barred := range []bool{false, false, false, false, true, true, true} {
-		if got := r.maxUpTo(place) > maxLossShare; got != barred {
-			t.Errorf("place %d: %v after two losses at 4", place, got)
+	e.recordLoss(4)
+	for bucket, barred := range []bool{false, false, false, false, true, true, true} {
+		if got := e.maxUpTo(idleBucket(bucket)) > maxLossShare; got != barred {
+			t.Errorf("bucket %d: %v after two losses in bucket 4", bucket, got)
 		}
 	}
 	for range 100 {
-		r.decay()
+		e.decay()
 	}
-	if r.maxUpTo(6) > maxLossShare {
+	if e.maxUpTo(6) > maxLossShare {
 		t.Error("never tried again")
 	}
-	r.count(5, true)
+	e.recordLoss(5)
 	for range 10 {
-		r.count(5, false)
+		e.recordSuccess(5)
 	}
-	r.count(5, true)
-	if r.maxUpTo(5) > maxLossShare {
-		t.Error("two losses in a dozen are no more than bad luck")
+	e.recordLoss(5)
+	if e.maxUpTo(5) > maxLossShare {
+		t.Error("two losses in a dozen are enough")
 	}
 }
--- a/internal/connpool/pools_test.go
+++ b/internal/connpool/pools_test.go
@@ -10,25 +10,27 @@
 	"cloverdoor/internal/eventloop"
 )
 
-// nobody is a handler that takes all input and does nothing.
-type nobody struct{}
+// discarder is a handler that discards its input.
+type discarder struct{}
 
-func (nobody) Receive(data []byte) (int, error) { return len(data), nil }
-func (nobody) Closed(error)                     {}
+func (discarder) Receive(data []byte) (int, error) { return len(data), nil }
+func (discarder) Closed(error)                     {}
 
 // newSocket returns a non-blocking TCP socket.
 func newSocket() (int, error) {
 	return unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 }
 
-// full is a server whose queue of new connections is full: a further one does not come up until there is room again.
-type full struct {
+// fullServer is a server whose accept queue is full: a further connection is not established until one is
+// accepted.
+type fullServer struct {
 	fd    int
 	addr  netip.AddrPort
-	first []int // connections that fill it
+	conns []int // descriptors of the connections that fill the queue, and of accepted ones
 }
 
-func newFull(t *testing.T) *full {
+// newFullServer starts one on loopback.
+func newFullServer(t *testing.T) *fullServer {
 	t.Helper()
 	fd, err := newSocket()
 	if err == nil {
@@ -44,29 +46,29 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &full{fd: fd, addr: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(at.(*unix.SockaddrInet4).Port))}
+	f := &fullServer{fd: fd, addr: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(at.(*unix.SockaddrInet4).Port))}
 	t.Cleanup(func() {
-		for _, fd := range append(f.first, f.fd) {
+		for _, fd := range append(f.conns, f.fd) {
 			unix.Close(fd) //nolint:errcheck // the test is over
 		}
 	})
-	for range 2 { // one more than the queue holds, which may be one more than was asked for
+	for range 2 { // the queue holds one more than listen was given
 		c, err := newSocket()
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.first = append(f.first, c)
+		f.conns = append(f.conns, c)
 		unix.Connect(c, &unix.SockaddrInet4{Port: int(f.addr.Port()), Addr: f.addr.Addr().As4()}) //nolint:errcheck // in progress
 	}
 	return f
 }
 
-// accept takes one connection off the queue, once there is one.
-func (f *full) accept(t *testing.T, l *eventloop.Loop) int {
+// accept accepts one connection, as soon as there is one, and returns its descriptor.
+func (f *fullServer) accept(t *testing.T, l *eventloop.Loop) int {
 	t.Helper()
 	for range 1000 {
 		if fd, _, err := unix.Accept(f.fd); err == nil {
-			f.first = append(f.first, fd)
+			f.conns = append(f.conns, fd)
 			return fd
 		}
 		turn(t, l)
@@ -75,6 +77,30 @@
 	return -1
 }
 
+// acceptsAll is UseInfo.Accepts of a use that may go on any connection.
+func acceptsAll(*PooledConn) bool { return true }
+
+// newTestPools returns pools with the server "s" at addr, and their loop.
+func newTestPools(t *testing.T, addr netip.AddrPort, sharedUses int) (*eventloop.Loop, *Pools) {
+	t.Helper()
+	l, err := eventloop.NewLoop(eventloop.SystemClock())
+	if err != nil {
+		t.Fatal(err)
+	}
+	limits := Limits{
+		MaxUsesPerConn: 8,
+		MaxConns:       10,
+		DedicatedConns: 8,
+		SharedUses:     sharedUses,
+		ConnectTimeout: time.Minute,
+		IdleTimeout:    time.Minute,
+	}
+	ps := New(l, limits, func(*PooledConn) eventloop.Handler { return discarder{} })
+	ps.SetAddress("s", addr)
+	return l, ps
+}
+
+// turn runs one turn of the loop.
 func turn(t *testing.T, l *eventloop.Loop) {
 	t.Helper()
 	if err := l.Wait(5 * time.Millisecond); err != nil {
@@ -83,67 +109,63 @@
 	l.Flush()
 }
 
-// What waits for a connection that is late to come up gets another, and the late one is not waited for by others. The
-// danger: a handshake's lost packet is sent again after a second only, when the time of many a request is over.
-func TestReassignFromALateConnection(t *testing.T) {
-	l, err := eventloop.NewLoop(eventloop.SystemClock())
-	if err != nil {
-		t.Fatal(err)
-	}
-	server := newFull(t)
-	ps := New(l, Limits{MaxUsesPerConn: 8, MaxConns: 10, DedicatedConns: 8, ConnectTimeout: time.Minute, IdleTimeout: time.Minute},
-		func(*PooledConn) eventloop.Handler { return nobody{} })
-	ps.SetAddress("s", server.addr)
-	any := func(*PooledConn) bool { return true }
-	late, err := ps.Acquire("s", false, any)
+// A use that waits for an overdue connection gets another one, and no new use gets the overdue one. This
+// matters since a lost packet of a handshake is retransmitted after a second only, when many requests have
+// reached their deadline.
+func TestReassignFromAnOverdueConnection(t *testing.T) {
+	server := newFullServer(t)
+	l, ps := newTestPools(t, server.addr, 0)
+	idempotent := UseInfo{Accepts: acceptsAll}
+	overdue, err := ps.Acquire("s", idempotent)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for !late.overdue() {
+	for !overdue.overdue() {
 		turn(t, l)
 	}
-	if late.Connected() {
-		t.Fatal("the server's queue was not full: nothing is late")
+	if overdue.Connected() {
+		t.Fatal("the server's queue was not full: nothing is overdue")
 	}
-	server.accept(t, l) // there is room for one more now
-	other, err := ps.Reassign(late, any)
-	if err != nil || other == late {
+	server.accept(t, l) // the queue has capacity for one more now
+	other, err := ps.Reassign(overdue, acceptsAll)
+	if err != nil || other == overdue {
 		t.Fatal(err)
 	}
-	late.Release()
+	overdue.Release()
 	for i := 0; !other.Connected(); i++ {
 		if turn(t, l); i == 1000 {
-			t.Fatal("the other one never came up")
+			t.Fatal("the other connection was never established")
 		}
 	}
-	if late.Connected() {
-		t.Fatal("the late one is up too: nothing was tested")
+	if overdue.Connected() {
+		t.Fatal("the overdue connection is established too: nothing was tested")
 	}
-	if s, err := ps.Acquire("s", false, any); err != nil || s == late {
-		t.Errorf("a new use waits for the late one: %v", err)
+	if s, err := ps.Acquire("s", idempotent); err != nil || s == overdue {
+		t.Errorf("a new use waits for the overdue connection: %v", err)
 	}
-	// One that has brought something since shows that the server is there: no further handshake is needed.
+	// A connection that has received something since shows that the server is reachable: no new one is
+	// dialed.
 	fd := server.accept(t, l)
 	if _, err := unix.Write(fd, []byte("x")); err != nil {
 		t.Fatal(err)
 	}
-	for i := 0; other.LastReceived() <= late.CreatedAt() || ps.connCount == 0; i++ {
+	for i := 0; other.LastReceived() <= overdue.CreatedAt() || ps.connCount == 0; i++ {
 		if turn(t, l); i == 1000 {
-			t.Fatal("nothing was heard")
+			t.Fatal("nothing was received")
 		}
 	}
-	if s, err := ps.Reassign(late, any); err != nil || !s.Connected() {
-		t.Errorf("a new connection though one is up: %v", err)
+	if s, err := ps.Reassign(overdue, acceptsAll); err != nil || !s.Connected() {
+		t.Errorf("a new connection although one is established: %v", err)
 	}
 }
 
-// Uses that can be repeated share a connection up to the limit; one that can't gets its own, and so does each where nothing
-// is to be shared.
+// Idempotent uses share a connection up to the limit. A non-idempotent use gets its own, and so does every
+// use if none are to share.
 func TestSharedConnections(t *testing.T) {
-	for _, c := range []struct {
-		shared  int
-		careful []bool // of each use
-		want    int    // connections
+	for _, tt := range []struct {
+		sharedUses    int
+		nonIdempotent []bool // of each use
+		wantConns     int
 	}{
 		{0, []bool{false, false, false}, 3},
 		{3, []bool{false, false, false}, 1},
@@ -151,20 +173,15 @@
 		{3, []bool{false, true, false}, 2},
 		{3, []bool{true, true}, 2},
 	} {
-		l, err := eventloop.NewLoop(eventloop.SystemClock())
-		if err != nil {
-			t.Fatal(err)
-		}
-		ps := New(l, Limits{MaxUsesPerConn: 8, MaxConns: 10, DedicatedConns: 8, SharedUses: c.shared, ConnectTimeout: time.Minute, IdleTimeout: time.Minute},
-			func(*PooledConn) eventloop.Handler { return nobody{} })
-		ps.SetAddress("s", newFull(t).addr)
-		for _, careful := range c.careful {
-			if _, err := ps.Acquire("s", careful, func(*PooledConn) bool { return true }); err != nil {
+		_, ps := newTestPools(t, newFullServer(t).addr, tt.sharedUses)
+		for _, nonIdempotent := range tt.nonIdempotent {
+			use := UseInfo{NonIdempotent: nonIdempotent, Accepts: acceptsAll}
+			if _, err := ps.Acquire("s", use); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if ps.connCount != c.want {
-			t.Errorf("%+v: %d connections", c, ps.connCount)
+		if ps.connCount != tt.wantConns {
+			t.Errorf("%+v: %d connections", tt, ps.connCount)
 		}
 	}
 }
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -54,7 +54,10 @@
 		p.end(a, resp.Answer{}, policy.ResultNotSent)
 		return
 	}
-	slot, err := p.pools.Acquire(f.Target, !q.safe(), func(s *connpool.PooledConn) bool { return s.Owner.(*upstream).takes(q) })
+	slot, err := p.pools.Acquire(f.Target, connpool.UseInfo{
+		NonIdempotent: !q.safe(),
+		Accepts:       func(s *connpool.PooledConn) bool { return s.Owner.(*upstream).takes(q) },
+	})
 	if err != nil {
 		p.end(a, resp.Answer{}, connectResult(err))
 		return
