--- a/internal/fastcgi/decoder.go
+++ b/internal/fastcgi/decoder.go
@@ -7,188 +7,190 @@
 	"slices"
 )
 
-type partial struct {
-	req        Request
-	params     []byte
-	paramsDone bool
+// Decoder decodes the records of one connection. The zero value is ready for use.
+type Decoder struct {
+	receiving     map[uint16]*partialRequest // requests that are not complete
+	inProgress    map[uint16]bool            // complete requests that have not been answered
+	bufferedBytes int                        // of the requests in receiving
 }
 
-// Decoder reads one connection's records. The zero value is ready.
-type Decoder struct {
-	open     map[uint16]*partial // being received
-	answered map[uint16]bool     // received whole, still to be answered
-	held     int
+// partialRequest is a request of which some records have been decoded.
+type partialRequest struct {
+	req        Request
+	params     []byte // encoded pairs, until the empty PARAMS record
+	paramsDone bool
 }
 
-// Done tells the decoder that the request has been answered or abandoned, so its number may be used again.
-func (d *Decoder) Done(id uint16) { delete(d.answered, id) }
+// Done tells the decoder that a request has been answered or dropped, so that its ID may be reused.
+func (d *Decoder) Done(id uint16) { delete(d.inProgress, id) }
 
-// BufferedBytes is how many bytes of requests that have not come whole the decoder keeps.
-func (d *Decoder) BufferedBytes() int { return d.held }
+// BufferedBytes is the size of the parameters and bodies of requests that are not complete.
+func (d *Decoder) BufferedBytes() int { return d.bufferedBytes }
 
-// DropPartial forgets the requests that have come in part, and returns their numbers.
+// DropPartial drops all requests that are not complete and returns their IDs. Further records of them are
+// ignored.
 func (d *Decoder) DropPartial() []uint16 {
-	numbers := slices.Sorted(maps.Keys(d.open))
-	clear(d.open)
-	d.held = 0
-	return numbers
+	ids := slices.Sorted(maps.Keys(d.receiving))
+	clear(d.receiving)
+	d.bufferedBytes = 0
+	return ids
 }
 
-// Receiving says whether a request has come in part.
-func (d *Decoder) Receiving() bool { return len(d.open) > 0 }
+// Receiving reports whether there is a request that is not complete.
+func (d *Decoder) Receiving() bool { return len(d.receiving) > 0 }
 
-// Busy says whether a request is being received or waits for its answer.
-func (d *Decoder) Busy() bool { return len(d.open)+len(d.answered) > 0 }
+// Busy reports whether a request is being received or waits for its answer.
+func (d *Decoder) Busy() bool { return len(d.receiving)+len(d.inProgress) > 0 }
 
-// Decode takes one record off data. It returns how many bytes it used, 0 when the record is not whole yet,
-// and an event when the record completed one, else nil. An error is final for the connection.
+// Decode decodes one record from the start of data. It returns how many bytes the record has, 0 when it is
+// not complete, and the event that the record completed, nil if none. An error is final for the connection.
 func (d *Decoder) Decode(data []byte) (used int, ev Event, err error) {
-	if len(data) < headerLen {
+	if len(data) < headerBytes {
 		return 0, nil, nil
 	}
 	if data[0] != version {
 		return 0, nil, ErrVersion
 	}
-	content, padding := int(binary.BigEndian.Uint16(data[4:])), int(data[6])
-	used = headerLen + content + padding
+	used = recordBytes(data)
 	if len(data) < used {
 		return 0, nil, nil
 	}
-	ev, err = d.record(data[1], binary.BigEndian.Uint16(data[2:]), data[headerLen:headerLen+content])
+	recordType := data[1]
+	id := binary.BigEndian.Uint16(data[2:])
+	content := data[headerBytes : headerBytes+contentBytes(data)]
+	ev, err = d.record(recordType, id, content)
 	return used, ev, err
 }
 
-// MissingBytes is how many bytes the record that data begins with still lacks; 0: it is whole, or its header is not.
+// MissingBytes is how many bytes the record at the start of data lacks; 0 if it is complete, or its header is
+// not.
 func MissingBytes(data []byte) int {
-	if len(data) < headerLen {
+	if len(data) < headerBytes {
 		return 0
 	}
-	size := headerLen + int(binary.BigEndian.Uint16(data[4:])) + int(data[6])
-	return max(0, size-len(data))
+	return max(0, recordBytes(data)-len(data))
 }
 
-func (d *Decoder) record(kind byte, id uint16, content []byte) (Event, error) {
+// contentBytes is the content length in a record header.
+func contentBytes(header []byte) int { return int(binary.BigEndian.Uint16(header[4:])) }
+
+// recordBytes is the length of a record with its header and padding.
+func recordBytes(header []byte) int {
+	paddingBytes := int(header[6])
+	return headerBytes + contentBytes(header) + paddingBytes
+}
+
+// record handles one complete record.
+func (d *Decoder) record(recordType byte, id uint16, content []byte) (Event, error) {
 	if id == 0 {
-		return management(kind, content)
+		return management(recordType, content)
 	}
-	switch kind {
+	switch recordType {
 	case typeBegin:
 		return d.begin(id, content)
 	case typeAbort:
-		return d.abort(id)
+		return d.abort(id), nil
 	}
-	p := d.open[id]
+	p := d.receiving[id]
 	if p == nil {
-		return nil, nil // FastCGI: records of a request that is not open are ignored
+		return nil, nil // the protocol requires records of unknown requests to be ignored
 	}
-	switch kind {
+	switch recordType {
 	case typeParams:
 		return d.addParams(p, content)
 	case typeStdin:
 		return d.addBody(p, content)
 	case typeData:
-		return nil, nil // the Responder role has no use for it
+		return nil, nil // unused in the Responder role
 	}
-	return Reply{Data: unknownType(kind)}, nil
+	return Reply{Data: unknownType(recordType)}, nil
 }
 
+// begin starts a request.
 func (d *Decoder) begin(id uint16, content []byte) (Event, error) {
-	if len(content) != 8 {
+	if len(content) != beginContentBytes {
 		return nil, fmt.Errorf("%w: BEGIN_REQUEST of %d bytes", ErrRecord, len(content))
 	}
-	if d.open[id] != nil || d.answered[id] {
+	if d.receiving[id] != nil || d.inProgress[id] {
 		return nil, fmt.Errorf("%w: request %d begun twice", ErrRecord, id)
 	}
-	keep := content[2]&flagKeepConn != 0
-	if len(d.open)+len(d.answered) >= maxOpen {
-		return Reply{Data: AppendEnd(nil, id, 0, Overloaded), Close: !keep}, nil
+	role := binary.BigEndian.Uint16(content)
+	keepConn := content[2]&flagKeepConn != 0
+	if len(d.receiving)+len(d.inProgress) >= maxRequests {
+		return Reply{Data: AppendEnd(nil, id, 0, Overloaded), Close: !keepConn}, nil
 	}
-	if role := binary.BigEndian.Uint16(content); role != roleResponder {
-		return Reply{Data: AppendEnd(nil, id, 0, UnknownRole), Close: !keep}, nil
+	if role != roleResponder {
+		return Reply{Data: AppendEnd(nil, id, 0, UnknownRole), Close: !keepConn}, nil
 	}
-	if d.open == nil {
-		d.open, d.answered = map[uint16]*partial{}, map[uint16]bool{}
+	if d.receiving == nil {
+		d.receiving = map[uint16]*partialRequest{}
+		d.inProgress = map[uint16]bool{}
 	}
-	d.open[id] = &partial{req: Request{ID: id, KeepConn: keep}}
+	d.receiving[id] = &partialRequest{req: Request{ID: id, KeepConn: keepConn}}
 	return nil, nil
 }
 
-// abort ends a request in either state. One that had not come whole is answered here: the application never
-// heard of it.
-func (d *Decoder) abort(id uint16) (Event, error) {
-	if p := d.open[id]; p != nil {
-		delete(d.open, id)
-		d.held -= len(p.params) + len(p.req.Body)
-		return Reply{Data: AppendEnd(nil, id, 1, Complete), Close: !p.req.KeepConn}, nil
+// abort handles an ABORT_REQUEST. A request that is not complete is answered here, as the application does
+// not know it.
+func (d *Decoder) abort(id uint16) Event {
+	if p := d.receiving[id]; p != nil {
+		d.drop(p)
+		return Reply{Data: AppendEnd(nil, id, applicationAborted, Complete), Close: !p.req.KeepConn}
 	}
-	if d.answered[id] {
-		return Abort{ID: id}, nil
+	if d.inProgress[id] {
+		return Abort{ID: id}
 	}
-	return nil, nil
+	return nil
 }
 
-// reject drops a request that is over a limit. What still comes of it belongs to no open request.
-func (d *Decoder) reject(p *partial) Rejected {
-	delete(d.open, p.req.ID)
-	d.held -= len(p.params) + len(p.req.Body)
+// reject drops a request that exceeds a limit. Its further records are ignored.
+func (d *Decoder) reject(p *partialRequest) Rejected {
+	d.drop(p)
 	return Rejected{ID: p.req.ID, KeepConn: p.req.KeepConn, Err: ErrTooLarge}
 }
 
-func (d *Decoder) addParams(p *partial, content []byte) (Event, error) {
+// drop removes a request that is not complete.
+func (d *Decoder) drop(p *partialRequest) {
+	delete(d.receiving, p.req.ID)
+	d.bufferedBytes -= len(p.params) + len(p.req.Body)
+}
+
+// addParams handles a PARAMS record; an empty one ends the parameters.
+func (d *Decoder) addParams(p *partialRequest, content []byte) (Event, error) {
 	if len(content) > 0 {
-		if p.paramsDone || len(p.params)+len(content) > maxParams {
+		if p.paramsDone || len(p.params)+len(content) > maxParamBytes {
 			return d.reject(p), nil
 		}
 		p.params = append(p.params, content...)
-		d.held += len(content)
+		d.bufferedBytes += len(content)
 		return nil, nil
 	}
 	params, err := decodePairs(p.params)
 	if err != nil {
 		return nil, err
 	}
-	p.req.Params, p.req.Script = params, params["SCRIPT_NAME"]
-	d.held -= len(p.params)
-	p.params, p.paramsDone = nil, true
+	d.bufferedBytes -= len(p.params)
+	p.req.Params = params
+	p.req.Script = params["SCRIPT_NAME"]
+	p.params = nil
+	p.paramsDone = true
 	return nil, nil
 }
 
-func (d *Decoder) addBody(p *partial, content []byte) (Event, error) {
+// addBody handles a STDIN record; an empty one completes the request.
+func (d *Decoder) addBody(p *partialRequest, content []byte) (Event, error) {
 	if len(content) > 0 {
-		if len(p.req.Body)+len(content) > maxBody {
+		if len(p.req.Body)+len(content) > maxBodyBytes {
 			return d.reject(p), nil
 		}
 		p.req.Body = append(p.req.Body, content...)
-		d.held += len(content)
+		d.bufferedBytes += len(content)
 		return nil, nil
 	}
 	if !p.paramsDone {
 		return nil, fmt.Errorf("%w: STDIN ended before PARAMS", ErrRecord)
 	}
-	delete(d.open, p.req.ID)
-	d.answered[p.req.ID] = true
-	d.held -= len(p.req.Body)
+	d.drop(p)
+	d.inProgress[p.req.ID] = true
 	return &p.req, nil
 }
-
-// management answers the records that belong to no request.
-func management(kind byte, content []byte) (Event, error) {
-	if kind != typeGetValues {
-		return Reply{Data: unknownType(kind)}, nil
-	}
-	asked, err := decodePairs(content)
-	if err != nil {
-		return nil, err
-	}
-	var body []byte
-	for _, known := range [][2]string{{"FCGI_MAX_CONNS", "256"}, {"FCGI_MAX_REQS", "2048"}, {"FCGI_MPXS_CONNS", "1"}} {
-		if _, ok := asked[known[0]]; ok {
-			body = appendPair(body, known[0], known[1])
-		}
-	}
-	return Reply{Data: append(appendHeader(nil, typeGetResult, 0, len(body)), body...)}, nil
-}
-
-func unknownType(kind byte) []byte {
-	return append(appendHeader(nil, typeUnknown, 0, 8), kind, 0, 0, 0, 0, 0, 0, 0)
-}
--- a/internal/fastcgi/event.go
+++ b/internal/fastcgi/event.go
@@ -2,33 +2,39 @@
 
 import "errors"
 
-// Request is one whole request.
+// Event is what a record completed: a *Request, Rejected, Abort or Reply.
+type Event interface{ isEvent() }
+
+// Request is one complete request.
 type Request struct {
-	ID       uint16
-	KeepConn bool
+	ID       uint16            // unique among the connection's requests in progress
+	KeepConn bool              // the connection stays open after the response
 	Script   string            // SCRIPT_NAME
-	Params   map[string]string // as sent, under their CGI names
+	Params   map[string]string // by their CGI names, unchanged
 	Body     []byte
 }
 
-// Event is what a connection's bytes meant: *Request, Rejected, Abort or Reply.
-type Event interface{}
-
-// Rejected is a request that breaks a limit of its own. The rest of it is passed over; the connection goes on.
+// Rejected is a request that exceeds a limit of its own. The rest of it is skipped; the connection continues.
 type Rejected struct {
 	ID       uint16
 	KeepConn bool
 	Err      error
 }
 
-// Abort says that the client has given up a request.
+// Abort says that the client has aborted a request that it sent completely.
 type Abort struct{ ID uint16 }
 
-// Reply is bytes that the protocol itself owes the client, with no request for the application behind them.
+// Reply is bytes that the protocol itself requires to be sent to the client; no request for the application
+// is involved.
 type Reply struct {
 	Data  []byte
-	Close bool // the client asked for the connection to be closed after this
+	Close bool // the client asked for the connection to be closed afterwards
 }
 
-// ErrTooLarge says why a request was rejected.
+func (*Request) isEvent() {}
+func (Rejected) isEvent() {}
+func (Abort) isEvent()    {}
+func (Reply) isEvent()    {}
+
+// ErrTooLarge is the reason of Rejected.
 var ErrTooLarge = errors.New("fastcgi: request exceeds its limit")
--- a/internal/fastcgi/fastcgi.go
+++ b/internal/fastcgi/fastcgi.go
@@ -1,14 +1,18 @@
-// Package fastcgi is the codec of the client side: FastCGI 1.0 in the Responder role. It decodes bytes into
-// requests and encodes answers; it touches no socket and keeps no more than its limits allow.
+// Package fastcgi is the codec of the client side: FastCGI 1.0 in the Responder role. It decodes the bytes of
+// a connection into requests and encodes responses. It uses no socket and buffers no more than its limits
+// allow.
+//
+// A connection carries records: a header of 8 bytes (version, type, request ID, content length, padding
+// length), the content and the padding. A request is a BEGIN_REQUEST record, PARAMS records with name-value
+// pairs up to an empty one, and STDIN records with the body up to an empty one. A response is STDOUT records
+// up to an empty one, then END_REQUEST. Requests of one connection may be interleaved; the request ID tells
+// them apart.
 package fastcgi
 
-import (
-	"errors"
-)
+import "errors"
 
-// Record types, roles and flags of FastCGI 1.0.
+// Record types.
 const (
-	version       = 1
 	typeBegin     = 1
 	typeAbort     = 2
 	typeEnd       = 3
@@ -19,36 +23,46 @@
 	typeGetValues = 9
 	typeGetResult = 10
 	typeUnknown   = 11
+)
+
+const (
+	version       = 1
 	roleResponder = 1
-	flagKeepConn  = 1
-	headerLen     = 8
-	maxContent    = 65535
+	flagKeepConn  = 1 // the client keeps the connection open after the response
+
+	headerBytes       = 8
+	beginContentBytes = 8 // role, flags and reserved bytes
+	maxContentBytes   = 65535
 )
 
 // Limits of one connection.
 const (
-	maxOpen   = 40       // requests being received or answered; the protocol page says clients keep to 32
-	maxParams = 16 << 10 // bytes of one request's parameters
-	maxBody   = 64 << 10 // bytes of one request's body; one write brings 48,000 at most
+	maxRequests   = 40       // requests being received or answered at once; clients keep to 32
+	maxParamBytes = 16 << 10 // one request's parameters
+	maxBodyBytes  = 64 << 10 // one request's body; a write has at most 48,000 bytes
 )
 
-// ProtocolStatus is the protocol's own verdict in END_REQUEST.
+// ProtocolStatus is the protocol-level result in END_REQUEST.
 type ProtocolStatus uint8
 
 // Protocol statuses.
 const (
-	Complete      ProtocolStatus = 0
-	CantMultiplex ProtocolStatus = 1
-	Overloaded    ProtocolStatus = 2
-	UnknownRole   ProtocolStatus = 3
+	Complete      ProtocolStatus = 0 // the request was processed
+	CantMultiplex ProtocolStatus = 1 // the server handles one request per connection
+	Overloaded    ProtocolStatus = 2 // the server rejects the request for lack of capacity
+	UnknownRole   ProtocolStatus = 3 // the request's role is not supported
 )
 
-// Errors after which nothing more can be read from a connection.
+// applicationAborted is the application status in END_REQUEST of a request that the client aborted.
+const applicationAborted = 1
+
+// ErrVersion and ErrRecord are errors after which nothing more can be decoded from a connection.
 var (
 	ErrVersion = errors.New("fastcgi: not version 1")
 	ErrRecord  = errors.New("fastcgi: malformed record")
 )
 
-func appendHeader(dst []byte, kind byte, id uint16, length int) []byte {
-	return append(dst, version, kind, byte(id>>8), byte(id), byte(length>>8), byte(length), 0, 0)
+// appendHeader encodes a record header without padding.
+func appendHeader(dst []byte, recordType byte, id uint16, contentBytes int) []byte {
+	return append(dst, version, recordType, byte(id>>8), byte(id), byte(contentBytes>>8), byte(contentBytes), 0, 0)
 }
--- a/internal/fastcgi/fastcgi_test.go
+++ b/internal/fastcgi/fastcgi_test.go
@@ -8,16 +8,19 @@
 	"testing"
 )
 
+// begin encodes BEGIN_REQUEST.
 func begin(id uint16, role, flags byte) []byte {
 	return append(appendHeader(nil, typeBegin, id, 8), 0, role, flags, 0, 0, 0, 0, 0)
 }
 
+// record encodes a record without padding.
 func record(kind byte, id uint16, content string) []byte {
 	return append(appendHeader(nil, kind, id, len(content)), content...)
 }
 
 func join(parts ...[]byte) []byte { return bytes.Join(parts, nil) }
 
+// params encodes names and values.
 func params(pairs ...string) string {
 	var out []byte
 	for i := 0; i < len(pairs); i += 2 {
@@ -26,30 +29,31 @@
 	return string(out)
 }
 
-// whole is a request with a long value and a body in two records.
-func whole(id uint16) []byte {
+// completeRequest is a request with a long value and a body in two records.
+func completeRequest(id uint16) []byte {
 	return join(begin(id, roleResponder, flagKeepConn),
 		record(typeParams, id, params("SCRIPT_NAME", "/ops/artes", "LONG", strings.Repeat("x", 300))),
 		record(typeParams, id, ""), record(typeStdin, id, "ab"), record(typeStdin, id, "cd"), record(typeStdin, id, ""))
 }
 
-// decode feeds data in pieces of the given size and returns what it meant.
+// decode decodes data that arrives in pieces of the given size.
 func decode(t *testing.T, data []byte, piece int) (events []Event, err error) {
 	t.Helper()
 	var d Decoder
-	var held []byte
-	for len(data) > 0 || len(held) > 0 {
+	var buffered []byte
+	for len(data) > 0 || len(buffered) > 0 {
 		n := min(piece, len(data))
-		held, data = append(held, data[:n]...), data[n:]
+		buffered = append(buffered, data[:n]...)
+		data = data[n:]
 		for {
-			used, ev, err := d.Decode(held)
+			used, ev, err := d.Decode(buffered)
 			if err != nil {
 				return events, err
 			}
 			if used == 0 {
 				break
 			}
-			if held = held[used:]; ev != nil {
+			if buffered = buffered[used:]; ev != nil {
 				events = append(events, ev)
 			}
 		}
@@ -62,7 +66,7 @@
 
 func TestRequestInAnyPieces(t *testing.T) {
 	for _, piece := range []int{1, 7, 1 << 20} {
-		events, err := decode(t, join(whole(1), whole(2)), piece)
+		events, err := decode(t, join(completeRequest(1), completeRequest(2)), piece)
 		if err != nil || len(events) != 2 {
 			t.Fatalf("pieces of %d: %v %v", piece, events, err)
 		}
@@ -78,13 +82,13 @@
 		in   []byte
 		want Event
 	}{
-		"abort of an open request":   {join(whole(3), record(typeAbort, 3, "")), Abort{ID: 3}},
-		"abort of a half-come one":   {join(begin(3, 1, 1), record(typeAbort, 3, "")), Reply{Data: AppendEnd(nil, 3, 1, Complete)}},
-		"another role":               {begin(3, 2, 1), Reply{Data: AppendEnd(nil, 3, 0, UnknownRole)}},
-		"another role, not kept":     {begin(3, 2, 0), Reply{Data: AppendEnd(nil, 3, 0, UnknownRole), Close: true}},
-		"unknown management record":  {record(77, 0, ""), Reply{Data: unknownType(77)}},
-		"values":                     {record(typeGetValues, 0, params("FCGI_MPXS_CONNS", "")), Reply{Data: record(typeGetResult, 0, params("FCGI_MPXS_CONNS", "1"))}},
-		"records of no open request": {join(record(typeStdin, 9, "x"), record(typeAbort, 9, "")), nil},
+		"abort of an open request":          {join(completeRequest(3), record(typeAbort, 3, "")), Abort{ID: 3}},
+		"abort of a partial request":        {join(begin(3, 1, 1), record(typeAbort, 3, "")), Reply{Data: AppendEnd(nil, 3, 1, Complete)}},
+		"another role":                      {begin(3, 2, 1), Reply{Data: AppendEnd(nil, 3, 0, UnknownRole)}},
+		"another role, connection not kept": {begin(3, 2, 0), Reply{Data: AppendEnd(nil, 3, 0, UnknownRole), Close: true}},
+		"unknown management record":         {record(77, 0, ""), Reply{Data: unknownType(77)}},
+		"values":                            {record(typeGetValues, 0, params("FCGI_MPXS_CONNS", "")), Reply{Data: record(typeGetResult, 0, params("FCGI_MPXS_CONNS", "1"))}},
+		"records of no open request":        {join(record(typeStdin, 9, "x"), record(typeAbort, 9, "")), nil},
 	} {
 		events, err := decode(t, c.in, 5)
 		if err != nil {
@@ -95,9 +99,7 @@
 		if len(events) > 0 {
 			got = events[len(events)-1]
 		}
-		g, isReply := got.(Reply)
-		w, wantReply := c.want.(Reply)
-		if isReply != wantReply || isReply && (!bytes.Equal(g.Data, w.Data) || g.Close != w.Close) || !isReply && got != c.want {
+		if !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%s: got %v, want %v", name, got, c.want)
 		}
 	}
@@ -111,7 +113,7 @@
 		"version":          {[]byte{2, 1, 0, 1, 0, 0, 0, 0}, ErrVersion},
 		"short begin":      {record(typeBegin, 1, "abc"), ErrRecord},
 		"begun twice":      {join(begin(1, 1, 1), begin(1, 1, 1)), ErrRecord},
-		"begun while open": {join(whole(1), begin(1, 1, 1)), ErrRecord},
+		"begun while open": {join(completeRequest(1), begin(1, 1, 1)), ErrRecord},
 		"cut pair":         {join(begin(1, 1, 1), record(typeParams, 1, "\x05\x05ab"), record(typeParams, 1, "")), ErrRecord},
 		"body first":       {join(begin(1, 1, 1), record(typeStdin, 1, "")), ErrRecord},
 	} {
@@ -121,11 +123,11 @@
 	}
 }
 
-// A request over a limit of its own is rejected once, and what still comes of it is passed over; one too many on its
-// connection is turned away. The next one is read.
+// A request that exceeds a limit is rejected once and its further records are ignored. One request too many
+// on its connection is answered as overloaded.
 func TestRequestsOverALimitAreRejected(t *testing.T) {
 	var many []byte
-	for id := range uint16(maxOpen) {
+	for id := range uint16(maxRequests) {
 		many = append(many, begin(id+2, 1, 1)...)
 	}
 	big := strings.Repeat("x", 60000)
@@ -162,11 +164,11 @@
 	}
 }
 
-// A number may be used again once its request is done, and the bytes kept for it are given back.
+// An ID may be reused once its request is done, and the bytes buffered for it are released.
 func TestNumbersAndBytesAreGivenBack(t *testing.T) {
 	var d Decoder
 	for range 3 {
-		for data := whole(1); len(data) > 0; {
+		for data := completeRequest(1); len(data) > 0; {
 			used, _, err := d.Decode(data)
 			if err != nil || used == 0 {
 				t.Fatal(used, err)
@@ -174,7 +176,7 @@
 			data = data[used:]
 		}
 		if !d.Busy() || d.BufferedBytes() != 0 {
-			t.Fatalf("busy %v, held %d", d.Busy(), d.BufferedBytes())
+			t.Fatalf("busy %v, %d bytes buffered", d.Busy(), d.BufferedBytes())
 		}
 		d.Done(1)
 	}
@@ -184,15 +186,15 @@
 }
 
 func TestLongBodyIsSplitIntoRecords(t *testing.T) {
-	body := bytes.Repeat([]byte("z"), 3*maxContent+5)
+	body := bytes.Repeat([]byte("z"), 3*maxContentBytes+5)
 	out := AppendResponse(nil, 4, Response{Status: 200, Headers: [][2]string{{"X-Unchanged", "1"}}, Body: body})
 	var text []byte
 	for len(out) > 0 {
 		n := int(out[4])<<8 | int(out[5])
 		if out[1] == typeStdout {
-			text = append(text, out[headerLen:headerLen+n]...)
+			text = append(text, out[headerBytes:headerBytes+n]...)
 		}
-		out = out[headerLen+n:]
+		out = out[headerBytes+n:]
 	}
 	if want := "Status: 200\r\nX-Unchanged: 1\r\n\r\n" + string(body); string(text) != want {
 		t.Fatalf("%d bytes, want %d", len(text), len(want))
@@ -200,14 +202,14 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(whole(1))
+	f.Add(completeRequest(1))
 	f.Add(join(begin(1, 2, 0), record(typeGetValues, 0, params("FCGI_MAX_REQS", ""))))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		var d Decoder
 		for len(data) > 0 {
 			used, _, err := d.Decode(data)
 			if used < 0 || used > len(data) || d.BufferedBytes() < 0 {
-				t.Fatalf("used %d of %d, held %d", used, len(data), d.BufferedBytes())
+				t.Fatalf("used %d of %d, %d bytes buffered", used, len(data), d.BufferedBytes())
 			}
 			if err != nil || used == 0 {
 				return
--- /dev/null
+++ b/internal/fastcgi/management.go
@@ -0,0 +1,31 @@
+package fastcgi
+
+// knownValues are the variables that FCGI_GET_VALUES may ask for, in the order of the answer.
+var knownValues = []struct{ name, value string }{
+	{"FCGI_MAX_CONNS", "256"},
+	{"FCGI_MAX_REQS", "2048"},
+	{"FCGI_MPXS_CONNS", "1"}, // requests may share a connection
+}
+
+// management answers a record that belongs to no request.
+func management(recordType byte, content []byte) (Event, error) {
+	if recordType != typeGetValues {
+		return Reply{Data: unknownType(recordType)}, nil
+	}
+	asked, err := decodePairs(content)
+	if err != nil {
+		return nil, err
+	}
+	var body []byte
+	for _, known := range knownValues {
+		if _, isAsked := asked[known.name]; isAsked {
+			body = appendPair(body, known.name, known.value)
+		}
+	}
+	return Reply{Data: append(appendHeader(nil, typeGetResult, 0, len(body)), body...)}, nil
+}
+
+// unknownType encodes the answer to a record whose type is unknown.
+func unknownType(recordType byte) []byte {
+	return append(appendHeader(nil, typeUnknown, 0, 8), recordType, 0, 0, 0, 0, 0, 0, 0)
+}
--- a/internal/fastcgi/pairs.go
+++ b/internal/fastcgi/pairs.go
@@ -5,48 +5,59 @@
 	"fmt"
 )
 
+// Name-value pairs are the name's length, the value's length, the name and the value. A length under 128
+// takes one byte, others take four with the top bit set.
+const (
+	maxShortLength  = 0x7f
+	longLengthFlag  = 1 << 31
+	longLengthBytes = 4
+)
+
+// decodePairs decodes a list of name-value pairs.
 func decodePairs(data []byte) (map[string]string, error) {
 	pairs := map[string]string{}
 	for len(data) > 0 {
-		var lengths [2]int
-		for i := range lengths {
-			n, size := pairLength(data)
-			if size == 0 {
-				return nil, fmt.Errorf("%w: cut name-value pair", ErrRecord)
-			}
-			lengths[i], data = n, data[size:]
+		nameLength, nameSize := pairLength(data)
+		valueLength, valueSize := pairLength(data[nameSize:])
+		if nameSize == 0 || valueSize == 0 {
+			return nil, fmt.Errorf("%w: cut name-value pair", ErrRecord)
 		}
-		name, value := lengths[0], lengths[1]
-		if name > len(data) || value > len(data)-name {
+		data = data[nameSize+valueSize:]
+		if nameLength > len(data) || valueLength > len(data)-nameLength {
 			return nil, fmt.Errorf("%w: cut name-value pair", ErrRecord)
 		}
-		pairs[string(data[:name])] = string(data[name : name+value])
-		data = data[name+value:]
+		name := string(data[:nameLength])
+		pairs[name] = string(data[nameLength : nameLength+valueLength])
+		data = data[nameLength+valueLength:]
 	}
 	return pairs, nil
 }
 
-// pairLength reads one length: a byte, or four with the top bit set. A size of 0 says that it is cut.
-func pairLength(data []byte) (n, size int) {
+// pairLength decodes one length. size is how many bytes it takes, 0 if data ends within it.
+func pairLength(data []byte) (length, size int) {
 	if len(data) == 0 {
 		return 0, 0
 	}
-	if data[0] < 0x80 {
+	if data[0] <= maxShortLength {
 		return int(data[0]), 1
 	}
-	if len(data) < 4 {
+	if len(data) < longLengthBytes {
 		return 0, 0
 	}
-	return int(binary.BigEndian.Uint32(data) & 0x7fffffff), 4
+	return int(binary.BigEndian.Uint32(data) &^ longLengthFlag), longLengthBytes
 }
 
+// appendPair encodes a name-value pair.
 func appendPair(dst []byte, name, value string) []byte {
-	for _, s := range []string{name, value} {
-		if len(s) < 0x80 {
-			dst = append(dst, byte(len(s)))
-		} else {
-			dst = binary.BigEndian.AppendUint32(dst, uint32(len(s))|1<<31)
-		}
+	dst = appendPairLength(dst, len(name))
+	dst = appendPairLength(dst, len(value))
+	dst = append(dst, name...)
+	return append(dst, value...)
+}
+
+func appendPairLength(dst []byte, length int) []byte {
+	if length <= maxShortLength {
+		return append(dst, byte(length))
 	}
-	return append(append(dst, name...), value...)
+	return binary.BigEndian.AppendUint32(dst, uint32(length)|longLengthFlag)
 }
--- a/internal/fastcgi/response.go
+++ b/internal/fastcgi/response.go
@@ -5,37 +5,47 @@
 	"strconv"
 )
 
-// Response is one whole CGI response.
+// Response is one complete CGI response.
 type Response struct {
-	Status  int
-	Headers [][2]string
+	Status  int         // HTTP status code
+	Headers [][2]string // names and values
 	Body    []byte
 }
 
-// AppendResponse encodes the response to request id with its END_REQUEST.
+// AppendResponse encodes the response to a request, with its END_REQUEST.
 func AppendResponse(dst []byte, id uint16, r Response) []byte {
-	head := strconv.AppendInt([]byte("Status: "), int64(r.Status), 10)
-	for _, h := range r.Headers {
-		head = append(append(append(append(head, "\r\n"...), h[0]...), ": "...), h[1]...)
-	}
-	head = append(head, "\r\n\r\n"...)
-	dst = appendStdout(dst, id, head)
+	dst = appendStdout(dst, id, r.head())
 	dst = appendStdout(dst, id, r.Body)
-	dst = appendHeader(dst, typeStdout, id, 0)
+	dst = appendHeader(dst, typeStdout, id, 0) // the end of the output
 	return AppendEnd(dst, id, 0, Complete)
 }
 
+// head is the CGI header block with the empty line after it.
+func (r *Response) head() []byte {
+	head := strconv.AppendInt([]byte("Status: "), int64(r.Status), 10)
+	for _, header := range r.Headers {
+		head = append(head, "\r\n"...)
+		head = append(head, header[0]...)
+		head = append(head, ": "...)
+		head = append(head, header[1]...)
+	}
+	return append(head, "\r\n\r\n"...)
+}
+
+// appendStdout encodes output in as few records as possible, none if it is empty.
 func appendStdout(dst []byte, id uint16, data []byte) []byte {
 	for len(data) > 0 {
-		n := min(len(data), maxContent)
-		dst = append(appendHeader(dst, typeStdout, id, n), data[:n]...)
+		n := min(len(data), maxContentBytes)
+		dst = appendHeader(dst, typeStdout, id, n)
+		dst = append(dst, data[:n]...)
 		data = data[n:]
 	}
 	return dst
 }
 
-// AppendEnd encodes a bare END_REQUEST.
+// AppendEnd encodes END_REQUEST.
 func AppendEnd(dst []byte, id uint16, appStatus uint32, status ProtocolStatus) []byte {
-	dst = binary.BigEndian.AppendUint32(appendHeader(dst, typeEnd, id, 8), appStatus)
+	dst = appendHeader(dst, typeEnd, id, 8)
+	dst = binary.BigEndian.AppendUint32(dst, appStatus)
 	return append(dst, byte(status), 0, 0, 0)
 }
