--- a/internal/resp/answer.go
+++ b/internal/resp/answer.go
@@ -7,77 +7,164 @@
 	"time"
 )
 
-// Answer is one decoded answer. Its Body is a copy of its own.
+// Limits of one answer, in bytes. An object has at most 240,000 bytes.
+const (
+	maxIDBytes     = 64
+	maxWordBytes   = 32
+	maxFieldsBytes = 4 << 10
+	maxBodyBytes   = 256 << 10
+)
+
+// Elements of an answer's array.
+const (
+	elementID = iota
+	elementStatus
+	elementFields
+	elementBody
+	answerElements
+)
+
+// elementLimits are the most bytes that each element of an answer may have.
+var elementLimits = [answerElements]int{
+	elementID:     maxIDBytes,
+	elementStatus: maxWordBytes,
+	elementFields: maxFieldsBytes,
+	elementBody:   maxBodyBytes,
+}
+
+// Status is how a call ended.
+type Status int
+
+// Statuses of an answer; 0 is none of them.
+const (
+	StatusServed      Status = iota + 1 // the body is the object
+	StatusNotModified                   // the client's copy is current
+	StatusNotFound                      // the object is not cached; the call was not executed
+	StatusOverloaded                    // the server rejected the call, which was not executed
+	StatusCrashed                       // the server failed during the call, which may have been executed
+	StatusNotRun                        // the request had ended before; the call was not executed
+)
+
+// statusOfWord maps the status words on the wire.
+var statusOfWord = map[string]Status{
+	"served":     StatusServed,
+	"still_good": StatusNotModified,
+	"not_here":   StatusNotFound,
+	"overload":   StatusOverloaded,
+	"crashed":    StatusCrashed,
+	"nobody":     StatusNotRun,
+}
+
+// CacheStatus says how a cache got an answer or why a fill failed, with the numbers of policy.CacheStatus; 0:
+// unknown.
+type CacheStatus int
+
+// cacheStatusOfNote maps the values of the field "note".
+var cacheStatusOfNote = map[string]CacheStatus{
+	"TCP_HIT":       1,
+	"TCP_MISS":      2,
+	"TCP_MISS_ROOT": 3,
+	"TCP_JOIN":      4,
+	"TCP_STALE":     5,
+	"PEER_DENY":     6,
+	"PEER_DEAD":     7,
+	"PEER_MISS":     8,
+	"FILL_FULL":     9,
+	"ROOT_FAIL":     10,
+}
+
+// Fields of an answer. Others, such as the load report, are ignored.
+const (
+	fieldCacheStatus     = "note"
+	fieldSourceFirstByte = "ttfb" // milliseconds, with a fraction
+	fieldVersion         = "etag"
+	fieldCreatedAt       = "made" // Unix milliseconds
+)
+
+// maxFirstByteMillis bounds a plausible time to first byte, in milliseconds; others are ignored.
+const maxFirstByteMillis = 1e9
+
+// Answer is one decoded answer. It shares no memory with the bytes that it was decoded from.
 type Answer struct {
-	ID              string
+	ID              string // of the call
 	Status          Status
 	CacheStatus     CacheStatus
-	SourceFirstByte time.Duration
-	Version         string
-	CreatedAtMillis int64 // Unix millisecond at which the origin gave the copy out; 0: not told
+	SourceFirstByte time.Duration // time to the first byte from the fill's source; 0: unknown
+	Version         string        // tag of the object's version; empty: none
+	CreatedAtMillis int64         // Unix milliseconds at which the origin served the copy; 0: unknown
 	Body            []byte
 }
 
-// Decode takes one answer off data. It returns how many bytes it used, 0 when the answer is not whole yet.
+// Decode decodes one answer from the start of data. It returns how many bytes the answer has, 0 when it is
+// not complete.
 func Decode(data []byte) (used int, a Answer, err error) {
-	n, count, err := number(data, '*')
+	n, count, err := decodeNumber(data, arrayPrefix)
 	if n == 0 || err != nil {
 		return 0, a, err
 	}
-	if count != answerSize {
+	if count != answerElements {
 		return 0, a, fmt.Errorf("%w: array of %d", ErrMalformed, count)
 	}
 	used = n
-	var parts [answerSize][]byte
-	for i, limit := range [answerSize]int{maxID, maxWord, maxFields, maxBody} {
-		size, part, err := bulk(data[used:], limit)
+	var elements [answerElements][]byte
+	for i, limit := range elementLimits {
+		size, element, err := decodeBulk(data[used:], limit)
 		if size == 0 || err != nil {
 			return 0, a, err
 		}
-		parts[i], used = part, used+size
+		elements[i] = element
+		used += size
 	}
-	a, err = answer(parts)
+	a, err = newAnswer(elements)
 	return used, a, err
 }
 
-func answer(parts [answerSize][]byte) (Answer, error) {
-	a := Answer{ID: string(parts[0]), Status: words[string(parts[1])]}
+// newAnswer interprets the elements of an answer.
+func newAnswer(elements [answerElements][]byte) (Answer, error) {
+	a := Answer{ID: string(elements[elementID]), Status: statusOfWord[string(elements[elementStatus])]}
 	if a.Status == 0 {
-		return a, fmt.Errorf("%w: word %q", ErrMalformed, parts[1])
+		return a, fmt.Errorf("%w: word %q", ErrMalformed, elements[elementStatus])
 	}
-	if err := a.fields(parts[2]); err != nil {
+	if err := a.decodeFields(elements[elementFields]); err != nil {
 		return a, err
 	}
-	a.Body = bytes.Clone(parts[3])
+	a.Body = bytes.Clone(elements[elementBody])
 	return a, nil
 }
 
-// fields reads the fields that are used; others, the load report among them, are passed over.
-func (a *Answer) fields(list []byte) (err error) {
+// decodeFields decodes the list of fields.
+func (a *Answer) decodeFields(list []byte) error {
 	if string(list) == "-" {
 		return nil
 	}
 	for field := range bytes.SplitSeq(list, []byte{','}) {
-		name, value, ok := bytes.Cut(field, []byte{'='})
-		if !ok {
+		name, value, hasValue := bytes.Cut(field, []byte{'='})
+		if !hasValue {
 			return fmt.Errorf("%w: field %q", ErrMalformed, field)
 		}
-		switch string(name) {
-		case "note":
-			a.CacheStatus = notes[string(value)]
-		case "ttfb":
-			var ms float64
-			if ms, err = strconv.ParseFloat(string(value), 64); err == nil && ms >= 0 && ms < 1e9 {
-				a.SourceFirstByte = time.Duration(ms * float64(time.Millisecond))
-			}
-		case "etag":
-			a.Version = string(value)
-		case "made":
-			a.CreatedAtMillis, err = strconv.ParseInt(string(value), 10, 64)
-		}
-		if err != nil {
+		if err := a.decodeField(string(name), string(value)); err != nil {
 			return fmt.Errorf("%w: field %q", ErrMalformed, field)
 		}
 	}
 	return nil
 }
+
+func (a *Answer) decodeField(name, value string) (err error) {
+	switch name {
+	case fieldCacheStatus:
+		a.CacheStatus = cacheStatusOfNote[value]
+	case fieldSourceFirstByte:
+		millis, err := strconv.ParseFloat(value, 64)
+		if err != nil {
+			return err
+		}
+		if millis >= 0 && millis < maxFirstByteMillis {
+			a.SourceFirstByte = time.Duration(millis * float64(time.Millisecond))
+		}
+	case fieldVersion:
+		a.Version = value
+	case fieldCreatedAt:
+		a.CreatedAtMillis, err = strconv.ParseInt(value, 10, 64)
+	}
+	return err
+}
--- a/internal/resp/call.go
+++ b/internal/resp/call.go
@@ -2,81 +2,131 @@
 
 import (
 	"strconv"
+	"strings"
 	"time"
 )
 
+// Commands.
+const (
+	commandCall   = "REQ"
+	commandCancel = "STOP"
+)
+
+// Fields of a call.
+const (
+	fieldClass          = "c"
+	fieldObject         = "k"
+	fieldPart           = "p"
+	fieldTimeout        = "w"
+	fieldSource         = "src"
+	fieldRetentionRank  = "keep"
+	fieldMaxAge         = "maxage"
+	fieldFlags          = "flags" // joined by "+"
+	fieldKnownVersion   = "have"
+	fieldIdempotencyKey = "i"
+)
+
+// Flags of a call.
+const (
+	flagCoalesceFill         = "coalesce"
+	flagCachedOnly           = "shallow"
+	flagTransit              = "transit"
+	flagStaleWhileRevalidate = "freshen"
+)
+
 // Call is one request to a cache, a parent or the origin.
 type Call struct {
 	ID             string
-	Class          string
+	Class          string // name of the request's class
 	Object         string
 	Part           string
-	Timeout        time.Duration // how long the answer is waited for
-	Source         string        // empty: no fill
-	RetentionRank  int
-	MaxAge         time.Duration // 0: the fresh time of the class
-	KnownVersion   string        // tag of the client's copy; empty: none
-	IdempotencyKey string        // idempotency key; empty: none
+	Timeout        time.Duration // how long the answer is waited for; sent in whole milliseconds
+	Source         string        // ID of the server to fill from on a cache miss; empty: none
+	RetentionRank  int           // priority with which the object is cached, 0 to 3
+	MaxAge         time.Duration // age up to which a cached copy may be served; 0: the class's freshness
+	KnownVersion   string        // tag of the copy that the client has; empty: none
+	IdempotencyKey string        // empty: none
 
-	CoalesceFill, CachedOnly, Transit, StaleWhileRevalidate bool
+	CoalesceFill         bool // wait for a fill of the object that is in progress
+	CachedOnly           bool // no fill: answer only if the object is cached
+	Transit              bool // a parent must not cache the answer
+	StaleWhileRevalidate bool // serve a stale copy and refresh it
 
 	Body []byte
 }
 
 // AppendCall encodes a call.
 func AppendCall(dst []byte, c *Call) []byte {
-	dst = append(dst, "*4\r\n"...)
-	dst = appendBulk(dst, "REQ")
+	dst = appendArray(dst, 4)
+	dst = appendBulk(dst, commandCall)
 	dst = appendBulk(dst, c.ID)
 	dst = appendBulk(dst, callFields(c))
 	return appendBulk(dst, c.Body)
 }
 
-// AppendStop encodes the giving up of a call.
+// AppendStop encodes the cancellation of a call.
 func AppendStop(dst []byte, id string) []byte {
-	return appendBulk(appendBulk(append(dst, "*2\r\n"...), "STOP"), id)
+	dst = appendArray(dst, 2)
+	dst = appendBulk(dst, commandCancel)
+	return appendBulk(dst, id)
 }
 
+// callFields encodes the fields of a call. Optional ones are left out if they have their default.
 func callFields(c *Call) []byte {
-	f := append([]byte("c="), c.Class...)
-	add := func(name, value string) { f = append(append(append(append(f, ','), name...), '='), value...) }
-	millis := func(d time.Duration) string { return strconv.FormatInt(d.Milliseconds(), 10) }
-	add("k", c.Object)
-	add("p", c.Part)
-	add("w", millis(c.Timeout))
+	fields := appendField(nil, fieldClass, c.Class)
+	fields = appendField(fields, fieldObject, c.Object)
+	fields = appendField(fields, fieldPart, c.Part)
+	fields = appendField(fields, fieldTimeout, formatMillis(c.Timeout))
 	if c.Source != "" {
-		add("src", c.Source)
+		fields = appendField(fields, fieldSource, c.Source)
 	}
 	if c.RetentionRank != 0 {
-		add("keep", strconv.Itoa(c.RetentionRank))
+		fields = appendField(fields, fieldRetentionRank, strconv.Itoa(c.RetentionRank))
 	}
 	if c.MaxAge > 0 {
-		// Rounded down, as an older copy may be from before a purge; but 0 would mean any fresh copy.
-		add("maxage", millis(max(c.MaxAge, time.Millisecond)))
+		// Rounded down, as an older copy may be from before a purge, but not to 0, which would allow any
+		// fresh copy.
+		fields = appendField(fields, fieldMaxAge, formatMillis(max(c.MaxAge, time.Millisecond)))
 	}
 	if flags := callFlags(c); flags != "" {
-		add("flags", flags)
+		fields = appendField(fields, fieldFlags, flags)
 	}
 	if c.KnownVersion != "" {
-		add("have", c.KnownVersion)
+		fields = appendField(fields, fieldKnownVersion, c.KnownVersion)
 	}
 	if c.IdempotencyKey != "" {
-		add("i", c.IdempotencyKey)
+		fields = appendField(fields, fieldIdempotencyKey, c.IdempotencyKey)
 	}
-	return f
+	return fields
 }
 
-func callFlags(c *Call) (flags string) {
-	for _, flag := range []struct {
-		on   bool
-		name string
-	}{{c.CoalesceFill, "coalesce"}, {c.CachedOnly, "shallow"}, {c.Transit, "transit"}, {c.StaleWhileRevalidate, "freshen"}} {
-		if flag.on && flags != "" {
-			flags += "+"
-		}
-		if flag.on {
-			flags += flag.name
-		}
+// callFlags joins the names of the flags that are set.
+func callFlags(c *Call) string {
+	var flags []string
+	if c.CoalesceFill {
+		flags = append(flags, flagCoalesceFill)
+	}
+	if c.CachedOnly {
+		flags = append(flags, flagCachedOnly)
+	}
+	if c.Transit {
+		flags = append(flags, flagTransit)
+	}
+	if c.StaleWhileRevalidate {
+		flags = append(flags, flagStaleWhileRevalidate)
+	}
+	return strings.Join(flags, "+")
+}
+
+// formatMillis is d in milliseconds, rounded down.
+func formatMillis(d time.Duration) string { return strconv.FormatInt(d.Milliseconds(), 10) }
+
+// appendField encodes a field, after a comma if it is not the first.
+func appendField(dst []byte, name, value string) []byte {
+	if len(dst) > 0 {
+		dst = append(dst, ',')
 	}
-	return flags
+	dst = append(dst, name...)
+	dst = append(dst, '=')
+	return append(dst, value...)
 }
--- a/internal/resp/framing.go
+++ b/internal/resp/framing.go
@@ -5,31 +5,45 @@
 	"strconv"
 )
 
+const (
+	arrayPrefix = '*' // then the number of elements
+	bulkPrefix  = '$' // then the number of bytes
+	lineEnd     = "\r\n"
+
+	maxLengthDigits = 7
+)
+
+// appendArray encodes the header of an array.
+func appendArray(dst []byte, elements int) []byte {
+	dst = append(dst, arrayPrefix)
+	dst = strconv.AppendInt(dst, int64(elements), 10)
+	return append(dst, lineEnd...)
+}
+
+// appendBulk encodes a bulk string.
 func appendBulk[T string | []byte](dst []byte, s T) []byte {
-	dst = strconv.AppendInt(append(dst, '$'), int64(len(s)), 10)
-	dst = append(dst, "\r\n"...)
-	return append(append(dst, s...), "\r\n"...)
+	dst = append(dst, bulkPrefix)
+	dst = strconv.AppendInt(dst, int64(len(s)), 10)
+	dst = append(dst, lineEnd...)
+	dst = append(dst, s...)
+	return append(dst, lineEnd...)
 }
 
-// number reads a prefix byte and a decimal number with its line end; n is 0 when it is not whole.
-func number(data []byte, prefix byte) (n, value int, err error) {
+// decodeNumber decodes a prefix, a decimal number and the line end. used is 0 when they are not complete.
+func decodeNumber(data []byte, prefix byte) (used, value int, err error) {
 	if len(data) == 0 {
 		return 0, 0, nil
 	}
 	if data[0] != prefix {
 		return 0, 0, fmt.Errorf("%w: %q in place of %q", ErrMalformed, data[0], prefix)
 	}
-	for i, c := range data[1:] {
-		switch {
-		case c == '\r' && i > 0:
-			if len(data) < i+3 {
-				return 0, 0, nil
-			}
-			if data[i+2] != '\n' {
-				return 0, 0, fmt.Errorf("%w: bare CR", ErrMalformed)
-			}
-			return i + 3, value, nil
-		case c < '0' || c > '9' || i >= maxDigits:
+	digits := data[1:]
+	for i, c := range digits {
+		if c == '\r' && i > 0 {
+			used, err = decodeLineFeed(data, i+2)
+			return used, value, err
+		}
+		if c < '0' || c > '9' || i >= maxLengthDigits {
 			return 0, 0, fmt.Errorf("%w: bad length", ErrMalformed)
 		}
 		value = value*10 + int(c-'0')
@@ -37,19 +51,34 @@
 	return 0, 0, nil
 }
 
-func bulk(data []byte, limit int) (size int, part []byte, err error) {
-	n, length, err := number(data, '$')
-	if n == 0 || err != nil {
+// decodeLineFeed checks for the line feed at data[at] and returns how many bytes end with it, 0 if data ends
+// before.
+func decodeLineFeed(data []byte, at int) (used int, err error) {
+	if at >= len(data) {
+		return 0, nil
+	}
+	if data[at] != '\n' {
+		return 0, fmt.Errorf("%w: bare CR", ErrMalformed)
+	}
+	return at + 1, nil
+}
+
+// decodeBulk decodes a bulk string of at most limit bytes. size is 0 when it is not complete.
+func decodeBulk(data []byte, limit int) (size int, content []byte, err error) {
+	start, length, err := decodeNumber(data, bulkPrefix)
+	if start == 0 || err != nil {
 		return 0, nil, err
 	}
 	if length > limit {
 		return 0, nil, fmt.Errorf("%w: bulk string of %d bytes", ErrMalformed, length)
 	}
-	if len(data) < n+length+2 {
+	end := start + length
+	size = end + len(lineEnd)
+	if len(data) < size {
 		return 0, nil, nil
 	}
-	if data[n+length] != '\r' || data[n+length+1] != '\n' {
+	if string(data[end:size]) != lineEnd {
 		return 0, nil, fmt.Errorf("%w: bulk string without its end", ErrMalformed)
 	}
-	return n + length + 2, data[n : n+length], nil
+	return size, data[start:end], nil
 }
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -8,6 +8,7 @@
 	"time"
 )
 
+// raw encodes an array of bulk strings.
 func raw(parts ...string) string {
 	out := []byte("*" + string('0'+rune(len(parts))) + "\r\n")
 	for _, p := range parts {
@@ -17,44 +18,53 @@
 }
 
 func TestCalls(t *testing.T) {
-	full := Call{ID: "9b1f", Class: "artes", Object: "7f3a", Part: "3", Timeout: 1500 * time.Millisecond, Source: "s-1",
-		RetentionRank: 2, MaxAge: 2500 * time.Microsecond, KnownVersion: "4be0", CoalesceFill: true, StaleWhileRevalidate: true, Body: []byte("B")}
+	full := Call{
+		ID: "9b1f", Class: "artes", Object: "7f3a", Part: "3", Timeout: 1500 * time.Millisecond, Source: "s-1",
+		RetentionRank: 2, MaxAge: 2500 * time.Microsecond, KnownVersion: "4be0",
+		CoalesceFill: true, StaleWhileRevalidate: true, Body: []byte("B"),
+	}
 	tiny := Call{ID: "1", Class: "c", Object: "k", Part: "0", MaxAge: time.Microsecond, CachedOnly: true}
-	for _, c := range []struct{ got, want string }{
+	for _, tt := range []struct{ got, want string }{
 		{string(AppendCall(nil, &full)), raw("REQ", "9b1f",
 			"c=artes,k=7f3a,p=3,w=1500,src=s-1,keep=2,maxage=2,flags=coalesce+freshen,have=4be0", "B")},
 		// An age under a millisecond must not become 0, which would ask for any fresh copy.
 		{string(AppendCall(nil, &tiny)), raw("REQ", "1", "c=c,k=k,p=0,w=0,maxage=1,flags=shallow", "")},
 		{string(AppendStop(nil, "9b1f")), raw("STOP", "9b1f")},
 	} {
-		if c.got != c.want {
-			t.Errorf("got  %q\nwant %q", c.got, c.want)
+		if tt.got != tt.want {
+			t.Errorf("got  %q\nwant %q", tt.got, tt.want)
 		}
 	}
 }
 
 func TestAnswersInAnyPieces(t *testing.T) {
-	text := raw("9b1f", "served", "etag=4be0,made=1764576000123,note=TCP_MISS_ROOT,ttfb=12.5,load=util:0.6;inflight:7", "bytes\r\n") +
+	const fields = "etag=4be0,made=1764576000123,note=TCP_MISS_ROOT,ttfb=12.5,load=util:0.6;inflight:7"
+	text := raw("9b1f", "served", fields, "bytes\r\n") +
 		raw("2", "overload", "-", "")
 	want := []Answer{
-		{ID: "9b1f", Status: StatusServed, CacheStatus: 3, SourceFirstByte: 12500 * time.Microsecond, Version: "4be0", CreatedAtMillis: 1764576000123, Body: []byte("bytes\r\n")},
+		{
+			ID: "9b1f", Status: StatusServed, CacheStatus: 3, SourceFirstByte: 12500 * time.Microsecond,
+			Version: "4be0", CreatedAtMillis: 1764576000123, Body: []byte("bytes\r\n"),
+		},
 		{ID: "2", Status: StatusOverloaded, Body: []byte{}},
 	}
 	for piece := 1; piece <= len(text); piece += 13 {
 		var got []Answer
-		held := ""
+		buffered := ""
 		for rest := text; rest != ""; {
 			n := min(piece, len(rest))
-			held, rest = held+rest[:n], rest[n:]
+			buffered += rest[:n]
+			rest = rest[n:]
 			for {
-				used, a, err := Decode([]byte(held))
+				used, a, err := Decode([]byte(buffered))
 				if err != nil {
 					t.Fatal(err)
 				}
 				if used == 0 {
 					break
 				}
-				got, held = append(got, a), held[used:]
+				got = append(got, a)
+				buffered = buffered[used:]
 			}
 		}
 		if !reflect.DeepEqual(got, want) {
@@ -68,7 +78,7 @@
 		"hello", "*3\r\n", "*x\r\n", "*4\rx", "*\r\n", "*99999999999\r\n", "*4\r\n:1\r\n", "*4\r\n$-1\r\n",
 		"*4\r\n$1\r\n1xx", "*4\r\n$999\r\n", raw("1", "perhaps", "-", ""), raw("1", "served", "note", ""),
 		raw("1", "served", "made=soon", ""), raw("1", "served", "ttfb=x", ""),
-		raw("1", "served", "-", strings.Repeat("x", maxBody+1)),
+		raw("1", "served", "-", strings.Repeat("x", maxBodyBytes+1)),
 	} {
 		if used, _, err := Decode([]byte(text)); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%.40q: used %d, %v", text, used, err)
