--- a/internal/watch/decode.go
+++ b/internal/watch/decode.go
@@ -8,11 +8,19 @@
 	"strconv"
 )
 
-// Decode reads one line without its line feed.
+// Parts of an event on the wire.
+const (
+	partIndex     = "index"
+	partEndpoints = "endpoints"
+	partPurge     = "evict"
+)
+
+// Decode decodes one line, without its line feed.
 func Decode(line []byte) (Event, error) {
 	line = bytes.TrimSpace(line)
-	if n, err := strconv.ParseInt(string(line), 10, 64); err == nil && n >= 0 {
-		return Event{Index: n}, nil
+	index, err := strconv.ParseInt(string(line), 10, 64)
+	if err == nil && index >= 0 {
+		return Event{Index: index}, nil
 	}
 	var e Event
 	if err := json.Unmarshal(line, &e); err != nil {
@@ -21,8 +29,8 @@
 	return e, nil
 }
 
-// UnmarshalJSON reads an event as far as it can be read: one part that this version does not know hides nothing of the
-// rest. Only a text without a number of its own is an error.
+// UnmarshalJSON decodes what it can of an event: a part that this version does not know must not hide the
+// others. Only an event without an index of its own is an error.
 func (e *Event) UnmarshalJSON(text []byte) error {
 	var number struct {
 		Index int64 `json:"index"`
@@ -36,81 +44,75 @@
 	}
 	*e = Event{Index: number.Index}
 	for name, part := range parts {
-		e.read(name, part)
+		e.decodePart(name, part)
 	}
 	return nil
 }
 
-// read takes one part of an event. A part that this version does not know makes it an event all the same.
-func (e *Event) read(name string, part json.RawMessage) {
+// decodePart decodes one part of an event. Unknown parts count as unreadable.
+func (e *Event) decodePart(name string, part json.RawMessage) {
 	if string(part) == "null" {
 		return
 	}
 	switch name {
-	case "index":
-	case "endpoints":
-		e.readEndpoints(part)
-	case "evict":
-		e.readEvict(part)
+	case partIndex:
+		return // UnmarshalJSON has decoded it
+	case partEndpoints:
+		e.decodeEndpoints(part)
+	case partPurge:
+		e.decodePurge(part)
 	default:
 		e.Unreadable++
 	}
 }
 
-func (e *Event) readEndpoints(text json.RawMessage) {
-	var raw struct {
+func (e *Event) decodeEndpoints(text json.RawMessage) {
+	var update struct {
 		Full    bool              `json:"full"`
 		Servers []json.RawMessage `json:"servers"`
 	}
-	if json.Unmarshal(text, &raw) != nil {
+	if json.Unmarshal(text, &update) != nil {
 		e.Unreadable++
 		return
 	}
-	e.Endpoints = &EndpointUpdate{Full: raw.Full}
-	for _, entry := range raw.Servers {
-		if server, ok := e.readServer(entry); ok {
-			e.Endpoints.Endpoints = append(e.Endpoints.Endpoints, server)
+	e.Endpoints = &EndpointUpdate{Full: update.Full}
+	for _, entry := range update.Servers {
+		endpoint, hasID := e.decodeEndpoint(entry)
+		if hasID {
+			e.Endpoints.Endpoints = append(e.Endpoints.Endpoints, endpoint)
 		}
 	}
 }
 
-// readServer reads one entry. One that names a server and can't be read in full counts as gone.
-func (e *Event) readServer(text json.RawMessage) (server Endpoint, named bool) {
-	err := json.Unmarshal(text, &server)
-	known := server.State == StateServing || server.State == StateDraining || server.State == StateDeleted
-	if err == nil && known && server.ID != "" {
-		return server, true
+// decodeEndpoint decodes one entry of the endpoint list. An entry with an ID that is not legible otherwise
+// counts as deleted.
+func (e *Event) decodeEndpoint(text json.RawMessage) (endpoint Endpoint, hasID bool) {
+	err := json.Unmarshal(text, &endpoint)
+	if err == nil && isKnownState(endpoint.State) && endpoint.ID != "" {
+		return endpoint, true
 	}
 	e.Unreadable++
-	var name struct {
+	var entry struct {
 		ID string `json:"id"`
 	}
-	if json.Unmarshal(text, &name) != nil || name.ID == "" {
+	if json.Unmarshal(text, &entry) != nil || entry.ID == "" {
 		return Endpoint{}, false
 	}
-	return Endpoint{ID: name.ID, State: StateDeleted}, true
+	return Endpoint{ID: entry.ID, State: StateDeleted}, true
 }
 
-func (e *Event) readEvict(text json.RawMessage) {
-	e.Purge = &Purge{}
-	if json.Unmarshal(text, e.Purge) == nil && (e.Purge.Object != "" || e.Purge.Group != nil) {
-		return
-	}
-	e.Unreadable++
-	*e.Purge = Purge{}
+func isKnownState(state string) bool {
+	return state == StateServing || state == StateDraining || state == StateDeleted
 }
 
-// NextLine takes one line off data; used is 0 when none is whole.
-func NextLine(data []byte) (used int, line []byte, err error) {
-	i := bytes.IndexByte(data, '\n')
-	if i < 0 && len(data) > MaxLine {
-		return 0, nil, ErrTooLong
-	}
-	if i < 0 {
-		return 0, nil, nil
+// decodePurge decodes a purge. One that does not say legibly what to purge is a purge of everything.
+func (e *Event) decodePurge(text json.RawMessage) {
+	var purge Purge
+	err := json.Unmarshal(text, &purge)
+	if err == nil && (purge.Object != "" || purge.Group != nil) {
+		e.Purge = &purge
+		return
 	}
-	return i + 1, data[:i], nil
+	e.Unreadable++
+	e.Purge = &Purge{}
 }
-
-// AppendFollow encodes the request for every event after last.
-func AppendFollow(last int64) []byte { return fmt.Appendf(nil, "follow %d\n", last) }
--- /dev/null
+++ b/internal/watch/framing.go
@@ -0,0 +1,32 @@
+package watch
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+)
+
+// MaxLine is how many bytes a line may have. A complete list of a large fleet has far fewer.
+const MaxLine = 1 << 20
+
+// ErrLine says that a line is neither an event nor a heartbeat.
+var ErrLine = errors.New("watch: malformed line")
+
+// ErrTooLong says that a line has exceeded MaxLine without an end.
+var ErrTooLong = fmt.Errorf("%w: over %d bytes", ErrLine, MaxLine)
+
+// NextLine splits the first line off data. used is its length with the line feed, 0 if there is no complete
+// line.
+func NextLine(data []byte) (used int, line []byte, err error) {
+	end := bytes.IndexByte(data, '\n')
+	if end >= 0 {
+		return end + 1, data[:end], nil
+	}
+	if len(data) > MaxLine {
+		return 0, nil, ErrTooLong
+	}
+	return 0, nil, nil
+}
+
+// AppendFollow encodes the request for all events after the one with the index last.
+func AppendFollow(last int64) []byte { return fmt.Appendf(nil, "follow %d\n", last) }
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -1,69 +1,61 @@
-// Package watch is the codec of the coordinator's stream: numbered events, one JSON object per line, and lines
-// that hold only the last number. It touches no socket.
+// Package watch is the codec of the coordinator's stream of events. It uses no socket.
+//
+// The client sends one line, "follow N", where N is the index of the last event that it has. The stream then
+// carries every later event, one JSON object a line, and lines with only the index of the last event as
+// heartbeats. The names on the wire are those of the coordinator's protocol, such as "evict" for a purge and
+// "shard" for a group of objects; this package alone maps them to the terms that the rest of the program
+// uses.
 package watch
 
-import (
-	"errors"
-	"fmt"
+// States of an endpoint.
+const (
+	StateServing  = "SERVING"
+	StateDraining = "DRAINING" // gets no new requests and finishes those in progress
+	StateDeleted  = "DELETED"
 )
 
-// MaxLine bounds one line; a whole list of a large fleet stays far under it.
-const MaxLine = 1 << 20
-
-// ErrLine says that a line is neither an event nor a number.
-var ErrLine = errors.New("watch: malformed line")
-
-// ErrTooLong says that a line exceeds MaxLine and has not ended yet.
-var ErrTooLong = fmt.Errorf("%w: over %d bytes", ErrLine, MaxLine)
-
-// Endpoint is one entry of the list. One whose State is none of the states below, also because its entry could not be read,
-// must count as gone.
+// Endpoint is one entry of the endpoint list. One whose State is none of the above counts as deleted.
 type Endpoint struct {
 	ID      string  `json:"id"`
-	Addr    string  `json:"addr"`
-	Zone    string  `json:"zone"`
-	Kind    string  `json:"kind"`
-	Cell    int     `json:"cell"`
+	Addr    string  `json:"addr"` // IP address and port
+	Zone    string  `json:"zone"` // name of its location
+	Kind    string  `json:"kind"` // name of its host type
+	Cell    int     `json:"cell"` // group of servers that share deduplication state
 	State   string  `json:"state"`
-	Weight  float64 `json:"weight"`
-	Started int64   `json:"started_ms"` // Unix millisecond of a late start, else 0
+	Weight  float64 `json:"weight"`     // relative capacity
+	Started int64   `json:"started_ms"` // Unix milliseconds of a late start, else 0
 }
 
-// States of a server.
-const (
-	StateServing  = "SERVING"
-	StateDraining = "DRAINING"
-	StateDeleted  = "DELETED"
-)
-
-// EndpointUpdate is the whole list, or changes to it.
+// EndpointUpdate is the complete endpoint list, or changes to it.
 type EndpointUpdate struct {
-	Full      bool
+	Full      bool // Endpoints is the complete list
 	Endpoints []Endpoint
 }
 
-// Purge is a purge of one object, or of a group where Object is empty; of everything where Group is nil too, as what it
-// names could not be read.
+// Purge removes cached copies of an object, of a group if Object is empty, or of everything if Group is nil
+// too because the event does not say legibly what to purge.
 type Purge struct {
 	Object string `json:"ref"`
 	Group  *int   `json:"shard"`
-	At     int64  `json:"unix_ms"` // Unix millisecond at which it took place; 0: not told
+	At     int64  `json:"unix_ms"` // Unix milliseconds of the purge; 0: unknown
 }
 
-// Event is one numbered event; with neither part it only tells the last number.
+// Event is one event of the stream, or a heartbeat.
 type Event struct {
-	Index     int64
-	Endpoints *EndpointUpdate
-	Purge     *Purge
-	// Unreadable counts what could not be read in it. To ask for the event again would bring the same text.
+	Index     int64           // of the event, or of the last one for a heartbeat
+	Endpoints *EndpointUpdate // nil: none
+	Purge     *Purge          // nil: none
+
+	// Unreadable counts the parts that could not be decoded. Requesting the event again would bring the same
+	// text.
 	Unreadable int
 }
 
 // InitialState is what the configuration says of the events before the start.
 type InitialState struct {
-	Index  int64   `json:"index"`
+	Index  int64   `json:"index"` // of the last of the events
 	Events []Event `json:"updates"`
 }
 
-// IsHeartbeat reports whether the event carries nothing but the last number.
+// IsHeartbeat reports whether the event carries nothing but an index.
 func (e *Event) IsHeartbeat() bool { return e.Endpoints == nil && e.Purge == nil && e.Unreadable == 0 }
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -2,29 +2,53 @@
 
 import (
 	"errors"
+	"reflect"
 	"slices"
 	"strings"
 	"testing"
 )
 
 func TestLines(t *testing.T) {
-	list, err := Decode([]byte(`{"index":41,"endpoints":{"version":7,"full":true,"servers":[{"id":"s-1","addr":"10.1.0.9:7001",` +
-		`"zone":"east","kind":"std","cell":2,"state":"SERVING","weight":4,"started_ms":5}]}}`))
-	if err != nil || list.Index != 41 || !list.Endpoints.Full || list.Endpoints.Endpoints[0] != (Endpoint{"s-1", "10.1.0.9:7001", "east", "std", 2, StateServing, 4, 5}) {
-		t.Errorf("%+v %v", list, err)
+	group := 0
+	endpoint := Endpoint{
+		ID: "s-1", Addr: "10.1.0.9:7001", Zone: "east", Kind: "std", Cell: 2,
+		State: StateServing, Weight: 4, Started: 5,
 	}
-	object, err := Decode([]byte(`{"index":42,"evict":{"ref":"7f3a","unix_ms":1764576000123}}`))
-	if err != nil || object.Purge.Object != "7f3a" || object.Purge.At != 1764576000123 || object.IsHeartbeat() {
-		t.Errorf("%+v %v", object, err)
-	}
-	group, err := Decode([]byte(`{"index":43,"evict":{"shard":0,"unix_ms":1}}`))
-	if err != nil || *group.Purge.Group != 0 || group.Purge.Object != "" {
-		t.Errorf("%+v %v", group, err)
-	}
-	for _, tick := range []string{"43", "43\r", `{"index":43}`} {
-		if ev, err := Decode([]byte(tick)); err != nil || !ev.IsHeartbeat() || ev.Index != 43 {
-			t.Errorf("%q: %+v %v", tick, ev, err)
+	for _, tt := range []struct {
+		line      string
+		want      Event
+		heartbeat bool
+	}{
+		{
+			line: `{"index":41,"endpoints":{"version":7,"full":true,"servers":[{"id":"s-1","addr":"10.1.0.9:7001",` +
+				`"zone":"east","kind":"std","cell":2,"state":"SERVING","weight":4,"started_ms":5}]}}`,
+			want: Event{Index: 41, Endpoints: &EndpointUpdate{Full: true, Endpoints: []Endpoint{endpoint}}},
+		},
+		{
+			line: `{"index":42,"evict":{"ref":"7f3a","unix_ms":1764576000123}}`,
+			want: Event{Index: 42, Purge: &Purge{Object: "7f3a", At: 1764576000123}},
+		},
+		{
+			line: `{"index":43,"evict":{"shard":0,"unix_ms":1}}`,
+			want: Event{Index: 43, Purge: &Purge{Group: &group, At: 1}},
+		},
+		{line: "43", want: Event{Index: 43}, heartbeat: true},
+		{line: "43\r", want: Event{Index: 43}, heartbeat: true},
+		{line: `{"index":43}`, want: Event{Index: 43}, heartbeat: true},
+	} {
+		got, err := Decode([]byte(tt.line))
+		if err != nil {
+			t.Errorf("%q: %v", tt.line, err)
 		}
+		if !reflect.DeepEqual(got, tt.want) {
+			t.Errorf("%q: got %+v, want %+v", tt.line, got, tt.want)
+		}
+		if got.IsHeartbeat() != tt.heartbeat {
+			t.Errorf("%q: heartbeat is %v", tt.line, got.IsHeartbeat())
+		}
+	}
+	if _, err := Decode([]byte("43 44")); !errors.Is(err, ErrLine) {
+		t.Errorf("two numbers were accepted: %v", err)
 	}
 }
 
@@ -33,40 +57,50 @@
 		"", "hello", "-1", "{", "[]", "{}", `{"index":-3}`, `{"index":"1"}`, `{"evict":{"ref":"x","unix_ms":1}}`,
 	} {
 		if ev, err := Decode([]byte(line)); !errors.Is(err, ErrLine) {
-			t.Errorf("%q was taken: %+v %v", line, ev, err)
+			t.Errorf("%q was accepted: %+v %v", line, ev, err)
 		}
 	}
 }
 
-// What can be read of an event is read; a server that is named and can't be read is gone, a purge of what can't be read
-// is one of everything, and each such part is counted.
-func TestUnreadableParts(t *testing.T) {
-	const sound = `{"id":"b","addr":"10.1.0.9:7001","zone":"east","kind":"std","state":"SERVING","weight":4}`
-	gone := func(id string) Endpoint { return Endpoint{ID: id, State: StateDeleted} }
+// The legible entries of an endpoint list are decoded. An endpoint that has an ID and is not legible
+// otherwise counts as deleted, and each illegible entry counts as unreadable.
+func TestUnreadableEndpoints(t *testing.T) {
+	const legible = `{"id":"b","addr":"10.1.0.9:7001","zone":"east","kind":"std","state":"SERVING","weight":4}`
+	deleted := func(id string) Endpoint { return Endpoint{ID: id, State: StateDeleted} }
 	for entry, want := range map[string][]Endpoint{
-		`{"id":"a"}`:                                   {gone("a")},
-		`{"id":"a","state":"RESTING"}`:                 {gone("a")},
-		`{"id":"a","state":7}`:                         {gone("a")},
-		`{"id":"a","state":"SERVING","weight":"much"}`: {gone("a")},
+		`{"id":"a"}`:                                   {deleted("a")},
+		`{"id":"a","state":"RESTING"}`:                 {deleted("a")},
+		`{"id":"a","state":7}`:                         {deleted("a")},
+		`{"id":"a","state":"SERVING","weight":"much"}`: {deleted("a")},
 		`{"state":"SERVING"}`:                          {},
 		`{"id":7,"state":"SERVING"}`:                   {},
 		`"a"`:                                          {},
 	} {
-		ev, err := Decode([]byte(`{"index":4,"endpoints":{"full":true,"servers":[` + entry + "," + sound + `]}}`))
+		ev, err := Decode([]byte(`{"index":4,"endpoints":{"full":true,"servers":[` + entry + "," + legible + `]}}`))
 		if err != nil || ev.Index != 4 || ev.Unreadable != 1 || ev.IsHeartbeat() || !ev.Endpoints.Full {
 			t.Fatalf("%s: %+v %v", entry, ev, err)
 		}
 		list := ev.Endpoints.Endpoints
-		if last := len(list) - 1; !slices.Equal(list[:last], want) || list[last].ID != "b" || list[last].State != StateServing {
+		last := len(list) - 1
+		if !slices.Equal(list[:last], want) || list[last].ID != "b" || list[last].State != StateServing {
 			t.Errorf("%s: %+v", entry, list)
 		}
 	}
+}
+
+// A purge that is not legible is one of everything and counts as unreadable.
+func TestUnreadablePurges(t *testing.T) {
 	for _, evict := range []string{`{}`, `{"unix_ms":5}`, `{"shard":"x","unix_ms":5}`, `7`, `[]`} {
 		ev, err := Decode([]byte(`{"index":4,"evict":` + evict + `}`))
 		if err != nil || ev.Unreadable != 1 || ev.Purge == nil || *ev.Purge != (Purge{}) {
 			t.Errorf("%s: %+v %v", evict, ev, err)
 		}
 	}
+}
+
+// A part that is not legible or not known hides nothing of the others and counts as unreadable; null is no
+// part.
+func TestUnreadableParts(t *testing.T) {
 	for _, line := range []string{`{"index":4,"endpoints":7}`, `{"index":4,"quota":{}}`} {
 		if ev, err := Decode([]byte(line)); err != nil || ev.Unreadable != 1 || ev.IsHeartbeat() || ev.Index != 4 {
 			t.Errorf("%s: %+v %v", line, ev, err)
