--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,5 +1,5 @@
-// Package http1 is the codec of the operators' side: HTTP/1.1 with one call to a connection. It decodes the head of
-// a call and encodes its answer; it touches no socket. A call's body means nothing here and is not read.
+// Package http1 is the codec of the admin interface: HTTP/1.1 with one request for each connection. It decodes the head
+// of a request and encodes the response. It uses no socket. A request's body has no meaning here and is not read.
 package http1
 
 import (
@@ -10,74 +10,113 @@
 	"strings"
 )
 
-// maxHead bounds the request line and the headers together.
-const maxHead = 8 << 10
+// maxHeadBytes is how long the request line and the headers may be together.
+const maxHeadBytes = 8 << 10
 
-// Errors of a call that can't be read.
+const (
+	lineEnd = "\r\n"
+	headEnd = "\r\n\r\n"
+)
+
+// Errors of a request that can't be decoded.
 var (
 	ErrMalformed = errors.New("http: malformed call")
 	ErrTooLarge  = errors.New("http: head of a call exceeds its limit")
 )
 
-// Request is what a call asks for.
+// Request is what a request asks for.
 type Request struct {
 	Method string
 	Path   string // without the query
 }
 
-// Response is the answer to a call.
+// Response is the response to a request.
 type Response struct {
-	Status int
-	Allow  string // methods, with status 405
-	Body   string
+	Status int    // one of those that reasonPhrases has
+	Allow  string // allowed methods, with status 405; empty: no such header
+	Body   string // plain text
 }
 
-// reasons are the statuses in use.
-var reasons = map[int]string{
-	200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 409: "Conflict",
-	431: "Request Header Fields Too Large", 503: "Service Unavailable",
+// reasonPhrases has the status codes in use.
+var reasonPhrases = map[int]string{
+	200: "OK",
+	400: "Bad Request",
+	404: "Not Found",
+	405: "Method Not Allowed",
+	409: "Conflict",
+	431: "Request Header Fields Too Large",
+	503: "Service Unavailable",
 }
 
-// Decode takes the head of a call off data. It returns how many bytes it used, 0 when the head is not whole yet.
+// Decode decodes the head of a request from the start of data. It returns how many bytes the head has, 0 when it is
+// not complete.
 func Decode(data []byte) (used int, r Request, err error) {
-	for len(data) > used && (data[used] == '\r' || data[used] == '\n') { // empty lines ahead are to be ignored
-		used++
-	}
-	end := bytes.Index(data[used:], []byte("\r\n\r\n"))
-	switch {
-	case end > maxHead || end < 0 && len(data) > maxHead:
+	start := emptyLineBytes(data)
+	headBytes := bytes.Index(data[start:], []byte(headEnd))
+	if headBytes > maxHeadBytes || headBytes < 0 && len(data) > maxHeadBytes {
 		return 0, r, ErrTooLarge
-	case end < 0:
+	}
+	if headBytes < 0 {
 		return 0, r, nil
 	}
-	line, headers, _ := strings.Cut(string(data[used:used+end]), "\r\n")
-	if r, err = requestLine(line); err != nil {
+	line, headers, _ := strings.Cut(string(data[start:start+headBytes]), lineEnd)
+	r, err = decodeRequestLine(line)
+	if err != nil {
 		return 0, r, err
 	}
-	for header := range strings.SplitSeq(headers, "\r\n") {
-		if name, _, ok := strings.Cut(header, ":"); headers != "" && (!ok || name == "" || strings.ContainsAny(name, " \t")) {
-			return 0, r, fmt.Errorf("%w: header %.40q", ErrMalformed, header)
-		}
+	if err := checkHeaders(headers); err != nil {
+		return 0, r, err
+	}
+	return start + headBytes + len(headEnd), r, nil
+}
+
+// emptyLineBytes is the length of the empty lines before a request, which a server ignores.
+func emptyLineBytes(data []byte) int {
+	n := 0
+	for n < len(data) && (data[n] == '\r' || data[n] == '\n') {
+		n++
 	}
-	return used + end + 4, r, nil
+	return n
 }
 
-func requestLine(line string) (Request, error) {
+func decodeRequestLine(line string) (Request, error) {
 	words := strings.Split(line, " ")
-	if len(words) != 3 || words[0] == "" || !strings.HasPrefix(words[1], "/") || !strings.HasPrefix(words[2], "HTTP/1.") {
-		return Request{}, fmt.Errorf("%w: line %.40q", ErrMalformed, line)
+	if len(words) != 3 {
+		return Request{}, malformedLine(line)
+	}
+	method, target, version := words[0], words[1], words[2]
+	if method == "" || !strings.HasPrefix(target, "/") || !strings.HasPrefix(version, "HTTP/1.") {
+		return Request{}, malformedLine(line)
+	}
+	path, _, _ := strings.Cut(target, "?")
+	return Request{Method: method, Path: path}, nil
+}
+
+func malformedLine(line string) error { return fmt.Errorf("%w: line %.40q", ErrMalformed, line) }
+
+// checkHeaders checks that each header has a name. The headers are not used otherwise.
+func checkHeaders(headers string) error {
+	if headers == "" {
+		return nil
+	}
+	for header := range strings.SplitSeq(headers, lineEnd) {
+		name, _, hasColon := strings.Cut(header, ":")
+		if !hasColon || name == "" || strings.ContainsAny(name, " \t") {
+			return fmt.Errorf("%w: header %.40q", ErrMalformed, header)
+		}
 	}
-	path, _, _ := strings.Cut(words[1], "?")
-	return Request{Method: words[0], Path: path}, nil
+	return nil
 }
 
-// AppendResponse encodes an answer, after which the connection closes.
+// AppendResponse encodes a response, after which the connection is to be closed.
 func AppendResponse(dst []byte, r Response) []byte {
-	dst = strconv.AppendInt(append(dst, "HTTP/1.1 "...), int64(r.Status), 10)
-	dst = append(append(append(dst, ' '), reasons[r.Status]...), "\r\nContent-Type: text/plain; charset=utf-8\r\n"...)
+	dst = fmt.Appendf(dst, "HTTP/1.1 %d %s\r\n", r.Status, reasonPhrases[r.Status])
+	dst = append(dst, "Content-Type: text/plain; charset=utf-8\r\n"...)
 	if r.Allow != "" {
-		dst = append(append(append(dst, "Allow: "...), r.Allow...), "\r\n"...)
+		dst = fmt.Appendf(dst, "Allow: %s\r\n", r.Allow)
 	}
-	dst = strconv.AppendInt(append(dst, "Content-Length: "...), int64(len(r.Body)), 10)
-	return append(append(dst, "\r\nConnection: close\r\n\r\n"...), r.Body...)
+	dst = append(dst, "Content-Length: "...)
+	dst = strconv.AppendInt(dst, int64(len(r.Body)), 10)
+	dst = append(dst, "\r\nConnection: close"+headEnd...)
+	return append(dst, r.Body...)
 }
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -25,8 +25,8 @@
 		{"GET /a\r\n\r\n", 0, Request{}, ErrMalformed},
 		{"GET /a HTTP/1.1\r\nno colon\r\n\r\n", 0, Request{}, ErrMalformed},
 		{"GET /a HTTP/1.1\r\nA b: c\r\n\r\n", 0, Request{}, ErrMalformed},
-		{"GET /" + strings.Repeat("a", maxHead), 0, Request{}, ErrTooLarge},
-		{"GET /a HTTP/1.1\r\nA: " + strings.Repeat("a", maxHead) + "\r\n\r\n", 0, Request{}, ErrTooLarge},
+		{"GET /" + strings.Repeat("a", maxHeadBytes), 0, Request{}, ErrTooLarge},
+		{"GET /a HTTP/1.1\r\nA: " + strings.Repeat("a", maxHeadBytes) + "\r\n\r\n", 0, Request{}, ErrTooLarge},
 	} {
 		used, got, err := Decode([]byte(tt.in))
 		if used != tt.used || tt.err == nil && got != tt.want || !errors.Is(err, tt.err) {
