--- a/internal/resp/call.go
+++ b/internal/resp/call.go
@@ -42,15 +42,15 @@
 	Part           string
 	Timeout        time.Duration // how long the answer is waited for; sent in whole milliseconds
 	Source         string        // ID of the server to fill from on a cache miss; empty: none
-	RetentionRank  int           // priority with which the object is cached, 0 to 3
+	RetentionRank  int           // rank with which the copy is cached, 1 to 3: the lowest is evicted first; 0: not cached
 	MaxAge         time.Duration // age up to which a cached copy may be served; 0: the class's freshness
 	KnownVersion   string        // tag of the copy that the client has; empty: none
 	IdempotencyKey string        // empty: none
 
 	CoalesceFill         bool // wait for a fill of the object that is in progress
-	CachedOnly           bool // no fill: answer only if the object is cached
+	CachedOnly           bool // the source of a fill must answer from its cache or not at all
 	Transit              bool // a parent must not cache the answer
-	StaleWhileRevalidate bool // serve a stale copy and refresh it
+	StaleWhileRevalidate bool // serve a copy that is about to become stale and refresh it
 
 	Body []byte
 }
