--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -5,52 +5,76 @@
 	"fmt"
 )
 
-// Check says whether a real proxy can serve by the settings. A list by class that is too short would make a write
-// that must not run twice look like a read.
+// Check reports whether a proxy can serve by the settings.
 func (s Settings) Check() error {
-	c := s.read
-	if len(c.Classes) == 0 {
+	if err := s.document.checkClasses(); err != nil {
+		return err
+	}
+	maxAttempts := s.document.Limits.MaxAttempts
+	if maxAttempts != nil && *maxAttempts <= 0 {
+		return fmt.Errorf("settings: max-attempts is %d; it must be over 0", *maxAttempts)
+	}
+	if err := s.document.checkNumbers(); err != nil {
+		return err
+	}
+	return s.document.checkListsByClass()
+}
+
+// checkClasses checks that there are classes, that their names are unique and that their durations are
+// possible.
+func (d *document) checkClasses() error {
+	if len(d.Classes) == 0 {
 		return errors.New("settings: no classes")
 	}
 	names := map[string]bool{}
-	for _, k := range c.Classes {
-		if k.Name == "" || names[k.Name] {
-			return fmt.Errorf("settings: class %q is unnamed or named twice", k.Name)
+	for _, class := range d.Classes {
+		if class.Name == "" || names[class.Name] {
+			return fmt.Errorf("settings: class %q is unnamed or named twice", class.Name)
 		}
-		names[k.Name] = true
-		if k.Deadline != nil && *k.Deadline <= 0 || k.Promise < 0 {
-			return fmt.Errorf("settings: class %q: deadline-us must be over 0, promise-us not under it", k.Name)
+		names[class.Name] = true
+		if class.Deadline != nil && *class.Deadline <= 0 || class.LatencyObjective < 0 {
+			return fmt.Errorf("settings: class %q: deadline-us must be over 0, promise-us not under it", class.Name)
 		}
 	}
-	if n := c.Limits.MaxAttempts; n != nil && *n <= 0 {
-		return fmt.Errorf("settings: max-attempts is %d; it must be over 0", *n)
-	}
-	if err := s.checkNumbers(); err != nil {
-		return err
+	return nil
+}
+
+// checkNumbers checks the numbers that would stop the proxy or keep it from serving any request.
+func (d *document) checkNumbers() error {
+	if d.Zone < 0 || d.Zone >= max(1, len(d.Zones)) {
+		return fmt.Errorf("settings: zone %d is not among the %d areas", d.Zone, len(d.Zones))
 	}
-	for name, n := range map[string]int{
-		"class-fresh-us": len(c.Domain.Fresh), "grace-for-us": len(c.Domain.Grace), "pass-on": len(c.Domain.PassOn),
+	for _, number := range []struct {
+		key   string
+		value int64
+	}{
+		{"index", int64(d.RouterIndex)},
+		{"group-size", int64(d.Routers)},
+		{"max-open", int64(d.Limits.MaxOpenRequests)},
+		{"streams-per-conn", int64(d.Limits.MaxStreamsPerConn)},
+		{"conn-idle-us", int64(d.Limits.ServerIdleTimeout)},
+		{"connect-timeout-us", int64(d.Limits.ConnectTimeout)},
 	} {
-		if n != 0 && n != len(c.Classes) {
-			return fmt.Errorf("settings: %s has %d entries for %d classes", name, n, len(c.Classes))
+		if number.value < 0 {
+			return fmt.Errorf("settings: %s is %d; it must not be under 0", number.key, number.value)
 		}
 	}
 	return nil
 }
 
-// checkNumbers looks for what would stop the proxy or keep it from serving anybody.
-func (s Settings) checkNumbers() error {
-	c := s.read
-	if c.Zone < 0 || c.Zone >= max(1, len(c.Areas)) {
-		return fmt.Errorf("settings: zone %d is not among the %d areas", c.Zone, len(c.Areas))
-	}
-	for name, n := range map[string]int64{
-		"index": int64(c.Index), "group-size": int64(c.GroupSize), "max-open": int64(c.Limits.MaxOpen),
-		"streams-per-conn": int64(c.Limits.StreamsPerConn), "conn-idle-us": c.Limits.ConnIdle,
-		"connect-timeout-us": c.Limits.ConnectTimeout,
+// checkListsByClass checks that each list by class is absent or complete. A missing element would otherwise
+// make a write that must not be repeated look like a read.
+func (d *document) checkListsByClass() error {
+	for _, list := range []struct {
+		key    string
+		length int
+	}{
+		{"class-fresh-us", len(d.Domain.FreshFor)},
+		{"grace-for-us", len(d.Domain.StaleFor)},
+		{"pass-on", len(d.Domain.Uncacheable)},
 	} {
-		if n < 0 {
-			return fmt.Errorf("settings: %s is %d; it must not be under 0", name, n)
+		if list.length != 0 && list.length != len(d.Classes) {
+			return fmt.Errorf("settings: %s has %d entries for %d classes", list.key, list.length, len(d.Classes))
 		}
 	}
 	return nil
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -1,83 +1,120 @@
 package settings
 
 import (
-	"cloverdoor/policy"
 	"time"
+
+	"cloverdoor/policy"
 )
 
-// conf mirrors the JSON object; unknown keys are ignored.
-type conf struct {
-	Areas   []string `json:"areas"`
-	Classes []struct {
-		AimStretch float64 `json:"aim-stretch"`
-		Gain       float64 `json:"gain"`
-		Deadline   *int64  `json:"deadline-us"`
-		KeyScope   string  `json:"key-scope"`
-		Name       string  `json:"name"`
-		Promise    int64   `json:"promise-us"`
-		Semantics  string  `json:"semantics"`
-		Stream     bool    `json:"stream"`
-		Window     int64   `json:"window-us"`
-	} `json:"classes"`
-	Costs struct {
-		Handshake float64 `json:"handshake"`
-	} `json:"costs"`
-	Domain struct {
-		AttachedTo        []int     `json:"attached-to"`
-		CanJoin           bool      `json:"can-join"`
-		Fresh             []int64   `json:"class-fresh-us"`
-		ClearedWithin     int64     `json:"cleared-within-us"`
-		CountByZone       []int     `json:"count-by-zone"`
-		Direct            bool      `json:"direct"`
-		Grace             []int64   `json:"grace-for-us"`
-		FlowKBps          float64   `json:"one-flow-kb-per-s"`
-		ParentFloor       float64   `json:"parent-floor"`
-		ParentLimitFactor float64   `json:"parent-limit-factor"`
-		PassOn            []bool    `json:"pass-on"`
-		PeersFill         string    `json:"peers-fill"`
-		PipeKBps          []float64 `json:"pipe-kb-per-s"`
-		PurgeSlack        int64     `json:"purge-slack-us"`
-		RootKind          int       `json:"root-kind"`
-		UpperCold         int64     `json:"upper-cold-us"`
-		UpperKind         *int      `json:"upper-kind"`
-	} `json:"domain"`
-	GroupSize int      `json:"group-size"`
-	Index     int      `json:"index"`
-	HostTypes []string `json:"host-types"`
-	Limits    struct {
-		ConnIdle       int64 `json:"conn-idle-us"`
-		ConnectTimeout int64 `json:"connect-timeout-us"`
-		MaxOpen        int   `json:"max-open"`
-		StreamsPerConn int   `json:"streams-per-conn"`
-		MaxAttempts    *int  `json:"max-attempts"`
-		MaxRetryAfter  int64 `json:"max-retry-after-us"`
-		RetryAfter     *bool `json:"retry-after"`
-		MayCancel      bool  `json:"may-cancel"`
-		SecondCopies   bool  `json:"second-copies"`
-	} `json:"limits"`
-	Rules struct {
-		FallMultiple  float64 `json:"fall-multiple"`
-		Fall          int64   `json:"fall-us"`
-		StartCapacity float64 `json:"start-capacity"`
-		WarmWithin    int64   `json:"warm-within-us"`
-	} `json:"rules"`
-	WeightSource string `json:"weight-source"`
-	Zone         int    `json:"zone"`
+// microseconds is a duration in the JSON object.
+type microseconds int64
+
+func (m microseconds) duration() time.Duration { return time.Duration(m) * time.Microsecond }
+
+// document is the JSON object. Unknown keys are ignored; a key that is absent has the zero value, which means
+// unknown unless a field says otherwise. A list by class or zone has its elements in the order of Classes or
+// Zones.
+type document struct {
+	Zones        []string `json:"areas"`         // names
+	Kinds        []string `json:"host-types"`    // names of the kinds of servers
+	Zone         int      `json:"zone"`          // index of this proxy's zone
+	Routers      int      `json:"group-size"`    // number of proxies
+	RouterIndex  int      `json:"index"`         // number of this proxy among them, from 0
+	WeightSource string   `json:"weight-source"` // meaning of the servers' weights, see isSizeWeight
+
+	Classes []classDocument `json:"classes"`
+	Costs   costsDocument   `json:"costs"`
+	Domain  domainDocument  `json:"domain"`
+	Limits  limitsDocument  `json:"limits"`
+	Rules   rulesDocument   `json:"rules"`
+}
+
+// classDocument describes one class of requests.
+type classDocument struct {
+	Name                    string        `json:"name"`
+	Idempotency             string        `json:"semantics"` // see idempotencyOf
+	DeduplicationScope      string        `json:"key-scope"` // see scopeOf
+	DeduplicationWindow     microseconds  `json:"window-us"`
+	Deadline                *microseconds `json:"deadline-us"`
+	LatencyObjective        microseconds  `json:"promise-us"`
+	LatencyObjectiveStretch float64       `json:"aim-stretch"` // adds this multiple of the transfer time
+	PriorityWeight          float64       `json:"gain"`
+	Stream                  bool          `json:"stream"` // answers are streamed
+}
+
+// costsDocument has the prices of operations.
+type costsDocument struct {
+	Handshake float64 `json:"handshake"` // of a new connection
+}
+
+// domainDocument describes the caches, their links and what they may do.
+type domainDocument struct {
+	OriginKind int  `json:"root-kind"`  // index in Kinds
+	ParentKind *int `json:"upper-kind"` // index in Kinds; -1 or absent: there are no parents
+
+	FreshFor    []microseconds `json:"class-fresh-us"` // by class; 0: until purged
+	StaleFor    []microseconds `json:"grace-for-us"`   // by class: how long after FreshFor a copy may be served
+	Uncacheable []bool         `json:"pass-on"`        // by class
+
+	DirectRequests bool   `json:"direct"`      // parents and the origin accept requests too
+	CoalesceFills  bool   `json:"can-join"`    // a request may wait for a fill in progress
+	Siblings       string `json:"peers-fill"`  // which caches may be the source of a fill, see siblingsOf
+	ZoneHubs       []int  `json:"attached-to"` // by zone: index of the hub zone that it is attached to
+	RoutersByZone  []int  `json:"count-by-zone"`
+
+	TransferKBPerSecond float64   `json:"one-flow-kb-per-s"` // maximum rate of one transfer to a client
+	LinkKBPerSecond     []float64 `json:"pipe-kb-per-s"`     // by zone: capacity of the link into it; 0: unknown
+
+	ParentSlowStartCapacity float64      `json:"parent-floor"`        // fraction of a parent's capacity at its start
+	ParentSlowStartDuration microseconds `json:"upper-cold-us"`       // until a parent has its full capacity
+	ParentOverloadMultiple  float64      `json:"parent-limit-factor"` // rules.fall-multiple of a parent
+
+	PurgeGrace           microseconds `json:"purge-slack-us"`    // from which a known purge must be observed
+	PurgeCompletedWithin microseconds `json:"cleared-within-us"` // after which no cache has an older copy
 }
 
-func us(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
+// limitsDocument has limits on connections, requests and attempts.
+type limitsDocument struct {
+	ServerIdleTimeout microseconds `json:"conn-idle-us"` // servers close connections that are idle for this long
+	ConnectTimeout    microseconds `json:"connect-timeout-us"`
+	MaxOpenRequests   int          `json:"max-open"`         // of one proxy; 0: unlimited
+	MaxStreamsPerConn int          `json:"streams-per-conn"` // attempts on one connection at once; 0: unknown
+	MaxAttempts       *int         `json:"max-attempts"`     // of one request
+	RetryAfter        *bool        `json:"retry-after"`      // rejected clients get a Retry-After; absent: true
+	MaxRetryAfter     microseconds `json:"max-retry-after-us"`
+	MayCancel         bool         `json:"may-cancel"`    // attempts may be cancelled
+	Hedging           bool         `json:"second-copies"` // two attempts of a request may be in flight at once
+}
 
-func at[T any](list []T, i int) (value T) {
-	if i >= 0 && i < len(list) {
-		value = list[i]
-	}
-	return value
+// rulesDocument describes the slow start of caches and when they fail from overload.
+type rulesDocument struct {
+	OverloadMultiple  float64      `json:"fall-multiple"`  // of the present capacity
+	OverloadWindow    microseconds `json:"fall-us"`        // for which OverloadMultiple is exceeded until a cache fails
+	SlowStartCapacity float64      `json:"start-capacity"` // fraction of a cache's capacity at its start
+	SlowStartDuration microseconds `json:"warm-within-us"` // until a cache has its full capacity
 }
 
-var effects = map[string]policy.Idempotency{
-	"read_like": policy.Idempotent, "idempotency_key": policy.IdempotencyKey, "non_idempotent": policy.NonIdempotent,
+// idempotencyOf maps classes[].semantics. Any other value means policy.NonIdempotent.
+var idempotencyOf = map[string]policy.Idempotency{
+	"read_like":       policy.Idempotent,
+	"idempotency_key": policy.IdempotencyKey,
+	"non_idempotent":  policy.NonIdempotent,
 }
 
-var scopes = map[string]policy.DeduplicationScope{"all": policy.ScopeAll, "zone": policy.ScopeZone, "cell": policy.ScopeCell}
+// scopeOf maps classes[].key-scope. Any other value means policy.ScopeCell.
+var scopeOf = map[string]policy.DeduplicationScope{
+	"all":  policy.ScopeAll,
+	"zone": policy.ScopeZone,
+	"cell": policy.ScopeCell,
+}
 
-var siblings = map[string]policy.Siblings{"location": policy.SiblingsZone, "any": policy.SiblingsAny}
+// siblingsOf maps domain.peers-fill. Any other value means policy.SiblingsNone.
+var siblingsOf = map[string]policy.Siblings{
+	"location": policy.SiblingsZone,
+	"any":      policy.SiblingsAny,
+}
+
+// isSizeWeight reports whether the servers' weights are their sizes, counted in transfers to one client.
+func isSizeWeight(weightSource string) bool {
+	return weightSource == "nominal" || weightSource == "rough"
+}
--- a/internal/settings/reload.go
+++ b/internal/settings/reload.go
@@ -4,68 +4,54 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"maps"
 	"slices"
 )
 
-// CheckAfter says whether the settings may follow earlier ones while the proxy runs. Where it stands, and the numbers
-// by which members are known, can't change under it.
+// CheckAfter reports whether the settings may replace earlier ones while the proxy runs. The proxy's zone,
+// and the indices by which zones and kinds are known, must not change; further zones and kinds may be added
+// at the end.
 func (s Settings) CheckAfter(earlier Settings) error {
 	switch {
 	case s.Policy.Zone != earlier.Policy.Zone:
 		return errors.New("settings: zone has changed")
-	case !begins(s.Zones, earlier.Zones):
+	case !hasPrefix(s.Zones, earlier.Zones):
 		return errors.New("settings: areas have changed")
-	case !begins(s.Kinds, earlier.Kinds):
+	case !hasPrefix(s.Kinds, earlier.Kinds):
 		return errors.New("settings: host-types have changed")
 	}
 	return nil
 }
 
-// begins says whether a list begins with another.
-func begins(list, with []string) bool {
-	return len(list) >= len(with) && slices.Equal(list[:len(with)], with)
+func hasPrefix(list, prefix []string) bool {
+	return len(list) >= len(prefix) && slices.Equal(list[:len(prefix)], prefix)
 }
 
-// MissingKey returns the path of a value of an earlier JSON text that a later one lacks, or has with another type; ""
-// if there is none. The elements of a list must have what all elements of the earlier one have: classes differ in
-// what they are told. Keys that are new, and longer or shorter lists, are no fault.
+// MissingKey returns the path of a value in an earlier JSON text that a later one lacks or has with another
+// type; "" if there is none. New keys, and lists that have become longer or shorter, are allowed. Each
+// element of a later list must have the keys that all elements of the earlier list have, as optional keys
+// differ between elements.
 func MissingKey(earlier, later json.RawMessage) (string, error) {
-	var values [2]any
-	for i, text := range []json.RawMessage{earlier, later} {
-		if err := json.Unmarshal(text, &values[i]); err != nil {
-			return "", err
-		}
+	var earlierValue, laterValue any
+	if err := json.Unmarshal(earlier, &earlierValue); err != nil {
+		return "", err
+	}
+	if err := json.Unmarshal(later, &laterValue); err != nil {
+		return "", err
 	}
-	return missing(values[0], values[1]), nil
+	return missingPath(earlierValue, laterValue), nil
 }
 
-func missing(earlier, later any) string {
-	switch was := earlier.(type) {
+// missingPath is the path below two values of the first difference that MissingKey reports, "." for a
+// difference of the values themselves.
+func missingPath(earlier, later any) string {
+	switch earlier := earlier.(type) {
 	case nil:
-		return ""
+		return "" // null allows any value, or none
 	case map[string]any:
-		is, ok := later.(map[string]any)
-		if !ok {
-			return "."
-		}
-		for name, value := range was {
-			if path := missing(value, is[name]); path != "" {
-				return "." + name + path
-			}
-		}
-		return ""
+		return missingInObject(earlier, later)
 	case []any:
-		is, ok := later.([]any)
-		if !ok {
-			return "."
-		}
-		shared := common(was)
-		for i, value := range is {
-			if path := missing(shared, value); path != "" {
-				return fmt.Sprintf("[%d]%s", i, path)
-			}
-		}
-		return ""
+		return missingInList(earlier, later)
 	}
 	if fmt.Sprintf("%T", earlier) != fmt.Sprintf("%T", later) {
 		return "."
@@ -73,28 +59,53 @@
 	return ""
 }
 
-// common returns an element of a list with only the keys that all elements have; nil: they have nothing in common.
-func common(list []any) any {
-	var shared map[string]any
-	for i, value := range list {
-		fields, ok := value.(map[string]any)
-		if !ok {
-			return nil
-		}
-		if i == 0 {
-			shared = map[string]any{}
-			for name, value := range fields {
-				shared[name] = value
-			}
+func missingInObject(earlier map[string]any, later any) string {
+	laterObject, isObject := later.(map[string]any)
+	if !isObject {
+		return "."
+	}
+	for key, value := range earlier {
+		if path := missingPath(value, laterObject[key]); path != "" {
+			return "." + key + path
 		}
-		for name := range shared {
-			if _, ok := fields[name]; !ok {
-				delete(shared, name)
-			}
+	}
+	return ""
+}
+
+func missingInList(earlier []any, later any) string {
+	laterList, isList := later.([]any)
+	if !isList {
+		return "."
+	}
+	shared := sharedKeys(earlier)
+	for i, value := range laterList {
+		if path := missingPath(shared, value); path != "" {
+			return fmt.Sprintf("[%d]%s", i, path)
 		}
 	}
-	if shared == nil {
+	return ""
+}
+
+// sharedKeys returns an object with the keys that all elements of a list have, and the first element's
+// values; nil unless the list has elements that are all objects.
+func sharedKeys(list []any) any {
+	if len(list) == 0 {
+		return nil
+	}
+	first, isObject := list[0].(map[string]any)
+	if !isObject {
 		return nil
 	}
+	shared := maps.Clone(first)
+	for _, value := range list[1:] {
+		object, isObject := value.(map[string]any)
+		if !isObject {
+			return nil
+		}
+		maps.DeleteFunc(shared, func(key string, _ any) bool {
+			_, hasKey := object[key]
+			return !hasKey
+		})
+	}
 	return shared
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,6 @@
 // Package settings decodes the operators' settings object, the same JSON for the simulator's adapter and for
-// the real proxy, into what package policy and the sockets need to be told.
+// the proxy, into the settings of package policy and those of the proxy's sockets. The names of its keys are
+// those of the operators; this package alone maps them to the terms that the rest of the program uses.
 package settings
 
 import (
@@ -10,77 +11,143 @@
 	"cloverdoor/policy"
 )
 
-// Settings is the decoded object: the module's part, and what only real sockets need.
+// noParents is policy.Settings.ParentKind if there are no parents.
+const noParents = -1
+
+// Settings is the decoded object.
 type Settings struct {
 	Policy policy.Settings
 
-	Zones []string // names, by the index that the module uses
-	Kinds []string
+	Zones []string // names, by the index that package policy uses
+	Kinds []string // names of the kinds of servers, by the index that package policy uses
 
-	MaxDeadline        time.Duration // deadline of all classes; 0: not told
-	ServerIdleTimeout  time.Duration // a cache closes a connection left idle for this long
-	ConnectTimeout     time.Duration
-	HandshakesPriced   bool // new connections are priced
-	MaxOpenRequests    int  // requests that may be open at once; 0: not told
-	MaxStreamsPerConn  int  // attempts that one connection carries together; 0: not told
-	RetryAfterDisabled bool // refused clients are not told when to come again
+	MaxDeadline        time.Duration // the longest deadline of a class; 0: unknown
+	ServerIdleTimeout  time.Duration // servers close a connection that is idle for this long; 0: unknown
+	ConnectTimeout     time.Duration // 0: unknown
+	HandshakesPriced   bool          // new connections have a price
+	MaxOpenRequests    int           // requests that may be open at once; 0: unknown
+	MaxStreamsPerConn  int           // attempts that one connection may carry at once; 0: unknown
+	RetryAfterDisabled bool          // rejected clients get no Retry-After
 
-	read conf
+	document document
 }
 
-// Decode reads the settings object. Absent keys keep their zero value, which the module takes as 'not told'.
+// Decode decodes the settings object. Absent keys have the zero value, which package policy takes as unknown.
 func Decode(raw json.RawMessage) (Settings, error) {
-	var c conf
+	var doc document
 	if len(raw) > 0 {
-		if err := json.Unmarshal(raw, &c); err != nil {
+		if err := json.Unmarshal(raw, &doc); err != nil {
 			return Settings{}, fmt.Errorf("settings: %w", err)
 		}
 	}
-	d := c.Domain
-	s := policy.Settings{
-		Zone: c.Zone, ParentKind: -1, OriginKind: d.RootKind, Routers: c.GroupSize, RouterIndex: c.Index,
-		ZoneHubs: d.AttachedTo, WeightsConfigured: c.WeightSource == "nominal" || c.WeightSource == "rough",
-		TransferKBPerSecond: d.FlowKBps, DirectRequests: d.Direct, CoalesceFills: d.CanJoin,
-		Siblings:  siblings[d.PeersFill],
-		MayCancel: c.Limits.MayCancel, Hedging: c.Limits.SecondCopies,
-		MaxRetryAfter:     us(c.Limits.MaxRetryAfter),
-		SlowStartCapacity: c.Rules.StartCapacity,
-		SlowStartDuration: us(c.Rules.WarmWithin), OverloadMultiple: c.Rules.FallMultiple, OverloadWindow: us(c.Rules.Fall),
-		ParentSlowStartCapacity: d.ParentFloor, ParentSlowStartDuration: us(d.UpperCold),
-		ParentOverloadMultiple: d.ParentLimitFactor,
-		PurgeGrace:             us(d.PurgeSlack), PurgeCompletedWithin: us(d.ClearedWithin),
+	return Settings{
+		Policy:             doc.policySettings(),
+		Zones:              doc.Zones,
+		Kinds:              doc.Kinds,
+		MaxDeadline:        doc.maxDeadline(),
+		ServerIdleTimeout:  doc.Limits.ServerIdleTimeout.duration(),
+		ConnectTimeout:     doc.Limits.ConnectTimeout.duration(),
+		HandshakesPriced:   doc.Costs.Handshake > 0,
+		MaxOpenRequests:    doc.Limits.MaxOpenRequests,
+		MaxStreamsPerConn:  doc.Limits.MaxStreamsPerConn,
+		RetryAfterDisabled: doc.Limits.RetryAfter != nil && !*doc.Limits.RetryAfter,
+		document:           doc,
+	}, nil
+}
+
+// policySettings is what package policy uses of the document.
+func (d *document) policySettings() policy.Settings {
+	return policy.Settings{
+		Zone:                    d.Zone,
+		Classes:                 d.classes(),
+		ParentKind:              valueOr(d.Domain.ParentKind, noParents),
+		OriginKind:              d.Domain.OriginKind,
+		Routers:                 d.Routers,
+		RouterIndex:             d.RouterIndex,
+		RoutersInZone:           d.routersInZone(),
+		ZoneHubs:                d.Domain.ZoneHubs,
+		WeightsConfigured:       isSizeWeight(d.WeightSource),
+		TransferKBPerSecond:     d.Domain.TransferKBPerSecond,
+		ZoneLinkTransfers:       d.zoneLinkTransfers(),
+		DirectRequests:          d.Domain.DirectRequests,
+		CoalesceFills:           d.Domain.CoalesceFills,
+		Siblings:                siblingsOf[d.Domain.Siblings],
+		MaxAttempts:             valueOr(d.Limits.MaxAttempts, 0),
+		MayCancel:               d.Limits.MayCancel,
+		Hedging:                 d.Limits.Hedging,
+		MaxRetryAfter:           d.Limits.MaxRetryAfter.duration(),
+		SlowStartCapacity:       d.Rules.SlowStartCapacity,
+		SlowStartDuration:       d.Rules.SlowStartDuration.duration(),
+		OverloadMultiple:        d.Rules.OverloadMultiple,
+		OverloadWindow:          d.Rules.OverloadWindow.duration(),
+		ParentSlowStartCapacity: d.Domain.ParentSlowStartCapacity,
+		ParentSlowStartDuration: d.Domain.ParentSlowStartDuration.duration(),
+		ParentOverloadMultiple:  d.Domain.ParentOverloadMultiple,
+		PurgeGrace:              d.Domain.PurgeGrace.duration(),
+		PurgeCompletedWithin:    d.Domain.PurgeCompletedWithin.duration(),
 	}
-	if d.FlowKBps > 0 {
-		s.ZoneLinkTransfers = at(d.PipeKBps, c.Zone) / d.FlowKBps
+}
+
+// classes is the classes of requests, each with its elements of the lists by class.
+func (d *document) classes() []policy.Class {
+	var classes []policy.Class
+	for i, class := range d.Classes {
+		classes = append(classes, policy.Class{
+			Name:                    class.Name,
+			Idempotency:             idempotencyOf[class.Idempotency],
+			DeduplicationScope:      scopeOf[class.DeduplicationScope],
+			DeduplicationWindow:     class.DeduplicationWindow.duration(),
+			LatencyObjective:        class.LatencyObjective.duration(),
+			LatencyObjectiveStretch: class.LatencyObjectiveStretch,
+			PriorityWeight:          class.PriorityWeight,
+			FreshFor:                elementOrZero(d.Domain.FreshFor, i).duration(),
+			StaleFor:                elementOrZero(d.Domain.StaleFor, i).duration(),
+			Uncacheable:             elementOrZero(d.Domain.Uncacheable, i),
+			Stream:                  class.Stream,
+		})
 	}
-	if c.Zone >= 0 && c.Zone < len(d.CountByZone) {
-		s.RoutersInZone = max(1, d.CountByZone[c.Zone])
+	return classes
+}
+
+// maxDeadline is the longest deadline of a class, 0 if no class has one.
+func (d *document) maxDeadline() time.Duration {
+	var longest time.Duration
+	for _, class := range d.Classes {
+		longest = max(longest, valueOr(class.Deadline, 0).duration())
 	}
-	if c.Limits.MaxAttempts != nil {
-		s.MaxAttempts = *c.Limits.MaxAttempts
+	return longest
+}
+
+// routersInZone is how many proxies this proxy's zone has, at least itself; 0: unknown.
+func (d *document) routersInZone() int {
+	if d.Zone < 0 || d.Zone >= len(d.Domain.RoutersByZone) {
+		return 0
 	}
-	if d.UpperKind != nil {
-		s.ParentKind = *d.UpperKind
+	return max(1, d.Domain.RoutersByZone[d.Zone])
+}
+
+// zoneLinkTransfers is how many transfers to one client the link into this proxy's zone carries at once; 0:
+// unknown.
+func (d *document) zoneLinkTransfers() float64 {
+	if d.Domain.TransferKBPerSecond <= 0 {
+		return 0
 	}
-	var longest time.Duration
-	for i, k := range c.Classes {
-		if k.Deadline != nil {
-			longest = max(longest, us(*k.Deadline))
-		}
-		s.Classes = append(s.Classes, policy.Class{
-			Name: k.Name, Idempotency: effects[k.Semantics], DeduplicationScope: scopes[k.KeyScope], DeduplicationWindow: us(k.Window),
-			LatencyObjective: us(k.Promise), LatencyObjectiveStretch: k.AimStretch,
-			PriorityWeight: k.Gain,
-			FreshFor:       us(at(d.Fresh, i)), StaleFor: us(at(d.Grace, i)),
-			Uncacheable: at(d.PassOn, i), Stream: k.Stream,
-		})
+	return elementOrZero(d.Domain.LinkKBPerSecond, d.Zone) / d.Domain.TransferKBPerSecond
+}
+
+// elementOrZero is list[i], or the zero value if there is no such element.
+func elementOrZero[T any](list []T, i int) T {
+	if i < 0 || i >= len(list) {
+		var zero T
+		return zero
 	}
-	return Settings{
-		Policy: s, Zones: c.Areas, Kinds: c.HostTypes,
-		MaxDeadline: longest, ServerIdleTimeout: us(c.Limits.ConnIdle), ConnectTimeout: us(c.Limits.ConnectTimeout),
-		HandshakesPriced: c.Costs.Handshake > 0,
-		MaxOpenRequests:  c.Limits.MaxOpen, MaxStreamsPerConn: c.Limits.StreamsPerConn,
-		RetryAfterDisabled: c.Limits.RetryAfter != nil && !*c.Limits.RetryAfter,
-		read:               c,
-	}, nil
+	return list[i]
+}
+
+// valueOr is *p, or the default if p is nil.
+func valueOr[T any](p *T, otherwise T) T {
+	if p == nil {
+		return otherwise
+	}
+	return *p
 }
