--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,6 @@
-// Command simadapter runs policy routers on the simulator's wire: batches on standard input, replies on
-// standard output.
+// Command simadapter runs policy routers for the simulator: it reads batches of events from standard input
+// and writes the replies to standard output and messages to standard error. It exits with status 1 on
+// malformed input.
 package main
 
 import (
@@ -10,7 +11,8 @@
 )
 
 func main() {
-	if err := simwire.NewHost(os.Stderr).Serve(os.Stdin, os.Stdout); err != nil {
+	host := simwire.NewHost(os.Stderr)
+	if err := host.Serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -1,54 +1,99 @@
 package simwire
 
-import (
-	"cloverdoor/policy"
-	"time"
-)
+import "cloverdoor/policy"
 
-func us(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
+// stateOf maps the states of endpoints. Any other value means policy.Removed.
+var stateOf = map[int]policy.State{
+	1: policy.Draining,
+	2: policy.Ready,
+}
 
-var states = map[int]policy.State{2: policy.Ready, 1: policy.Draining}
+// resultOf maps the results of attempts. Any other value means policy.ResultError: the attempt may have been
+// executed.
+var resultOf = map[int]policy.Result{
+	0:   policy.ResultOK,
+	2:   policy.ResultNotFound,
+	5:   policy.ResultError,
+	11:  policy.ResultRejected,
+	104: policy.ResultReset,
+	110: policy.ResultTimeout,
+	111: policy.ResultConnectFailed,
+	114: policy.ResultNotSent,
+	125: policy.ResultCancelled,
+}
 
-func members(hosts []host) []policy.Endpoint {
-	list := make([]policy.Endpoint, 0, len(hosts))
-	for _, h := range hosts {
-		list = append(list, policy.Endpoint{ID: h.Store, State: states[h.Status], Started: us(h.Since),
-			Kind: h.Kind, Zone: h.Zone, Weight: h.Share, Cell: h.Stripe})
+// cacheStatusOf converts a cache status, which package policy numbers as the simulator does. Unknown ones
+// mean policy.CacheStatusNone.
+func cacheStatusOf(number int) policy.CacheStatus {
+	if number < int(policy.CacheStatusNone) || number > int(policy.CacheStatusOriginFailed) {
+		return policy.CacheStatusNone
 	}
-	return list
+	return policy.CacheStatus(number)
 }
 
-var results = map[int]policy.Result{
-	0: policy.ResultOK, 5: policy.ResultError, 11: policy.ResultRejected, 110: policy.ResultTimeout,
-	111: policy.ResultConnectFailed, 104: policy.ResultReset, 125: policy.ResultCancelled,
-	114: policy.ResultNotSent, 2: policy.ResultNotFound,
+// decodeEndpoints converts a numbered list.
+func decodeEndpoints(list []endpoint) []policy.Endpoint {
+	endpoints := make([]policy.Endpoint, 0, len(list))
+	for _, e := range list {
+		endpoints = append(endpoints, policy.Endpoint{
+			ID:      e.ID,
+			State:   stateOf[e.State],
+			Started: e.Started.duration(),
+			Kind:    e.Kind,
+			Zone:    e.Zone,
+			Weight:  e.Weight,
+			Cell:    e.Cell,
+		})
+	}
+	return endpoints
 }
 
-func note(n int) policy.CacheStatus {
-	if n < int(policy.CacheStatusNone) || n > int(policy.CacheStatusOriginFailed) {
-		return policy.CacheStatusNone
+// decodeEvent converts an event for one instance. It returns nil for an event that package policy has no use
+// for.
+func (h *Host) decodeEvent(e *event) policy.Event {
+	switch e.Name {
+	case eventEndpointUpdate:
+		return h.decodeEndpointUpdate(e)
+	case eventRequest:
+		return policy.Request{
+			ID:        e.Request,
+			Object:    e.Object,
+			Part:      int(e.Part),
+			Group:     int(e.Group),
+			Class:     e.Class,
+			SizeKB:    e.SizeKB,
+			Remaining: e.Remaining.duration(),
+		}
+	case eventOutcome:
+		return policy.Outcome{
+			ID:              e.Request,
+			Attempt:         e.Attempt,
+			Result:          resultOf[e.Result],
+			CacheStatus:     cacheStatusOf(e.CacheStatus),
+			Elapsed:         e.Elapsed.duration(),
+			SourceFirstByte: e.SourceFirstByte.duration(),
+			RequestFinished: e.RequestFinished,
+		}
+	case eventStreamStarted:
+		return policy.StreamStarted{ID: e.Request, Attempt: e.Attempt}
+	case eventPurge:
+		return policy.Purge{Object: e.Object, Group: int(e.Group), Age: e.Age.duration()}
+	case eventClientDisconnected:
+		return policy.ClientDisconnected{ID: e.Request}
+	case eventTimerFired:
+		return policy.TimerFired{Token: e.Token}
 	}
-	return policy.CacheStatus(n)
+	return nil
 }
 
-// decode gives the policy event for e, or nil for one that says nothing to the policy. A list's entries
-// are resolved by the host, which knows the numbered lists.
-func decode(e *event) policy.Event {
-	switch e.Op {
-	case "Ingress":
-		return policy.Request{ID: e.Job, Object: e.Asset, Part: int(e.Part), Group: int(e.SetNo), Class: e.Kind,
-			SizeKB: e.SizeKB, Remaining: us(e.Expires)}
-	case "Reply":
-		return policy.Outcome{ID: e.Job, Attempt: e.Try, Result: results[e.Verdict], CacheStatus: note(e.Note),
-			Elapsed: us(e.Duration), SourceFirstByte: us(e.SourceWait), RequestFinished: e.Finished}
-	case "FirstByte":
-		return policy.StreamStarted{ID: e.Job, Attempt: e.Try}
-	case "Voided":
-		return policy.Purge{Object: e.Asset, Group: int(e.SetNo), Age: us(e.Age)}
-	case "ClientLeft":
-		return policy.ClientDisconnected{ID: e.Job}
-	case "Due":
-		return policy.TimerFired{Token: e.Mark}
+// decodeEndpointUpdate resolves the numbered list that an update refers to. An update that failed brings
+// nothing.
+func (h *Host) decodeEndpointUpdate(e *event) policy.Event {
+	switch e.UpdateMode {
+	case updateChanges:
+		return policy.EndpointUpdate{Endpoints: h.endpointLists[e.ListNumber]}
+	case updateFull, updateFullCached:
+		return policy.EndpointUpdate{Full: true, Endpoints: h.endpointLists[e.ListNumber]}
 	}
 	return nil
 }
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -1,29 +1,63 @@
 package simwire
 
-import "cloverdoor/policy"
+import (
+	"time"
 
-func flag(on bool, bit int) int {
-	if on {
-		return bit
-	}
-	return 0
-}
+	"cloverdoor/policy"
+)
+
+// Flags of a fetch, which are added up.
+const (
+	flagCoalesceFill         = 1
+	flagCachedOnly           = 2
+	flagStaleWhileRevalidate = 8
+)
 
-func encode(proxy string, a policy.Action) action {
+// encodeAction converts an action of an instance.
+func encodeAction(instance string, a policy.Action) action {
 	switch a := a.(type) {
 	case policy.Fetch:
-		return action{Op: "FetchThrough", Proxy: proxy, Job: &a.ID, Store: a.Target, Source: a.Source,
-			Rank: &a.RetentionRank, Age: a.MaxAge.Microseconds(),
-			Manner: flag(a.CoalesceFill, 1) + flag(a.CachedOnly, 2) + flag(a.StaleWhileRevalidate, 8)}
+		return action{
+			Name:          actionFetch,
+			Instance:      instance,
+			Request:       &a.ID,
+			Target:        a.Target,
+			Source:        a.Source,
+			RetentionRank: &a.RetentionRank,
+			MaxAge:        toMicroseconds(a.MaxAge),
+			FetchFlags:    fetchFlags(a),
+		}
 	case policy.Reject:
-		return action{Op: "PushBack", Proxy: proxy, Job: &a.ID, CoolDown: a.RetryAfter.Microseconds()}
+		return action{
+			Name:       actionReject,
+			Instance:   instance,
+			Request:    &a.ID,
+			RetryAfter: toMicroseconds(a.RetryAfter),
+		}
 	case policy.Fail:
-		return action{Op: "EndFailed", Proxy: proxy, Job: &a.ID}
+		return action{Name: actionFail, Instance: instance, Request: &a.ID}
 	case policy.Cancel:
-		return action{Op: "DropAttempt", Proxy: proxy, Job: &a.ID, Try: &a.Attempt}
+		return action{Name: actionCancel, Instance: instance, Request: &a.ID, Attempt: &a.Attempt}
 	case policy.StartTimer:
-		in := a.In.Microseconds()
-		return action{Op: "Sleep", Proxy: proxy, In: &in, Mark: &a.Token}
+		in := toMicroseconds(a.In)
+		return action{Name: actionStartTimer, Instance: instance, In: &in, Token: &a.Token}
 	}
 	panic("unknown action")
 }
+
+// fetchFlags is the sum of the flags that are set.
+func fetchFlags(f policy.Fetch) int {
+	sum := 0
+	if f.CoalesceFill {
+		sum += flagCoalesceFill
+	}
+	if f.CachedOnly {
+		sum += flagCachedOnly
+	}
+	if f.StaleWhileRevalidate {
+		sum += flagStaleWhileRevalidate
+	}
+	return sum
+}
+
+func toMicroseconds(d time.Duration) microseconds { return microseconds(d.Microseconds()) }
--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -12,103 +12,132 @@
 	"cloverdoor/policy"
 )
 
-// Host runs the routers of one process: each batch's events go to the router they name, and its actions
-// come back in the reply.
+// readBufferBytes is the size of the buffer for the input. Lines may be longer.
+const readBufferBytes = 1 << 20
+
+// Host runs the router instances of one process.
 type Host struct {
-	routers map[string]*policy.Router
-	pages   map[int][]policy.Endpoint
-	log     io.Writer
+	routers       map[string]*policy.Router // by instance
+	endpointLists map[int][]policy.Endpoint // by number; a number may be reused
+	log           io.Writer
 }
 
-// NewHost returns a host without routers that writes its messages to log.
+// NewHost returns a host without instances that writes messages to log.
 func NewHost(log io.Writer) *Host {
-	return &Host{routers: map[string]*policy.Router{}, pages: map[int][]policy.Endpoint{}, log: log}
+	return &Host{
+		routers:       map[string]*policy.Router{},
+		endpointLists: map[int][]policy.Endpoint{},
+		log:           log,
+	}
 }
 
-// Serve answers batches line by line until the input ends.
+// Serve answers the batches of in until it ends. Each reply is flushed. Empty lines are ignored.
 func (h *Host) Serve(in io.Reader, out io.Writer) error {
-	lines := bufio.NewReaderSize(in, 1<<20)
-	replies := bufio.NewWriter(out)
+	input := bufio.NewReaderSize(in, readBufferBytes)
+	output := bufio.NewWriter(out)
 	for {
-		line, err := lines.ReadBytes('\n')
+		line, readErr := input.ReadBytes('\n')
 		if len(bytes.TrimSpace(line)) > 0 {
-			answer, bad := h.Batch(line)
-			if bad != nil {
-				return bad
-			}
-			replies.Write(append(answer, '\n')) //nolint:errcheck // Flush reports it
-			if bad := replies.Flush(); bad != nil {
-				return bad
+			if err := h.serveLine(line, output); err != nil {
+				return err
 			}
 		}
-		if errors.Is(err, io.EOF) {
+		if errors.Is(readErr, io.EOF) {
 			return nil
 		}
-		if err != nil {
-			return err
+		if readErr != nil {
+			return readErr
 		}
 	}
 }
 
-// Batch answers one line.
-func (h *Host) Batch(line []byte) ([]byte, error) {
+// serveLine answers one batch.
+func (h *Host) serveLine(line []byte, output *bufio.Writer) error {
+	answer, err := h.HandleBatch(line)
+	if err != nil {
+		return err
+	}
+	if _, err := output.Write(append(answer, '\n')); err != nil {
+		return err
+	}
+	return output.Flush()
+}
+
+// HandleBatch handles the events of a batch in their order and returns the reply, without a line feed.
+func (h *Host) HandleBatch(line []byte) ([]byte, error) {
 	var b batch
 	if err := json.Unmarshal(line, &b); err != nil {
 		return nil, fmt.Errorf("not a batch: %w", err)
 	}
-	if b.Moment == nil {
+	if b.Now == nil {
 		return nil, errors.New("not a batch: no moment-us")
 	}
-	answer := reply{Cmds: []action{}}
-	for _, raw := range b.Happened {
+	answer := reply{Actions: []action{}}
+	for _, raw := range b.Events {
 		var e event
 		if err := json.Unmarshal(raw, &e); err != nil {
 			return nil, fmt.Errorf("not an event: %w", err)
 		}
-		acts, err := h.event(*b.Moment, &e)
+		actions, err := h.handleEvent(*b.Now, &e)
 		if err != nil {
 			return nil, err
 		}
-		answer.Cmds = append(answer.Cmds, acts...)
+		answer.Actions = append(answer.Actions, actions...)
 	}
 	return json.Marshal(answer)
 }
 
-func (h *Host) event(moment int64, e *event) (acts []action, err error) {
+// handleEvent handles one event and returns the actions of its instance. A panic is reported to the simulator
+// as an action, which ends the simulation but not the process.
+func (h *Host) handleEvent(now microseconds, e *event) (actions []action, err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			acts = []action{{Op: "Fault", Proxy: e.Proxy, Message: fmt.Sprint(p)}}
+			actions = []action{{Name: actionFault, Instance: e.Instance, Message: fmt.Sprint(p)}}
 		}
 	}()
-	switch e.Op {
-	case "Page":
-		h.pages[e.Ref] = members(e.Hosts)
-		return nil, nil
-	case "Born":
-		s, err := settings.Decode(e.Conf)
-		if err != nil {
-			return nil, fmt.Errorf("bad settings: %w", err)
-		}
-		h.routers[e.Proxy] = policy.New(s.Policy, e.Seed)
+	switch e.Name {
+	case eventEndpointList:
+		h.endpointLists[e.ListNumber] = decodeEndpoints(e.Endpoints)
 		return nil, nil
-	case "PowerOff":
-		delete(h.routers, e.Proxy)
+	case eventStart:
+		return nil, h.start(e)
+	case eventStop:
+		delete(h.routers, e.Instance)
 		return nil, nil
 	}
-	router := h.routers[e.Proxy]
-	if router == nil {
-		fmt.Fprintf(h.log, "simadapter: %s for an instance that is not running: %q\n", e.Op, e.Proxy)
-		return nil, nil
+	return h.handleInstanceEvent(now, e), nil
+}
+
+// start starts an instance.
+func (h *Host) start(e *event) error {
+	decoded, err := settings.Decode(e.Settings)
+	if err != nil {
+		return fmt.Errorf("bad settings: %w", err)
 	}
-	told := decode(e)
-	if e.Op == "Membership" && e.Mode >= 0 && e.Mode <= 2 {
-		told = policy.EndpointUpdate{Full: e.Mode != 0, Endpoints: h.pages[e.Ref]}
+	h.routers[e.Instance] = policy.New(decoded.Policy, e.Seed)
+	return nil
+}
+
+// handleInstanceEvent has an instance's router handle an event. An event for an instance that is not running
+// is logged and ignored.
+func (h *Host) handleInstanceEvent(now microseconds, e *event) (actions []action) {
+	router := h.routers[e.Instance]
+	if router == nil {
+		h.logf("%s for an instance that is not running: %q", e.Name, e.Instance)
+		return nil
 	}
-	if told == nil {
-		return nil, nil
+	decoded := h.decodeEvent(e)
+	if decoded == nil {
+		return nil
 	}
-	for _, a := range router.Handle(us(moment), told) {
-		acts = append(acts, encode(e.Proxy, a))
+	for _, a := range router.Handle(now.duration(), decoded) {
+		actions = append(actions, encodeAction(e.Instance, a))
 	}
-	return acts, nil
+	return actions
+}
+
+// logf writes a message to the log.
+func (h *Host) logf(format string, args ...any) {
+	//nolint:errcheck // a lost message must not end the simulation
+	fmt.Fprintf(h.log, "simadapter: "+format+"\n", args...)
 }
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -1,3 +1,8 @@
-// Package simwire translates between the simulator's JSON lines and the events and actions of package policy.
+// Package simwire translates between the simulator's messages and the events and actions of package policy.
 // It decides nothing.
+//
+// The simulator writes batches, one JSON object a line: the time and the events of all router instances at
+// that time. Each is answered by a line with the instances' actions, which take effect at the same time. The
+// names on the wire are the simulator's; this package alone maps them to the terms that the rest of the
+// program uses.
 package simwire
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -8,7 +8,8 @@
 	"cloverdoor/policy"
 )
 
-const born = `{"moment-us":1000,"happened":[{"op":"Born","proxy-id":"proxy/1","prng":7,"conf":` +
+// started is a batch that starts the instance "proxy/1" with two endpoints.
+const started = `{"moment-us":1000,"happened":[{"op":"Born","proxy-id":"proxy/1","prng":7,"conf":` +
 	`{"classes":[{"name":"k","semantics":"read_like","promise-us":400000,"aim-stretch":2,"deadline-us":3000000}],` +
 	`"domain":{"root-kind":2,"upper-kind":1,"direct":true,"one-flow-kb-per-s":1000,"class-fresh-us":[8000000],` +
 	`"new-key":[1]},"zone":1,"later":null}},` +
@@ -16,6 +17,7 @@
 	`{"store":"10.0.0.2:7001","status":2,"class-of-host":1,"rack-zone":0,"share":9,"online-since-us":null}]},` +
 	`{"op":"Membership","proxy-id":"proxy/1","mode":2,"revision":1,"ref":0}]}`
 
+// serve runs a host on lines of input and returns its output and its log.
 func serve(t *testing.T, lines ...string) (string, string, error) {
 	t.Helper()
 	var out, log bytes.Buffer
@@ -24,7 +26,7 @@
 }
 
 func TestTranscript(t *testing.T) {
-	out, log, err := serve(t, born,
+	out, log, err := serve(t, started,
 		`{"moment-us":2000,"happened":[{"op":"Ingress","proxy-id":"proxy/1","job":5,"asset":"f-1","kind":0,`+
 			`"expires-in-us":2000000,"retry":null,"size-kb":50,"part":0,"set-no":3,"mutates":false,"x":1},`+
 			`{"op":"Whatever","proxy-id":"proxy/1"}]}`)
@@ -42,7 +44,7 @@
 	}
 }
 
-func TestEventForUnbornIsIgnoredWithMessage(t *testing.T) {
+func TestEventForUnknownInstanceIsIgnoredWithMessage(t *testing.T) {
 	out, log, err := serve(t, `{"moment-us":1,"happened":[{"op":"Due","proxy-id":"proxy/9","mark":1}]}`)
 	if err != nil || out != "{\"cmds\":[]}\n" || !strings.Contains(log, "proxy/9") {
 		t.Fatalf("%q %q %v", out, log, err)
@@ -52,18 +54,19 @@
 func TestNotABatch(t *testing.T) {
 	for _, line := range []string{`hello`, `[]`, `{}`, `{"moment-us":1,"happened":[7]}`} {
 		if _, _, err := serve(t, line); err == nil {
-			t.Errorf("%s was taken", line)
+			t.Errorf("%s was accepted", line)
 		}
 	}
 }
 
-// A list's number may be used again within a batch: each event takes the list as it was then.
+// A list's number may be reused within a batch: each event refers to the list that has the number at that
+// point.
 func TestListsResolveInOrder(t *testing.T) {
 	h := NewHost(&bytes.Buffer{})
-	if _, err := h.Batch([]byte(born)); err != nil {
+	if _, err := h.HandleBatch([]byte(started)); err != nil {
 		t.Fatal(err)
 	}
-	out, err := h.Batch([]byte(`{"moment-us":3000,"happened":[` +
+	out, err := h.HandleBatch([]byte(`{"moment-us":3000,"happened":[` +
 		`{"op":"Page","ref":0,"hosts":[{"store":"10.0.0.7:7001","status":2,"class-of-host":0,"rack-zone":1}]},` +
 		`{"op":"Membership","proxy-id":"proxy/1","mode":1,"ref":0},` +
 		`{"op":"Page","ref":0,"hosts":[]},` +
@@ -74,16 +77,17 @@
 }
 
 func TestUnknownVerdictMayHaveRun(t *testing.T) {
-	if results[999] != 0 {
-		t.Fatal("an unknown verdict must count as an error")
+	if resultOf[999] != policy.ResultError {
+		t.Fatal("an unknown result must count as an error")
 	}
 }
 
-// A panic in the module stops the day with its text, not the process.
+// A panic of a router is reported to the simulator and does not end the process.
 func TestPanicBecomesFault(t *testing.T) {
 	h := NewHost(&bytes.Buffer{})
-	h.routers["proxy/1"] = &policy.Router{} // was never made by New: its maps are nil
-	out, err := h.Batch([]byte(`{"moment-us":1,"happened":[{"op":"Page","ref":0,"hosts":[{"store":"a","status":2}]},` +
+	h.routers["proxy/1"] = &policy.Router{} // not made by New: its maps are nil
+	out, err := h.HandleBatch([]byte(`{"moment-us":1,"happened":[` +
+		`{"op":"Page","ref":0,"hosts":[{"store":"a","status":2}]},` +
 		`{"op":"Membership","proxy-id":"proxy/1","mode":1,"ref":0}]}`))
 	if err != nil || !strings.Contains(string(out), `"op":"Fault"`) {
 		t.Fatalf("%s %v", out, err)
