--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -7,34 +7,35 @@
 	"time"
 )
 
-// stalled is a destination that blocks until it is released.
-type stalled struct {
+// blockedDestination blocks until it is released.
+type blockedDestination struct {
 	release chan struct{}
 	bytes.Buffer
 }
 
-func (s *stalled) Write(line []byte) (int, error) {
-	<-s.release
-	return s.Buffer.Write(line)
+func (d *blockedDestination) Write(line []byte) (int, error) {
+	<-d.release
+	return d.Buffer.Write(line)
 }
 
-// A destination that blocks holds up nobody, what finds no room is counted, and the end does not wait for it.
+// A destination that blocks does not block Write, dropped lines are counted, and Close returns at its
+// timeout.
 func TestStalledDestination(t *testing.T) {
-	to := &stalled{release: make(chan struct{})}
+	to := &blockedDestination{release: make(chan struct{})}
 	w := NewWriter(to)
-	const lines = 3 * queuedLines
+	const lines = 3 * maxQueuedLines
 	for range lines {
 		if n, err := w.Write([]byte("line\n")); n != 5 || err != nil {
 			t.Fatal(n, err)
 		}
 	}
-	if dropped := w.Dropped(); dropped < lines-queuedLines-1 || dropped > lines-queuedLines {
+	if dropped := w.Dropped(); dropped < lines-maxQueuedLines-1 || dropped > lines-maxQueuedLines {
 		t.Errorf("%d dropped", dropped)
 	}
 	w.Close(time.Millisecond)
 	close(to.release)
 	<-w.done
-	if text := to.String(); strings.Count(text, "line\n") < queuedLines || !strings.Contains(text, "log lines dropped") {
+	if text := to.String(); strings.Count(text, "line\n") < maxQueuedLines || !strings.Contains(text, "log lines dropped") {
 		t.Errorf("%d bytes written", len(text))
 	}
 }
@@ -42,31 +43,35 @@
 func TestLongLineIsCut(t *testing.T) {
 	var to bytes.Buffer
 	w := NewWriter(&to)
-	w.Write(bytes.Repeat([]byte("x"), 2*maxLine)) //nolint:errcheck // never fails
+	line := bytes.Repeat([]byte("x"), 2*maxLineBytes)
+	if n, err := w.Write(line); n != len(line) || err != nil {
+		t.Fatal(n, err)
+	}
 	w.Close(time.Minute)
-	if to.Len() != maxLine || !strings.HasSuffix(to.String(), "x\n") {
+	if to.Len() != maxLineBytes || !strings.HasSuffix(to.String(), "x\n") {
 		t.Errorf("%d bytes", to.Len())
 	}
 }
 
-// A message that repeats is let through a few times, and says later how often it was not. Others are not held back.
+// A message that repeats is logged a few times, and the next one says how many were suppressed. Other
+// messages are not affected.
 func TestRepeatedMessagesAreBounded(t *testing.T) {
 	now := time.Unix(1, 0)
-	b := newBudgets(func() time.Time { return now })
-	passed := 0
-	for range 10 * burst {
-		if allowed, _ := b.take("again"); allowed {
-			passed++
+	q := newQuotas(func() time.Time { return now })
+	logged := 0
+	for range 10 * maxPerInterval {
+		if allowed, _ := q.take("again"); allowed {
+			logged++
 		}
 	}
-	if passed != burst {
-		t.Errorf("%d passed", passed)
+	if logged != maxPerInterval {
+		t.Errorf("%d logged", logged)
 	}
-	if allowed, _ := b.take("another"); !allowed {
-		t.Error("another message was held back")
+	if allowed, _ := q.take("another"); !allowed {
+		t.Error("another message was suppressed")
 	}
 	now = now.Add(interval)
-	if allowed, suppressed := b.take("again"); !allowed || suppressed != 9*burst {
+	if allowed, suppressed := q.take("again"); !allowed || suppressed != 9*maxPerInterval {
 		t.Errorf("%v, %d suppressed", allowed, suppressed)
 	}
 }
--- /dev/null
+++ b/internal/logging/ratelimit.go
@@ -0,0 +1,102 @@
+package logging
+
+import (
+	"context"
+	"io"
+	"log/slog"
+	"sync"
+	"time"
+)
+
+const (
+	// maxPerInterval is how many records with the same message are logged in each interval.
+	maxPerInterval = 20
+
+	interval = 10 * time.Second
+)
+
+// New returns a structured logger for level Info and above. Each line names the instance. Records whose
+// message repeats too often are suppressed; the next one that is logged says how many in its attribute
+// "suppressed".
+func New(to io.Writer, instance string) *slog.Logger {
+	text := slog.NewTextHandler(to, &slog.HandlerOptions{Level: slog.LevelInfo})
+	limited := &rateLimiter{next: text, quotas: newQuotas(time.Now)}
+	return slog.New(limited).With("instance", instance)
+}
+
+// rateLimiter is a slog.Handler that limits how often each message is logged. All handlers derived from one
+// share its quotas.
+type rateLimiter struct {
+	next   slog.Handler
+	quotas *quotas
+}
+
+// Enabled reports whether records of the level are logged at all.
+func (l *rateLimiter) Enabled(ctx context.Context, level slog.Level) bool {
+	return l.next.Enabled(ctx, level)
+}
+
+// Handle forwards a record if its message has quota left.
+func (l *rateLimiter) Handle(ctx context.Context, record slog.Record) error {
+	allowed, suppressed := l.quotas.take(record.Message)
+	if !allowed {
+		return nil
+	}
+	if suppressed > 0 {
+		record.AddAttrs(slog.Int("suppressed", suppressed))
+	}
+	return l.next.Handle(ctx, record)
+}
+
+// WithAttrs returns a handler with additional attributes.
+func (l *rateLimiter) WithAttrs(attrs []slog.Attr) slog.Handler {
+	return &rateLimiter{next: l.next.WithAttrs(attrs), quotas: l.quotas}
+}
+
+// WithGroup returns a handler with an additional group.
+func (l *rateLimiter) WithGroup(name string) slog.Handler {
+	return &rateLimiter{next: l.next.WithGroup(name), quotas: l.quotas}
+}
+
+// quotas counts records by message. Messages are constants of the program, so that the map is bounded.
+type quotas struct {
+	now       func() time.Time
+	mu        sync.Mutex
+	byMessage map[string]*quota
+}
+
+// quota is the count of one message.
+type quota struct {
+	intervalStart time.Time
+	logged        int // in the interval
+	suppressed    int // since the last one that was logged
+}
+
+func newQuotas(now func() time.Time) *quotas {
+	return &quotas{now: now, byMessage: map[string]*quota{}}
+}
+
+// take reports whether a record with the message may be logged, and how many were suppressed since the last
+// one.
+func (q *quotas) take(message string) (allowed bool, suppressed int) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	now := q.now()
+	entry := q.byMessage[message]
+	if entry == nil {
+		entry = &quota{intervalStart: now}
+		q.byMessage[message] = entry
+	}
+	if now.Sub(entry.intervalStart) >= interval {
+		entry.intervalStart = now
+		entry.logged = 0
+	}
+	if entry.logged >= maxPerInterval {
+		entry.suppressed++
+		return false, 0
+	}
+	entry.logged++
+	suppressed = entry.suppressed
+	entry.suppressed = 0
+	return true, suppressed
+}
--- a/internal/logging/writer.go
+++ b/internal/logging/writer.go
@@ -1,5 +1,6 @@
-// Package logging writes the program's log without ever holding up its caller: lines are queued, written by a goroutine of
-// their own and dropped when the queue is full, and a message that repeats is let through a few times only.
+// Package logging writes the program's structured log without blocking its callers. Lines are queued and
+// written by a goroutine; lines that find the queue full are dropped and counted. Messages that repeat often
+// are suppressed and counted.
 package logging
 
 import (
@@ -10,59 +11,66 @@
 )
 
 const (
-	queuedLines = 512     // that wait for a slow reader
-	maxLine     = 4 << 10 // bytes of one line; the rest is cut
+	maxQueuedLines = 512     // lines waiting for the destination
+	maxLineBytes   = 4 << 10 // longer lines are truncated
 )
 
-// Writer passes lines on to a destination that may block, such as a pipe whose reader stalls.
+// Writer forwards lines to a destination that may block, such as a pipe whose reader has stopped reading.
 type Writer struct {
 	lines   chan []byte
 	dropped atomic.Int64
-	done    chan struct{}
+	done    chan struct{} // closed when the goroutine has ended
 }
 
-// NewWriter returns a writer to a destination. Its errors are ignored: nobody is left to tell.
+// NewWriter returns a writer to a destination. Errors of the destination are ignored, as there is nowhere to
+// log them.
 func NewWriter(to io.Writer) *Writer {
-	w := &Writer{lines: make(chan []byte, queuedLines), done: make(chan struct{})}
+	w := &Writer{lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
 	go w.run(to)
 	return w
 }
 
+// run writes queued lines until Close, and after each the number of lines dropped since it was last written.
 func (w *Writer) run(to io.Writer) {
 	defer close(w.done)
-	told := int64(0)
+	reported := int64(0)
 	for line := range w.lines {
-		to.Write(line) //nolint:errcheck // nobody is left to tell
-		if dropped := w.Dropped(); dropped > told {
-			fmt.Fprintf(to, "level=WARN msg=\"log lines dropped\" lines=%d\n", dropped-told) //nolint:errcheck // as above
-			told = dropped
+		to.Write(line) //nolint:errcheck // there is nowhere to log it
+		dropped := w.Dropped()
+		if dropped > reported {
+			//nolint:errcheck // there is nowhere to log it
+			fmt.Fprintf(to, "level=WARN msg=\"log lines dropped\" lines=%d\n", dropped-reported)
+			reported = dropped
 		}
 	}
 }
 
-// Write queues one line. It never blocks and never fails; a line that finds the queue full is dropped and counted.
+// Write queues a copy of one line. It never blocks and never fails; it drops and counts the line if the queue
+// is full.
 func (w *Writer) Write(line []byte) (int, error) {
-	kept := make([]byte, 0, min(len(line), maxLine))
-	kept = append(kept, line[:cap(kept)]...)
-	if len(kept) < len(line) {
-		kept[len(kept)-1] = '\n'
+	queued := make([]byte, min(len(line), maxLineBytes))
+	copy(queued, line)
+	isTruncated := len(queued) < len(line)
+	if isTruncated {
+		queued[len(queued)-1] = '\n'
 	}
 	select {
-	case w.lines <- kept:
+	case w.lines <- queued:
 	default:
 		w.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
-// Dropped is how many lines found the queue full since the start.
+// Dropped is how many lines have been dropped since the start.
 func (w *Writer) Dropped() int64 { return w.dropped.Load() }
 
-// Close waits for what is queued to be written, for so long at most. No line may be written afterwards.
-func (w *Writer) Close(patience time.Duration) {
+// Close waits until the queued lines have been written, for timeout at most. Write must not be called
+// afterwards.
+func (w *Writer) Close(timeout time.Duration) {
 	close(w.lines)
 	select {
 	case <-w.done:
-	case <-time.After(patience):
+	case <-time.After(timeout):
 	}
 }
