--- a/internal/connpool/acquire.go
+++ b/internal/connpool/acquire.go
@@ -7,10 +7,10 @@
 )
 
 // ErrConnLimit says that a connection would exceed the limits on connections.
-var ErrConnLimit = errors.New("budget for sockets is used up")
+var ErrConnLimit = errors.New("connection limit reached")
 
 // ErrEndpointRemoved says that a pool's server has been removed.
-var ErrEndpointRemoved = errors.New("server is gone")
+var ErrEndpointRemoved = errors.New("endpoint removed")
 
 // UseInfo describes a use that needs a connection.
 type UseInfo struct {
@@ -65,7 +65,7 @@
 // prefersNew reports whether a use gets a new connection although an existing one accepts it. While there are
 // fewer connections than DedicatedConns, uses share a connection only if they are idempotent and at most
 // SharedUses: whatever ends or corrupts a connection affects all its uses. A non-idempotent use also gets a
-// new connection if those have lately been lost less often than ones that were idle for as long as the
+// new connection if those have recently been lost less often than ones that were idle for as long as the
 // existing one.
 func (ps *Pools) prefersNew(existing *PooledConn, use UseInfo) bool {
 	if !ps.belowDedicatedConns() {
--- a/internal/connpool/conn.go
+++ b/internal/connpool/conn.go
@@ -110,7 +110,7 @@
 // closeIfLikelyLost closes a connection that has been idle for so long that its next use would likely be
 // lost.
 func (c *PooledConn) closeIfLikelyLost() {
-	if c.InUse == 0 && c.Connected() && c.pool.pools.idleLoss.maxUpTo(c.idleBucket()) > maxLossShare {
+	if c.InUse == 0 && c.Connected() && c.pool.pools.idleLoss.maxUpTo(c.idleBucket()) > maxLossFraction {
 		c.retire()
 	}
 }
--- a/internal/connpool/idleloss.go
+++ b/internal/connpool/idleloss.go
@@ -6,16 +6,16 @@
 )
 
 const (
-	// minIdleTime is the upper end of the shortest idle time that is told apart; each further bucket doubles
-	// it.
+	// minIdleTime is the upper end of the shortest range of idle times; each further range ends at twice the
+	// time.
 	minIdleTime = 20 * time.Millisecond
 
 	// immediateLoss is how soon after the start of a use a connection that ends counts as lost before the
 	// use.
 	immediateLoss = 100 * time.Millisecond
 
-	// maxLossShare is the share of lost uses above which a connection is not used any more: two of six.
-	maxLossShare = 0.15
+	// maxLossFraction is the fraction of lost uses above which a connection is not used any more: two of six.
+	maxLossFraction = 0.15
 
 	// newestWeight is the weight of the last use in an estimate.
 	newestWeight = 0.1
@@ -42,7 +42,7 @@
 	return min(firstIdleBucket+idleBucket(doublings), lastIdleBucket)
 }
 
-// idleLossEstimates holds for each idle bucket the share of recent uses, 0 to 1, that were lost because the
+// idleLossEstimates holds for each idle bucket the fraction of recent uses that were lost because the
 // connection had ended unnoticed. Servers and middleboxes close idle connections sooner than announced, some
 // without sending anything; only the next use finds out.
 type idleLossEstimates [idleBucketCount]float64
@@ -53,9 +53,9 @@
 // recordSuccess counts a use that was not lost.
 func (e *idleLossEstimates) recordSuccess(bucket idleBucket) { e.record(bucket, 0) }
 
-// record counts one use of which the given share was lost.
-func (e *idleLossEstimates) record(bucket idleBucket, lostShare float64) {
-	e[bucket] += newestWeight * (lostShare - e[bucket])
+// record counts one use of which the given fraction was lost.
+func (e *idleLossEstimates) record(bucket idleBucket, lostFraction float64) {
+	e[bucket] += newestWeight * (lostFraction - e[bucket])
 }
 
 // maxUpTo is the largest estimate of the idle buckets up to the given one: a longer idle time is at least as
--- a/internal/connpool/idleloss_test.go
+++ b/internal/connpool/idleloss_test.go
@@ -6,19 +6,19 @@
 func TestIdleLossEstimates(t *testing.T) {
 	var e idleLossEstimates
 	e.recordLoss(4)
-	if e.maxUpTo(4) > maxLossShare {
+	if e.maxUpTo(4) > maxLossFraction {
 		t.Error("one loss is enough")
 	}
 	e.recordLoss(4)
 	for bucket, barred := range []bool{false, false, false, false, true, true, true} {
-		if got := e.maxUpTo(idleBucket(bucket)) > maxLossShare; got != barred {
+		if got := e.maxUpTo(idleBucket(bucket)) > maxLossFraction; got != barred {
 			t.Errorf("bucket %d: %v after two losses in bucket 4", bucket, got)
 		}
 	}
 	for range 100 {
 		e.decay()
 	}
-	if e.maxUpTo(6) > maxLossShare {
+	if e.maxUpTo(6) > maxLossFraction {
 		t.Error("never tried again")
 	}
 	e.recordLoss(5)
@@ -26,7 +26,7 @@
 		e.recordSuccess(5)
 	}
 	e.recordLoss(5)
-	if e.maxUpTo(5) > maxLossShare {
+	if e.maxUpTo(5) > maxLossFraction {
 		t.Error("two losses in a dozen are enough")
 	}
 }
--- a/internal/connpool/pools.go
+++ b/internal/connpool/pools.go
@@ -60,7 +60,7 @@
 }
 
 // RemoveEndpoint removes a server. Its connections that are not established fail, as a server that takes over
-// the address must not get what was meant for this one. Uses in progress on the others continue.
+// the address must not receive requests for this one. Uses in progress on the others continue.
 func (ps *Pools) RemoveEndpoint(id string) {
 	pool := ps.endpoints[id]
 	if pool == nil {
--- a/internal/connpool/pools_test.go
+++ b/internal/connpool/pools_test.go
@@ -133,7 +133,8 @@
 	}
 	overdue.Release()
 	for i := 0; !other.Connected(); i++ {
-		if turn(t, l); i == 1000 {
+		turn(t, l)
+		if i == 1000 {
 			t.Fatal("the other connection was never established")
 		}
 	}
@@ -150,7 +151,8 @@
 		t.Fatal(err)
 	}
 	for i := 0; other.LastReceived() <= overdue.CreatedAt() || ps.connCount == 0; i++ {
-		if turn(t, l); i == 1000 {
+		turn(t, l)
+		if i == 1000 {
 			t.Fatal("nothing was received")
 		}
 	}
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -101,7 +101,7 @@
 // wantsInput reports whether input is read. While closing it is read in order to be discarded.
 func (c *Conn) wantsInput() bool { return !c.inputEnded && (!c.readingStopped || c.closing) }
 
-// notifyPeerClosing tells a HalfCloser, once, that the peer has shut down its sending side.
+// notifyPeerClosing notifies a HalfCloser, once, that the peer has shut down its sending side.
 func (c *Conn) notifyPeerClosing() {
 	handler, isHalfCloser := c.handler.(HalfCloser)
 	if !isHalfCloser || c.closing || c.peerHalfClosed {
--- a/internal/eventloop/conn_test.go
+++ b/internal/eventloop/conn_test.go
@@ -49,7 +49,8 @@
 	if !c.HasUnreadInput() {
 		t.Error("what was sent does not count as unread")
 	}
-	if c.receive(); c.HasUnreadInput() {
+	c.receive()
+	if c.HasUnreadInput() {
 		t.Error("it was read")
 	}
 	if err := unix.Close(pair[1]); err != nil {
@@ -88,7 +89,8 @@
 		if err := l.Wait(10 * time.Millisecond); err != nil {
 			t.Fatal(err)
 		}
-		if l.Flush(); encoded {
+		l.Flush()
+		if encoded {
 			break
 		}
 	}
--- a/internal/eventloop/delay.go
+++ b/internal/eventloop/delay.go
@@ -15,7 +15,7 @@
 )
 
 // inputDelays estimates how long a connection's input has waited before it is read, so that the wait can be
-// subtracted from the time that a request has left.
+// subtracted from the time that a request has until its deadline.
 type inputDelays struct {
 	connectedAfter    Timestamp     // an accepted connection was established after this; 0: unknown
 	waitedForAccept   bool          // the first input may have waited in the accept queue
@@ -61,9 +61,9 @@
 	return time.Duration(info.Last_data_sent) * time.Millisecond // the system counts it from the handshake
 }
 
-// markInputWaiting records after a turn's reads whether the next input may have been sent together with the
+// recordInputWaiting records after a turn's reads whether the next input may have been sent together with the
 // bytes that were read: after much input the rest may have waited in a buffer of either system.
-func (c *Conn) markInputWaiting(bytesRead int) {
+func (c *Conn) recordInputWaiting(bytesRead int) {
 	c.delays.inputWaitingSince = 0
 	if bytesRead >= largeInputBytes {
 		waited := max(c.delays.queueingDelay, c.loop.SchedulingDelay(c.loop.pollTimeout))
--- a/internal/eventloop/errors.go
+++ b/internal/eventloop/errors.go
@@ -14,11 +14,11 @@
 var ErrConnectTimeout = errors.New("connect timed out")
 
 // ErrWriteStalled is the error of a connection whose peer does not read what it is sent.
-var ErrWriteStalled = errors.New("peer takes no output")
+var ErrWriteStalled = errors.New("peer accepts no output")
 
 // ErrLocalResources wraps failures of this machine or process, such as a lack of descriptors, ports or
 // memory. They say nothing about the peer.
-var ErrLocalResources = errors.New("local resources are used up")
+var ErrLocalResources = errors.New("local resources exhausted")
 
 // startError wraps an error of setting up the loop or a listener with ErrLocalResources if it may be
 // temporary.
@@ -44,7 +44,7 @@
 	return isOneOf(err, unix.EAGAIN, unix.EINTR, unix.ENOBUFS, unix.ENOMEM)
 }
 
-// isAborted reports errors of accept that concern a single connection, which is already gone: the next one
+// isAborted reports errors of accept that concern a single connection, which no longer exists: the next one
 // may be accepted.
 func isAborted(err error) bool {
 	return isOneOf(err, unix.ECONNABORTED, unix.EINTR, unix.EPROTO, unix.ENETDOWN, unix.ENOPROTOOPT,
--- a/internal/eventloop/handler.go
+++ b/internal/eventloop/handler.go
@@ -20,7 +20,7 @@
 	// from before that may still be unread. The shutdown took place after the given time; 0: unknown.
 	PeerClosing(after Timestamp)
 	// PeerClosed is called once, when all input from before the shutdown has been passed to Receive. It
-	// reports whether output is still owed; the handler then closes the connection when there is none left.
+	// reports whether output is still owed; the handler then closes the connection when all of it is written.
 	// Otherwise the connection is closed at once.
 	PeerClosed() (owed bool)
 }
--- a/internal/eventloop/input.go
+++ b/internal/eventloop/input.go
@@ -41,7 +41,7 @@
 			break
 		}
 	}
-	c.markInputWaiting(bytesRead)
+	c.recordInputWaiting(bytesRead)
 }
 
 // readOnce reads once and passes the input on. more reports whether there may be more input that is to be
@@ -81,8 +81,8 @@
 	c.Fail(io.EOF) // nothing, if a callback has closed the connection
 }
 
-// notifyInputEnd tells a HalfCloser that its peer has ended its side and reports whether output is still owed
-// to it.
+// notifyInputEnd notifies a HalfCloser that its peer has ended its side and reports whether output is still
+// owed to it.
 func (c *Conn) notifyInputEnd() (owed bool) {
 	handler, isHalfCloser := c.handler.(HalfCloser)
 	if !isHalfCloser || c.closing {
--- a/internal/eventloop/listen.go
+++ b/internal/eventloop/listen.go
@@ -19,7 +19,7 @@
 	accept         func(*Conn) Handler
 	closed         bool
 	paused         bool // until a timer resumes accepting
-	backlogRemains bool // connections were left waiting, it is unknown since when
+	backlogRemains bool // connections remained in the accept queue; since when is unknown
 }
 
 // Listen accepts connections on addr. hasCapacity is called before each accept; while it returns false,
--- a/internal/eventloop/output.go
+++ b/internal/eventloop/output.go
@@ -166,7 +166,8 @@
 // It reports whether that was all of it.
 func (c *Conn) recordWritten(first *output, data []byte, n int) (complete bool) {
 	c.lastWrittenAt = c.loop.now
-	if message := first.message; message != nil {
+	if first.message != nil {
+		message := first.message
 		c.addQueuedBytes(len(data))
 		first.message = nil
 		first.written = message.Written
--- a/internal/eventloop/registration.go
+++ b/internal/eventloop/registration.go
@@ -10,7 +10,7 @@
 type eventHandler interface{ handleEvents(events uint32) }
 
 // registration is the present owner of a descriptor. The system reuses descriptors, also within one turn; the
-// generation tells an event of the present owner from one of an earlier owner.
+// generation distinguishes its events from those of an earlier owner.
 type registration struct {
 	owner      eventHandler
 	generation int32 // unique to each registration; epoll returns it with the event, in Pad
--- a/internal/eventloop/system_test.go
+++ b/internal/eventloop/system_test.go
@@ -1,7 +1,6 @@
 package eventloop
 
 import (
-	"cmp"
 	"errors"
 	"io"
 	"net"
@@ -104,98 +103,149 @@
 	return count
 }
 
-// failTimes fails a call while times is over 0, and makes it otherwise.
-func failTimes(times int, code unix.Errno, original func() error) error {
-	if times > 0 {
-		return code
-	}
-	return original()
+// failingCall is a system call that a test lets fail at first.
+type failingCall struct {
+	name     string
+	codes    []unix.Errno
+	minCalls int // that must have been made when a client has its answer
+
+	// install replaces the call. nextError is asked before each call and returns the error to fail with, or
+	// nil.
+	install func(s *SystemCalls, nextError func() error)
 }
 
-// A client that connects while a system call fails is served once the call works again, and the loop does
-// not spin meanwhile.
-func TestClientIsServedThoughCallsFail(t *testing.T) {
-	const failing = 3
-	failures := map[string]func(*SystemCalls, *int, unix.Errno){
-		"accept": func(s *SystemCalls, calls *int, code unix.Errno) {
+// failuresInARow is how often a failingCall fails.
+const failuresInARow = 3
+
+var failingCalls = []failingCall{
+	{
+		name: "accept",
+		codes: []unix.Errno{
+			unix.ECONNABORTED, unix.EINTR, unix.EPROTO, unix.ENETDOWN, unix.ENETUNREACH, unix.EHOSTUNREACH,
+			unix.ETIMEDOUT, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EPERM,
+		},
+		minCalls: failuresInARow + 1,
+		install: func(s *SystemCalls, nextError func() error) {
 			original := s.Accept
-			s.Accept = func(fd, flags int) (accepted int, err error) {
-				*calls++
-				err = failTimes(failing+1-*calls, code, func() error { accepted, err = original(fd, flags); return err })
-				return accepted, err
+			s.Accept = func(fd, flags int) (int, error) {
+				if err := nextError(); err != nil {
+					return -1, err
+				}
+				return original(fd, flags)
 			}
 		},
-		"setsockopt": func(s *SystemCalls, calls *int, code unix.Errno) {
+	},
+	{
+		name:     "setsockopt",
+		codes:    []unix.Errno{unix.ENOBUFS, unix.ENOMEM},
+		minCalls: 1, // attempted again while the connection is served
+		install: func(s *SystemCalls, nextError func() error) {
 			original := s.SetOption
 			s.SetOption = func(fd, level, option, value int) error {
-				*calls++
-				return failTimes(failing+1-*calls, code, func() error { return original(fd, level, option, value) })
+				if err := nextError(); err != nil {
+					return err
+				}
+				return original(fd, level, option, value)
 			}
 		},
-		"epoll_ctl": func(s *SystemCalls, calls *int, code unix.Errno) {
+	},
+	{
+		name:     "epoll_ctl",
+		codes:    []unix.Errno{unix.ENOMEM, unix.ENOSPC},
+		minCalls: 1, // attempted again while the connection is served
+		install: func(s *SystemCalls, nextError func() error) {
 			original := s.Control
 			s.Control = func(epoll, operation, fd int, event *unix.EpollEvent) error {
-				*calls++
-				return failTimes(failing+1-*calls, code, func() error { return original(epoll, operation, fd, event) })
+				if err := nextError(); err != nil {
+					return err
+				}
+				return original(epoll, operation, fd, event)
 			}
 		},
-		"read": func(s *SystemCalls, calls *int, code unix.Errno) {
+	},
+	{
+		name:     "read",
+		codes:    []unix.Errno{unix.EINTR, unix.ENOBUFS, unix.ENOMEM},
+		minCalls: failuresInARow + 1,
+		install: func(s *SystemCalls, nextError func() error) {
 			original := s.Read
-			s.Read = func(fd int, data []byte) (n int, err error) {
-				*calls++
-				err = failTimes(failing+1-*calls, code, func() error { n, err = original(fd, data); return err })
-				return n, err
+			s.Read = func(fd int, data []byte) (int, error) {
+				if err := nextError(); err != nil {
+					return 0, err
+				}
+				return original(fd, data)
 			}
 		},
-		"write": func(s *SystemCalls, calls *int, code unix.Errno) {
+	},
+	{
+		name:     "write",
+		codes:    []unix.Errno{unix.EINTR, unix.ENOBUFS, unix.ENOMEM},
+		minCalls: failuresInARow + 1,
+		install: func(s *SystemCalls, nextError func() error) {
 			original := s.Write
-			s.Write = func(fd int, data []byte) (n int, err error) {
-				*calls++
-				err = failTimes(failing+1-*calls, code, func() error { n, err = original(fd, data); return err })
-				return n, err
+			s.Write = func(fd int, data []byte) (int, error) {
+				if err := nextError(); err != nil {
+					return 0, err
+				}
+				return original(fd, data)
 			}
 		},
+	},
+}
+
+// A client that connects while a system call fails is served once the call works again, and the loop does not
+// spin meanwhile.
+func TestClientIsServedThoughCallsFail(t *testing.T) {
+	for _, call := range failingCalls {
+		for _, code := range call.codes {
+			t.Run(call.name+" "+code.Error(), func(t *testing.T) { testServedThoughCallFails(t, call, code) })
+		}
 	}
-	codes := map[string][]unix.Errno{
-		"accept": {unix.ECONNABORTED, unix.EINTR, unix.EPROTO, unix.ENETDOWN, unix.ENETUNREACH, unix.EHOSTUNREACH, unix.ETIMEDOUT,
-			unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EPERM},
-		"setsockopt": {unix.ENOBUFS, unix.ENOMEM},
-		"epoll_ctl":  {unix.ENOMEM, unix.ENOSPC},
-		"read":       {unix.EINTR, unix.ENOBUFS, unix.ENOMEM},
-		"write":      {unix.EINTR, unix.ENOBUFS, unix.ENOMEM},
+}
+
+func testServedThoughCallFails(t *testing.T, call failingCall, code unix.Errno) {
+	t.Helper()
+	const maxTurns = 100
+	var server *echo
+	listener := newTestListener(t, func() bool { return true }, func(c *Conn) Handler {
+		server = &echo{conn: c}
+		return server
+	})
+	client := listener.dial(t)
+	if _, err := client.Write([]byte("hello")); err != nil {
+		t.Fatal(err)
 	}
-	for call, fail := range failures {
-		for _, code := range codes[call] {
-			t.Run(call+" "+code.Error(), func(t *testing.T) {
-				var server *echo
-				p := newTestListener(t, func() bool { return true }, func(c *Conn) Handler {
-					server = &echo{conn: c}
-					return server
-				})
-				client := p.dial(t)
-				client.Write([]byte("hello")) //nolint:errcheck // shows in the echo
-				calls := 0
-				substitute(t, func(s *SystemCalls) { fail(s, &calls, code) })
-				answered := make(chan error, 1)
-				go func() {
-					client.SetReadDeadline(time.Now().Add(time.Second)) //nolint:errcheck // shows in the read
-					_, err := client.Read(make([]byte, 5))
-					answered <- err
-				}()
-				took := runTurns(t, p.loop, func() bool { return len(answered) > 0 })
-				if err := <-answered; err != nil {
-					t.Errorf("%v; the connection ended with %v", err, server)
-				}
-				// The options of a connection, and its registration, are tried again beside its traffic.
-				if least := map[string]int{"epoll_ctl": 1, "setsockopt": 1}[call]; calls < cmp.Or(least, failing+1) {
-					t.Errorf("%d calls", calls)
-				}
-				if took > 100 {
-					t.Errorf("%d turns", took)
-				}
-			})
-		}
+	calls := 0
+	substitute(t, func(s *SystemCalls) {
+		call.install(s, func() error {
+			calls++
+			if calls <= failuresInARow {
+				return code
+			}
+			return nil
+		})
+	})
+	answered := make(chan error, 1)
+	go func() { answered <- readWithin(client, time.Second, 5) }()
+	turns := runTurns(t, listener.loop, func() bool { return len(answered) > 0 })
+	if err := <-answered; err != nil {
+		t.Errorf("%v; the connection ended with %v", err, server)
+	}
+	if calls < call.minCalls {
+		t.Errorf("%d calls", calls)
+	}
+	if turns > maxTurns {
+		t.Errorf("%d turns", turns)
+	}
+}
+
+// readWithin reads up to size bytes.
+func readWithin(conn net.Conn, timeout time.Duration, size int) error {
+	if err := conn.SetReadDeadline(time.Now().Add(timeout)); err != nil {
+		return err
 	}
+	_, err := conn.Read(make([]byte, size))
+	return err
 }
 
 // A listener that paused, also because accept fails repeatedly, accepts again although epoll refuses that at
--- a/internal/fastcgi/decoder.go
+++ b/internal/fastcgi/decoder.go
@@ -21,7 +21,7 @@
 	paramsDone bool
 }
 
-// Done tells the decoder that a request has been answered or dropped, so that its ID may be reused.
+// Done reports to the decoder that a request has been answered or dropped, so that its ID may be reused.
 func (d *Decoder) Done(id uint16) { delete(d.inProgress, id) }
 
 // BufferedBytes is the size of the parameters and bodies of requests that are not complete.
@@ -133,7 +133,8 @@
 // abort handles an ABORT_REQUEST. A request that is not complete is answered here, as the application does
 // not know it.
 func (d *Decoder) abort(id uint16) Event {
-	if p := d.receiving[id]; p != nil {
+	p := d.receiving[id]
+	if p != nil {
 		d.drop(p)
 		return Reply{Data: AppendEnd(nil, id, applicationAborted, Complete), Close: !p.req.KeepConn}
 	}
--- a/internal/fastcgi/event.go
+++ b/internal/fastcgi/event.go
@@ -28,7 +28,7 @@
 // is involved.
 type Reply struct {
 	Data  []byte
-	Close bool // the client asked for the connection to be closed afterwards
+	Close bool // the connection is to be closed afterwards, as the client did not set KEEP_CONN
 }
 
 func (*Request) isEvent() {}
--- a/internal/fastcgi/fastcgi.go
+++ b/internal/fastcgi/fastcgi.go
@@ -5,8 +5,8 @@
 // A connection carries records: a header of 8 bytes (version, type, request ID, content length, padding
 // length), the content and the padding. A request is a BEGIN_REQUEST record, PARAMS records with name-value
 // pairs up to an empty one, and STDIN records with the body up to an empty one. A response is STDOUT records
-// up to an empty one, then END_REQUEST. Requests of one connection may be interleaved; the request ID tells
-// them apart.
+// up to an empty one, then END_REQUEST. Requests of one connection may be interleaved; the request ID
+// identifies them apart.
 package fastcgi
 
 import "errors"
--- a/internal/fastcgi/fastcgi_test.go
+++ b/internal/fastcgi/fastcgi_test.go
@@ -53,7 +53,8 @@
 			if used == 0 {
 				break
 			}
-			if buffered = buffered[used:]; ev != nil {
+			buffered = buffered[used:]
+			if ev != nil {
 				events = append(events, ev)
 			}
 		}
@@ -148,7 +149,8 @@
 			if used == 0 || err != nil {
 				t.Fatalf("%s: %d %v", name, used, err)
 			}
-			if data = data[used:]; ev != nil {
+			data = data[used:]
+			if ev != nil {
 				events = append(events, ev)
 			}
 		}
@@ -158,7 +160,8 @@
 		if name != "too many" && (d.BufferedBytes() != 0 || d.Busy()) {
 			t.Errorf("%s: %d bytes are held", name, d.BufferedBytes())
 		}
-		if dropped := len(d.DropPartial()); d.Busy() || (dropped > 0) != (name == "too many") {
+		dropped := len(d.DropPartial())
+		if d.Busy() || (dropped > 0) != (name == "too many") {
 			t.Errorf("%s: %d dropped", name, dropped)
 		}
 	}
@@ -196,7 +199,8 @@
 		}
 		out = out[headerBytes+n:]
 	}
-	if want := "Status: 200\r\nX-Unchanged: 1\r\n\r\n" + string(body); string(text) != want {
+	want := "Status: 200\r\nX-Unchanged: 1\r\n\r\n" + string(body)
+	if string(text) != want {
 		t.Fatalf("%d bytes, want %d", len(text), len(want))
 	}
 }
--- a/internal/fastcgi/management.go
+++ b/internal/fastcgi/management.go
@@ -12,13 +12,14 @@
 	if recordType != typeGetValues {
 		return Reply{Data: unknownType(recordType)}, nil
 	}
-	asked, err := decodePairs(content)
+	requested, err := decodePairs(content)
 	if err != nil {
 		return nil, err
 	}
 	var body []byte
 	for _, known := range knownValues {
-		if _, isAsked := asked[known.name]; isAsked {
+		_, isRequested := requested[known.name]
+		if isRequested {
 			body = appendPair(body, known.name, known.value)
 		}
 	}
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,5 +1,6 @@
-// Package http1 is the codec of the admin interface: HTTP/1.1 with one request for each connection. It decodes the head
-// of a request and encodes the response. It uses no socket. A request's body has no meaning here and is not read.
+// Package http1 is the codec of the admin interface: HTTP/1.1 with one request for each connection. It
+// decodes the head of a request and encodes the response. It uses no socket. A request's body has no meaning
+// here and is not read.
 package http1
 
 import (
@@ -24,7 +25,7 @@
 	ErrTooLarge  = errors.New("http: head of a call exceeds its limit")
 )
 
-// Request is what a request asks for.
+// Request is the head of a request, without its headers.
 type Request struct {
 	Method string
 	Path   string // without the query
@@ -48,8 +49,8 @@
 	503: "Service Unavailable",
 }
 
-// Decode decodes the head of a request from the start of data. It returns how many bytes the head has, 0 when it is
-// not complete.
+// Decode decodes the head of a request from the start of data. It returns how many bytes the head has, 0 when
+// it is not complete.
 func Decode(data []byte) (used int, r Request, err error) {
 	start := emptyLineBytes(data)
 	headBytes := bytes.Index(data[start:], []byte(headEnd))
@@ -84,7 +85,9 @@
 	if len(words) != 3 {
 		return Request{}, malformedLine(line)
 	}
-	method, target, version := words[0], words[1], words[2]
+	method := words[0]
+	target := words[1]
+	version := words[2]
 	if method == "" || !strings.HasPrefix(target, "/") || !strings.HasPrefix(version, "HTTP/1.") {
 		return Request{}, malformedLine(line)
 	}
--- a/internal/logging/ratelimit.go
+++ b/internal/logging/ratelimit.go
@@ -36,7 +36,7 @@
 	return l.next.Enabled(ctx, level)
 }
 
-// Handle forwards a record if its message has quota left.
+// Handle forwards a record unless its message has used up its quota.
 func (l *rateLimiter) Handle(ctx context.Context, record slog.Record) error {
 	allowed, suppressed := l.quotas.take(record.Message)
 	if !allowed {
--- a/internal/resp/call.go
+++ b/internal/resp/call.go
@@ -71,7 +71,7 @@
 	return appendBulk(dst, id)
 }
 
-// callFields encodes the fields of a call. Optional ones are left out if they have their default.
+// callFields encodes the fields of a call. Optional ones are omitted if they have their default.
 func callFields(c *Call) []byte {
 	fields := appendField(nil, fieldClass, c.Class)
 	fields = appendField(fields, fieldObject, c.Object)
@@ -88,7 +88,8 @@
 		// fresh copy.
 		fields = appendField(fields, fieldMaxAge, formatMillis(max(c.MaxAge, time.Millisecond)))
 	}
-	if flags := callFlags(c); flags != "" {
+	flags := callFlags(c)
+	if flags != "" {
 		fields = appendField(fields, fieldFlags, flags)
 	}
 	if c.KnownVersion != "" {
--- a/internal/settings/reload.go
+++ b/internal/settings/reload.go
@@ -65,7 +65,8 @@
 		return "."
 	}
 	for key, value := range earlier {
-		if path := missingPath(value, laterObject[key]); path != "" {
+		path := missingPath(value, laterObject[key])
+		if path != "" {
 			return "." + key + path
 		}
 	}
@@ -79,7 +80,8 @@
 	}
 	shared := sharedKeys(earlier)
 	for i, value := range laterList {
-		if path := missingPath(shared, value); path != "" {
+		path := missingPath(shared, value)
+		if path != "" {
 			return fmt.Sprintf("[%d]%s", i, path)
 		}
 	}
