--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -26,7 +26,7 @@
 	peerHalfClosed bool // the peer was seen to have shut down its sending side
 	inputEnded     bool // and all its input has been read
 	flushScheduled bool // the connection is in the loop's toFlush
-	interest       uint32
+	interest       uint32 // epoll events that are watched
 
 	unparsed    []byte   // input that the handler has not consumed
 	outputQueue []output // output that has not been written
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -26,7 +26,7 @@
 	// pollOverrun is how much longer than its timeout a poll may take without counting as delayed.
 	pollOverrun = 10 * time.Millisecond
 
-	// maxPollFailures is how many polls in a row may fail before Wait returns an error.
+	// maxPollFailures is the number of consecutive failed polls at which Wait returns an error.
 	maxPollFailures = 100
 
 	// pollFailurePause is the pause after a failed poll.
@@ -42,16 +42,16 @@
 	clock             TimeSource
 	now               Timestamp // time of this turn
 
-	toFlush       []*Conn // connections with output queued in this turn
+	toFlush       []*Conn // connections whose flush is scheduled
 	bufferedBytes int     // in the input buffers and output queues of all connections
 	readBuffer    []byte  // shared by all reads
 	eventBuffer   []unix.EpollEvent
 
 	pollTimeout     time.Duration // of the last poll
-	pollFailures    int           // polls that failed in a row
+	pollFailures    int           // consecutive failed polls
 	pollComplete    bool          // the last poll reported all that was ready
-	pollEnd         Timestamp     // a time at which or after which the last poll took its result
-	previousPollEnd Timestamp     // pollEnd of the last complete poll before this turn: what is new came after it
+	pollEnd         Timestamp     // when the last poll returned; its start if it took too long
+	previousPollEnd Timestamp     // pollEnd of the last complete poll before this turn: new events are later
 }
 
 // NewLoop returns an empty loop that takes its time from clock.
