--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -18,14 +18,14 @@
 	fd      int
 	handler Handler
 
-	connected      bool // the handshake is complete
-	closing        bool // CloseAfterFlush was called
-	closed         bool // the descriptor is closed
-	registered     bool // with epoll
-	readingStopped bool // StopReading was called
-	peerHalfClosed bool // the peer was seen to have shut down its sending side
-	inputEnded     bool // and all its input has been read
-	flushScheduled bool // the connection is in the loop's toFlush
+	connected      bool   // the handshake is complete
+	closing        bool   // CloseAfterFlush was called
+	closed         bool   // the descriptor is closed
+	registered     bool   // with epoll
+	readingStopped bool   // StopReading was called
+	peerHalfClosed bool   // the peer was seen to have shut down its sending side
+	inputEnded     bool   // and all its input has been read
+	flushScheduled bool   // the connection is in the loop's toFlush
 	interest       uint32 // epoll events that are watched
 
 	unparsed    []byte   // input that the handler has not consumed
--- a/internal/eventloop/conn_test.go
+++ b/internal/eventloop/conn_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"net/netip"
+	"os"
 	"testing"
 	"time"
 
@@ -98,3 +99,51 @@
 		t.Error("never encoded, or still open")
 	}
 }
+
+// queueingMessage is a message that queues more output on its connection while it is encoded.
+type queueingMessage struct {
+	conn    *Conn
+	encoded int // number of calls of Encode
+	written int // number of calls of Written
+}
+
+func (m *queueingMessage) Encode() ([]byte, bool) {
+	m.encoded++
+	m.conn.Write([]byte(" later"))
+	return []byte("message"), m.encoded == 1
+}
+func (m *queueingMessage) Started(bool) {}
+func (m *queueingMessage) Written()     { m.written++ }
+
+// Output that is queued while a message is encoded does not replace the rest of a message of which the peer
+// accepts a part.
+func TestOutputQueuedWhileAMessageIsEncoded(t *testing.T) {
+	l, err := NewLoop(SystemClock())
+	if err != nil {
+		t.Fatal(err)
+	}
+	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	closeAtEnd(t, os.NewFile(uintptr(pair[1]), "peer"))
+	c := &Conn{loop: l, fd: pair[0], handler: discarder{}, connected: true}
+	defer c.Close()
+	substitute(t, func(s *SystemCalls) {
+		original := s.Write
+		s.Write = func(fd int, data []byte) (int, error) { return original(fd, data[:1]) }
+	})
+	message := &queueingMessage{conn: c}
+	c.Send(message)
+	for range len("message later") {
+		c.Flush()
+	}
+	received := make([]byte, 100)
+	n, err := unix.Read(pair[1], received)
+	if err != nil || string(received[:n]) != "message later" {
+		t.Errorf("received %q, %v", received[:max(n, 0)], err)
+	}
+	if message.encoded != 1 || message.written != 1 || l.BufferedBytes() != 0 {
+		t.Errorf("%+v, %d bytes buffered", message, l.BufferedBytes())
+	}
+}
--- a/internal/eventloop/handler.go
+++ b/internal/eventloop/handler.go
@@ -27,6 +27,7 @@
 
 // Message is output that is encoded only when its first byte is about to be written, so that its contents may
 // change or the message be dropped until then. Its methods run on the loop's goroutine and must not block.
+// Encode may queue output on the connection or close it; Started and Written must do neither.
 type Message interface {
 	// Encode returns the bytes, or false when the message must not be sent any more. It is called again when
 	// the peer accepted no byte of it.
--- a/internal/eventloop/output.go
+++ b/internal/eventloop/output.go
@@ -159,12 +159,13 @@
 	if n <= 0 {
 		return false, nil
 	}
-	return c.recordWritten(first, data, n), nil
+	return c.recordWritten(data, n), nil
 }
 
 // recordWritten accounts for the first n bytes of data, the contents of the queue's first entry, as written.
 // It reports whether that was all of it.
-func (c *Conn) recordWritten(first *output, data []byte, n int) (complete bool) {
+func (c *Conn) recordWritten(data []byte, n int) (complete bool) {
+	first := &c.outputQueue[0] // encoding may have queued output, which can move the queue
 	c.lastWrittenAt = c.loop.now
 	if first.message != nil {
 		message := first.message
