--- a/internal/connpool/pools_test.go
+++ b/internal/connpool/pools_test.go
@@ -109,6 +109,18 @@
 	l.Flush()
 }
 
+// turnUntil runs turns of the loop until the condition holds, and fails the test if it never does.
+func turnUntil(t *testing.T, l *eventloop.Loop, condition func() bool, failure string) {
+	t.Helper()
+	for range 1000 {
+		if condition() {
+			return
+		}
+		turn(t, l)
+	}
+	t.Fatal(failure)
+}
+
 // A use that waits for an overdue connection gets another one, and no new use gets the overdue one. This
 // matters since a lost packet of a handshake is retransmitted after a second only, when many requests have
 // reached their deadline.
@@ -120,9 +132,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for !overdue.overdue() {
-		turn(t, l)
-	}
+	turnUntil(t, l, overdue.overdue, "the connection never became overdue")
 	if overdue.Connected() {
 		t.Fatal("the server's queue was not full: nothing is overdue")
 	}
@@ -132,12 +142,7 @@
 		t.Fatal(err)
 	}
 	overdue.Release()
-	for i := 0; !other.Connected(); i++ {
-		turn(t, l)
-		if i == 1000 {
-			t.Fatal("the other connection was never established")
-		}
-	}
+	turnUntil(t, l, other.Connected, "the other connection was never established")
 	if overdue.Connected() {
 		t.Fatal("the overdue connection is established too: nothing was tested")
 	}
@@ -150,12 +155,8 @@
 	if _, err := unix.Write(fd, []byte("x")); err != nil {
 		t.Fatal(err)
 	}
-	for i := 0; other.LastReceived() <= overdue.CreatedAt() || ps.connCount == 0; i++ {
-		turn(t, l)
-		if i == 1000 {
-			t.Fatal("nothing was received")
-		}
-	}
+	hasReceived := func() bool { return other.LastReceived() > overdue.CreatedAt() && ps.connCount > 0 }
+	turnUntil(t, l, hasReceived, "nothing was received")
 	if s, err := ps.Reassign(overdue, acceptsAll); err != nil || !s.Connected() {
 		t.Errorf("a new connection although one is established: %v", err)
 	}
--- a/internal/fastcgi/fastcgi_test.go
+++ b/internal/fastcgi/fastcgi_test.go
@@ -65,6 +65,22 @@
 	return events, nil
 }
 
+// decodeAll decodes data that consists of complete records.
+func decodeAll(t *testing.T, d *Decoder, data []byte) (events []Event) {
+	t.Helper()
+	for len(data) > 0 {
+		used, ev, err := d.Decode(data)
+		if used == 0 || err != nil {
+			t.Fatalf("%d %v", used, err)
+		}
+		data = data[used:]
+		if ev != nil {
+			events = append(events, ev)
+		}
+	}
+	return events
+}
+
 func TestRequestInAnyPieces(t *testing.T) {
 	for _, piece := range []int{1, 7, 1 << 20} {
 		events, err := decode(t, join(completeRequest(1), completeRequest(2)), piece)
@@ -83,13 +99,19 @@
 		in   []byte
 		want Event
 	}{
-		"abort of an open request":          {join(completeRequest(3), record(typeAbort, 3, "")), Abort{ID: 3}},
-		"abort of a partial request":        {join(begin(3, 1, 1), record(typeAbort, 3, "")), Reply{Data: AppendEnd(nil, 3, 1, Complete)}},
+		"abort of an open request": {join(completeRequest(3), record(typeAbort, 3, "")), Abort{ID: 3}},
+		"abort of a partial request": {
+			join(begin(3, 1, 1), record(typeAbort, 3, "")),
+			Reply{Data: AppendEnd(nil, 3, 1, Complete)},
+		},
 		"another role":                      {begin(3, 2, 1), Reply{Data: AppendEnd(nil, 3, 0, UnknownRole)}},
 		"another role, connection not kept": {begin(3, 2, 0), Reply{Data: AppendEnd(nil, 3, 0, UnknownRole), Close: true}},
 		"unknown management record":         {record(77, 0, ""), Reply{Data: unknownType(77)}},
-		"values":                            {record(typeGetValues, 0, params("FCGI_MPXS_CONNS", "")), Reply{Data: record(typeGetResult, 0, params("FCGI_MPXS_CONNS", "1"))}},
-		"records of no open request":        {join(record(typeStdin, 9, "x"), record(typeAbort, 9, "")), nil},
+		"values": {
+			record(typeGetValues, 0, params("FCGI_MPXS_CONNS", "")),
+			Reply{Data: record(typeGetResult, 0, params("FCGI_MPXS_CONNS", "1"))},
+		},
+		"records of no open request": {join(record(typeStdin, 9, "x"), record(typeAbort, 9, "")), nil},
 	} {
 		events, err := decode(t, c.in, 5)
 		if err != nil {
@@ -137,23 +159,22 @@
 		in   []byte
 		want Event
 	}{
-		"params too big": {join(begin(1, 1, 1), record(typeParams, 1, big)), Rejected{1, true, ErrTooLarge}},
-		"params twice":   {join(begin(1, 1, 1), record(typeParams, 1, ""), record(typeParams, 1, "x")), Rejected{1, true, ErrTooLarge}},
-		"body too big":   {join(begin(1, 1, 0), record(typeStdin, 1, big), record(typeStdin, 1, big)), Rejected{1, false, ErrTooLarge}},
-		"too many":       {join(many, begin(1, 1, 1)), Reply{Data: AppendEnd(nil, 1, 0, Overloaded)}},
+		"params too big": {
+			join(begin(1, 1, 1), record(typeParams, 1, big)),
+			Rejected{1, true, ErrTooLarge},
+		},
+		"params twice": {
+			join(begin(1, 1, 1), record(typeParams, 1, ""), record(typeParams, 1, "x")),
+			Rejected{1, true, ErrTooLarge},
+		},
+		"body too big": {
+			join(begin(1, 1, 0), record(typeStdin, 1, big), record(typeStdin, 1, big)),
+			Rejected{1, false, ErrTooLarge},
+		},
+		"too many": {join(many, begin(1, 1, 1)), Reply{Data: AppendEnd(nil, 1, 0, Overloaded)}},
 	} {
 		var d Decoder
-		var events []Event
-		for data := join(c.in, rest); len(data) > 0; {
-			used, ev, err := d.Decode(data)
-			if used == 0 || err != nil {
-				t.Fatalf("%s: %d %v", name, used, err)
-			}
-			data = data[used:]
-			if ev != nil {
-				events = append(events, ev)
-			}
-		}
+		events := decodeAll(t, &d, join(c.in, rest))
 		if len(events) != 1 || !reflect.DeepEqual(events[0], c.want) {
 			t.Errorf("%s: %+v", name, events)
 		}
@@ -171,13 +192,7 @@
 func TestNumbersAndBytesAreGivenBack(t *testing.T) {
 	var d Decoder
 	for range 3 {
-		for data := completeRequest(1); len(data) > 0; {
-			used, _, err := d.Decode(data)
-			if err != nil || used == 0 {
-				t.Fatal(used, err)
-			}
-			data = data[used:]
-		}
+		decodeAll(t, &d, completeRequest(1))
 		if !d.Busy() || d.BufferedBytes() != 0 {
 			t.Fatalf("busy %v, %d bytes buffered", d.Busy(), d.BufferedBytes())
 		}
