--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -18,15 +18,15 @@
 	fd      int
 	handler Handler
 
-	connected      bool // the handshake is complete
-	closing        bool // CloseAfterFlush was called
-	closed         bool // the descriptor is closed
-	registered     bool // with epoll
-	readingStopped bool // StopReading was called
-	peerHalfClosed bool // the peer was seen to have shut down its sending side
-	inputEnded     bool // and all its input has been read
-	flushScheduled bool // the connection is in the loop's toFlush
-	interest       uint32
+	connected      bool   // the handshake is complete
+	closing        bool   // CloseAfterFlush was called
+	closed         bool   // the descriptor is closed
+	registered     bool   // with epoll
+	readingStopped bool   // StopReading was called
+	peerHalfClosed bool   // the peer was seen to have shut down its sending side
+	inputEnded     bool   // and all its input has been read
+	flushScheduled bool   // the connection is in the loop's toFlush
+	interest       uint32 // epoll events that are watched
 
 	unparsed    []byte   // input that the handler has not consumed
 	outputQueue []output // output that has not been written
@@ -101,7 +101,7 @@
 // wantsInput reports whether input is read. While closing it is read in order to be discarded.
 func (c *Conn) wantsInput() bool { return !c.inputEnded && (!c.readingStopped || c.closing) }
 
-// notifyPeerClosing tells a HalfCloser, once, that the peer has shut down its sending side.
+// notifyPeerClosing notifies a HalfCloser, once, that the peer has shut down its sending side.
 func (c *Conn) notifyPeerClosing() {
 	handler, isHalfCloser := c.handler.(HalfCloser)
 	if !isHalfCloser || c.closing || c.peerHalfClosed {
--- a/internal/eventloop/handler.go
+++ b/internal/eventloop/handler.go
@@ -20,13 +20,14 @@
 	// from before that may still be unread. The shutdown took place after the given time; 0: unknown.
 	PeerClosing(after Timestamp)
 	// PeerClosed is called once, when all input from before the shutdown has been passed to Receive. It
-	// reports whether output is still owed; the handler then closes the connection when there is none left.
+	// reports whether output is still owed; the handler then closes the connection when all of it is written.
 	// Otherwise the connection is closed at once.
 	PeerClosed() (owed bool)
 }
 
 // Message is output that is encoded only when its first byte is about to be written, so that its contents may
 // change or the message be dropped until then. Its methods run on the loop's goroutine and must not block.
+// Encode may queue output on the connection or close it; Started and Written must do neither.
 type Message interface {
 	// Encode returns the bytes, or false when the message must not be sent any more. It is called again when
 	// the peer accepted no byte of it.
--- /dev/null
+++ b/internal/fastcgi/decoder.go
@@ -0,0 +1,197 @@
+package fastcgi
+
+import (
+	"encoding/binary"
+	"fmt"
+	"maps"
+	"slices"
+)
+
+// Decoder decodes the records of one connection. The zero value is ready for use.
+type Decoder struct {
+	receiving     map[uint16]*partialRequest // requests that are not complete
+	inProgress    map[uint16]bool            // complete requests that have not been answered
+	bufferedBytes int                        // of the requests in receiving
+}
+
+// partialRequest is a request of which some records have been decoded.
+type partialRequest struct {
+	req        Request
+	params     []byte // encoded pairs, until the empty PARAMS record
+	paramsDone bool
+}
+
+// Done reports to the decoder that a request has been answered or dropped, so that its ID may be reused.
+func (d *Decoder) Done(id uint16) { delete(d.inProgress, id) }
+
+// BufferedBytes is the size of the parameters and bodies of requests that are not complete.
+func (d *Decoder) BufferedBytes() int { return d.bufferedBytes }
+
+// DropPartial drops all requests that are not complete and returns their IDs. Further records of them are
+// ignored.
+func (d *Decoder) DropPartial() []uint16 {
+	ids := slices.Sorted(maps.Keys(d.receiving))
+	clear(d.receiving)
+	d.bufferedBytes = 0
+	return ids
+}
+
+// Receiving reports whether there is a request that is not complete.
+func (d *Decoder) Receiving() bool { return len(d.receiving) > 0 }
+
+// Busy reports whether a request is being received or waits for its answer.
+func (d *Decoder) Busy() bool { return len(d.receiving)+len(d.inProgress) > 0 }
+
+// Decode decodes one record from the start of data. It returns how many bytes the record has, 0 when it is
+// not complete, and the event that the record completed, nil if none. An error is final for the connection.
+func (d *Decoder) Decode(data []byte) (used int, ev Event, err error) {
+	if len(data) < headerBytes {
+		return 0, nil, nil
+	}
+	if data[0] != version {
+		return 0, nil, ErrVersion
+	}
+	used = recordBytes(data)
+	if len(data) < used {
+		return 0, nil, nil
+	}
+	recordType := data[1]
+	id := binary.BigEndian.Uint16(data[2:])
+	content := data[headerBytes : headerBytes+contentBytes(data)]
+	ev, err = d.record(recordType, id, content)
+	return used, ev, err
+}
+
+// MissingBytes is how many bytes the record at the start of data lacks; 0 if it is complete, or its header is
+// not.
+func MissingBytes(data []byte) int {
+	if len(data) < headerBytes {
+		return 0
+	}
+	return max(0, recordBytes(data)-len(data))
+}
+
+// contentBytes is the content length in a record header.
+func contentBytes(header []byte) int { return int(binary.BigEndian.Uint16(header[4:])) }
+
+// recordBytes is the length of a record with its header and padding.
+func recordBytes(header []byte) int {
+	paddingBytes := int(header[6])
+	return headerBytes + contentBytes(header) + paddingBytes
+}
+
+// record handles one complete record.
+func (d *Decoder) record(recordType byte, id uint16, content []byte) (Event, error) {
+	if id == 0 {
+		return management(recordType, content)
+	}
+	switch recordType {
+	case typeBegin:
+		return d.begin(id, content)
+	case typeAbort:
+		return d.abort(id), nil
+	}
+	p := d.receiving[id]
+	if p == nil {
+		return nil, nil // the protocol requires records of unknown requests to be ignored
+	}
+	switch recordType {
+	case typeParams:
+		return d.addParams(p, content)
+	case typeStdin:
+		return d.addBody(p, content)
+	case typeData:
+		return nil, nil // unused in the Responder role
+	}
+	return Reply{Data: unknownType(recordType)}, nil
+}
+
+// begin starts a request.
+func (d *Decoder) begin(id uint16, content []byte) (Event, error) {
+	if len(content) != beginContentBytes {
+		return nil, fmt.Errorf("%w: BEGIN_REQUEST of %d bytes", ErrRecord, len(content))
+	}
+	if d.receiving[id] != nil || d.inProgress[id] {
+		return nil, fmt.Errorf("%w: request %d begun twice", ErrRecord, id)
+	}
+	role := binary.BigEndian.Uint16(content)
+	keepConn := content[2]&flagKeepConn != 0
+	if len(d.receiving)+len(d.inProgress) >= maxRequests {
+		return Reply{Data: AppendEnd(nil, id, 0, Overloaded), Close: !keepConn}, nil
+	}
+	if role != roleResponder {
+		return Reply{Data: AppendEnd(nil, id, 0, UnknownRole), Close: !keepConn}, nil
+	}
+	if d.receiving == nil {
+		d.receiving = map[uint16]*partialRequest{}
+		d.inProgress = map[uint16]bool{}
+	}
+	d.receiving[id] = &partialRequest{req: Request{ID: id, KeepConn: keepConn}}
+	return nil, nil
+}
+
+// abort handles an ABORT_REQUEST. A request that is not complete is answered here, as the application does
+// not know it.
+func (d *Decoder) abort(id uint16) Event {
+	p := d.receiving[id]
+	if p != nil {
+		d.drop(p)
+		return Reply{Data: AppendEnd(nil, id, applicationAborted, Complete), Close: !p.req.KeepConn}
+	}
+	if d.inProgress[id] {
+		return Abort{ID: id}
+	}
+	return nil
+}
+
+// reject drops a request that exceeds a limit. Its further records are ignored.
+func (d *Decoder) reject(p *partialRequest) Rejected {
+	d.drop(p)
+	return Rejected{ID: p.req.ID, KeepConn: p.req.KeepConn, Err: ErrTooLarge}
+}
+
+// drop removes a request that is not complete.
+func (d *Decoder) drop(p *partialRequest) {
+	delete(d.receiving, p.req.ID)
+	d.bufferedBytes -= len(p.params) + len(p.req.Body)
+}
+
+// addParams handles a PARAMS record; an empty one ends the parameters.
+func (d *Decoder) addParams(p *partialRequest, content []byte) (Event, error) {
+	if len(content) > 0 {
+		if p.paramsDone || len(p.params)+len(content) > maxParamBytes {
+			return d.reject(p), nil
+		}
+		p.params = append(p.params, content...)
+		d.bufferedBytes += len(content)
+		return nil, nil
+	}
+	params, err := decodePairs(p.params)
+	if err != nil {
+		return nil, err
+	}
+	d.bufferedBytes -= len(p.params)
+	p.req.Params = params
+	p.req.Script = params["SCRIPT_NAME"]
+	p.params = nil
+	p.paramsDone = true
+	return nil, nil
+}
+
+// addBody handles a STDIN record; an empty one completes the request.
+func (d *Decoder) addBody(p *partialRequest, content []byte) (Event, error) {
+	if len(content) > 0 {
+		if len(p.req.Body)+len(content) > maxBodyBytes {
+			return d.reject(p), nil
+		}
+		p.req.Body = append(p.req.Body, content...)
+		d.bufferedBytes += len(content)
+		return nil, nil
+	}
+	if !p.paramsDone {
+		return nil, fmt.Errorf("%w: STDIN ended before PARAMS", ErrRecord)
+	}
+	d.drop(p)
+	d.inProgress[p.req.ID] = true
+	return &p.req, nil
+}
--- /dev/null
+++ b/internal/fastcgi/pairs.go
@@ -0,0 +1,63 @@
+package fastcgi
+
+import (
+	"encoding/binary"
+	"fmt"
+)
+
+// Name-value pairs are the name's length, the value's length, the name and the value. A length under 128
+// takes one byte, others take four with the top bit set.
+const (
+	maxShortLength  = 0x7f
+	longLengthFlag  = 1 << 31
+	longLengthBytes = 4
+)
+
+// decodePairs decodes a list of name-value pairs.
+func decodePairs(data []byte) (map[string]string, error) {
+	pairs := map[string]string{}
+	for len(data) > 0 {
+		nameLength, nameSize := pairLength(data)
+		valueLength, valueSize := pairLength(data[nameSize:])
+		if nameSize == 0 || valueSize == 0 {
+			return nil, fmt.Errorf("%w: cut name-value pair", ErrRecord)
+		}
+		data = data[nameSize+valueSize:]
+		if nameLength > len(data) || valueLength > len(data)-nameLength {
+			return nil, fmt.Errorf("%w: cut name-value pair", ErrRecord)
+		}
+		name := string(data[:nameLength])
+		pairs[name] = string(data[nameLength : nameLength+valueLength])
+		data = data[nameLength+valueLength:]
+	}
+	return pairs, nil
+}
+
+// pairLength decodes one length. size is how many bytes it takes, 0 if data ends within it.
+func pairLength(data []byte) (length, size int) {
+	if len(data) == 0 {
+		return 0, 0
+	}
+	if data[0] <= maxShortLength {
+		return int(data[0]), 1
+	}
+	if len(data) < longLengthBytes {
+		return 0, 0
+	}
+	return int(binary.BigEndian.Uint32(data) &^ longLengthFlag), longLengthBytes
+}
+
+// appendPair encodes a name-value pair.
+func appendPair(dst []byte, name, value string) []byte {
+	dst = appendPairLength(dst, len(name))
+	dst = appendPairLength(dst, len(value))
+	dst = append(dst, name...)
+	return append(dst, value...)
+}
+
+func appendPairLength(dst []byte, length int) []byte {
+	if length <= maxShortLength {
+		return append(dst, byte(length))
+	}
+	return binary.BigEndian.AppendUint32(dst, uint32(length)|longLengthFlag)
+}
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -51,7 +51,8 @@
 		p.endAttempt(a, resp.Answer{}, policy.ResultNotSent)
 		return
 	}
-	conn, err := p.pools.Acquire(fetch.Target, !q.isIdempotent(), q.fitsOn)
+	use := connpool.UseInfo{NonIdempotent: !q.isIdempotent(), Accepts: q.fitsOn}
+	conn, err := p.pools.Acquire(fetch.Target, use)
 	if err != nil {
 		p.endAttempt(a, resp.Answer{}, resultOfConnectError(err))
 		return
--- /dev/null
+++ b/internal/settings/reload.go
@@ -0,0 +1,113 @@
+package settings
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"maps"
+	"slices"
+)
+
+// CheckAfter reports whether the settings may replace earlier ones while the proxy runs. The proxy's zone,
+// and the indices by which zones and kinds are known, must not change; further zones and kinds may be added
+// at the end.
+func (s Settings) CheckAfter(earlier Settings) error {
+	switch {
+	case s.Policy.Zone != earlier.Policy.Zone:
+		return errors.New("settings: zone has changed")
+	case !hasPrefix(s.Zones, earlier.Zones):
+		return errors.New("settings: areas have changed")
+	case !hasPrefix(s.Kinds, earlier.Kinds):
+		return errors.New("settings: host-types have changed")
+	}
+	return nil
+}
+
+func hasPrefix(list, prefix []string) bool {
+	return len(list) >= len(prefix) && slices.Equal(list[:len(prefix)], prefix)
+}
+
+// MissingKey returns the path of a value in an earlier JSON text that a later one lacks or has with another
+// type; "" if there is none. New keys, and lists that have become longer or shorter, are allowed. Each
+// element of a later list must have the keys that all elements of the earlier list have, as optional keys
+// differ between elements.
+func MissingKey(earlier, later json.RawMessage) (string, error) {
+	var earlierValue, laterValue any
+	if err := json.Unmarshal(earlier, &earlierValue); err != nil {
+		return "", err
+	}
+	if err := json.Unmarshal(later, &laterValue); err != nil {
+		return "", err
+	}
+	return missingPath(earlierValue, laterValue), nil
+}
+
+// missingPath is the path below two values of the first difference that MissingKey reports, "." for a
+// difference of the values themselves.
+func missingPath(earlier, later any) string {
+	switch earlier := earlier.(type) {
+	case nil:
+		return "" // null allows any value, or none
+	case map[string]any:
+		return missingInObject(earlier, later)
+	case []any:
+		return missingInList(earlier, later)
+	}
+	if fmt.Sprintf("%T", earlier) != fmt.Sprintf("%T", later) {
+		return "."
+	}
+	return ""
+}
+
+func missingInObject(earlier map[string]any, later any) string {
+	laterObject, isObject := later.(map[string]any)
+	if !isObject {
+		return "."
+	}
+	for key, value := range earlier {
+		path := missingPath(value, laterObject[key])
+		if path != "" {
+			return "." + key + path
+		}
+	}
+	return ""
+}
+
+func missingInList(earlier []any, later any) string {
+	laterList, isList := later.([]any)
+	if !isList {
+		return "."
+	}
+	shared := sharedKeys(earlier)
+	for i, value := range laterList {
+		path := missingPath(shared, value)
+		if path != "" {
+			return fmt.Sprintf("[%d]%s", i, path)
+		}
+	}
+	return ""
+}
+
+// sharedKeys returns an object with the keys that all elements of a list have, and the first element's
+// values; nil unless the list has elements that are all objects.
+func sharedKeys(list []any) any {
+	if len(list) == 0 {
+		return nil
+	}
+	first, isObject := list[0].(map[string]any)
+	if !isObject {
+		return nil
+	}
+	shared := maps.Clone(first)
+	for _, value := range list[1:] {
+		object, isObject := value.(map[string]any)
+		if !isObject {
+			return nil
+		}
+		maps.DeleteFunc(shared, func(key string, _ any) bool {
+			_, hasKey := object[key]
+			return !hasKey
+		})
+	}
+	return shared
+}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,6 @@
 // Package settings decodes the operators' settings object, the same JSON for the simulator's adapter and for
-// the real proxy, into what package policy and the sockets need to be told.
+// the proxy, into the settings of package policy and those of the proxy's sockets. The names of its keys are
+// those of the operators; this package alone maps them to the terms that the rest of the program uses.
 package settings
 
 import (
@@ -10,154 +11,143 @@
 	"cloverdoor/policy"
 )
 
-// Settings is the decoded object: the module's part, and what only real sockets need.
+// noParents is policy.Settings.ParentKind if there are no parents.
+const noParents = -1
+
+// Settings is the decoded object.
 type Settings struct {
 	Policy policy.Settings
 
-	Zones []string // names, by the index that the module uses
-	Kinds []string
+	Zones []string // names, by the index that package policy uses
+	Kinds []string // names of the kinds of servers, by the index that package policy uses
 
-	MaxDeadline        time.Duration // deadline of all classes; 0: not told
-	ServerIdleTimeout  time.Duration // a cache closes a connection left idle for this long
-	ConnectTimeout     time.Duration
-	HandshakesPriced   bool // new connections are priced
-	MaxOpenRequests    int  // requests that may be open at once; 0: not told
-	MaxStreamsPerConn  int  // attempts that one connection carries together; 0: not told
-	RetryAfterDisabled bool // refused clients are not told when to come again
+	MaxDeadline        time.Duration // the longest deadline of a class; 0: unknown
+	ServerIdleTimeout  time.Duration // servers close a connection that is idle for this long; 0: unknown
+	ConnectTimeout     time.Duration // 0: unknown
+	HandshakesPriced   bool          // new connections have a price
+	MaxOpenRequests    int           // requests that may be open at once; 0: unknown
+	MaxStreamsPerConn  int           // attempts that one connection may carry at once; 0: unknown
+	RetryAfterDisabled bool          // rejected clients get no Retry-After
 
-	read conf
+	document document
 }
 
-// conf mirrors the JSON object; unknown keys are ignored.
-type conf struct {
-	Areas   []string `json:"areas"`
-	Classes []struct {
-		AimStretch float64 `json:"aim-stretch"`
-		Gain       float64 `json:"gain"`
-		Deadline   *int64  `json:"deadline-us"`
-		KeyScope   string  `json:"key-scope"`
-		Name       string  `json:"name"`
-		Promise    int64   `json:"promise-us"`
-		Semantics  string  `json:"semantics"`
-		Stream     bool    `json:"stream"`
-		Window     int64   `json:"window-us"`
-	} `json:"classes"`
-	Costs struct {
-		Handshake float64 `json:"handshake"`
-	} `json:"costs"`
-	Domain struct {
-		AttachedTo        []int     `json:"attached-to"`
-		CanJoin           bool      `json:"can-join"`
-		Fresh             []int64   `json:"class-fresh-us"`
-		ClearedWithin     int64     `json:"cleared-within-us"`
-		CountByZone       []int     `json:"count-by-zone"`
-		Direct            bool      `json:"direct"`
-		Grace             []int64   `json:"grace-for-us"`
-		FlowKBps          float64   `json:"one-flow-kb-per-s"`
-		ParentFloor       float64   `json:"parent-floor"`
-		ParentLimitFactor float64   `json:"parent-limit-factor"`
-		PassOn            []bool    `json:"pass-on"`
-		PeersFill         string    `json:"peers-fill"`
-		PipeKBps          []float64 `json:"pipe-kb-per-s"`
-		PurgeSlack        int64     `json:"purge-slack-us"`
-		RootKind          int       `json:"root-kind"`
-		UpperCold         int64     `json:"upper-cold-us"`
-		UpperKind         *int      `json:"upper-kind"`
-	} `json:"domain"`
-	GroupSize int      `json:"group-size"`
-	Index     int      `json:"index"`
-	HostTypes []string `json:"host-types"`
-	Limits    struct {
-		ConnIdle       int64 `json:"conn-idle-us"`
-		ConnectTimeout int64 `json:"connect-timeout-us"`
-		MaxOpen        int   `json:"max-open"`
-		StreamsPerConn int   `json:"streams-per-conn"`
-		MaxAttempts    *int  `json:"max-attempts"`
-		MaxRetryAfter  int64 `json:"max-retry-after-us"`
-		RetryAfter     *bool `json:"retry-after"`
-		MayCancel      bool  `json:"may-cancel"`
-		SecondCopies   bool  `json:"second-copies"`
-	} `json:"limits"`
-	Rules struct {
-		FallMultiple  float64 `json:"fall-multiple"`
-		Fall          int64   `json:"fall-us"`
-		StartCapacity float64 `json:"start-capacity"`
-		WarmWithin    int64   `json:"warm-within-us"`
-	} `json:"rules"`
-	WeightSource string `json:"weight-source"`
-	Zone         int    `json:"zone"`
+// Decode decodes the settings object. Absent keys have the zero value, which package policy takes as unknown.
+func Decode(raw json.RawMessage) (Settings, error) {
+	var doc document
+	if len(raw) > 0 {
+		if err := json.Unmarshal(raw, &doc); err != nil {
+			return Settings{}, fmt.Errorf("settings: %w", err)
+		}
+	}
+	return Settings{
+		Policy:             doc.policySettings(),
+		Zones:              doc.Zones,
+		Kinds:              doc.Kinds,
+		MaxDeadline:        doc.maxDeadline(),
+		ServerIdleTimeout:  doc.Limits.ServerIdleTimeout.duration(),
+		ConnectTimeout:     doc.Limits.ConnectTimeout.duration(),
+		HandshakesPriced:   doc.Costs.Handshake > 0,
+		MaxOpenRequests:    doc.Limits.MaxOpenRequests,
+		MaxStreamsPerConn:  doc.Limits.MaxStreamsPerConn,
+		RetryAfterDisabled: doc.Limits.RetryAfter != nil && !*doc.Limits.RetryAfter,
+		document:           doc,
+	}, nil
 }
 
-func us(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
-
-func at[T any](list []T, i int) (value T) {
-	if i >= 0 && i < len(list) {
-		value = list[i]
+// policySettings is what package policy uses of the document.
+func (d *document) policySettings() policy.Settings {
+	return policy.Settings{
+		Zone:                    d.Zone,
+		Classes:                 d.classes(),
+		ParentKind:              valueOr(d.Domain.ParentKind, noParents),
+		OriginKind:              d.Domain.OriginKind,
+		Routers:                 d.Routers,
+		RouterIndex:             d.RouterIndex,
+		RoutersInZone:           d.routersInZone(),
+		ZoneHubs:                d.Domain.ZoneHubs,
+		WeightsConfigured:       isSizeWeight(d.WeightSource),
+		TransferKBPerSecond:     d.Domain.TransferKBPerSecond,
+		ZoneLinkTransfers:       d.zoneLinkTransfers(),
+		DirectRequests:          d.Domain.DirectRequests,
+		CoalesceFills:           d.Domain.CoalesceFills,
+		Siblings:                siblingsOf[d.Domain.Siblings],
+		MaxAttempts:             valueOr(d.Limits.MaxAttempts, 0),
+		MayCancel:               d.Limits.MayCancel,
+		Hedging:                 d.Limits.Hedging,
+		MaxRetryAfter:           d.Limits.MaxRetryAfter.duration(),
+		SlowStartCapacity:       d.Rules.SlowStartCapacity,
+		SlowStartDuration:       d.Rules.SlowStartDuration.duration(),
+		OverloadMultiple:        d.Rules.OverloadMultiple,
+		OverloadWindow:          d.Rules.OverloadWindow.duration(),
+		ParentSlowStartCapacity: d.Domain.ParentSlowStartCapacity,
+		ParentSlowStartDuration: d.Domain.ParentSlowStartDuration.duration(),
+		ParentOverloadMultiple:  d.Domain.ParentOverloadMultiple,
+		PurgeGrace:              d.Domain.PurgeGrace.duration(),
+		PurgeCompletedWithin:    d.Domain.PurgeCompletedWithin.duration(),
 	}
-	return value
 }
 
-var effects = map[string]policy.Idempotency{
-	"read_like": policy.Idempotent, "idempotency_key": policy.IdempotencyKey, "non_idempotent": policy.NonIdempotent,
+// classes is the classes of requests, each with its elements of the lists by class.
+func (d *document) classes() []policy.Class {
+	var classes []policy.Class
+	for i, class := range d.Classes {
+		classes = append(classes, policy.Class{
+			Name:                    class.Name,
+			Idempotency:             idempotencyOf[class.Idempotency],
+			DeduplicationScope:      scopeOf[class.DeduplicationScope],
+			DeduplicationWindow:     class.DeduplicationWindow.duration(),
+			LatencyObjective:        class.LatencyObjective.duration(),
+			LatencyObjectiveStretch: class.LatencyObjectiveStretch,
+			PriorityWeight:          class.PriorityWeight,
+			FreshFor:                elementOrZero(d.Domain.FreshFor, i).duration(),
+			StaleFor:                elementOrZero(d.Domain.StaleFor, i).duration(),
+			Uncacheable:             elementOrZero(d.Domain.Uncacheable, i),
+			Stream:                  class.Stream,
+		})
+	}
+	return classes
 }
 
-var scopes = map[string]policy.DeduplicationScope{"all": policy.ScopeAll, "zone": policy.ScopeZone, "cell": policy.ScopeCell}
-
-var siblings = map[string]policy.Siblings{"location": policy.SiblingsZone, "any": policy.SiblingsAny}
-
-// Decode reads the settings object. Absent keys keep their zero value, which the module takes as 'not told'.
-func Decode(raw json.RawMessage) (Settings, error) {
-	var c conf
-	if len(raw) > 0 {
-		if err := json.Unmarshal(raw, &c); err != nil {
-			return Settings{}, fmt.Errorf("settings: %w", err)
-		}
-	}
-	d := c.Domain
-	s := policy.Settings{
-		Zone: c.Zone, ParentKind: -1, OriginKind: d.RootKind, Routers: c.GroupSize, RouterIndex: c.Index,
-		ZoneHubs: d.AttachedTo, WeightsConfigured: c.WeightSource == "nominal" || c.WeightSource == "rough",
-		TransferKBPerSecond: d.FlowKBps, DirectRequests: d.Direct, CoalesceFills: d.CanJoin,
-		Siblings:  siblings[d.PeersFill],
-		MayCancel: c.Limits.MayCancel, Hedging: c.Limits.SecondCopies,
-		MaxRetryAfter:     us(c.Limits.MaxRetryAfter),
-		SlowStartCapacity: c.Rules.StartCapacity,
-		SlowStartDuration: us(c.Rules.WarmWithin), OverloadMultiple: c.Rules.FallMultiple, OverloadWindow: us(c.Rules.Fall),
-		ParentSlowStartCapacity: d.ParentFloor, ParentSlowStartDuration: us(d.UpperCold),
-		ParentOverloadMultiple: d.ParentLimitFactor,
-		PurgeGrace:             us(d.PurgeSlack), PurgeCompletedWithin: us(d.ClearedWithin),
-	}
-	if d.FlowKBps > 0 {
-		s.ZoneLinkTransfers = at(d.PipeKBps, c.Zone) / d.FlowKBps
+// maxDeadline is the longest deadline of a class, 0 if no class has one.
+func (d *document) maxDeadline() time.Duration {
+	var longest time.Duration
+	for _, class := range d.Classes {
+		longest = max(longest, valueOr(class.Deadline, 0).duration())
 	}
-	if c.Zone >= 0 && c.Zone < len(d.CountByZone) {
-		s.RoutersInZone = max(1, d.CountByZone[c.Zone])
+	return longest
+}
+
+// routersInZone is how many proxies this proxy's zone has, at least itself; 0: unknown.
+func (d *document) routersInZone() int {
+	if d.Zone < 0 || d.Zone >= len(d.Domain.RoutersByZone) {
+		return 0
 	}
-	if c.Limits.MaxAttempts != nil {
-		s.MaxAttempts = *c.Limits.MaxAttempts
+	return max(1, d.Domain.RoutersByZone[d.Zone])
+}
+
+// zoneLinkTransfers is how many transfers to one client the link into this proxy's zone carries at once; 0:
+// unknown.
+func (d *document) zoneLinkTransfers() float64 {
+	if d.Domain.TransferKBPerSecond <= 0 {
+		return 0
 	}
-	if d.UpperKind != nil {
-		s.ParentKind = *d.UpperKind
+	return elementOrZero(d.Domain.LinkKBPerSecond, d.Zone) / d.Domain.TransferKBPerSecond
+}
+
+// elementOrZero is list[i], or the zero value if there is no such element.
+func elementOrZero[T any](list []T, i int) T {
+	if i < 0 || i >= len(list) {
+		var zero T
+		return zero
 	}
-	var longest time.Duration
-	for i, k := range c.Classes {
-		if k.Deadline != nil {
-			longest = max(longest, us(*k.Deadline))
-		}
-		s.Classes = append(s.Classes, policy.Class{
-			Name: k.Name, Idempotency: effects[k.Semantics], DeduplicationScope: scopes[k.KeyScope], DeduplicationWindow: us(k.Window),
-			LatencyObjective: us(k.Promise), LatencyObjectiveStretch: k.AimStretch,
-			PriorityWeight: k.Gain,
-			FreshFor:       us(at(d.Fresh, i)), StaleFor: us(at(d.Grace, i)),
-			Uncacheable: at(d.PassOn, i), Stream: k.Stream,
-		})
+	return list[i]
+}
+
+// valueOr is *p, or the default if p is nil.
+func valueOr[T any](p *T, otherwise T) T {
+	if p == nil {
+		return otherwise
 	}
-	return Settings{
-		Policy: s, Zones: c.Areas, Kinds: c.HostTypes,
-		MaxDeadline: longest, ServerIdleTimeout: us(c.Limits.ConnIdle), ConnectTimeout: us(c.Limits.ConnectTimeout),
-		HandshakesPriced: c.Costs.Handshake > 0,
-		MaxOpenRequests:  c.Limits.MaxOpen, MaxStreamsPerConn: c.Limits.StreamsPerConn,
-		RetryAfterDisabled: c.Limits.RetryAfter != nil && !*c.Limits.RetryAfter,
-		read:               c,
-	}, nil
+	return *p
 }
--- /dev/null
+++ b/internal/simwire/decode.go
@@ -0,0 +1,99 @@
+package simwire
+
+import "cloverdoor/policy"
+
+// stateOf maps the states of endpoints. Any other value means policy.Removed.
+var stateOf = map[int]policy.State{
+	1: policy.Draining,
+	2: policy.Ready,
+}
+
+// resultOf maps the results of attempts. Any other value means policy.ResultError: the attempt may have been
+// executed.
+var resultOf = map[int]policy.Result{
+	0:   policy.ResultOK,
+	2:   policy.ResultNotFound,
+	5:   policy.ResultError,
+	11:  policy.ResultRejected,
+	104: policy.ResultReset,
+	110: policy.ResultTimeout,
+	111: policy.ResultConnectFailed,
+	114: policy.ResultNotSent,
+	125: policy.ResultCancelled,
+}
+
+// cacheStatusOf converts a cache status, which package policy numbers as the simulator does. Unknown ones
+// mean policy.CacheStatusNone.
+func cacheStatusOf(number int) policy.CacheStatus {
+	if number < int(policy.CacheStatusNone) || number > int(policy.CacheStatusOriginFailed) {
+		return policy.CacheStatusNone
+	}
+	return policy.CacheStatus(number)
+}
+
+// decodeEndpoints converts a numbered list.
+func decodeEndpoints(list []endpoint) []policy.Endpoint {
+	endpoints := make([]policy.Endpoint, 0, len(list))
+	for _, e := range list {
+		endpoints = append(endpoints, policy.Endpoint{
+			ID:      e.ID,
+			State:   stateOf[e.State],
+			Started: e.Started.duration(),
+			Kind:    e.Kind,
+			Zone:    e.Zone,
+			Weight:  e.Weight,
+			Cell:    e.Cell,
+		})
+	}
+	return endpoints
+}
+
+// decodeEvent converts an event for one instance. It returns nil for an event that package policy has no use
+// for.
+func (h *Host) decodeEvent(e *event) policy.Event {
+	switch e.Name {
+	case eventEndpointUpdate:
+		return h.decodeEndpointUpdate(e)
+	case eventRequest:
+		return policy.Request{
+			ID:        e.Request,
+			Object:    e.Object,
+			Part:      int(e.Part),
+			Group:     int(e.Group),
+			Class:     e.Class,
+			SizeKB:    e.SizeKB,
+			Remaining: e.Remaining.duration(),
+		}
+	case eventOutcome:
+		return policy.Outcome{
+			ID:              e.Request,
+			Attempt:         e.Attempt,
+			Result:          resultOf[e.Result],
+			CacheStatus:     cacheStatusOf(e.CacheStatus),
+			Elapsed:         e.Elapsed.duration(),
+			SourceFirstByte: e.SourceFirstByte.duration(),
+			RequestFinished: e.RequestFinished,
+		}
+	case eventStreamStarted:
+		return policy.StreamStarted{ID: e.Request, Attempt: e.Attempt}
+	case eventPurge:
+		return policy.Purge{Object: e.Object, Group: int(e.Group), Age: e.Age.duration()}
+	case eventClientDisconnected:
+		return policy.ClientDisconnected{ID: e.Request}
+	case eventTimerFired:
+		return policy.TimerFired{Token: e.Token}
+	}
+	return nil
+}
+
+// decodeEndpointUpdate resolves the numbered list that an update refers to. An update that failed brings
+// nothing.
+func (h *Host) decodeEndpointUpdate(e *event) policy.Event {
+	switch e.UpdateMode {
+	case updateChanges:
+		return policy.EndpointUpdate{Endpoints: h.endpointLists[e.ListNumber]}
+	case updateFull, updateFullCached:
+		return policy.EndpointUpdate{Full: true, Endpoints: h.endpointLists[e.ListNumber]}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/watch/decode.go
@@ -0,0 +1,118 @@
+package watch
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"strconv"
+)
+
+// Parts of an event on the wire.
+const (
+	partIndex     = "index"
+	partEndpoints = "endpoints"
+	partPurge     = "evict"
+)
+
+// Decode decodes one line, without its line feed.
+func Decode(line []byte) (Event, error) {
+	line = bytes.TrimSpace(line)
+	index, err := strconv.ParseInt(string(line), 10, 64)
+	if err == nil && index >= 0 {
+		return Event{Index: index}, nil
+	}
+	var e Event
+	if err := json.Unmarshal(line, &e); err != nil {
+		return Event{}, fmt.Errorf("%w: %w", ErrLine, err)
+	}
+	return e, nil
+}
+
+// UnmarshalJSON decodes what it can of an event: a part that this version does not know must not hide the
+// others. Only an event without an index of its own is an error.
+func (e *Event) UnmarshalJSON(text []byte) error {
+	var number struct {
+		Index int64 `json:"index"`
+	}
+	var parts map[string]json.RawMessage
+	if err := errors.Join(json.Unmarshal(text, &number), json.Unmarshal(text, &parts)); err != nil {
+		return err
+	}
+	if number.Index <= 0 {
+		return fmt.Errorf("%w: no index", ErrLine)
+	}
+	*e = Event{Index: number.Index}
+	for name, part := range parts {
+		e.decodePart(name, part)
+	}
+	return nil
+}
+
+// decodePart decodes one part of an event. Unknown parts count as unreadable.
+func (e *Event) decodePart(name string, part json.RawMessage) {
+	if string(part) == "null" {
+		return
+	}
+	switch name {
+	case partIndex:
+		return // UnmarshalJSON has decoded it
+	case partEndpoints:
+		e.decodeEndpoints(part)
+	case partPurge:
+		e.decodePurge(part)
+	default:
+		e.Unreadable++
+	}
+}
+
+func (e *Event) decodeEndpoints(text json.RawMessage) {
+	var update struct {
+		Full    bool              `json:"full"`
+		Servers []json.RawMessage `json:"servers"`
+	}
+	if json.Unmarshal(text, &update) != nil {
+		e.Unreadable++
+		return
+	}
+	e.Endpoints = &EndpointUpdate{Full: update.Full}
+	for _, entry := range update.Servers {
+		endpoint, hasID := e.decodeEndpoint(entry)
+		if hasID {
+			e.Endpoints.Endpoints = append(e.Endpoints.Endpoints, endpoint)
+		}
+	}
+}
+
+// decodeEndpoint decodes one entry of the endpoint list. An entry with an ID that is not legible otherwise
+// counts as deleted.
+func (e *Event) decodeEndpoint(text json.RawMessage) (endpoint Endpoint, hasID bool) {
+	err := json.Unmarshal(text, &endpoint)
+	if err == nil && isKnownState(endpoint.State) && endpoint.ID != "" {
+		return endpoint, true
+	}
+	e.Unreadable++
+	var entry struct {
+		ID string `json:"id"`
+	}
+	if json.Unmarshal(text, &entry) != nil || entry.ID == "" {
+		return Endpoint{}, false
+	}
+	return Endpoint{ID: entry.ID, State: StateDeleted}, true
+}
+
+func isKnownState(state string) bool {
+	return state == StateServing || state == StateDraining || state == StateDeleted
+}
+
+// decodePurge decodes a purge. One that does not say legibly what to purge is a purge of everything.
+func (e *Event) decodePurge(text json.RawMessage) {
+	var purge Purge
+	err := json.Unmarshal(text, &purge)
+	if err == nil && (purge.Object != "" || purge.Group != nil) {
+		e.Purge = &purge
+		return
+	}
+	e.Unreadable++
+	e.Purge = &Purge{}
+}
