--- a/internal/relay/conn.go
+++ b/internal/relay/conn.go
@@ -1,158 +1,177 @@
 package relay
 
 import (
-	"cloverdoor/internal/fault"
 	"context"
 	"errors"
 	"io"
 	"net"
 	"sync"
 	"time"
+
+	"cloverdoor/internal/fault"
+)
+
+const (
+	readBufferSize    = 16 << 10 // bytes
+	maxPendingOutputs = 32       // of one direction that wait for their time, each of readBufferSize at most
+	dialTimeout       = 5 * time.Second
 )
 
-// relayedConn is one relayed connection.
+// relayedConn is one relayed connection. It owns both ends: close closes them.
 type relayedConn struct {
-	relay  *Relay
-	ctx    context.Context
-	cancel context.CancelFunc
-	planMu sync.Mutex // of plan
-	plan   *fault.ConnPlan
-	ends   [2]*net.TCPConn // of whoever connected, of the target
-	once   sync.Once
+	relay     *Relay
+	ctx       context.Context // ends when the connection is closed, or with the relay
+	cancel    context.CancelFunc
+	planMu    sync.Mutex
+	plan      *fault.ConnPlan // under planMu
+	client    *net.TCPConn
+	target    *net.TCPConn
+	closeOnce sync.Once
 }
 
-// relayConn carries one connection until both directions have ended.
+// relayConn relays one accepted connection until both directions have ended. Where the target refuses, the client gets
+// a reset: its connection has been established already.
 func (r *Relay) relayConn(link fault.Link, number int, client *net.TCPConn) {
 	dialer := net.Dialer{Timeout: dialTimeout}
-	conn, err := dialer.DialContext(r.ctx, "tcp", link.Target.String())
-	if err != nil { // the target's refusal is passed on as a reset: the connection has come up already
+	target, err := dialer.DialContext(r.ctx, "tcp", link.Target.String())
+	if err != nil {
 		reset(client)
 		return
 	}
 	ctx, cancel := context.WithCancel(r.ctx)
-	p := &relayedConn{relay: r, ctx: ctx, cancel: cancel, plan: r.script.PlanConn(link.Name, number, r.now()),
-		ends: [2]*net.TCPConn{client, conn.(*net.TCPConn)}}
-	context.AfterFunc(ctx, func() { p.close(fault.EndClosed) })
 	defer cancel()
-	r.recordAll(p.plan.TakeFirings())
-	var both sync.WaitGroup
-	for _, d := range []fault.Direction{fault.Up, fault.Down} {
-		both.Go(func() { p.relayDirection(d) })
+	c := &relayedConn{
+		relay: r, ctx: ctx, cancel: cancel, plan: r.script.PlanConn(link.Name, number, r.now()),
+		client: client, target: target.(*net.TCPConn),
 	}
-	both.Wait()
+	context.AfterFunc(ctx, func() { c.close(fault.EndClosed) })
+	r.recordAll(c.plan.TakeFirings())
+	var directions sync.WaitGroup
+	directions.Go(func() { c.relayDirection(fault.Up, c.client, c.target) })
+	directions.Go(func() { c.relayDirection(fault.Down, c.target, c.client) })
+	directions.Wait()
 }
 
-// relayDirection reads one direction, and writes what the plan makes of it.
-func (p *relayedConn) relayDirection(d fault.Direction) {
-	from, to := p.ends[0], p.ends[1]
-	if d == fault.Down {
-		from, to = to, from
-	}
-	ops := make(chan fault.Output, maxPendingOutputs)
-	stream := p.plan.Stream(d)
-	p.fireDue(stream, to)
-	for _, at := range p.pendingTimes(stream) {
-		p.relay.runAt(p.ctx, at, func() { p.fireDue(stream, to) })
+// relayDirection reads one direction, and has a goroutine of its own write what the plan makes of it.
+func (c *relayedConn) relayDirection(d fault.Direction, from, to *net.TCPConn) {
+	outputs := make(chan fault.Output, maxPendingOutputs)
+	stream := c.plan.Stream(d)
+	c.fireDue(stream, to)
+	for _, due := range c.pendingTimes(stream) {
+		c.relay.runAt(c.ctx, due, func() { c.fireDue(stream, to) })
 	}
 	var writer sync.WaitGroup
-	writer.Go(func() { p.write(to, ops) })
-	p.read(from, stream, ops)
-	close(ops)
+	writer.Go(func() { c.write(to, outputs) })
+	c.read(from, stream, outputs)
+	close(outputs)
 	writer.Wait()
 }
 
-func (p *relayedConn) pendingTimes(s *fault.StreamPlan) []time.Duration {
-	p.planMu.Lock()
-	defer p.planMu.Unlock()
+func (c *relayedConn) pendingTimes(s *fault.StreamPlan) []time.Duration {
+	c.planMu.Lock()
+	defer c.planMu.Unlock()
 	return s.PendingTimes()
 }
 
-// fireDue looks at the rules by time while nothing comes. What ends the stream ends it here: the reader may be blocked.
-func (p *relayedConn) fireDue(s *fault.StreamPlan, to *net.TCPConn) {
-	p.planMu.Lock()
-	ops := s.Advance(p.relay.now())
-	events := p.plan.TakeFirings()
-	p.planMu.Unlock()
-	p.relay.recordAll(events)
-	for _, op := range ops {
-		p.applyEnding(to, op.Ending)
+// fireDue fires the rules by time that are due. It applies their endings itself: the reader may be blocked in a read.
+func (c *relayedConn) fireDue(s *fault.StreamPlan, to *net.TCPConn) {
+	c.planMu.Lock()
+	outputs := s.Advance(c.relay.now())
+	firings := c.plan.TakeFirings()
+	c.planMu.Unlock()
+	c.relay.recordAll(firings)
+	for _, o := range outputs {
+		c.applyEnding(to, o.Ending)
 	}
 }
 
-func (p *relayedConn) read(from *net.TCPConn, s *fault.StreamPlan, ops chan<- fault.Output) {
+// read reads until the stream or the connection ends.
+func (c *relayedConn) read(from *net.TCPConn, s *fault.StreamPlan, outputs chan<- fault.Output) {
 	buffer := make([]byte, readBufferSize)
 	for {
 		n, err := from.Read(buffer)
-		p.planMu.Lock()
-		out := s.Feed(buffer[:n], p.relay.now())
-		if err != nil {
-			out = append(out, s.CloseInput(p.relay.now())...)
+		planned := c.feed(s, buffer[:n], err != nil)
+		if err != nil && !errors.Is(err, io.EOF) {
+			c.close(fault.EndReset) // the other end gets a reset too
+			return
 		}
-		events := p.plan.TakeFirings()
-		p.planMu.Unlock()
-		p.relay.recordAll(events)
-		if err != nil && !errors.Is(err, io.EOF) { // a reset is passed on as one
-			p.close(fault.EndReset)
+		if !c.enqueue(planned, outputs) || err != nil {
 			return
 		}
-		for _, op := range out {
-			select {
-			case ops <- op:
-			case <-p.ctx.Done():
-				return
-			}
-			if op.Ending != fault.NotEnded {
-				return
-			}
+	}
+}
+
+// feed passes what was read to the plan, records what fires, and returns what is to be written.
+func (c *relayedConn) feed(s *fault.StreamPlan, data []byte, inputEnded bool) []fault.Output {
+	c.planMu.Lock()
+	planned := s.Feed(data, c.relay.now())
+	if inputEnded {
+		planned = append(planned, s.CloseInput(c.relay.now())...)
+	}
+	firings := c.plan.TakeFirings()
+	c.planMu.Unlock()
+	c.relay.recordAll(firings)
+	return planned
+}
+
+// enqueue passes outputs to the writer. It reports false once the stream or the connection has ended.
+func (c *relayedConn) enqueue(planned []fault.Output, outputs chan<- fault.Output) bool {
+	for _, o := range planned {
+		select {
+		case outputs <- o:
+		case <-c.ctx.Done():
+			return false
 		}
-		if err != nil {
-			return
+		if o.Ending != fault.NotEnded {
+			return false
 		}
 	}
+	return true
 }
 
-func (p *relayedConn) write(to *net.TCPConn, ops <-chan fault.Output) {
-	for op := range ops {
-		if !p.relay.sleepUntil(p.ctx, op.Due) {
+// write writes each output at its time, until the channel is closed or the connection has ended.
+func (c *relayedConn) write(to *net.TCPConn, outputs <-chan fault.Output) {
+	for o := range outputs {
+		if !c.relay.sleepUntil(c.ctx, o.Due) {
 			return
 		}
-		if len(op.Data) > 0 {
-			if _, err := to.Write(op.Data); err != nil {
-				p.close(fault.EndReset)
+		if len(o.Data) > 0 {
+			if _, err := to.Write(o.Data); err != nil {
+				c.close(fault.EndReset)
 				return
 			}
 		}
-		p.applyEnding(to, op.Ending)
+		c.applyEnding(to, o.Ending)
 	}
 }
 
-// applyEnding ends one direction as the plan has it.
-func (p *relayedConn) applyEnding(to *net.TCPConn, how fault.Ending) {
-	switch how {
+// applyEnding ends one direction, or the connection, as the plan says.
+func (c *relayedConn) applyEnding(to *net.TCPConn, ending fault.Ending) {
+	switch ending {
 	case fault.NotEnded:
 	case fault.EndHalfClosed:
-		to.CloseWrite() //nolint:errcheck // it may have ended
+		to.CloseWrite() //nolint:errcheck // the connection may have ended
 	default:
-		p.close(how)
+		c.close(ending)
 	}
 }
 
-// close ends both sides of the connection, once.
-func (p *relayedConn) close(how fault.Ending) {
-	p.once.Do(func() {
-		for _, c := range p.ends {
-			if how == fault.EndReset {
-				reset(c)
+// close closes both ends, with RST if the ending is a reset. Only the first call has an effect.
+func (c *relayedConn) close(ending fault.Ending) {
+	c.closeOnce.Do(func() {
+		for _, conn := range []*net.TCPConn{c.client, c.target} {
+			if ending == fault.EndReset {
+				reset(conn)
 			} else {
-				c.Close() //nolint:errcheck // it may have ended
+				conn.Close() //nolint:errcheck // the peer may have closed it
 			}
 		}
-		p.cancel()
+		c.cancel()
 	})
 }
 
-// reset ends a connection with RST.
-func reset(c *net.TCPConn) {
-	c.SetLinger(0) //nolint:errcheck // it may have ended
-	c.Close()      //nolint:errcheck // as above
+// reset closes a connection with RST.
+func reset(conn *net.TCPConn) {
+	conn.SetLinger(0) //nolint:errcheck // the peer may have closed it
+	conn.Close()      //nolint:errcheck // as above
 }
--- a/internal/relay/listener.go
+++ b/internal/relay/listener.go
@@ -1,191 +1,237 @@
 package relay
 
 import (
-	"cloverdoor/internal/fault"
 	"errors"
 	"net"
 	"sync"
 	"time"
 
+	"cloverdoor/internal/fault"
+
 	"golang.org/x/sys/unix"
 )
 
-// acceptQueueSize is how many connections may wait to be accepted.
-const acceptQueueSize = 128
+const (
+	// acceptQueueSize is how many connections may wait to be accepted while the link is not stalled.
+	acceptQueueSize = 128
+	// maxFillers is how many connections are tried to fill the queue of a stalled link.
+	maxFillers = 4
+	// fillerTimeout is after how long a connect counts as not accepted: the queue is full.
+	fillerTimeout = 50 * time.Millisecond
+	// reopenInterval is the time between two attempts to listen again on an address that another socket has taken.
+	reopenInterval = 10 * time.Millisecond
+	// changePollInterval is how often the accepting goroutine looks for a new listener that it was not notified of.
+	changePollInterval = 20 * time.Millisecond
+)
 
-// linkListener is the listening side of a link. While it refuses, it does not listen; while it stalls, its queue is full, and
-// further connects do not come up.
+// linkListener is the listening side of a link. While a Refuse rule is in force it does not listen; while a Stall rule
+// is, its queue is full, and further connects time out.
 type linkListener struct {
 	relay    *Relay
 	link     fault.Link
 	addr     net.Addr
-	mu       sync.Mutex
-	listener *net.TCPListener // nil: it refuses
+	mu       sync.Mutex       // of the fields below
+	listener *net.TCPListener // nil: connects are refused
 	closed   bool
-	changed  chan struct{}       // closed when ln has changed
-	fillers  map[string]net.Conn // own connections that fill the queue, by their own address
-	accepted int
+	changed  chan struct{}       // closed when listener has changed, or accepts again
+	fillers  map[string]net.Conn // own connections that fill the queue, by their local address
+	accepted int                 // connections so far, without the fillers
 }
 
+// openLink listens on a link's address, and schedules the rules that keep its first connection out.
 func (r *Relay) openLink(link fault.Link) (*linkListener, error) {
-	g := &linkListener{relay: r, link: link, changed: make(chan struct{}), fillers: map[string]net.Conn{}}
-	ln, err := net.Listen("tcp", link.Listen.String())
+	l := &linkListener{relay: r, link: link, changed: make(chan struct{}), fillers: map[string]net.Conn{}}
+	listener, err := net.Listen("tcp", link.Listen.String())
 	if err != nil {
 		return nil, err
 	}
-	g.listener, g.addr = ln.(*net.TCPListener), ln.Addr()
+	l.listener = listener.(*net.TCPListener)
+	l.addr = listener.Addr()
 	for _, rule := range r.script.Rules {
-		if rule.Link == link.Name && (rule.Kind == fault.Refuse || rule.Kind == fault.Stall) && rule.ConnNumber <= 1 {
-			r.runAt(r.ctx, max(rule.Trigger.Time, 0), func() { g.block(rule) })
+		if l.blocksConnects(rule) && rule.ConnNumber <= 1 {
+			r.runAt(r.ctx, max(rule.Trigger.Time, 0), func() { l.block(rule) })
 		}
 	}
-	return g, nil
+	return l, nil
+}
+
+// blocksConnects reports whether a rule keeps connections of this link out.
+func (l *linkListener) blocksConnects(rule fault.Rule) bool {
+	return rule.Link == l.link.Name && rule.Kind.AffectsConnects()
 }
 
-// block keeps new connections out for a time.
-func (g *linkListener) block(rule fault.Rule) {
-	begin, end := g.refuse, g.reopen
+// block keeps new connections out for the duration of a rule.
+func (l *linkListener) block(rule fault.Rule) {
+	end := l.reopen
 	if rule.Kind == fault.Stall {
-		begin, end = g.stall, g.endStall
-	}
-	begin()
-	g.relay.recordAll([]fault.Firing{{Link: g.link.Name, ConnNumber: rule.ConnNumber, Direction: fault.Both, Offset: -1, ScriptLine: rule.ScriptLine, Kind: rule.Kind}})
-	g.relay.runAt(g.relay.ctx, g.relay.now()+rule.Duration, end)
+		l.stall()
+		end = l.endStall
+	} else {
+		l.refuse()
+	}
+	l.relay.recordAll([]fault.Firing{{
+		Link: l.link.Name, ConnNumber: rule.ConnNumber, Direction: fault.Both, Offset: fault.NoOffset,
+		ScriptLine: rule.ScriptLine, Kind: rule.Kind,
+	}})
+	l.relay.runAt(l.relay.ctx, l.relay.now()+rule.Duration, end)
+}
+
+// setListener replaces the listener and notifies the accepting goroutine. The caller holds mu.
+func (l *linkListener) setListener(listener *net.TCPListener) {
+	l.listener = listener
+	l.notifyChanged()
 }
 
-// setListener changes the listener.
-func (g *linkListener) setListener(ln *net.TCPListener) {
-	g.listener = ln
-	close(g.changed)
-	g.changed = make(chan struct{})
+// notifyChanged wakes the accepting goroutine. The caller holds mu.
+func (l *linkListener) notifyChanged() {
+	close(l.changed)
+	l.changed = make(chan struct{})
 }
 
-func (g *linkListener) refuse() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.listener != nil {
-		g.listener.Close() //nolint:errcheck // it listens no more in any case
-		g.setListener(nil)
+// refuse closes the listener.
+func (l *linkListener) refuse() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.listener != nil {
+		l.listener.Close() //nolint:errcheck // it is not used any more
+		l.setListener(nil)
 	}
 }
 
-// reopen opens the address again. Whoever took it meanwhile is tried against until the relay ends.
-func (g *linkListener) reopen() {
-	for {
-		g.mu.Lock()
-		if g.listener != nil || g.closed {
-			g.mu.Unlock()
-			return
-		}
-		ln, err := net.Listen("tcp", g.addr.String())
-		if err == nil {
-			g.setListener(ln.(*net.TCPListener))
-		}
-		g.mu.Unlock()
-		if err == nil || !g.relay.sleepUntil(g.relay.ctx, g.relay.now()+10*time.Millisecond) {
+// reopen listens on the address again. Where another socket has taken it, reopen tries until the relay is closed.
+func (l *linkListener) reopen() {
+	for !l.tryReopen() {
+		if !l.relay.sleepUntil(l.relay.ctx, l.relay.now()+reopenInterval) {
 			return
 		}
 	}
 }
 
-// setQueueSize sets how many connections may wait; a listening socket takes a new figure.
-func (g *linkListener) setQueueSize(n int) error {
-	raw, err := g.listener.SyscallConn()
+// tryReopen reports whether nothing is left to do: the link listens, or is closed.
+func (l *linkListener) tryReopen() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.listener != nil || l.closed {
+		return true
+	}
+	listener, err := net.Listen("tcp", l.addr.String())
+	if err != nil {
+		return false
+	}
+	l.setListener(listener.(*net.TCPListener))
+	return true
+}
+
+// setQueueSize sets how many connections may wait to be accepted; the system takes a new value for a listening socket.
+// The caller holds mu.
+func (l *linkListener) setQueueSize(size int) error {
+	raw, err := l.listener.SyscallConn()
 	if err != nil {
 		return err
 	}
-	var failed error
-	err = raw.Control(func(fd uintptr) { failed = unix.Listen(int(fd), n) })
-	return errors.Join(err, failed)
+	var listenErr error
+	err = raw.Control(func(fd uintptr) { listenErr = unix.Listen(int(fd), size) })
+	return errors.Join(err, listenErr)
 }
 
-// stall makes the queue short and fills it.
-func (g *linkListener) stall() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.listener == nil || g.setQueueSize(0) != nil {
+// stall stops accepting, makes the queue short and fills it with own connections.
+func (l *linkListener) stall() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.listener == nil || l.setQueueSize(0) != nil {
 		return
 	}
-	g.listener.SetDeadline(time.Unix(1, 0)) //nolint:errcheck // accepting stops: whoever waits in Accept goes on
-	for range 4 {                           // until one does not come up
-		c, err := net.DialTimeout("tcp", g.addr.String(), 50*time.Millisecond)
+	past := time.Unix(1, 0)
+	l.listener.SetDeadline(past) //nolint:errcheck // a listener that is closed accepts nothing either
+	for range maxFillers {
+		filler, err := net.DialTimeout("tcp", l.addr.String(), fillerTimeout)
 		if err != nil {
-			return
+			return // the queue is full
 		}
-		g.fillers[c.LocalAddr().String()] = c
+		l.fillers[filler.LocalAddr().String()] = filler
 	}
 }
 
-func (g *linkListener) endStall() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.listener != nil {
-		g.setQueueSize(acceptQueueSize)     //nolint:errcheck // it stays short then
-		g.listener.SetDeadline(time.Time{}) //nolint:errcheck // a live listener takes it
-		close(g.changed)
-		g.changed = make(chan struct{})
+// endStall accepts again.
+func (l *linkListener) endStall() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.listener == nil {
+		return
 	}
+	l.setQueueSize(acceptQueueSize)     //nolint:errcheck // a short queue accepts as well
+	l.listener.SetDeadline(time.Time{}) //nolint:errcheck // it fails only for a closed listener
+	l.notifyChanged()
 }
 
-func (g *linkListener) close() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.closed = true
-	if g.listener != nil {
-		g.listener.Close() //nolint:errcheck // it listens no more in any case
+// close closes the listener and the connections that fill its queue.
+func (l *linkListener) close() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.closed = true
+	if l.listener != nil {
+		l.listener.Close() //nolint:errcheck // it is not used any more
 	}
-	for _, c := range g.fillers {
-		c.Close() //nolint:errcheck // its end is what counts
+	for _, filler := range l.fillers {
+		filler.Close() //nolint:errcheck // it is not used any more
 	}
 }
 
-// serve accepts until the relay ends.
-func (g *linkListener) serve() {
-	for g.relay.ctx.Err() == nil {
-		g.mu.Lock()
-		ln, changed := g.listener, g.changed
-		g.mu.Unlock()
-		var conn *net.TCPConn
-		err := net.ErrClosed
-		if ln != nil {
-			conn, err = ln.AcceptTCP()
+// serve accepts connections until the relay is closed.
+func (l *linkListener) serve() {
+	for l.relay.ctx.Err() == nil {
+		l.mu.Lock()
+		listener := l.listener
+		changed := l.changed
+		l.mu.Unlock()
+		if listener == nil {
+			l.awaitChange(changed)
+			continue
 		}
+		conn, err := listener.AcceptTCP()
 		if err != nil {
-			g.awaitChange(changed)
+			l.awaitChange(changed)
 			continue
 		}
-		g.handle(conn)
+		l.handle(conn)
 	}
 }
 
-// awaitChange waits for the listener to change.
-func (g *linkListener) awaitChange(changed <-chan struct{}) {
+// awaitChange waits until the listener has changed, or may have: a change can come before the failed accept returns.
+func (l *linkListener) awaitChange(changed <-chan struct{}) {
 	select {
 	case <-changed:
-	case <-g.relay.ctx.Done():
-	case <-time.After(20 * time.Millisecond): // the change may have come before the accept ended
+	case <-l.relay.ctx.Done():
+	case <-time.After(changePollInterval):
 	}
 }
 
-// handle relays a connection, unless it is one that filled the queue.
-func (g *linkListener) handle(conn *net.TCPConn) {
-	g.mu.Lock()
-	own := g.fillers[conn.RemoteAddr().String()]
-	delete(g.fillers, conn.RemoteAddr().String())
-	if own == nil {
-		g.accepted++
-	}
-	number := g.accepted
-	g.mu.Unlock()
-	if own != nil {
-		own.Close()  //nolint:errcheck // its end is what counts
-		conn.Close() //nolint:errcheck // as above
+// handle relays an accepted connection. One that filled the queue is closed instead.
+func (l *linkListener) handle(conn *net.TCPConn) {
+	number, filler := l.register(conn)
+	if filler != nil {
+		filler.Close() //nolint:errcheck // it is not used any more
+		conn.Close()   //nolint:errcheck // as above
 		return
 	}
-	for _, rule := range g.relay.script.Rules {
-		if rule.Link == g.link.Name && (rule.Kind == fault.Refuse || rule.Kind == fault.Stall) && rule.ConnNumber == number+1 {
-			g.block(rule) // before anybody can connect next
+	for _, rule := range l.relay.script.Rules {
+		if l.blocksConnects(rule) && rule.ConnNumber == number+1 {
+			l.block(rule) // before the next connection is accepted
 		}
 	}
-	g.relay.goroutines.Go(func() { g.relay.relayConn(g.link, number, conn) })
+	l.relay.goroutines.Go(func() { l.relay.relayConn(l.link, number, conn) })
+}
+
+// register returns the number of an accepted connection, from 1, or the own end of one that filled the queue.
+func (l *linkListener) register(conn *net.TCPConn) (number int, filler net.Conn) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	remote := conn.RemoteAddr().String()
+	filler = l.fillers[remote]
+	if filler != nil {
+		delete(l.fillers, remote)
+		return 0, filler
+	}
+	l.accepted++
+	return l.accepted, nil
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -16,6 +16,7 @@
 	"cloverdoor/internal/fault"
 )
 
+// patience limits every wait of a test.
 const patience = 20 * time.Second
 
 // closeOnce closes c. It does not fail if c is closed already.
@@ -26,15 +27,16 @@
 	}
 }
 
-// rig is a relay before a server that sends back what it gets, and the faults that have fired.
-type rig struct {
+// testRelay is a relay before an echo server, with the faults that have fired.
+type testRelay struct {
 	t     *testing.T
 	relay *Relay
 	mu    sync.Mutex
 	fired []string
 }
 
-func newRig(t *testing.T, rules string) *rig {
+// newTestRelay starts a relay with one link named c and the given rules.
+func newTestRelay(t *testing.T, rules string) *testRelay {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -57,32 +59,32 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &rig{t: t}
-	if g.relay, err = Start(script, func(e fault.Firing) {
-		g.mu.Lock()
-		defer g.mu.Unlock()
-		g.fired = append(g.fired, e.String())
+	r := &testRelay{t: t}
+	if r.relay, err = Start(script, func(e fault.Firing) {
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		r.fired = append(r.fired, e.String())
 	}); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(g.relay.Close)
-	return g
+	t.Cleanup(r.relay.Close)
+	return r
 }
 
-func (g *rig) dial() *net.TCPConn {
-	g.t.Helper()
-	c, err := net.DialTimeout("tcp", g.relay.Addr("c").String(), patience)
+func (r *testRelay) dial() *net.TCPConn {
+	r.t.Helper()
+	c, err := net.DialTimeout("tcp", r.relay.Addr("c").String(), patience)
 	if err != nil {
-		g.t.Fatal(err)
+		r.t.Fatal(err)
 	}
-	g.t.Cleanup(func() { closeOnce(g.t, c) })
+	r.t.Cleanup(func() { closeOnce(r.t, c) })
 	c.SetDeadline(time.Now().Add(patience)) //nolint:errcheck // shows in what is read
 	return c.(*net.TCPConn)
 }
 
-// exchange sends text and its end, and returns what comes back.
-func (g *rig) exchange(text string) (string, error) {
-	c := g.dial()
+// exchange sends text, closes the sending direction and returns what is read.
+func (r *testRelay) exchange(text string) (string, error) {
+	c := r.dial()
 	io.WriteString(c, text) //nolint:errcheck // shows in what is read
 	c.CloseWrite()          //nolint:errcheck // as above
 	got, err := io.ReadAll(c)
@@ -100,17 +102,17 @@
 		"c up : delay 30ms":         "abcdefghij",
 		"c down byte 5 : close":     "abcde",
 	} {
-		if got, err := newRig(t, rule).exchange("abcdefghij"); got != want || err != nil {
+		if got, err := newTestRelay(t, rule).exchange("abcdefghij"); got != want || err != nil {
 			t.Errorf("%s: %q %v, want %q", rule, got, err, want)
 		}
 	}
 	for _, rule := range []string{"c up byte 5 : reset", `c down match "cd" : reset`} {
-		g := newRig(t, rule)
-		if got, err := g.exchange("abcdefghij"); !errors.Is(err, syscall.ECONNRESET) || len(got) > 4 {
+		r := newTestRelay(t, rule)
+		if got, err := r.exchange("abcdefghij"); !errors.Is(err, syscall.ECONNRESET) || len(got) > 4 {
 			t.Errorf("%s: %q %v", rule, got, err)
 		}
 	}
-	c, err := net.DialTimeout("tcp", newRig(t, "c : reset").relay.Addr("c").String(), patience)
+	c, err := net.DialTimeout("tcp", newTestRelay(t, "c : reset").relay.Addr("c").String(), patience)
 	if err == nil { // the reset may also come as early as this
 		defer closeOnce(t, c)
 		c.SetDeadline(time.Now().Add(patience)) //nolint:errcheck // shows in what is read
@@ -121,53 +123,56 @@
 	}
 }
 
-// A fault by time comes while nothing is sent; a connect is refused, and one that stalls comes up when that is over.
+// TestFaultsByTimeAndBeforeConnections checks that a rule by time fires on an idle connection, that connects are refused,
+// and that they succeed after a stall.
 func TestFaultsByTimeAndBeforeConnections(t *testing.T) {
-	g := newRig(t, "c conn 1 time 300ms : reset\nc conn 2 : refuse 500ms\nc conn 3 : stall 1500ms")
-	first := g.dial()
-	g.await("c#2 both - line 3 refuse")
-	if _, err := net.DialTimeout("tcp", g.relay.Addr("c").String(), patience); !errors.Is(err, syscall.ECONNREFUSED) {
+	r := newTestRelay(t, "c conn 1 time 300ms : reset\nc conn 2 : refuse 500ms\nc conn 3 : stall 1500ms")
+	first := r.dial()
+	r.await("c#2 both - line 3 refuse")
+	if _, err := net.DialTimeout("tcp", r.relay.Addr("c").String(), patience); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("while refused: %v", err)
 	}
 	if _, err := first.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("by time: %v", err)
 	}
 	for {
-		c, err := net.DialTimeout("tcp", g.relay.Addr("c").String(), patience)
+		c, err := net.DialTimeout("tcp", r.relay.Addr("c").String(), patience)
 		if err == nil {
-			g.t.Cleanup(func() { closeOnce(g.t, c) })
+			r.t.Cleanup(func() { closeOnce(r.t, c) })
 			break
 		}
 	}
-	g.await("c#3 both - line 4 stall")
-	if c, err := net.DialTimeout("tcp", g.relay.Addr("c").String(), 50*time.Millisecond); err == nil {
+	r.await("c#3 both - line 4 stall")
+	if c, err := net.DialTimeout("tcp", r.relay.Addr("c").String(), 50*time.Millisecond); err == nil {
 		closeOnce(t, c)
 		t.Error("came up while stalled")
 	}
-	if got, err := g.exchange("again"); got != "again" || err != nil {
+	if got, err := r.exchange("again"); got != "again" || err != nil {
 		t.Errorf("after the stall: %q %v", got, err)
 	}
 }
 
-func (g *rig) await(event string) {
-	g.t.Helper()
+// await waits until a fault has fired that logs the given line.
+func (r *testRelay) await(event string) {
+	r.t.Helper()
 	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
-		g.mu.Lock()
-		found := slices.Contains(g.fired, event)
-		g.mu.Unlock()
+		r.mu.Lock()
+		found := slices.Contains(r.fired, event)
+		r.mu.Unlock()
 		if found {
 			return
 		}
 		if time.Now().After(end) {
-			g.t.Fatalf("%q never fired: %q", event, g.fired)
+			r.t.Fatalf("%q never fired: %q", event, r.fired)
 		}
 	}
 }
 
-// A reader that stalls holds up its own connection alone, and what lies between is bounded.
+// TestStalledReaderHoldsUpItself checks that a receiver that does not read holds up its own connection alone, and that
+// what the relay buffers for it is bounded.
 func TestStalledReaderHoldsUpItself(t *testing.T) {
-	g := newRig(t, "")
-	stuck := g.dial()
+	r := newTestRelay(t, "")
+	stuck := r.dial()
 	var sent int64
 	stuck.SetWriteDeadline(time.Now().Add(500 * time.Millisecond)) //nolint:errcheck // shows in the writes
 	for block := make([]byte, 64<<10); ; {
@@ -179,20 +184,20 @@
 			t.Fatal("the relay takes all there is")
 		}
 	}
-	if got, err := g.exchange("other"); got != "other" || err != nil {
+	if got, err := r.exchange("other"); got != "other" || err != nil {
 		t.Errorf("%q %v", got, err)
 	}
 }
 
-// Two runs of one script with the same traffic log the same faults.
+// TestSameRunSameLog checks that two runs of one script with the same traffic log the same faults.
 func TestSameRunSameLog(t *testing.T) {
 	run := func() string {
-		g := newRig(t, "seed 5\nc up chance 0.4 byte 3 : garble 2\nc every 3 byte 4 : reset\nc down match \"ef\" : drop 2\n")
+		r := newTestRelay(t, "seed 5\nc up chance 0.4 byte 3 : garble 2\nc every 3 byte 4 : reset\nc down match \"ef\" : drop 2\n")
 		for range 20 {
-			g.exchange("abcdefghij") //nolint:errcheck // some are reset
+			r.exchange("abcdefghij") //nolint:errcheck // some are reset
 		}
-		g.relay.Close()
-		return strings.Join(g.fired, "\n")
+		r.relay.Close()
+		return strings.Join(r.fired, "\n")
 	}
 	sorted := func(log string) string {
 		list := strings.Split(log, "\n")
@@ -204,7 +209,7 @@
 	}
 }
 
-// Nothing is listened on when one address can't be.
+// TestStartFailsWhole checks that Start fails as a whole when one address is in use.
 func TestStartFailsWhole(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -220,7 +225,7 @@
 	}
 }
 
-// echo is a round trip of 64 bytes.
+// echo measures round trips of 64 bytes.
 func echo(b *testing.B, addr string) {
 	b.Helper()
 	c, err := net.DialTimeout("tcp", addr, patience)
@@ -239,7 +244,7 @@
 	}
 }
 
-// BenchmarkRoundTrip tells what a relay without faults adds to a direct connection.
+// BenchmarkRoundTrip compares a relay without faults with a direct connection.
 func BenchmarkRoundTrip(b *testing.B) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
