--- /dev/null
+++ b/cmd/faultproxy/compare.go
@@ -0,0 +1,68 @@
+package main
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"os"
+	"slices"
+	"strings"
+)
+
+// compareLogs returns an error unless two logs hold the same faults. The order of connections differs between runs, as
+// they run side by side; the order within a connection and direction is the plan's and is compared.
+func compareLogs(pathA, pathB string, out io.Writer) error {
+	a, err := readSorted(pathA)
+	if err != nil {
+		return err
+	}
+	b, err := readSorted(pathB)
+	if err != nil {
+		return err
+	}
+	if slices.Equal(a, b) {
+		fmt.Fprintf(out, "the same %d faults\n", len(a)) //nolint:errcheck // the exit status says the same
+		return nil
+	}
+	different := firstDifference(a, b)
+	return fmt.Errorf("%s and %s differ: %d and %d faults; the first that differs is %q and %q",
+		pathA, pathB, len(a), len(b), lineAt(a, different), lineAt(b, different))
+}
+
+// firstDifference is the index of the first line in which two logs that are not equal differ.
+func firstDifference(a, b []string) int {
+	for i := range min(len(a), len(b)) {
+		if a[i] != b[i] {
+			return i
+		}
+	}
+	return min(len(a), len(b))
+}
+
+func lineAt(lines []string, i int) string {
+	if i < len(lines) {
+		return lines[i]
+	}
+	return "none"
+}
+
+// readSorted reads a log, sorted by connection and direction.
+func readSorted(path string) (lines []string, err error) {
+	file, err := os.Open(path)
+	if err != nil {
+		return nil, err
+	}
+	defer file.Close() //nolint:errcheck // it was only read
+	in := bufio.NewScanner(file)
+	for in.Scan() {
+		lines = append(lines, in.Text())
+	}
+	slices.SortStableFunc(lines, func(a, b string) int { return strings.Compare(streamOf(a), streamOf(b)) })
+	return lines, in.Err()
+}
+
+// streamOf returns the first two fields of a log's line: connection and direction.
+func streamOf(line string) string {
+	fields := strings.Fields(line)
+	return strings.Join(fields[:min(2, len(fields))], " ")
+}
--- a/cmd/faultproxy/main_test.go
+++ b/cmd/faultproxy/main_test.go
@@ -20,7 +20,8 @@
 	}
 }
 
-func write(t *testing.T, text string) string {
+// writeFile writes text to a file in a directory of its own, and returns the path.
+func writeFile(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -35,34 +36,34 @@
 		"-script FILE is wanted":    {},
 		"flag provided but not":     {"-nonsense"},
 		"no such file":              {"-script", "/nowhere/at/all"},
-		"line 2: explode":           {"-script", write(t, good+"a : explode")},
-		"under 0":                   {"-script", write(t, good), "-for", "-3s"},
+		"line 2: explode":           {"-script", writeFile(t, good+"a : explode")},
+		"under 0":                   {"-script", writeFile(t, good), "-for", "-3s"},
 		"two logs":                  {"-compare", "one"},
-		"listen: 10.1.2.3:1 is not": {"-script", write(t, "link a listen 10.1.2.3:1 to 127.0.0.1:9")},
+		"listen: 10.1.2.3:1 is not": {"-script", writeFile(t, "link a listen 10.1.2.3:1 to 127.0.0.1:9")},
 	} {
 		if err := run(args, io.Discard); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%v: %v", args, err)
 		}
 	}
-	if err := run([]string{"-script", write(t, good), "-check"}, io.Discard); err != nil {
+	if err := run([]string{"-script", writeFile(t, good), "-check"}, io.Discard); err != nil {
 		t.Error(err)
 	}
 }
 
 func TestCompare(t *testing.T) {
-	a := write(t, "c#1 up 3 line 4 reset\nc#2 up 9 line 5 drop\nc#1 down 7 line 4 close\n")
-	b := write(t, "c#2 up 9 line 5 drop\nc#1 up 3 line 4 reset\nc#1 down 7 line 4 close\n")
+	a := writeFile(t, "c#1 up 3 line 4 reset\nc#2 up 9 line 5 drop\nc#1 down 7 line 4 close\n")
+	b := writeFile(t, "c#2 up 9 line 5 drop\nc#1 up 3 line 4 reset\nc#1 down 7 line 4 close\n")
 	if err := run([]string{"-compare", a, b}, io.Discard); err != nil {
 		t.Error(err)
 	}
 	for _, other := range []string{"c#1 up 3 line 4 reset\n", "", "c#1 up 3 line 4 reset\nc#2 up 8 line 5 drop\nc#1 down 7 line 4 close\n"} {
-		if err := run([]string{"-compare", a, write(t, other)}, io.Discard); err == nil {
+		if err := run([]string{"-compare", a, writeFile(t, other)}, io.Discard); err == nil {
 			t.Errorf("%q passes for the same", other)
 		}
 	}
 }
 
-// A run relays, logs what fires, and ends in good order at a signal.
+// TestRun checks that a run relays, logs the faults that fire, and ends without an error at SIGTERM.
 func TestRun(t *testing.T) {
 	target, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -75,7 +76,7 @@
 	}
 	addr, log := free.Addr().String(), filepath.Join(t.TempDir(), "log")
 	closeOnce(t, free)
-	script := write(t, "link a listen "+addr+" to "+target.Addr().String()+"\na up byte 3 : close\n")
+	script := writeFile(t, "link a listen "+addr+" to "+target.Addr().String()+"\na up byte 3 : close\n")
 	ended := make(chan error, 1)
 	go func() { ended <- run([]string{"-script", script, "-log", log, "-for", "1m"}, io.Discard) }()
 	var conn net.Conn
