--- a/cmd/edgeproxy/soak_test.go
+++ b/cmd/edgeproxy/soak_test.go
@@ -35,14 +35,14 @@
 	for seed := first; seed < first+seeds; seed++ {
 		result, err := soak.Run(uint64(seed), soak.Options{
 			Program: os.Args[0], Environment: []string{"CLOVERDOOR_TEST_PROGRAM=1"}, ClockOffset: clockOffset, FailingCalls: randomFailures,
-			Host: loopback, Fleet: fleet, Length: time.Duration(seconds) * time.Second, Folder: t.TempDir(),
-			Keep: filepath.Join("..", "..", "found", "soak"), Kinds: strings.Fields(os.Getenv("KINDS")), Shrink: os.Getenv("SHRINK") != "",
+			Host: loopback, Fleet: fleet, Duration: time.Duration(seconds) * time.Second, ConfigDir: t.TempDir(),
+			ReportDir: filepath.Join("..", "..", "found", "soak"), Kinds: strings.Fields(os.Getenv("KINDS")), Shrink: os.Getenv("SHRINK") != "",
 		})
 		if err != nil {
 			t.Fatalf("seed %d could not be played: %v", seed, err)
 		}
 		t.Logf("seed %d: %d troubles, %d programs, %d requests, %d served, %d violations",
-			seed, len(result.Schedule), result.Lives, result.Requests, result.Served, len(result.Violations))
+			seed, len(result.Schedule), result.Incarnations, result.Requests, result.Served, len(result.Violations))
 		for _, v := range result.Violations {
 			t.Errorf("seed %d: %v", seed, v)
 		}
--- a/internal/soak/coordinator.go
+++ b/internal/soak/coordinator.go
@@ -11,55 +11,57 @@
 )
 
 const (
-	tickEvery = time.Second
-	// slowLine is how long a slow coordinator takes over one line of its list, steadily: what is behind it comes within the 7 s
+	progressInterval = time.Second
+	// slowLineTime is how long a slow coordinator takes over one line of its list, steadily: what is behind it comes within the 7 s
 	// after which it counts as told.
-	slowLine = 6 * time.Second
+	slowLineTime = 6 * time.Second
 )
 
-// mode is how a coordinator behaves to one proxy.
-type mode int
+// coordinatorMode is how a coordinator behaves to one proxy.
+type coordinatorMode int
 
 const (
-	sound  mode = iota
-	down        // it refuses connections, and its streams have ended
-	silent      // its streams stay open and bring nothing
-	slow        // they bring one line of the list a byte at a time
+	modeHealthy coordinatorMode = iota
+	modeDown                    // it refuses connections, and its streams have ended
+	modeSilent                  // its streams stay open and bring nothing
+	modeSlow                    // they bring one line of the list a byte at a time
 )
 
 // coordinator stands in for the coordinator: each proxy has an address of its own for it, so that what was told to whom is known.
 type coordinator struct {
-	h      *History
-	mu     sync.Mutex
-	lines  []string // of the events, the first has number 1
-	events []*Told
-	posts  map[int]*post // by proxy
+	h            *History
+	mu           sync.Mutex
+	lines        []string // of the events, the first has number 1
+	events       []*WatchEvent
+	watchServers map[int]*watchServer // by proxy
 }
 
-// post is the coordinator's address for one proxy.
-type post struct {
-	c        *coordinator
-	proxy    int
-	addr     string
-	mode     mode
-	changed  time.Duration // when the mode was set
-	slowed   int           // the event that is brought slowly, to every follower; 0: none yet
-	listener net.Listener
-	streams  map[net.Conn]bool
+// watchServer is the coordinator's address for one proxy.
+type watchServer struct {
+	c         *coordinator
+	proxy     int
+	addr      string
+	mode      coordinatorMode
+	modeSetAt time.Duration // when the mode was set
+	slowEvent int           // the event that is brought slowly, to every follower; 0: none yet
+	listener  net.Listener
+	streams   map[net.Conn]bool
 }
 
-func newCoordinator(h *History) *coordinator { return &coordinator{h: h, posts: map[int]*post{}} }
+func newCoordinator(h *History) *coordinator {
+	return &coordinator{h: h, watchServers: map[int]*watchServer{}}
+}
 
-// post opens the address for a proxy.
-func (c *coordinator) post(proxy int, addr string) error {
-	p := &post{c: c, proxy: proxy, addr: addr, streams: map[net.Conn]bool{}}
+// serveProxy opens the address for a proxy.
+func (c *coordinator) serveProxy(proxy int, addr string) error {
+	p := &watchServer{c: c, proxy: proxy, addr: addr, streams: map[net.Conn]bool{}}
 	c.mu.Lock()
-	c.posts[proxy] = p
+	c.watchServers[proxy] = p
 	c.mu.Unlock()
 	return p.listen()
 }
 
-func (p *post) listen() error {
+func (p *watchServer) listen() error {
 	ln, err := net.Listen("tcp", p.addr)
 	if err != nil {
 		return err
@@ -79,59 +81,59 @@
 	return nil
 }
 
-// set changes how the coordinator behaves to a proxy.
-func (c *coordinator) set(proxy int, m mode) {
+// setMode changes how the coordinator behaves to a proxy.
+func (c *coordinator) setMode(proxy int, m coordinatorMode) {
 	c.mu.Lock()
-	p := c.posts[proxy]
+	p := c.watchServers[proxy]
 	before := p.mode
-	p.mode, p.slowed = m, 0
+	p.mode, p.slowEvent = m, 0
 	now := c.h.Now()
-	if before == down || before == silent {
-		c.h.do(func() { c.h.Withheld[proxy] = append(c.h.Withheld[proxy], [2]time.Duration{p.changed, now}) })
+	if before == modeDown || before == modeSilent {
+		c.h.locked(func() { c.h.Withheld[proxy] = append(c.h.Withheld[proxy], [2]time.Duration{p.modeSetAt, now}) })
 	}
-	p.changed = now
-	if m == down && before != down {
+	p.modeSetAt = now
+	if m == modeDown && before != modeDown {
 		p.listener.Close() //nolint:errcheck // it listens no more in any case
 		for conn := range p.streams {
 			conn.Close() //nolint:errcheck // it may have ended
 		}
 	}
 	c.mu.Unlock()
-	if before == down && m != down {
+	if before == modeDown && m != modeDown {
 		for p.listen() != nil { // its port is taken by a connection for a moment
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
 }
 
-func (c *coordinator) modeOf(p *post) mode {
+func (c *coordinator) modeOf(p *watchServer) coordinatorMode {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return p.mode
 }
 
-// add tells an event to everybody. Its line gets the next number in place of the verb.
-func (c *coordinator) add(e *Told, format string) {
+// publish tells an event to everybody. Its line gets the next number in place of the verb.
+func (c *coordinator) publish(e *WatchEvent, format string) {
 	c.mu.Lock()
 	e.Index = len(c.events) + 1
-	e.At, e.To = c.h.Now(), map[int]time.Duration{}
+	e.PublishedAt, e.DeliveredAt = c.h.Now(), map[int]time.Duration{}
 	c.events = append(c.events, e)
 	line := fmt.Sprintf(format, e.Index)
 	c.lines = append(c.lines, line)
 	c.mu.Unlock()
-	c.h.do(func() { c.h.Events = append(c.h.Events, e) })
+	c.h.locked(func() { c.h.Events = append(c.h.Events, e) })
 	c.h.Note("coord", "event %s", line)
 }
 
-// known are the events so far, as a configuration holds them.
-func (c *coordinator) known() (index int, updates string) {
+// knownEvents are the events so far, as a configuration holds them.
+func (c *coordinator) knownEvents() (index int, updates string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	sound := slices.DeleteFunc(slices.Clone(c.lines), func(line string) bool { return !strings.HasPrefix(line, "{\"index\"") })
 	return len(c.lines), "[" + strings.Join(sound, ",") + "]"
 }
 
-func (c *coordinator) after(index int) (line string, e *Told, last int) {
+func (c *coordinator) after(index int) (line string, e *WatchEvent, last int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if index < len(c.lines) {
@@ -141,7 +143,7 @@
 }
 
 // serve brings the events to one follower.
-func (p *post) serve(conn net.Conn) {
+func (p *watchServer) serve(conn net.Conn) {
 	p.c.mu.Lock()
 	p.streams[conn] = true
 	p.c.mu.Unlock()
@@ -169,25 +171,25 @@
 			return
 		case <-time.After(2 * time.Millisecond):
 		}
-		if p.c.modeOf(p) == silent {
+		if p.c.modeOf(p) == modeSilent {
 			continue
 		}
 		text, event, last := p.c.after(index)
-		if event == nil && time.Since(ticked) < tickEvery {
+		if event == nil && time.Since(ticked) < progressInterval {
 			continue
 		}
 		if event == nil {
 			ticked = time.Now()
 			text = fmt.Sprint(last)
 		}
-		if !p.bring(conn, text+"\n", p.pace(event, len(text))) {
+		if !p.writePaced(conn, text+"\n", p.byteInterval(event, len(text))) {
 			return
 		}
 		if event != nil {
 			index++
-			p.c.h.do(func() {
-				if _, told := event.To[p.proxy]; !told {
-					event.To[p.proxy] = p.c.h.Now()
+			p.c.h.locked(func() {
+				if _, told := event.DeliveredAt[p.proxy]; !told {
+					event.DeliveredAt[p.proxy] = p.c.h.Now()
 				}
 			})
 			p.c.h.Note("coord", "told proxy-%d event %d", p.proxy, event.Index)
@@ -195,19 +197,19 @@
 	}
 }
 
-// pace is how long each byte of a line takes; 0: the line comes at once.
-func (p *post) pace(e *Told, size int) time.Duration {
+// byteInterval is how long each byte of a line takes; 0: the line comes at once.
+func (p *watchServer) byteInterval(e *WatchEvent, size int) time.Duration {
 	p.c.mu.Lock()
 	defer p.c.mu.Unlock()
-	if e == nil || p.mode != slow || len(e.Leaving)+len(e.Back) == 0 || p.slowed != 0 && p.slowed != e.Index {
+	if e == nil || p.mode != modeSlow || len(e.Withdrawn)+len(e.Serving) == 0 || p.slowEvent != 0 && p.slowEvent != e.Index {
 		return 0
 	}
-	p.slowed = e.Index
-	return slowLine / time.Duration(size)
+	p.slowEvent = e.Index
+	return slowLineTime / time.Duration(size)
 }
 
-// bring writes a line.
-func (p *post) bring(conn net.Conn, line string, pace time.Duration) bool {
+// writePaced writes a line.
+func (p *watchServer) writePaced(conn net.Conn, line string, pace time.Duration) bool {
 	for len(line) > 0 {
 		size := len(line)
 		if pace > 0 {
--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -23,83 +23,85 @@
 	return fmt.Sprintf("%9.3f %-10s %s", r.At.Seconds(), r.Who, r.What)
 }
 
-// Answer is one final answer, as a client read it.
-type Answer struct {
-	At         time.Duration
-	Status     string // of the CGI response; empty: END_REQUEST alone
-	Overloaded bool   // the protocol's own refusal
-	Body       string // its first bytes, which name the call that served it
+// FinalAnswer is one final answer, as a client read it.
+type FinalAnswer struct {
+	At                 time.Duration
+	Status             string // of the CGI response; empty: END_REQUEST alone
+	ProtocolOverloaded bool   // the protocol's own refusal
+	Body               string // its first bytes, which name the call that served it
 }
 
-// Refused says that the answer promises that nothing ran.
-func (a Answer) Refused() bool { return a.Overloaded || a.Status == "503" || a.Status == "429" }
+// Rejected says that the answer promises that nothing ran.
+func (a FinalAnswer) Rejected() bool {
+	return a.ProtocolOverloaded || a.Status == "503" || a.Status == "429"
+}
 
 // Request is one request, as its client knows it.
 type Request struct {
-	ID, Class, Object string
-	Group             int
-	Proxy, Life       int
-	Sent              time.Duration // when its last byte was written; 0: it was not written whole
-	Wait              time.Duration
-	Left              time.Duration // when its client closed or took it back; 0: it did not
-	FirstOnConnection bool
-	Excused           bool          // nothing is owed: it can't be read, or crossed the close of an idle connection
-	Ended             time.Duration // when its connection ended without an answer; 0: it did not
-	Answers           []Answer
+	ID, Class, Object  string
+	Group              int
+	Proxy, Incarnation int
+	SentAt             time.Duration // when its last byte was written; 0: it was not written whole
+	Timeout            time.Duration
+	CanceledAt         time.Duration // when its client closed or took it back; 0: it did not
+	FirstOnConnection  bool
+	NoAnswerOwed       bool          // nothing is owed: it can't be read, or crossed the close of an idle connection
+	DisconnectedAt     time.Duration // when its connection ended without an answer; 0: it did not
+	Answers            []FinalAnswer
 }
 
 // Call is one call, as its server read it.
 type Call struct {
 	Server, ID, Class, Object, Source string
-	First, Whole                      time.Duration // when its first byte and its last were read
-	Wait, MaxAge                      time.Duration
-	Held                              bool // its server did not read just before: it may have been sent earlier
+	FirstByteAt, CompleteAt           time.Duration // when its first byte and its last were read
+	Timeout, MaxAge                   time.Duration
+	ReadLate                          bool // its server did not read just before: it may have been sent earlier
 	Ran                               bool
-	Word                              string
-	Made                              time.Time // of the copy that was served
+	Result                            string
+	CopyMadeAt                        time.Time // of the copy that was served
 	Serial                            int       // names the call in the answer's body
 }
 
-// Told is an event of the coordinator.
-type Told struct {
-	Index   int
-	At      time.Duration         // when the coordinator had it
-	To      map[int]time.Duration // when its line had been written to each proxy
-	Leaving []string              // servers that it says drain or are gone
-	Back    []string              // servers that it says serve
-	Object  string                // that it purges
-	Group   int                   // that it purges; -1: none
-	Moment  time.Time             // of the purge
+// WatchEvent is an event of the coordinator.
+type WatchEvent struct {
+	Index        int
+	PublishedAt  time.Duration         // when the coordinator had it
+	DeliveredAt  map[int]time.Duration // when its line had been written to each proxy
+	Withdrawn    []string              // servers that it says drain or are gone
+	Serving      []string              // servers that it says serve
+	PurgedObject string                // that it purges
+	PurgedGroup  int                   // that it purges; -1: none
+	PurgedBefore time.Time             // of the purge
 }
 
-// Start is a late start of a server.
-type Start struct {
-	Server string
-	At     time.Duration
-	Index  int // of the event that tells it
+// ServerStart is a late start of a server.
+type ServerStart struct {
+	Server     string
+	At         time.Duration
+	EventIndex int // of the event that tells it
 }
 
-// Life is one process, from its start to its end.
-type Life struct {
-	Proxy, Number          int
-	Started, Ready, Termed time.Duration // 0: not
-	Killed, Exited         time.Duration
-	Stopped                [][2]time.Duration // spans without its core
-	Known                  int                // the last event in its configuration
-	ExitError              string
-	MostMemoryKB           int
-	MostDescriptors        int
+// Incarnation is one process, from its start to its end.
+type Incarnation struct {
+	Proxy, Number                 int
+	StartedAt, ReadyAt, SigtermAt time.Duration // 0: not
+	KilledAt, ExitedAt            time.Duration
+	Paused                        [][2]time.Duration // spans without its core
+	KnownEvents                   int                // the last event in its configuration
+	ExitError                     string
+	PeakMemoryKB                  int
+	PeakDescriptors               int
 }
 
 // History is all that was seen in one run.
 type History struct {
-	Limits   Limits
-	Requests []*Request
-	Calls    []*Call
-	Events   []*Told
-	Starts   []Start
-	Lives    []*Life
-	Withheld map[int][][2]time.Duration // by proxy: spans in which the coordinator told it nothing
+	Limits       Limits
+	Requests     []*Request
+	Calls        []*Call
+	Events       []*WatchEvent
+	Starts       []ServerStart
+	Incarnations []*Incarnation
+	Withheld     map[int][][2]time.Duration // by proxy: spans in which the coordinator told it nothing
 
 	mu       sync.Mutex
 	start    time.Time
@@ -109,15 +111,15 @@
 
 // Limits are the figures that the configuration tells the proxies.
 type Limits struct {
-	MemoryKB, Descriptors  int
-	DrainGrace, PurgeGrace time.Duration
-	ClearedWithin          time.Duration
-	Multiple, Share        float64 // of the cold budget
-	Weight                 float64 // transfers that a cache's link carries
-	Work                   time.Duration
-	Window, WarmWithin     time.Duration
-	LongestWait            time.Duration
-	KeyWindow              time.Duration // for which a key is known
+	MemoryKB, Descriptors               int
+	DrainGrace, PurgeGrace              time.Duration
+	ClearedWithin                       time.Duration
+	OverloadMultiple, SlowStartCapacity float64 // of the cold budget
+	LinkTransfers                       float64 // transfers that a cache's link carries
+	TransferTime                        time.Duration
+	OverloadWindow, SlowStartDuration   time.Duration
+	MaxDeadline                         time.Duration
+	DeduplicationWindow                 time.Duration // for which a key is known
 }
 
 // NewHistory begins a history.
@@ -131,7 +133,7 @@
 const (
 	lagWatchers = 4
 	lagStep     = 5 * time.Millisecond
-	leastLag    = 20 * time.Millisecond
+	minLag      = 20 * time.Millisecond
 )
 
 // watchLag notes the spans in which this process is held up: what it records then is late.
@@ -145,8 +147,8 @@
 					return
 				case <-time.After(lagStep):
 				}
-				if to := h.Now(); to-from > leastLag {
-					h.do(func() { h.lags = append(h.lags, [2]time.Duration{from, to}) })
+				if to := h.Now(); to-from > minLag {
+					h.locked(func() { h.lags = append(h.lags, [2]time.Duration{from, to}) })
 				}
 			}
 		}()
@@ -166,20 +168,20 @@
 
 // Note adds a line to the timeline.
 func (h *History) Note(who, format string, args ...any) {
-	h.do(func() {
+	h.locked(func() {
 		h.timeline = append(h.timeline, Record{At: h.Now(), Who: who, What: fmt.Sprintf(format, args...)})
 	})
 }
 
-// do changes what is shared by all who take part.
-func (h *History) do(change func()) {
+// locked changes what is shared by all who take part.
+func (h *History) locked(change func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	change()
 }
 
-// About returns the timeline around a violation: what names one of the given words within a span, and all troubles.
-func (h *History) About(at, span time.Duration, words ...string) string {
+// TimelineAround returns the timeline around a violation: what names one of the given words within a span, and all troubles.
+func (h *History) TimelineAround(at, span time.Duration, words ...string) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var b strings.Builder
@@ -196,9 +198,9 @@
 	return b.String()
 }
 
-// life finds a process.
-func (h *History) life(proxy, number int) *Life {
-	for _, l := range h.Lives {
+// incarnation finds a process.
+func (h *History) incarnation(proxy, number int) *Incarnation {
+	for _, l := range h.Incarnations {
 		if l.Proxy == proxy && l.Number == number {
 			return l
 		}
@@ -206,13 +208,13 @@
 	return nil
 }
 
-// running is when a process has run for a time since a moment: what it spends without its core does not count.
-func (l *Life) running(from, length time.Duration) time.Duration {
-	return without(l.Stopped, from, length)
+// whileRunning is when a process has run for a time since a moment: what it spends without its core does not count.
+func (l *Incarnation) whileRunning(from, length time.Duration) time.Duration {
+	return afterExcluding(l.Paused, from, length)
 }
 
-// without is when a time has passed since a moment, where some spans do not count.
-func without(spans [][2]time.Duration, from, length time.Duration) time.Duration {
+// afterExcluding is when a time has passed since a moment, where some spans do not count.
+func afterExcluding(spans [][2]time.Duration, from, length time.Duration) time.Duration {
 	spans = slices.SortedFunc(slices.Values(spans), func(a, b [2]time.Duration) int { return int(a[0] - b[0]) })
 	end, counted := from+length, from
 	for _, s := range spans {
--- a/internal/soak/oracle.go
+++ b/internal/soak/oracle.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	// tellWithin is how long after the coordinator has an event it counts as told, whether it came or not.
-	tellWithin = 7 * time.Second
+	// notifyWithin is how long after the coordinator has an event it counts as told, whether it came or not.
+	notifyWithin = 7 * time.Second
 	// socketSlack is what every time limit is longer by on sockets.
 	socketSlack = 50 * time.Millisecond
 	// machineSlack is what the stand-ins of this package may be late by on a busy machine.
 	machineSlack = 150 * time.Millisecond
 	// answerSlack is how long after a request's time its answer may still come.
 	answerSlack = 500 * time.Millisecond
-	// leftGrace is how long after its client has left an attempt may begin.
-	leftGrace = 100 * time.Millisecond
-	// waitSlack is what the deadline that is passed on may be later than the client's.
-	waitSlack = 150 * time.Millisecond
+	// cancelGrace is how long after its client has left an attempt may begin.
+	cancelGrace = 100 * time.Millisecond
+	// deadlineSlack is what the deadline that is passed on may be later than the client's.
+	deadlineSlack = 150 * time.Millisecond
 	// readyWithin is how long a process may take to be ready.
 	readyWithin = 10 * time.Second
-	// killTime is how long after SIGTERM and the longest deadline a process is killed.
-	killTime = 700 * time.Millisecond
-	// stopTaking is how long after SIGTERM requests are owed an answer in any case.
-	stopTaking = 700 * time.Millisecond
+	// killAfter is how long after SIGTERM and the longest deadline a process is killed.
+	killAfter = 700 * time.Millisecond
+	// acceptAfterSigterm is how long after SIGTERM requests are owed an answer in any case.
+	acceptAfterSigterm = 700 * time.Millisecond
 )
 
 // Violation is a rule that was broken.
@@ -46,104 +46,104 @@
 func Check(h *History) []Violation {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	o := &oracle{h: h, requests: map[string]*Request{}, runs: map[string]int{}, serials: map[string]*Call{}}
+	o := &invariantChecker{h: h, requests: map[string]*Request{}, executions: map[string]int{}, serials: map[string]*Call{}}
 	for _, q := range h.Requests {
 		o.requests[q.ID] = q
 	}
 	for _, c := range h.Calls {
 		o.serials[fmt.Sprint(c.Serial)] = c
 		if c.Ran {
-			o.runs[c.ID]++
+			o.executions[c.ID]++
 		}
 	}
 	for _, q := range h.Requests {
-		o.answers(q)
-		o.runsOnce(q)
-		o.repeats(q)
-		o.purged(q)
+		o.checkAnswers(q)
+		o.checkExecutions(q)
+		o.checkRepeats(q)
+		o.checkPurges(q)
 	}
 	for _, c := range h.Calls {
-		o.call(c)
+		o.checkCall(c)
 	}
 	for _, s := range h.Starts {
-		o.coldBudget(s)
+		o.checkSlowStart(s)
 	}
-	for _, l := range h.Lives {
-		o.process(l)
+	for _, l := range h.Incarnations {
+		o.checkIncarnation(l)
 	}
 	return o.found
 }
 
-type oracle struct {
-	h        *History
-	requests map[string]*Request
-	runs     map[string]int
-	serials  map[string]*Call
-	found    []Violation
+type invariantChecker struct {
+	h          *History
+	requests   map[string]*Request
+	executions map[string]int
+	serials    map[string]*Call
+	found      []Violation
 }
 
-func (o *oracle) report(rule string, at time.Duration, words []string, format string, args ...any) {
+func (o *invariantChecker) report(rule string, at time.Duration, words []string, format string, args ...any) {
 	o.found = append(o.found, Violation{Rule: rule, At: at, Text: fmt.Sprintf(format, args...), Words: words})
 }
 
-// answers checks that a request got exactly one final answer, in time.
-func (o *oracle) answers(q *Request) {
-	life := o.h.life(q.Proxy, q.Life)
+// checkAnswers checks that a request got exactly one final answer, in time.
+func (o *invariantChecker) checkAnswers(q *Request) {
+	life := o.h.incarnation(q.Proxy, q.Incarnation)
 	who := fmt.Sprintf("request %s (%s, proxy %d)", q.ID, q.Class, q.Proxy)
 	words := []string{q.ID, proxyName(q.Proxy)}
 	if len(q.Answers) > 1 {
 		o.report("second answer", q.Answers[1].At, words, "%s got %d answers", who, len(q.Answers))
 	}
-	if q.Sent == 0 || q.Left != 0 || q.Excused || life == nil {
+	if q.SentAt == 0 || q.CanceledAt != 0 || q.NoAnswerOwed || life == nil {
 		return
 	}
-	due := life.running(q.Sent, q.Wait+answerSlack+machineSlack)
-	due += o.h.slack(q.Sent, due) - machineSlack
+	due := life.whileRunning(q.SentAt, q.Timeout+answerSlack+machineSlack)
+	due += o.h.slack(q.SentAt, due) - machineSlack
 	switch {
-	case life.Killed != 0 && life.Killed < due, life.Termed != 0 && q.Sent > life.Termed+stopTaking:
+	case life.KilledAt != 0 && life.KilledAt < due, life.SigtermAt != 0 && q.SentAt > life.SigtermAt+acceptAfterSigterm:
 	case len(q.Answers) > 0 && q.Answers[0].At > due:
 		o.report("late answer", q.Answers[0].At, words, "%s was due %.3f before", who, (q.Answers[0].At - due).Seconds())
-	case len(q.Answers) == 0 && q.Ended != 0:
-		o.report("lost", q.Ended, words, "%s was sent at %.3f, and its connection ended without an answer", who, q.Sent.Seconds())
+	case len(q.Answers) == 0 && q.DisconnectedAt != 0:
+		o.report("lost", q.DisconnectedAt, words, "%s was sent at %.3f, and its connection ended without an answer", who, q.SentAt.Seconds())
 	case len(q.Answers) == 0:
-		o.report("lost", due, words, "%s was sent at %.3f, and never answered", who, q.Sent.Seconds())
+		o.report("lost", due, words, "%s was sent at %.3f, and never answered", who, q.SentAt.Seconds())
 	}
 }
 
-// runsOnce checks what must not run twice, and what an answer says of that.
-func (o *oracle) runsOnce(q *Request) {
+// checkExecutions checks what must not run twice, and what an answer says of that.
+func (o *invariantChecker) checkExecutions(q *Request) {
 	if q.Class != classWrite {
 		return
 	}
-	runs, words := o.runs[q.ID], []string{q.ID}
+	runs, words := o.executions[q.ID], []string{q.ID}
 	if runs > 1 {
-		o.report("ran twice", q.Sent, words, "request %s ran %d times", q.ID, runs)
+		o.report("ran twice", q.SentAt, words, "request %s ran %d times", q.ID, runs)
 	}
 	for _, a := range q.Answers {
 		if a.Status == "200" && runs == 0 {
 			o.report("served unrun", a.At, words, "request %s was answered as served and never ran", q.ID)
 		}
-		if a.Refused() && runs > 0 {
+		if a.Rejected() && runs > 0 {
 			o.report("refused after run", a.At, words, "request %s was refused and ran", q.ID)
 		}
 	}
 }
 
-// repeats checks that a keyed request is repeated only while its key is known: from the first call that may have run.
-func (o *oracle) repeats(q *Request) {
+// checkRepeats checks that a keyed request is repeated only while its key is known: from the first call that may have run.
+func (o *invariantChecker) checkRepeats(q *Request) {
 	if q.Class != classKeyed {
 		return
 	}
 	var first *Call
 	for _, c := range o.h.Calls {
-		if c.ID == q.ID && !c.Held && !neverRan[c.Word] && (first == nil || c.First < first.First) {
+		if c.ID == q.ID && !c.ReadLate && !neverRan[c.Result] && (first == nil || c.FirstByteAt < first.FirstByteAt) {
 			first = c
 		}
 	}
 	for _, c := range o.h.Calls {
-		if first != nil && c.ID == q.ID && !c.Held && c.First > first.First+o.h.Limits.KeyWindow+socketSlack+o.h.slack(first.First, c.First) {
-			o.report("repeat after window", c.First, []string{q.ID, proxyName(q.Proxy)}, "request %s was repeated %.3f after a call that may have run",
-				q.ID, (c.First - first.First).Seconds())
+		if first != nil && c.ID == q.ID && !c.ReadLate && c.FirstByteAt > first.FirstByteAt+o.h.Limits.DeduplicationWindow+socketSlack+o.h.slack(first.FirstByteAt, c.FirstByteAt) {
+			o.report("repeat after window", c.FirstByteAt, []string{q.ID, proxyName(q.Proxy)}, "request %s was repeated %.3f after a call that may have run",
+				q.ID, (c.FirstByteAt - first.FirstByteAt).Seconds())
 		}
 	}
 }
@@ -151,155 +151,155 @@
 // neverRan are the words that prove that a call did not run.
 var neverRan = map[string]bool{"overload": true, "not_here": true, "nobody": true}
 
-// told is when an event counts as told to a process. What the coordinator does not tell it, or it can't hear as it is stopped,
+// notifiedAt is when an event counts as notifiedAt to a process. What the coordinator does not tell it, or it can't hear as it is stopped,
 // nobody can know: that does not count.
-func (o *oracle) told(e *Told, q *Request) time.Duration {
-	unheard, life := o.h.Withheld[q.Proxy], o.h.life(q.Proxy, q.Life)
+func (o *invariantChecker) notifiedAt(e *WatchEvent, q *Request) time.Duration {
+	unheard, life := o.h.Withheld[q.Proxy], o.h.incarnation(q.Proxy, q.Incarnation)
 	if life != nil {
-		unheard = slices.Concat(unheard, life.Stopped)
+		unheard = slices.Concat(unheard, life.Paused)
 	}
-	at := without(unheard, e.At, tellWithin)
-	if written, ok := e.To[q.Proxy]; ok {
+	at := afterExcluding(unheard, e.PublishedAt, notifyWithin)
+	if written, ok := e.DeliveredAt[q.Proxy]; ok {
 		at = min(at, written)
 	}
-	if life != nil && e.Index <= life.Known {
-		at = min(at, life.Started)
+	if life != nil && e.Index <= life.KnownEvents {
+		at = min(at, life.StartedAt)
 	}
 	return at
 }
 
-// purged checks that nothing was served from a copy that a purge had made void before the call was sent.
-func (o *oracle) purged(q *Request) {
+// checkPurges checks that nothing was served from a copy that a purge had made void before the call was sent.
+func (o *invariantChecker) checkPurges(q *Request) {
 	for _, a := range q.Answers {
 		serial, _, _ := strings.Cut(a.Body, " ")
 		c := o.serials[serial]
-		if a.Status != "200" || c == nil || c.Held || c.Made.IsZero() || c.ID != q.ID {
+		if a.Status != "200" || c == nil || c.ReadLate || c.CopyMadeAt.IsZero() || c.ID != q.ID {
 			continue
 		}
 		for _, e := range o.h.Events {
-			if e.Moment.IsZero() || e.Object != q.Object && e.Group != q.Group || !c.Made.Before(e.Moment) {
+			if e.PurgedBefore.IsZero() || e.PurgedObject != q.Object && e.PurgedGroup != q.Group || !c.CopyMadeAt.Before(e.PurgedBefore) {
 				continue
 			}
-			if told := o.told(e, q); c.First > told+o.h.Limits.PurgeGrace+socketSlack+o.h.slack(told, c.First) {
+			if told := o.notifiedAt(e, q); c.FirstByteAt > told+o.h.Limits.PurgeGrace+socketSlack+o.h.slack(told, c.FirstByteAt) {
 				words := []string{q.ID, c.Server, q.Object, proxyName(q.Proxy)}
-				o.report("purged copy", c.First, words, "request %s was sent %.3f after it was told of a purge, and served from a copy %v older",
-					q.ID, (c.First - told).Seconds(), e.Moment.Sub(c.Made))
+				o.report("purged copy", c.FirstByteAt, words, "request %s was sent %.3f after it was told of a purge, and served from a copy %v older",
+					q.ID, (c.FirstByteAt - told).Seconds(), e.PurgedBefore.Sub(c.CopyMadeAt))
 			}
 		}
 	}
 }
 
-// call checks one call by the rules on sending.
-func (o *oracle) call(c *Call) {
+// checkCall checks one checkCall by the rules on sending.
+func (o *invariantChecker) checkCall(c *Call) {
 	q := o.requests[c.ID]
 	if q == nil {
-		o.report("unknown call", c.First, []string{c.ID}, "%s got a call that no client sent", c.Server)
+		o.report("unknown call", c.FirstByteAt, []string{c.ID}, "%s got a call that no client sent", c.Server)
 		return
 	}
-	if c.Held { // it is not known when it was sent
+	if c.ReadLate { // it is not known when it was sent
 		return
 	}
 	words := []string{c.ID, c.Server, proxyName(q.Proxy)}
-	if q.Left != 0 && c.First > q.Left+leftGrace+o.h.slack(q.Left, c.First) {
-		o.report("begun after left", c.First, words, "request %s began at %s %.3f after its client had left",
-			c.ID, c.Server, (c.First - q.Left).Seconds())
+	if q.CanceledAt != 0 && c.FirstByteAt > q.CanceledAt+cancelGrace+o.h.slack(q.CanceledAt, c.FirstByteAt) {
+		o.report("begun after left", c.FirstByteAt, words, "request %s began at %s %.3f after its client had left",
+			c.ID, c.Server, (c.FirstByteAt - q.CanceledAt).Seconds())
 	}
-	if left := q.Sent + q.Wait - c.Whole; q.Sent != 0 && c.Wait > left+waitSlack+o.h.slack(q.Sent, c.Whole) {
-		o.report("deadline", c.Whole, words, "request %s passes on %v when its client has %v left", c.ID, c.Wait, left)
+	if left := q.SentAt + q.Timeout - c.CompleteAt; q.SentAt != 0 && c.Timeout > left+deadlineSlack+o.h.slack(q.SentAt, c.CompleteAt) {
+		o.report("deadline", c.CompleteAt, words, "request %s passes on %v when its client has %v left", c.ID, c.Timeout, left)
 	}
 	for _, server := range []string{c.Server, c.Source} {
-		if since, leaving := o.leavingSince(server, q, c.First); leaving && c.First > since+o.h.Limits.DrainGrace+socketSlack+o.h.slack(since, c.First) {
-			o.report("drain", c.First, words, "request %s went to or named %s %.3f after its proxy was told that it leaves",
-				c.ID, server, (c.First - since).Seconds())
+		if since, leaving := o.withdrawnSince(server, q, c.FirstByteAt); leaving && c.FirstByteAt > since+o.h.Limits.DrainGrace+socketSlack+o.h.slack(since, c.FirstByteAt) {
+			o.report("drain", c.FirstByteAt, words, "request %s went to or named %s %.3f after its proxy was told that it leaves",
+				c.ID, server, (c.FirstByteAt - since).Seconds())
 		}
 	}
 }
 
-// leavingSince tells since when a server counts as draining or gone at a time, to the process of a request.
-func (o *oracle) leavingSince(server string, q *Request, at time.Duration) (since time.Duration, leaving bool) {
+// withdrawnSince tells since when a server counts as draining or gone at a time, to the process of a request.
+func (o *invariantChecker) withdrawnSince(server string, q *Request, at time.Duration) (since time.Duration, leaving bool) {
 	for _, e := range o.h.Events {
 		switch {
-		case server == "" || e.At > at:
-		case slices.Contains(e.Back, server):
+		case server == "" || e.PublishedAt > at:
+		case slices.Contains(e.Serving, server):
 			leaving = false
-		case slices.Contains(e.Leaving, server) && !leaving:
-			since, leaving = o.told(e, q), true
+		case slices.Contains(e.Withdrawn, server) && !leaving:
+			since, leaving = o.notifiedAt(e, q), true
 		}
 	}
 	return since, leaving
 }
 
-// coldBudget checks what a server that has started was sent in each window.
-func (o *oracle) coldBudget(s Start) {
+// checkSlowStart checks what a server that has started was sent in each window.
+func (o *invariantChecker) checkSlowStart(s ServerStart) {
 	l := o.h.Limits
 	var sent []*Call
 	for _, c := range o.h.Calls {
-		if c.Server == s.Server && c.First >= s.At && c.First < s.At+l.WarmWithin && !c.Held {
+		if c.Server == s.Server && c.FirstByteAt >= s.At && c.FirstByteAt < s.At+l.SlowStartDuration && !c.ReadLate {
 			sent = append(sent, c)
 		}
 	}
-	slices.SortFunc(sent, func(a, b *Call) int { return int(a.First - b.First) })
+	slices.SortFunc(sent, func(a, b *Call) int { return int(a.FirstByteAt - b.FirstByteAt) })
 	for i, last := range sent {
-		warm := l.Share + (1-l.Share)*float64(last.First-s.At)/float64(l.WarmWithin)
-		allowed := coldAllowance(l.Multiple * l.Weight * warm * l.Window.Seconds() / l.Work.Seconds())
+		warm := l.SlowStartCapacity + (1-l.SlowStartCapacity)*float64(last.FirstByteAt-s.At)/float64(l.SlowStartDuration)
+		allowed := slowStartAllowance(l.OverloadMultiple * l.LinkTransfers * warm * l.OverloadWindow.Seconds() / l.TransferTime.Seconds())
 		count, told := 0, 0
 		for _, c := range sent[:i+1] {
-			if c.First > last.First-l.Window {
+			if c.FirstByteAt > last.FirstByteAt-l.OverloadWindow {
 				count++
-				if o.toldOfStart(s, c) {
+				if o.knewOfStart(s, c) {
 					told++
 				}
 			}
 		}
 		if float64(count) > allowed && float64(told) >= 2*float64(count)/3 {
-			o.report("cold start", last.First, []string{s.Server}, "%s got %d calls within %v, %.1f allowed, %d from proxies that knew of its start",
-				s.Server, count, l.Window, allowed, told)
+			o.report("cold start", last.FirstByteAt, []string{s.Server}, "%s got %d calls within %v, %.1f allowed, %d from proxies that knew of its start",
+				s.Server, count, l.OverloadWindow, allowed, told)
 			return
 		}
 	}
 }
 
-// coldAllowance is how many calls a cold server bears where the settings allow it n.
-func coldAllowance(n float64) float64 {
+// slowStartAllowance is how many calls a cold server bears where the settings allow it n.
+func slowStartAllowance(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
 	}
 	return n + 2*math.Sqrt(n) + 2
 }
 
-func (o *oracle) toldOfStart(s Start, c *Call) bool {
+func (o *invariantChecker) knewOfStart(s ServerStart, c *Call) bool {
 	q := o.requests[c.ID]
 	for _, e := range o.h.Events {
-		if q != nil && e.Index == s.Index {
-			return c.First > o.told(e, q)
+		if q != nil && e.Index == s.EventIndex {
+			return c.FirstByteAt > o.notifiedAt(e, q)
 		}
 	}
 	return false
 }
 
-// process checks one process by the rules on starts, ends and limits.
-func (o *oracle) process(l *Life) {
+// checkIncarnation checks one checkIncarnation by the rules on starts, ends and limits.
+func (o *invariantChecker) checkIncarnation(l *Incarnation) {
 	who := fmt.Sprintf("proxy %d, life %d", l.Proxy, l.Number)
 	words := []string{proxyName(l.Proxy)}
-	due := l.running(l.Started, readyWithin)
+	due := l.whileRunning(l.StartedAt, readyWithin)
 	ended := func(at time.Duration) bool { return at != 0 && at < due }
-	if (l.Ready == 0 || l.Ready > due) && !ended(l.Killed) && !ended(l.Termed) && !ended(l.Exited) {
-		o.report("not ready", l.Started, words, "%s was not ready in time", who)
+	if (l.ReadyAt == 0 || l.ReadyAt > due) && !ended(l.KilledAt) && !ended(l.SigtermAt) && !ended(l.ExitedAt) {
+		o.report("not ready", l.StartedAt, words, "%s was not ready in time", who)
 	}
-	if l.Exited != 0 && (l.Termed == 0 || l.Exited < l.Termed) && l.Killed == 0 {
-		o.report("crash", l.Exited, words, "%s ended by itself: %s", who, l.ExitError)
+	if l.ExitedAt != 0 && (l.SigtermAt == 0 || l.ExitedAt < l.SigtermAt) && l.KilledAt == 0 {
+		o.report("crash", l.ExitedAt, words, "%s ended by itself: %s", who, l.ExitError)
 	}
-	if l.Termed != 0 && l.Killed == 0 && l.Exited > l.Termed && l.ExitError != "" {
-		o.report("bad end", l.Termed, words, "%s ended with %q after SIGTERM", who, l.ExitError)
+	if l.SigtermAt != 0 && l.KilledAt == 0 && l.ExitedAt > l.SigtermAt && l.ExitError != "" {
+		o.report("bad end", l.SigtermAt, words, "%s ended with %q after SIGTERM", who, l.ExitError)
 	}
-	if l.Termed != 0 && l.Killed > l.Termed {
-		o.report("late end", l.Killed, words, "%s had to be killed %.3f after SIGTERM", who, (l.Killed - l.Termed).Seconds())
+	if l.SigtermAt != 0 && l.KilledAt > l.SigtermAt {
+		o.report("late end", l.KilledAt, words, "%s had to be killed %.3f after SIGTERM", who, (l.KilledAt - l.SigtermAt).Seconds())
 	}
-	if l.MostMemoryKB > o.h.Limits.MemoryKB {
-		o.report("memory", l.Exited, words, "%s held %d KB", who, l.MostMemoryKB)
+	if l.PeakMemoryKB > o.h.Limits.MemoryKB {
+		o.report("memory", l.ExitedAt, words, "%s held %d KB", who, l.PeakMemoryKB)
 	}
-	if l.MostDescriptors > o.h.Limits.Descriptors {
-		o.report("descriptors", l.Exited, words, "%s held %d descriptors", who, l.MostDescriptors)
+	if l.PeakDescriptors > o.h.Limits.Descriptors {
+		o.report("descriptors", l.ExitedAt, words, "%s held %d descriptors", who, l.PeakDescriptors)
 	}
 }
 
--- a/internal/soak/oracle_test.go
+++ b/internal/soak/oracle_test.go
@@ -9,29 +9,29 @@
 // quiet is a history in which all rules were kept: one process, one read and one write.
 func quiet() *History {
 	h := NewHistory(Limits{MemoryKB: 1000, Descriptors: 100, DrainGrace: 500 * time.Millisecond, PurgeGrace: 300 * time.Millisecond,
-		Multiple: 2, Share: 0.1, Weight: 3, Work: 50 * time.Millisecond, Window: time.Second, WarmWithin: 4 * time.Second,
-		LongestWait: 3 * time.Second})
-	h.Lives = []*Life{{Proxy: 1, Number: 1, Started: 1, Ready: time.Second, Termed: 30 * time.Second, Exited: 31 * time.Second}}
+		OverloadMultiple: 2, SlowStartCapacity: 0.1, LinkTransfers: 3, TransferTime: 50 * time.Millisecond, OverloadWindow: time.Second, SlowStartDuration: 4 * time.Second,
+		MaxDeadline: 3 * time.Second})
+	h.Incarnations = []*Incarnation{{Proxy: 1, Number: 1, StartedAt: 1, ReadyAt: time.Second, SigtermAt: 30 * time.Second, ExitedAt: 31 * time.Second}}
 	h.Requests = []*Request{
-		{ID: "read", Class: classRead, Object: "x", Group: 3, Proxy: 1, Life: 1, Sent: 10 * time.Second, Wait: time.Second,
-			Answers: []Answer{{At: 10100 * time.Millisecond, Status: "200", Body: "1 x"}}},
-		{ID: "write", Class: classWrite, Proxy: 1, Life: 1, Sent: 12 * time.Second, Wait: time.Second,
-			Answers: []Answer{{At: 12100 * time.Millisecond, Status: "200"}}},
+		{ID: "read", Class: classRead, Object: "x", Group: 3, Proxy: 1, Incarnation: 1, SentAt: 10 * time.Second, Timeout: time.Second,
+			Answers: []FinalAnswer{{At: 10100 * time.Millisecond, Status: "200", Body: "1 x"}}},
+		{ID: "write", Class: classWrite, Proxy: 1, Incarnation: 1, SentAt: 12 * time.Second, Timeout: time.Second,
+			Answers: []FinalAnswer{{At: 12100 * time.Millisecond, Status: "200"}}},
 	}
 	h.Calls = []*Call{
-		{Serial: 1, Server: "cache", ID: "read", Source: "parent", First: 10010 * time.Millisecond, Whole: 10010 * time.Millisecond,
-			Wait: 900 * time.Millisecond, Made: h.start},
-		{Serial: 2, Server: "origin", ID: "write", Ran: true, First: 12010 * time.Millisecond, Whole: 12010 * time.Millisecond,
-			Wait: 900 * time.Millisecond},
+		{Serial: 1, Server: "cache", ID: "read", Source: "parent", FirstByteAt: 10010 * time.Millisecond, CompleteAt: 10010 * time.Millisecond,
+			Timeout: 900 * time.Millisecond, CopyMadeAt: h.start},
+		{Serial: 2, Server: "origin", ID: "write", Ran: true, FirstByteAt: 12010 * time.Millisecond, CompleteAt: 12010 * time.Millisecond,
+			Timeout: 900 * time.Millisecond},
 	}
 	return h
 }
 
 // TestOracle breaks each rule in a history that is otherwise sound.
 func TestOracle(t *testing.T) {
-	told := func(e Told) func(*History) {
+	told := func(e WatchEvent) func(*History) {
 		return func(h *History) {
-			e.Index, e.At, e.To = 2, 8*time.Second, map[int]time.Duration{1: 9 * time.Second}
+			e.Index, e.PublishedAt, e.DeliveredAt = 2, 8*time.Second, map[int]time.Duration{1: 9 * time.Second}
 			h.Events = append(h.Events, &e)
 		}
 	}
@@ -41,15 +41,15 @@
 		want   string // "": no rule is broken
 	}{
 		{"nothing", func(*History) {}, ""},
-		{"two answers", func(h *History) { h.Requests[0].Answers = append(h.Requests[0].Answers, Answer{Status: "503"}) }, "second answer"},
+		{"two answers", func(h *History) { h.Requests[0].Answers = append(h.Requests[0].Answers, FinalAnswer{Status: "503"}) }, "second answer"},
 		{"no answer", func(h *History) { h.Requests[0].Answers = nil }, "lost"},
-		{"no answer from a process that was killed", func(h *History) { h.Requests[0].Answers, h.Lives[0].Killed = nil, 10*time.Second }, ""},
-		{"taken back", func(h *History) { h.Requests[0].Answers, h.Requests[0].Left = nil, 10*time.Second }, ""},
-		{"closed", func(h *History) { h.Requests[0].Answers, h.Requests[0].Ended = nil, 11*time.Second }, "lost"},
+		{"no answer from a process that was killed", func(h *History) { h.Requests[0].Answers, h.Incarnations[0].KilledAt = nil, 10*time.Second }, ""},
+		{"taken back", func(h *History) { h.Requests[0].Answers, h.Requests[0].CanceledAt = nil, 10*time.Second }, ""},
+		{"closed", func(h *History) { h.Requests[0].Answers, h.Requests[0].DisconnectedAt = nil, 11*time.Second }, "lost"},
 		{"late answer", func(h *History) { h.Requests[0].Answers[0].At = 12 * time.Second }, "late answer"},
 		{"late while stopped", func(h *History) {
 			h.Requests[0].Answers[0].At = 12 * time.Second
-			h.Lives[0].Stopped = [][2]time.Duration{{10 * time.Second, 11 * time.Second}}
+			h.Incarnations[0].Paused = [][2]time.Duration{{10 * time.Second, 11 * time.Second}}
 		}, ""},
 		{"ran twice", func(h *History) {
 			again := *h.Calls[1]
@@ -61,23 +61,29 @@
 		{"repeated in its window", keyedAgain(300 * time.Millisecond), ""},
 		{"repeated after its window", keyedAgain(700 * time.Millisecond), "repeat after window"},
 		{"a call of nobody", func(h *History) { h.Calls[0].ID = "other" }, "unknown call"},
-		{"begun after the client had left", func(h *History) { h.Requests[0].Left = 9 * time.Second }, "begun after left"},
-		{"begun just after", func(h *History) { h.Requests[0].Left = 9950 * time.Millisecond }, ""},
-		{"a deadline that is too late", func(h *History) { h.Calls[0].Wait = 1400 * time.Millisecond }, "deadline"},
-		{"to a server that drains", told(Told{Group: -1, Leaving: []string{"cache"}}), "drain"},
+		{"begun after the client had left", func(h *History) { h.Requests[0].CanceledAt = 9 * time.Second }, "begun after left"},
+		{"begun just after", func(h *History) { h.Requests[0].CanceledAt = 9950 * time.Millisecond }, ""},
+		{"a deadline that is too late", func(h *History) { h.Calls[0].Timeout = 1400 * time.Millisecond }, "deadline"},
+		{"to a server that drains", told(WatchEvent{PurgedGroup: -1, Withdrawn: []string{"cache"}}), "drain"},
 		{"a drain that was never told", neverTold(), "drain"},
 		{"a drain that could not be heard", neverTold([2]time.Duration{3 * time.Second, 6 * time.Second}, [2]time.Duration{5 * time.Second, 10 * time.Second}), ""},
-		{"a source that is gone", told(Told{Group: -1, Leaving: []string{"parent"}}), "drain"},
-		{"another one drains", told(Told{Group: -1, Leaving: []string{"other"}}), ""},
-		{"an older copy than a purge", func(h *History) { told(Told{Object: "x", Group: -1, Moment: h.start.Add(time.Second)})(h) }, "purged copy"},
-		{"an older copy than a group's purge", func(h *History) { told(Told{Object: "-", Group: 3, Moment: h.start.Add(time.Second)})(h) }, "purged copy"},
-		{"a younger copy", func(h *History) { told(Told{Object: "x", Group: -1, Moment: h.start.Add(-time.Second)})(h) }, ""},
-		{"never ready", func(h *History) { h.Lives[0].Ready = 20 * time.Second }, "not ready"},
-		{"ends by itself", func(h *History) { h.Lives[0].Termed, h.Lives[0].Exited = 0, 20*time.Second }, "crash"},
-		{"ends with an error", func(h *History) { h.Lives[0].ExitError = "exit status 2" }, "bad end"},
-		{"has to be killed", func(h *History) { h.Lives[0].Killed = 35 * time.Second }, "late end"},
-		{"takes too much memory", func(h *History) { h.Lives[0].MostMemoryKB = 1001 }, "memory"},
-		{"takes too many descriptors", func(h *History) { h.Lives[0].MostDescriptors = 101 }, "descriptors"},
+		{"a source that is gone", told(WatchEvent{PurgedGroup: -1, Withdrawn: []string{"parent"}}), "drain"},
+		{"another one drains", told(WatchEvent{PurgedGroup: -1, Withdrawn: []string{"other"}}), ""},
+		{"an older copy than a purge", func(h *History) {
+			told(WatchEvent{PurgedObject: "x", PurgedGroup: -1, PurgedBefore: h.start.Add(time.Second)})(h)
+		}, "purged copy"},
+		{"an older copy than a group's purge", func(h *History) {
+			told(WatchEvent{PurgedObject: "-", PurgedGroup: 3, PurgedBefore: h.start.Add(time.Second)})(h)
+		}, "purged copy"},
+		{"a younger copy", func(h *History) {
+			told(WatchEvent{PurgedObject: "x", PurgedGroup: -1, PurgedBefore: h.start.Add(-time.Second)})(h)
+		}, ""},
+		{"never ready", func(h *History) { h.Incarnations[0].ReadyAt = 20 * time.Second }, "not ready"},
+		{"ends by itself", func(h *History) { h.Incarnations[0].SigtermAt, h.Incarnations[0].ExitedAt = 0, 20*time.Second }, "crash"},
+		{"ends with an error", func(h *History) { h.Incarnations[0].ExitError = "exit status 2" }, "bad end"},
+		{"has to be killed", func(h *History) { h.Incarnations[0].KilledAt = 35 * time.Second }, "late end"},
+		{"takes too much memory", func(h *History) { h.Incarnations[0].PeakMemoryKB = 1001 }, "memory"},
+		{"takes too many descriptors", func(h *History) { h.Incarnations[0].PeakDescriptors = 101 }, "descriptors"},
 		{"a burst to a cold server", func(h *History) { coldBurst(h, 50) }, "cold start"},
 		{"what a cold server bears", func(h *History) { coldBurst(h, 43) }, ""},
 	} {
@@ -96,7 +102,7 @@
 // neverTold has the cache drain 8 s before it is sent something, with spans in which the coordinator told nothing.
 func neverTold(withheld ...[2]time.Duration) func(*History) {
 	return func(h *History) {
-		h.Events = append(h.Events, &Told{Index: 2, At: 2 * time.Second, Group: -1, Leaving: []string{"cache"}})
+		h.Events = append(h.Events, &WatchEvent{Index: 2, PublishedAt: 2 * time.Second, PurgedGroup: -1, Withdrawn: []string{"cache"}})
 		h.Withheld[1] = withheld
 	}
 }
@@ -104,24 +110,24 @@
 // keyedAgain makes the read a keyed request that is sent again after a time.
 func keyedAgain(after time.Duration) func(*History) {
 	return func(h *History) {
-		h.Limits.KeyWindow = 400 * time.Millisecond
+		h.Limits.DeduplicationWindow = 400 * time.Millisecond
 		h.Requests[0].Class = classKeyed
 		again := *h.Calls[0]
-		again.Serial, again.First, again.Wait = 3, again.First+after, 0
+		again.Serial, again.FirstByteAt, again.Timeout = 3, again.FirstByteAt+after, 0
 		h.Calls = append(h.Calls, &again)
 	}
 }
 
 // coldBurst sends calls at once to a server that has started, 0.3 s after its proxy was told. The settings allow it 25.5 by then.
 func coldBurst(h *History, count int) {
-	h.Starts = []Start{{Server: "cold", At: 13 * time.Second, Index: 5}}
-	h.Events = append(h.Events, &Told{Index: 5, At: 13 * time.Second, Group: -1, Back: []string{"cold"},
-		To: map[int]time.Duration{1: 13200 * time.Millisecond}})
+	h.Starts = []ServerStart{{Server: "cold", At: 13 * time.Second, EventIndex: 5}}
+	h.Events = append(h.Events, &WatchEvent{Index: 5, PublishedAt: 13 * time.Second, PurgedGroup: -1, Serving: []string{"cold"},
+		DeliveredAt: map[int]time.Duration{1: 13200 * time.Millisecond}})
 	for i := range count {
 		id := string(rune('a'+i%26)) + string(rune('a'+i/26))
 		at := 13500 * time.Millisecond
-		h.Requests = append(h.Requests, &Request{ID: id, Class: classRead, Proxy: 1, Life: 1, Sent: at, Wait: time.Second,
-			Answers: []Answer{{At: at, Status: "200"}}})
-		h.Calls = append(h.Calls, &Call{Serial: 100 + i, Server: "cold", ID: id, First: at, Whole: at})
+		h.Requests = append(h.Requests, &Request{ID: id, Class: classRead, Proxy: 1, Incarnation: 1, SentAt: at, Timeout: time.Second,
+			Answers: []FinalAnswer{{At: at, Status: "200"}}})
+		h.Calls = append(h.Calls, &Call{Serial: 100 + i, Server: "cold", ID: id, FirstByteAt: at, CompleteAt: at})
 	}
 }
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -20,29 +20,29 @@
 
 // process is one edge proxy: a place in the fleet, with one program after another in it.
 type process struct {
-	r           *run
-	number      int
-	addr, admin string
-	config      string
-	mu          sync.Mutex
-	cmd         *exec.Cmd
-	life        *Life
-	exited      chan struct{} // of the life under way
-	admits      bool          // clients may connect
-	takes       bool          // requests may be sent on connections that are open
-	environment []string      // of the next life
-	noReader    bool          // nobody reads its log in the next life
-	settings    map[string]any
-	busy        sync.Mutex // held by the trouble that it is in
-	socket      *os.File   // for clients, held by the platform; nil: each program opens its own
+	r               *run
+	number          int
+	addr, admin     string
+	config          string
+	mu              sync.Mutex
+	cmd             *exec.Cmd
+	incarnation     *Incarnation
+	exited          chan struct{} // of the life under way
+	acceptsConns    bool          // clients may connect
+	acceptsRequests bool          // requests may be sent on connections that are open
+	environment     []string      // of the next life
+	logUnread       bool          // nobody reads its log in the next life
+	settings        map[string]any
+	faultMu         sync.Mutex // held by the trouble that it is in
+	socket          *os.File   // for clients, held by the platform; nil: each program opens its own
 }
 
 // writeConfig writes the configuration with the events so far.
 func (p *process) writeConfig() (known int, err error) {
-	index, updates := p.r.coordinator.known()
+	index, updates := p.r.coordinator.knownEvents()
 	text, err := json.Marshal(map[string]any{
 		"name": fmt.Sprintf("proxy-%d", p.number), "listen": p.addr, "admin_addr": p.admin, "seed": fmt.Sprintf("%x", p.r.seed+uint64(p.number)),
-		"coordinator": p.r.coordinator.posts[p.number].addr, "flow_bytes_per_s": flowBytes,
+		"coordinator": p.r.coordinator.watchServers[p.number].addr, "flow_bytes_per_s": flowBytes,
 		"limits":   map[string]any{"cores": 1, "memory_mb": p.r.limits.MemoryKB >> 10, "sockets": p.r.limits.Descriptors},
 		"known":    map[string]any{"index": index, "updates": json.RawMessage(updates)},
 		"settings": p.settings,
@@ -66,10 +66,10 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	number := 1
-	if p.life != nil {
-		number = p.life.Number + 1
+	if p.incarnation != nil {
+		number = p.incarnation.Number + 1
 	}
-	p.life = &Life{Proxy: p.number, Number: number, Started: p.r.h.Now(), Known: known}
+	p.incarnation = &Incarnation{Proxy: p.number, Number: number, StartedAt: p.r.h.Now(), KnownEvents: known}
 	p.exited = make(chan struct{})
 	p.cmd = exec.Command(p.r.options.Program)
 	p.cmd.Env = append(append(os.Environ(), p.r.options.Environment...), "BALANCER_CONFIG="+p.config)
@@ -78,7 +78,7 @@
 		p.cmd.ExtraFiles = []*os.File{p.socket}
 		p.cmd.Env = append(p.cmd.Env, fmt.Sprintf("BALANCER_LISTEN_FD=%d", firstExtraFile))
 	}
-	log, write, err := logPipe(p.noReader)
+	log, write, err := logPipe(p.logUnread)
 	if err != nil {
 		return err
 	}
@@ -88,15 +88,15 @@
 	if err != nil {
 		return err
 	}
-	life, cmd, exited := p.life, p.cmd, p.exited
-	p.r.h.do(func() { p.r.h.Lives = append(p.r.h.Lives, life) })
+	life, cmd, exited := p.incarnation, p.cmd, p.exited
+	p.r.h.locked(func() { p.r.h.Incarnations = append(p.r.h.Incarnations, life) })
 	p.r.h.Note(p.name(), "life %d begins, knows %d events, %v", number, known, p.environment)
 	read := make(chan struct{})
 	go func() {
 		defer close(read)
 		p.readLog(log)
 	}()
-	go p.await(life, cmd, exited, read)
+	go p.recordExit(life, cmd, exited, read)
 	go p.awaitReady(life, exited)
 	return nil
 }
@@ -123,8 +123,8 @@
 func (p *process) readLog(log io.ReadCloser) {
 	defer log.Close() //nolint:errcheck // it was only read
 	p.mu.Lock()
-	unread, exited := p.noReader, p.exited
-	p.noReader = false
+	unread, exited := p.logUnread, p.exited
+	p.logUnread = false
 	p.mu.Unlock()
 	if unread {
 		p.r.h.Note("trouble", "nobody reads the log of %s", p.name())
@@ -140,11 +140,11 @@
 	io.Copy(io.Discard, log) //nolint:errcheck // its end is what counts
 }
 
-// await takes note of the end of a life.
-func (p *process) await(life *Life, cmd *exec.Cmd, exited, read chan struct{}) {
+// recordExit takes note of the end of a life.
+func (p *process) recordExit(life *Incarnation, cmd *exec.Cmd, exited, read chan struct{}) {
 	state, err := cmd.Process.Wait()
-	p.r.h.do(func() {
-		life.Exited = p.r.h.Now()
+	p.r.h.locked(func() {
+		life.ExitedAt = p.r.h.Now()
 		if err != nil || !state.Success() {
 			life.ExitError = fmt.Sprint(state, err)
 		}
@@ -153,14 +153,14 @@
 	<-read
 	p.r.h.Note(p.name(), "life %d ended: %v", life.Number, state)
 	p.mu.Lock()
-	if p.life == life {
-		p.admits, p.takes = false, false
+	if p.incarnation == life {
+		p.acceptsConns, p.acceptsRequests = false, false
 	}
 	p.mu.Unlock()
 }
 
 // awaitReady asks until the process says that it can serve.
-func (p *process) awaitReady(life *Life, ended <-chan struct{}) {
+func (p *process) awaitReady(life *Incarnation, ended <-chan struct{}) {
 	for {
 		select {
 		case <-ended:
@@ -171,11 +171,11 @@
 		if err != nil || status != 200 {
 			continue
 		}
-		p.r.h.do(func() { life.Ready = p.r.h.Now() })
+		p.r.h.locked(func() { life.ReadyAt = p.r.h.Now() })
 		p.r.h.Note(p.name(), "life %d is ready", life.Number)
 		p.mu.Lock()
-		if p.life == life && life.Termed == 0 {
-			p.admits, p.takes = true, true
+		if p.incarnation == life && life.SigtermAt == 0 {
+			p.acceptsConns, p.acceptsRequests = true, true
 		}
 		p.mu.Unlock()
 		return
@@ -209,16 +209,16 @@
 	p.cmd.Process.Signal(s) //nolint:errcheck // it may have ended
 }
 
-// freeze takes the core away for a time.
-func (p *process) freeze(length time.Duration) {
+// pause takes the core away for a time.
+func (p *process) pause(length time.Duration) {
 	p.mu.Lock()
-	life := p.life
+	life := p.incarnation
 	p.mu.Unlock()
 	from := p.r.h.Now()
 	p.signal(syscall.SIGSTOP)
 	time.Sleep(length)
 	p.signal(syscall.SIGCONT)
-	p.r.h.do(func() { life.Stopped = append(life.Stopped, [2]time.Duration{from, p.r.h.Now()}) })
+	p.r.h.locked(func() { life.Paused = append(life.Paused, [2]time.Duration{from, p.r.h.Now()}) })
 }
 
 // runsAfter is how long after its start a program surely listens for signals: one that comes before ends it.
@@ -227,48 +227,48 @@
 // settledAfter is how long after a start the platform sends no order to read the configuration again.
 const settledAfter = time.Second
 
-// awaitLife waits until the life under way has come so far, or has ended.
-func (p *process) awaitLife(reached func(l *Life, age time.Duration) bool) {
+// awaitState waits until the life under way has come so far, or has ended.
+func (p *process) awaitState(reached func(l *Incarnation, age time.Duration) bool) {
 	for done := false; !done; time.Sleep(10 * time.Millisecond) {
 		p.mu.Lock()
-		life := p.life
+		life := p.incarnation
 		p.mu.Unlock()
-		p.r.h.do(func() { done = life.Exited != 0 || reached(life, p.r.h.Now()-life.Started) })
+		p.r.h.locked(func() { done = life.ExitedAt != 0 || reached(life, p.r.h.Now()-life.StartedAt) })
 	}
 }
 
 // awaitRunning waits until the program listens for signals.
 func (p *process) awaitRunning() {
-	p.awaitLife(func(l *Life, age time.Duration) bool { return l.Ready != 0 || age > runsAfter })
+	p.awaitState(func(l *Incarnation, age time.Duration) bool { return l.ReadyAt != 0 || age > runsAfter })
 }
 
 // awaitSettled waits until the process may be sent an order to read its configuration again.
 func (p *process) awaitSettled() {
-	p.awaitLife(func(l *Life, age time.Duration) bool { return l.Ready != 0 && age > settledAfter })
+	p.awaitState(func(l *Incarnation, age time.Duration) bool { return l.ReadyAt != 0 && age > settledAfter })
 }
 
 // term ends the life as at a planned restart, and waits for its end. One that is late is killed.
 func (p *process) term() {
 	p.awaitRunning()
 	p.mu.Lock()
-	life, exited := p.life, p.exited
-	p.r.h.do(func() { life.Termed = p.r.h.Now() })
+	life, exited := p.incarnation, p.exited
+	p.r.h.locked(func() { life.SigtermAt = p.r.h.Now() })
 	p.mu.Unlock()
 	p.signal(syscall.SIGTERM)
-	time.AfterFunc(250*time.Millisecond, func() { p.close(life, &p.admits) })
-	time.AfterFunc(450*time.Millisecond, func() { p.close(life, &p.takes) })
+	time.AfterFunc(250*time.Millisecond, func() { p.closeGate(life, &p.acceptsConns) })
+	time.AfterFunc(450*time.Millisecond, func() { p.closeGate(life, &p.acceptsRequests) })
 	select {
 	case <-exited:
-	case <-time.After(p.r.limits.LongestWait + killTime + machineSlack):
+	case <-time.After(p.r.limits.MaxDeadline + killAfter + machineSlack):
 		p.kill()
 	}
 }
 
-// close ends what clients may do in a life.
-func (p *process) close(life *Life, gate *bool) {
+// closeGate ends what clients may do in a life.
+func (p *process) closeGate(life *Incarnation, gate *bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.life == life {
+	if p.incarnation == life {
 		*gate = false
 	}
 }
@@ -287,22 +287,22 @@
 	return err
 }
 
-// handOver starts the next life beside the one under way, on the same socket, and ends that when the next is ready.
-func (p *process) handOver() error {
+// replace starts the next life beside the one under way, on the same socket, and ends that when the next is ready.
+func (p *process) replace() error {
 	p.mu.Lock()
-	old, cmd, exited := p.life, p.cmd, p.exited
+	old, cmd, exited := p.incarnation, p.cmd, p.exited
 	p.admin = freeAddr(p.r.options.Host(10 + p.number))
 	p.mu.Unlock()
 	if err := p.start(); err != nil {
 		return err
 	}
-	p.awaitLife(func(l *Life, _ time.Duration) bool { return l.Ready != 0 })
-	p.r.h.do(func() { old.Termed = p.r.h.Now() })
+	p.awaitState(func(l *Incarnation, _ time.Duration) bool { return l.ReadyAt != 0 })
+	p.r.h.locked(func() { old.SigtermAt = p.r.h.Now() })
 	cmd.Process.Signal(syscall.SIGTERM) //nolint:errcheck // it may have ended
 	select {
 	case <-exited:
-	case <-time.After(p.r.limits.LongestWait + killTime + machineSlack):
-		p.r.h.do(func() { old.Killed = p.r.h.Now() })
+	case <-time.After(p.r.limits.MaxDeadline + killAfter + machineSlack):
+		p.r.h.locked(func() { old.KilledAt = p.r.h.Now() })
 		cmd.Process.Kill() //nolint:errcheck // as above
 		<-exited
 	}
@@ -312,28 +312,28 @@
 // kill ends the life at once.
 func (p *process) kill() {
 	p.mu.Lock()
-	life, exited := p.life, p.exited
-	p.admits, p.takes = false, false
-	p.r.h.do(func() { life.Killed = p.r.h.Now() })
+	life, exited := p.incarnation, p.exited
+	p.acceptsConns, p.acceptsRequests = false, false
+	p.r.h.locked(func() { life.KilledAt = p.r.h.Now() })
 	p.mu.Unlock()
 	p.signal(syscall.SIGKILL)
 	<-exited
 }
 
-// open says what clients may do, and in which life.
-func (p *process) open() (admits, takes bool, life int) {
+// admission says what clients may do, and in which life.
+func (p *process) admission() (admits, takes bool, life int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.life == nil {
+	if p.incarnation == nil {
 		return false, false, 0
 	}
-	return p.admits, p.takes, p.life.Number
+	return p.acceptsConns, p.acceptsRequests, p.incarnation.Number
 }
 
 // measure takes note of the memory and the descriptors held.
 func (p *process) measure() {
 	p.mu.Lock()
-	life, pid := p.life, p.cmd.Process.Pid
+	life, pid := p.incarnation, p.cmd.Process.Pid
 	p.mu.Unlock()
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -345,14 +345,14 @@
 		kb, _ = strconv.Atoi(fields[0])
 	}
 	descriptors, _ := filepath.Glob(fmt.Sprintf("/proc/%d/fd/*", pid))
-	p.r.h.do(func() {
-		life.MostMemoryKB = max(life.MostMemoryKB, kb)
-		life.MostDescriptors = max(life.MostDescriptors, len(descriptors))
+	p.r.h.locked(func() {
+		life.PeakMemoryKB = max(life.PeakMemoryKB, kb)
+		life.PeakDescriptors = max(life.PeakDescriptors, len(descriptors))
 	})
 }
 
-// crowd has more clients connect and say nothing than the proxy has descriptors for, and again as soon as one is closed.
-func (p *process) crowd(length time.Duration) {
+// connectIdleClients has more clients connect and say nothing than the proxy has descriptors for, and again as soon as one is closed.
+func (p *process) connectIdleClients(length time.Duration) {
 	var idlers sync.WaitGroup
 	end := time.Now().Add(length)
 	for range p.r.limits.Descriptors / 2 {
@@ -372,8 +372,8 @@
 	idlers.Wait()
 }
 
-// breakConfig leaves a configuration that was cut off.
-func (p *process) breakConfig() error {
+// truncateConfig leaves a configuration that was cut off.
+func (p *process) truncateConfig() error {
 	text, err := os.ReadFile(p.config)
 	if err != nil {
 		return err
@@ -388,18 +388,18 @@
 		return
 	}
 	p.mu.Lock()
-	life := p.life
+	life := p.incarnation
 	p.mu.Unlock()
 	time.Sleep(200 * time.Millisecond)
-	p.close(life, &p.admits)
+	p.closeGate(life, &p.acceptsConns)
 	time.Sleep(length)
 	if status, err := p.call("PUT", "/ops/drain/stop"); err != nil || status != 200 {
 		p.r.h.Note(p.name(), "does not serve again: %d %v", status, err)
 		return
 	}
 	p.mu.Lock()
-	if p.life == life && life.Termed == 0 && life.Exited == 0 {
-		p.admits = true
+	if p.incarnation == life && life.SigtermAt == 0 && life.ExitedAt == 0 {
+		p.acceptsConns = true
 	}
 	p.mu.Unlock()
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	reloadSignal = syscall.SIGHUP
-	flowBytes    = 200_000 // a second of one transfer: an object takes 50 ms
-	cacheWeight  = 3.0     // transfers
-	cacheCount   = 4
-	keyWindow    = 400 * time.Millisecond
-	purgeEvery   = 400 * time.Millisecond
-	purgeDelay   = 40 * time.Millisecond // until the coordinator has it
-	measureEvery = 500 * time.Millisecond
-	askEvery     = 80 * time.Millisecond // of each proxy's clients, in the mean
+	reloadSignal        = syscall.SIGHUP
+	flowBytes           = 200_000 // a second of one transfer: an object takes 50 ms
+	cacheWeight         = 3.0     // transfers
+	cacheCount          = 4
+	keyWindow           = 400 * time.Millisecond
+	meanPurgeInterval   = 400 * time.Millisecond
+	purgeDelay          = 40 * time.Millisecond // until the coordinator has it
+	measureInterval     = 500 * time.Millisecond
+	meanRequestInterval = 80 * time.Millisecond // of each proxy's clients, in the mean
 )
 
 // Options say what is run.
@@ -36,21 +36,21 @@
 	FailingCalls string   // environment variable by which its system calls fail, by a seed
 	Host         func(int) string
 	Fleet        int
-	Length       time.Duration
-	Folder       string   // for the configurations
-	Keep         string   // folder for what is kept of violations; empty: nothing is
+	Duration     time.Duration
+	ConfigDir    string   // for the configurations
+	ReportDir    string   // folder for what is kept of violations; empty: nothing is
 	Kinds        []string // of troubles; empty: all
 	Shrink       bool     // look for the least schedule that breaks the same rule
 }
 
 // Result is what one seed brought.
 type Result struct {
-	Seed       uint64
-	Schedule   []Trouble
-	Violations []Violation
-	Requests   int
-	Served     int
-	Lives      int // programs that were started
+	Seed         uint64
+	Schedule     []Fault
+	Violations   []Violation
+	Requests     int
+	Served       int
+	Incarnations int // programs that were started
 }
 
 // run is one run under way.
@@ -75,7 +75,7 @@
 	if len(kinds) == 0 {
 		kinds = Kinds()
 	}
-	schedule := Schedule(seed, o.Length, o.Fleet, cacheCount, kinds)
+	schedule := Schedule(seed, o.Duration, o.Fleet, cacheCount, kinds)
 	result, err := play(seed, o, schedule)
 	if err != nil || len(result.Violations) == 0 || !o.Shrink {
 		return result, err
@@ -83,13 +83,13 @@
 	return result, shrink(seed, o, result)
 }
 
-func play(seed uint64, o Options, schedule []Trouble) (Result, error) {
+func play(seed uint64, o Options, schedule []Fault) (Result, error) {
 	limits := Limits{MemoryKB: 64 << 10, Descriptors: 256, DrainGrace: 500 * time.Millisecond, PurgeGrace: 300 * time.Millisecond,
-		ClearedWithin: 6 * time.Second, Multiple: 2, Share: 0.1, Weight: cacheWeight, Work: bodySize * time.Second / flowBytes,
-		Window: time.Second, WarmWithin: 4 * time.Second, LongestWait: 3 * time.Second, KeyWindow: keyWindow}
+		ClearedWithin: 6 * time.Second, OverloadMultiple: 2, SlowStartCapacity: 0.1, LinkTransfers: cacheWeight, TransferTime: bodySize * time.Second / flowBytes,
+		OverloadWindow: time.Second, SlowStartDuration: 4 * time.Second, MaxDeadline: 3 * time.Second, DeduplicationWindow: keyWindow}
 	r := &run{options: o, seed: seed, limits: limits, h: NewHistory(limits), failure: make(chan error, 100), over: make(chan struct{})}
-	defer r.end()
-	if err := r.begin(); err != nil {
+	defer r.stop()
+	if err := r.start(); err != nil {
 		return Result{}, err
 	}
 	r.playAll(schedule)
@@ -98,14 +98,14 @@
 		return Result{}, err
 	default:
 	}
-	result := Result{Seed: seed, Schedule: schedule, Violations: Check(r.h), Requests: len(r.h.Requests), Lives: len(r.h.Lives)}
+	result := Result{Seed: seed, Schedule: schedule, Violations: Check(r.h), Requests: len(r.h.Requests), Incarnations: len(r.h.Incarnations)}
 	for _, q := range r.h.Requests {
 		if len(q.Answers) > 0 && q.Answers[0].Status == "200" {
 			result.Served++
 		}
 	}
-	if len(result.Violations) > 0 && o.Keep != "" {
-		return result, r.keep(result)
+	if len(result.Violations) > 0 && o.ReportDir != "" {
+		return result, r.writeReport(result)
 	}
 	return result, nil
 }
@@ -115,8 +115,8 @@
 func shrink(seed uint64, o Options, found Result) error {
 	least, rule := found.Schedule, found.Violations[0].Rule
 	o.Shrink = false
-	keep := o.Keep
-	o.Keep = ""
+	keep := o.ReportDir
+	o.ReportDir = ""
 	for i := 0; i < len(least); {
 		without := slices.Delete(slices.Clone(least), i, i+1)
 		result, err := play(seed, o, without)
@@ -133,19 +133,19 @@
 		return nil
 	}
 	path := filepath.Join(keep, fmt.Sprintf("seed-%d", seed), "least.txt")
-	return os.WriteFile(path, []byte(rule+"\n"+describe(least)), 0o644)
+	return os.WriteFile(path, []byte(rule+"\n"+formatSchedule(least)), 0o644)
 }
 
-// must takes note of a failure of the soak itself.
-func (r *run) must(err error) {
+// recordFailure takes note of a failure of the soak itself.
+func (r *run) recordFailure(err error) {
 	if err != nil {
 		r.failure <- err
 	}
 }
 
-// begin starts all that takes part.
-func (r *run) begin() (err error) {
-	serial := &counter{}
+// start starts all that takes part.
+func (r *run) start() (err error) {
+	serial := &sequence{}
 	r.coordinator = newCoordinator(r.h)
 	start := func(id, kind, zone string) *server {
 		if err != nil {
@@ -165,16 +165,16 @@
 		return err
 	}
 	var entries []string
-	first := &Told{Group: -1}
+	first := &WatchEvent{PurgedGroup: -1}
 	for _, s := range r.servers() {
 		entries = append(entries, s.entry())
-		first.Back = append(first.Back, s.id)
+		first.Serving = append(first.Serving, s.id)
 	}
-	r.coordinator.add(first, `{"index":%d,"endpoints":{"version":1,"full":true,"servers":[`+strings.Join(entries, ",")+`]}}`)
+	r.coordinator.publish(first, `{"index":%d,"endpoints":{"version":1,"full":true,"servers":[`+strings.Join(entries, ",")+`]}}`)
 	for i := range r.options.Fleet {
-		p := &process{r: r, number: i, config: filepath.Join(r.options.Folder, fmt.Sprintf("proxy-%d.json", i)),
+		p := &process{r: r, number: i, config: filepath.Join(r.options.ConfigDir, fmt.Sprintf("proxy-%d.json", i)),
 			settings: settingsFor(i, r.options.Fleet, true)}
-		if err := r.coordinator.post(i, r.options.Host(2)); err != nil {
+		if err := r.coordinator.serveProxy(i, r.options.Host(2)); err != nil {
 			return err
 		}
 		if p.addr, p.admin, err = freeAddr(r.options.Host(10+i)), freeAddr(r.options.Host(10+i)), nil; p.addr == "" || p.admin == "" {
@@ -195,8 +195,8 @@
 
 func (r *run) servers() []*server { return append(slices.Clone(r.caches), r.parent, r.origin) }
 
-// given are the addresses that freeAddr has handed out: the system may offer one again before it is opened.
-var given sync.Map
+// handedOut are the addresses that freeAddr has handed out: the system may offer one again before it is opened.
+var handedOut sync.Map
 
 // freeAddr finds a port of a host that nothing uses, and that was not handed out before.
 func freeAddr(host string) string {
@@ -206,7 +206,7 @@
 			return ""
 		}
 		ln.Close() //nolint:errcheck // it listens no more in any case
-		if _, taken := given.LoadOrStore(ln.Addr().String(), true); !taken {
+		if _, taken := handedOut.LoadOrStore(ln.Addr().String(), true); !taken {
 			return ln.Addr().String()
 		}
 	}
@@ -228,37 +228,37 @@
 		return err
 	}
 	r.relays = append(r.relays, between)
-	s.relayed = between.Addr("c").String()
+	s.relayAddr = between.Addr("c").String()
 	return nil
 }
 
 // listed is where proxies find the server.
 func (s *server) listed() string {
-	if s.relayed != "" {
-		return s.relayed
+	if s.relayAddr != "" {
+		return s.relayAddr
 	}
 	return s.addr
 }
 
 // playAll plays the schedule, and lets what is open come to its end.
-func (r *run) playAll(schedule []Trouble) {
+func (r *run) playAll(schedule []Fault) {
 	var clients, troubles sync.WaitGroup
 	stopAsking := make(chan struct{})
 	for _, p := range r.fleet {
-		d := newDriver(p, r.seed, askEvery)
-		clients.Go(func() { d.drive(stopAsking) })
+		d := newProxyClients(p, r.seed, meanRequestInterval)
+		clients.Go(func() { d.run(stopAsking) })
 	}
-	troubles.Go(func() { r.purgeAlong(stopAsking) })
+	troubles.Go(func() { r.purgeContinuously(stopAsking) })
 	troubles.Go(func() { r.measure(stopAsking) })
 	defer close(r.over)
 	r.h.watchLag(r.over)
 	for _, t := range schedule {
 		troubles.Go(func() {
 			time.Sleep(max(0, t.At-r.h.Now()))
-			r.play(t)
+			r.inject(t)
 		})
 	}
-	time.Sleep(max(0, r.options.Length-quietEnd-r.h.Now()))
+	time.Sleep(max(0, r.options.Duration-quietEnd-r.h.Now()))
 	close(stopAsking)
 	clients.Wait()
 	troubles.Wait()
@@ -269,14 +269,14 @@
 	troubles.Wait()
 }
 
-// purgeAlong purges objects all the time.
-func (r *run) purgeAlong(over <-chan struct{}) {
+// purgeContinuously purges objects all the time.
+func (r *run) purgeContinuously(over <-chan struct{}) {
 	rng := rand.New(rand.NewPCG(r.seed, 13))
 	for {
 		select {
 		case <-over:
 			return
-		case <-time.After(time.Duration(rng.ExpFloat64() * float64(purgeEvery))):
+		case <-time.After(time.Duration(rng.ExpFloat64() * float64(meanPurgeInterval))):
 			r.purge(fmt.Sprintf("%016x", rng.IntN(objects)), -1)
 		}
 	}
@@ -290,13 +290,13 @@
 		select {
 		case <-over:
 			return
-		case <-time.After(measureEvery):
+		case <-time.After(measureInterval):
 		}
 	}
 }
 
-// end stops all that may still run.
-func (r *run) end() {
+// stop stops all that may still run.
+func (r *run) stop() {
 	for _, p := range r.fleet {
 		if p.cmd != nil && p.cmd.Process != nil {
 			p.cmd.Process.Kill() //nolint:errcheck // it may have ended
@@ -315,23 +315,23 @@
 	}
 	r.coordinator.mu.Lock()
 	defer r.coordinator.mu.Unlock()
-	for _, p := range r.coordinator.posts {
+	for _, p := range r.coordinator.watchServers {
 		if p.listener != nil {
 			p.listener.Close() //nolint:errcheck // it listens no more in any case
 		}
 	}
 }
 
-// keep writes the schedule, and the timeline around each violation.
-func (r *run) keep(result Result) error {
-	folder := filepath.Join(r.options.Keep, fmt.Sprintf("seed-%d", result.Seed))
+// writeReport writes the schedule, and the timeline around each violation.
+func (r *run) writeReport(result Result) error {
+	folder := filepath.Join(r.options.ReportDir, fmt.Sprintf("seed-%d", result.Seed))
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return err
 	}
 	var b strings.Builder
-	fmt.Fprintf(&b, "seed %d, %d proxies, %v\n\n%s\n", result.Seed, r.options.Fleet, r.options.Length, describe(result.Schedule))
+	fmt.Fprintf(&b, "seed %d, %d proxies, %v\n\n%s\n", result.Seed, r.options.Fleet, r.options.Duration, formatSchedule(result.Schedule))
 	for _, v := range result.Violations {
-		fmt.Fprintf(&b, "\n%v\n%s", v, r.h.About(v.At, 4*time.Second, v.Words...))
+		fmt.Fprintf(&b, "\n%v\n%s", v, r.h.TimelineAround(v.At, 4*time.Second, v.Words...))
 	}
 	return os.WriteFile(filepath.Join(folder, "violations.txt"), []byte(b.String()), 0o644)
 }
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	bodySize     = 10 << 10 // bytes of an object
-	maxBulk      = 1 << 20  // of a command
-	fillTime     = 8 * time.Millisecond
-	answerTime   = 25 * time.Millisecond  // at the most, while all is well
-	heldAfter    = 300 * time.Millisecond // within which a server has read what came while it hung
-	mostDropTime = 5 * time.Second        // within which a server drops copies that a purge made void
+	bodySize           = 10 << 10 // bytes of an object
+	maxBulk            = 1 << 20  // of a command
+	fillTime           = 8 * time.Millisecond
+	answerTime         = 25 * time.Millisecond  // at the most, while all is well
+	lateReadsAfterHang = 300 * time.Millisecond // within which a server has read what came while it hung
+	maxPurgeDelay      = 5 * time.Second        // within which a server drops copies that a purge made void
 )
 
 // server stands in for a cache, a parent or the origin: it keeps copies, drops them some time after a purge, and records what it
@@ -35,31 +35,31 @@
 	listener       net.Listener
 	conns          map[net.Conn]bool
 	copies         map[string]time.Time // when the origin gave each out, by object
-	serial         *counter
+	serial         *sequence
 	hungUntil      time.Duration
 	slowUntil      time.Duration
-	spoilUntil     time.Duration
+	malformUntil   time.Duration
 	overloadUntil  time.Duration
 	started        time.Time  // of a late start
 	state          string     // as the list tells
-	relayed        string     // where proxies find it, if that is elsewhere
-	busy           sync.Mutex // held by the trouble that it is in
+	relayAddr      string     // where proxies find it, if that is elsewhere
+	faultMu        sync.Mutex // held by the trouble that it is in
 }
 
-// counter gives out numbers.
-type counter struct {
+// sequence gives out numbers.
+type sequence struct {
 	mu sync.Mutex
 	n  int
 }
 
-func (c *counter) next() int {
+func (c *sequence) next() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.n++
 	return c.n
 }
 
-func newServer(h *History, id, kind, zone, addr string, seed uint64, serial *counter) (*server, error) {
+func newServer(h *History, id, kind, zone, addr string, seed uint64, serial *sequence) (*server, error) {
 	s := &server{h: h, id: id, kind: kind, zone: zone, addr: addr, rng: rand.New(rand.NewPCG(seed, 7)), serial: serial,
 		conns: map[net.Conn]bool{}, copies: map[string]time.Time{}, state: "SERVING"}
 	return s, s.listen()
@@ -100,8 +100,8 @@
 	s.conns, s.copies = map[net.Conn]bool{}, map[string]time.Time{}
 }
 
-// resets ends some connections, whatever is open on them.
-func (s *server) resets(share float64) {
+// resetConns ends some connections, whatever is open on them.
+func (s *server) resetConns(share float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for conn := range s.conns {
@@ -113,14 +113,14 @@
 	}
 }
 
-// until sets one of the times up to which the server behaves badly.
-func (s *server) until(field *time.Duration, at time.Duration) {
+// setUntil sets one of the times up to which the server behaves badly.
+func (s *server) setUntil(field *time.Duration, at time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	*field = max(*field, at)
 }
 
-func (s *server) is(field *time.Duration) bool {
+func (s *server) isBefore(field *time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.h.Now() < *field
@@ -135,7 +135,7 @@
 
 // purge drops copies made before a moment, some time later.
 func (s *server) purge(matches func(object string) bool, moment time.Time) {
-	time.AfterFunc(time.Duration(s.draw()*float64(mostDropTime)), func() {
+	time.AfterFunc(time.Duration(s.draw()*float64(maxPurgeDelay)), func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		for object, made := range s.copies {
@@ -160,16 +160,16 @@
 	return ago
 }
 
-// heldLately says that the server did not read until just now: what it reads may have been sent before.
-func (s *server) heldLately() bool {
+// readsLate says that the server did not read until just now: what it reads may have been sent before.
+func (s *server) readsLate() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.h.Now() < s.hungUntil+heldAfter
+	return s.h.Now() < s.hungUntil+lateReadsAfterHang
 }
 
 // waitWhileHung returns when the server reads on, and says whether it had to wait.
 func (s *server) waitWhileHung() (waited bool) {
-	for s.is(&s.hungUntil) {
+	for s.isBefore(&s.hungUntil) {
 		waited = true
 		time.Sleep(time.Millisecond)
 	}
@@ -186,7 +186,7 @@
 			return
 		}
 		s.waitWhileHung()
-		held := s.heldLately()
+		held := s.readsLate()
 		first := s.h.Now() - sinceArrival(conn)
 		words, err := command(in)
 		if err != nil {
@@ -202,7 +202,7 @@
 
 // record takes note of a call.
 func (s *server) record(words []string, first time.Duration, held bool) *Call {
-	c := &Call{Server: s.id, ID: words[1], First: first, Whole: s.h.Now(), Held: held, Serial: s.serial.next()}
+	c := &Call{Server: s.id, ID: words[1], FirstByteAt: first, CompleteAt: s.h.Now(), ReadLate: held, Serial: s.serial.next()}
 	for _, field := range strings.Split(words[2], ",") {
 		name, value, _ := strings.Cut(field, "=")
 		millis, _ := strconv.Atoi(value)
@@ -214,20 +214,20 @@
 		case "src":
 			c.Source = value
 		case "w":
-			c.Wait = time.Duration(millis) * time.Millisecond
+			c.Timeout = time.Duration(millis) * time.Millisecond
 		case "maxage":
 			c.MaxAge = time.Duration(millis) * time.Millisecond
 		}
 	}
-	s.h.do(func() { s.h.Calls = append(s.h.Calls, c) })
-	s.h.Note(s.id, "call %s %s k=%s src=%s w=%v maxage=%v held=%v serial=%d", c.ID, c.Class, c.Object, c.Source, c.Wait, c.MaxAge, held, c.Serial)
+	s.h.locked(func() { s.h.Calls = append(s.h.Calls, c) })
+	s.h.Note(s.id, "call %s %s k=%s src=%s w=%v maxage=%v held=%v serial=%d", c.ID, c.Class, c.Object, c.Source, c.Timeout, c.MaxAge, held, c.Serial)
 	return c
 }
 
 // answer answers one call.
 func (s *server) answer(c *Call, out *output) {
-	if s.is(&s.overloadUntil) && s.draw() < 0.5 {
-		s.end(c, out, "overload", "-", "")
+	if s.isBefore(&s.overloadUntil) && s.draw() < 0.5 {
+		s.writeAnswer(c, out, "overload", "-", "")
 		return
 	}
 	if c.Class == classWrite {
@@ -237,33 +237,33 @@
 	s.wait(answerTime)
 	made, note, held := s.copyFor(c)
 	if !held {
-		s.end(c, out, "not_here", "note=PEER_MISS", "")
+		s.writeAnswer(c, out, "not_here", "note=PEER_MISS", "")
 		return
 	}
-	s.h.do(func() { c.Made = made })
+	s.h.locked(func() { c.CopyMadeAt = made })
 	body := fmt.Sprintf("%d %s ", c.Serial, c.Object)
 	body += strings.Repeat("x", bodySize-len(body))
-	s.end(c, out, "served", fmt.Sprintf("etag=%016x,made=%d,note=%s,ttfb=3", made.UnixMilli(), made.UnixMilli(), note), body)
+	s.writeAnswer(c, out, "served", fmt.Sprintf("etag=%016x,made=%d,note=%s,ttfb=3", made.UnixMilli(), made.UnixMilli(), note), body)
 }
 
 // write carries out what must not run twice.
 func (s *server) write(c *Call, out *output) {
 	if s.kind != "origin" {
-		s.end(c, out, "not_here", "-", "")
+		s.writeAnswer(c, out, "not_here", "-", "")
 		return
 	}
-	s.h.do(func() { c.Ran = true })
+	s.h.locked(func() { c.Ran = true })
 	s.wait(2 * answerTime)
 	word := "served"
 	if s.draw() < 0.02 {
 		word = "crashed"
 	}
-	s.end(c, out, word, "-", fmt.Sprintf("%d written", c.Serial))
+	s.writeAnswer(c, out, word, "-", fmt.Sprintf("%d written", c.Serial))
 }
 
 func (s *server) wait(most time.Duration) {
 	pause := time.Duration(s.draw() * float64(most))
-	if s.is(&s.slowUntil) {
+	if s.isBefore(&s.slowUntil) {
 		pause *= 20
 	}
 	time.Sleep(pause)
@@ -292,12 +292,12 @@
 	return made, "TCP_MISS", true
 }
 
-// end writes an answer, whole or spoilt.
-func (s *server) end(c *Call, out *output, word, fields, body string) {
+// writeAnswer writes an answer, whole or spoilt.
+func (s *server) writeAnswer(c *Call, out *output, word, fields, body string) {
 	s.waitWhileHung()
-	s.h.do(func() { c.Word = word })
+	s.h.locked(func() { c.Result = word })
 	text := bulks(c.ID, word, fields, body)
-	if s.is(&s.spoilUntil) {
+	if s.isBefore(&s.malformUntil) {
 		switch draw := s.draw(); {
 		case draw < 0.1:
 			text = []byte("?nonsense\r\n")
