--- a/cmd/edgeproxy/admin_test.go
+++ b/cmd/edgeproxy/admin_test.go
@@ -13,16 +13,16 @@
 	"time"
 )
 
-// call sends raw bytes to the operators' address and returns the status and body of the answer.
-func (w *world) call(raw string) (status int, body string) {
+// adminRaw sends raw bytes to the operators' address and returns the status and body of the answer.
+func (w *testEnv) adminRaw(raw string) (status int, body string) {
 	w.t.Helper()
-	conn, err := net.Dial("tcp", w.admin)
+	conn, err := net.Dial("tcp", w.adminAddr)
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	defer closeOnce(w.t, conn)
-	conn.SetDeadline(time.Now().Add(patience)) //nolint:errcheck // shows in the answer
-	io.WriteString(conn, raw)                  //nolint:errcheck // shows in the answer
+	conn.SetDeadline(time.Now().Add(testTimeout)) //nolint:errcheck // shows in the answer
+	io.WriteString(conn, raw)                     //nolint:errcheck // shows in the answer
 	answer, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		w.t.Fatalf("%.40q: %v", raw, err)
@@ -34,22 +34,22 @@
 	return answer.StatusCode, string(text)
 }
 
-// operate makes a well-formed call.
-func (w *world) operate(method, path string) (status int, body string) {
+// adminCall makes a well-formed call.
+func (w *testEnv) adminCall(method, path string) (status int, body string) {
 	w.t.Helper()
-	return w.call(method + " " + path + " HTTP/1.1\r\nHost: " + w.admin + "\r\n\r\n")
+	return w.adminRaw(method + " " + path + " HTTP/1.1\r\nHost: " + w.adminAddr + "\r\n\r\n")
 }
 
-func (w *world) readiness() int {
+func (w *testEnv) readiness() int {
 	w.t.Helper()
-	status, _ := w.operate("GET", "/ops/readiness")
+	status, _ := w.adminCall("GET", "/ops/readiness")
 	return status
 }
 
-// figure fetches one of the figures; -1: it is not there.
-func (w *world) figure(name string) int {
+// metric fetches one of the figures; -1: it is not there.
+func (w *testEnv) metric(name string) int {
 	w.t.Helper()
-	_, body := w.operate("GET", "/ops/stats")
+	_, body := w.adminCall("GET", "/ops/stats")
 	if m := regexp.MustCompile(`(?m)^` + regexp.QuoteMeta(name) + ` (\d+)$`).FindStringSubmatch(body); m != nil {
 		n, _ := strconv.Atoi(m[1]) //nolint:errcheck // digits
 		return n
@@ -57,28 +57,28 @@
 	return -1
 }
 
-func (w *world) checkFigures(want map[string]int) {
+func (w *testEnv) checkMetrics(want map[string]int) {
 	w.t.Helper()
 	for name, n := range want {
-		if got := w.figure(name); got != n {
+		if got := w.metric(name); got != n {
 			w.t.Errorf("%s is %d, want %d", name, got, n)
 		}
 	}
 }
 
-func operations(class, status string) string {
+func operationsMetric(class, status string) string {
 	return fmt.Sprintf("svc_operations{priority=%q,status=%q}", class, status)
 }
 
 func TestStats(t *testing.T) {
-	w := newWorld(t)
+	w := startTestEnv(t)
 	c := w.dial()
-	c.ask(1, "artes", longWait, 1, "")
+	c.request(1, "artes", longTimeoutMS, 1, "")
 	open := receive(t, w.cache.calls, "call")
-	c.ask(2, "registro", longWait, 2, "body")
+	c.request(2, "registro", longTimeoutMS, 2, "body")
 	receive(t, w.origin.calls, "call").answer("crashed", "-", "")
 	receive(t, c.answers, "answer")
-	c.ask(3, "registro", longWait, 2, "body")
+	c.request(3, "registro", longTimeoutMS, 2, "body")
 	receive(t, w.origin.calls, "call").answer("overload", "-", "")
 	for range 8 { // an overloaded origin is asked again, until the module refuses
 		select {
@@ -89,33 +89,33 @@
 			if a.status != "503" {
 				t.Errorf("%+v", a)
 			}
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatal("no answer")
 		}
 		break
 	}
-	w.checkFigures(map[string]int{
-		operations("artes", "relayed"): 1, operations("artes", "fulfilled"): 0, operations("artes", "throttled"): 0,
-		operations("registro", "faulted"): 1, operations("registro", "throttled"): 1,
+	w.checkMetrics(map[string]int{
+		operationsMetric("artes", "relayed"): 1, operationsMetric("artes", "fulfilled"): 0, operationsMetric("artes", "throttled"): 0,
+		operationsMetric("registro", "faulted"): 1, operationsMetric("registro", "throttled"): 1,
 		"svc_open_requests": 1, "svc_registry_entries": 2, "svc_out_of_rotation": 0, "svc_cfg_accepted": 0, "svc_cfg_invalid": 0,
 	})
 	open.answer("served", "-", "fine")
 	receive(t, c.answers, "answer")
-	w.checkFigures(map[string]int{operations("artes", "fulfilled"): 1, "svc_open_requests": 0})
-	c.ask(4, "artes", longWait, 1, "")
+	w.checkMetrics(map[string]int{operationsMetric("artes", "fulfilled"): 1, "svc_open_requests": 0})
+	c.request(4, "artes", longTimeoutMS, 1, "")
 	receive(t, w.cache.calls, "call")
-	c.record(2, 4, "") // its client gives it up
+	c.writeRecord(2, 4, "") // its client gives it up
 	receive(t, c.answers, "END_REQUEST")
-	w.checkFigures(map[string]int{operations("artes", "faulted"): 1, "svc_open_requests": 0})
-	w.tell(list(2, false, member("c1", "std", "edge", "DRAINING", w.cache)))
-	w.eventually("one is out of rotation", func() bool { return w.figure("svc_out_of_rotation") == 1 })
+	w.checkMetrics(map[string]int{operationsMetric("artes", "faulted"): 1, "svc_open_requests": 0})
+	w.sendEvent(endpointEvent(2, false, endpoint("c1", "std", "edge", "DRAINING", w.cache)))
+	w.eventually("one is out of rotation", func() bool { return w.metric("svc_out_of_rotation") == 1 })
 }
 
 // Whoever says nothing, or nonsense, at the operators' address keeps nobody else from an answer.
 func TestOperatorsAreAnswered(t *testing.T) {
-	w := newWorld(t)
+	w := startTestEnv(t)
 	for i := range 40 {
-		conn, err := net.Dial("tcp", w.admin)
+		conn, err := net.Dial("tcp", w.adminAddr)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -133,7 +133,7 @@
 		"nonsense\r\n\r\n":                                                 400,
 		"GET /ops/stats HTTP/1.1\r\nA: " + strings.Repeat("a", 9000) + "x": 431,
 	} {
-		if got, _ := w.call(raw); got != want {
+		if got, _ := w.adminRaw(raw); got != want {
 			t.Errorf("%.40q: %d, want %d", raw, got, want)
 		}
 	}
@@ -141,14 +141,14 @@
 
 // A drain sends clients away without cutting an answer off, and the proxy comes back from it.
 func TestDrain(t *testing.T) {
-	w := newWorld(t)
+	w := startTestEnv(t)
 	idle, busy := w.dial(), w.dial()
-	idle.ask(1, "artes", longWait, 1, "")
+	idle.request(1, "artes", longTimeoutMS, 1, "")
 	receive(t, w.cache.calls, "call").answer("served", "-", "one")
 	receive(t, idle.answers, "answer")
-	busy.ask(1, "registro", longWait, 1, "") // of a read a second copy would be sent
+	busy.request(1, "registro", longTimeoutMS, 1, "") // of a read a second copy would be sent
 	open := receive(t, w.origin.calls, "call")
-	if status, _ := w.operate("PUT", "/ops/drain/start"); status != 200 || w.readiness() != 503 {
+	if status, _ := w.adminCall("PUT", "/ops/drain/start"); status != 200 || w.readiness() != 503 {
 		t.Error("not draining")
 	}
 	w.awaitAlive("503")
@@ -156,7 +156,7 @@
 		t.Errorf("%+v", a)
 	}
 	for id := uint16(2); ; id++ { // a connection that is never empty gets refusals in the end
-		busy.ask(id, "artes", longWait, int(id), "")
+		busy.request(id, "artes", longTimeoutMS, int(id), "")
 		select {
 		case c := <-w.cache.calls:
 			c.answer("served", "-", "more")
@@ -176,11 +176,11 @@
 	if a := receive(t, busy.answers, "close"); a.id != 0 {
 		t.Errorf("%+v", a)
 	}
-	if status, _ := w.operate("PUT", "/ops/drain/stop"); status != 200 || w.readiness() != 200 {
+	if status, _ := w.adminCall("PUT", "/ops/drain/stop"); status != 200 || w.readiness() != 200 {
 		t.Error("still draining")
 	}
 	c := w.dial()
-	c.ask(1, "artes", longWait, 1, "")
+	c.request(1, "artes", longTimeoutMS, 1, "")
 	receive(t, w.cache.calls, "call").answer("served", "-", "back")
 	if a := receive(t, c.answers, "answer"); a.body != "back" {
 		t.Errorf("%+v", a)
@@ -190,8 +190,8 @@
 // A client that reads slowly gets all of its answers, though its connection is closed after the last of them.
 func TestSlowReaderGetsItsAnswers(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
-	w.cache.serve("served", "-", strings.Repeat("x", 240_000))
+	w := startTestEnv(t)
+	w.cache.answerAll("served", "-", strings.Repeat("x", 240_000))
 	conn, err := net.DialTCP("tcp", nil, net.TCPAddrFromAddrPort(mustAddr(t, w.addr)))
 	if err != nil {
 		t.Fatal(err)
@@ -200,12 +200,12 @@
 	conn.SetReadBuffer(128 << 10) //nolint:errcheck // the machine's own size only makes the test weaker
 	asker := &client{Conn: conn}
 	for id := range uint16(32) {
-		asker.ask(id+1, "artes", longWait, int(id), "")
+		asker.request(id+1, "artes", longTimeoutMS, int(id), "")
 	}
-	w.eventually("answers are ready", func() bool { return w.figure(operations("artes", "fulfilled")) == 32 })
-	w.operate("PUT", "/ops/drain/start")
+	w.eventually("answers are ready", func() bool { return w.metric(operationsMetric("artes", "fulfilled")) == 32 })
+	w.adminCall("PUT", "/ops/drain/start")
 	time.Sleep(time.Second) // it reads nothing, for longer than the close may be waited for
-	asker.ask(100, "artes", longWait, 100, "")
+	asker.request(100, "artes", longTimeoutMS, 100, "")
 	c := newClient(conn)
 	for range 33 {
 		if a := receive(t, c.answers, "answer"); len(a.body) != 240_000 && a.id != 100 || a.id == 0 {
--- a/cmd/edgeproxy/clock_test.go
+++ b/cmd/edgeproxy/clock_test.go
@@ -15,12 +15,12 @@
 	"cloverdoor/internal/eventloop"
 )
 
-// stepSize is the length of a message between a test and a program that goes by the test's clock: a time, or the
+// clockMessageSize is the length of a message between a test and a program that goes by the test's clock: a time, or the
 // acknowledgement of one.
-const stepSize = 8
+const clockMessageSize = 8
 
-// steps is the clock of a program whose time a test moves on. Time stands still between two steps.
-type steps struct {
+// manualClock is the clock of a program whose time a test moves on. Time stands still between two manualClock.
+type manualClock struct {
 	t          *testing.T
 	now        time.Duration
 	out, acks  *os.File // the test's ends
@@ -28,9 +28,9 @@
 	ackProgram *os.File // and of acks
 }
 
-func newSteps(t *testing.T) *steps {
+func newManualClock(t *testing.T) *manualClock {
 	t.Helper()
-	s := &steps{t: t, now: time.Duration(time.Now().UnixNano())}
+	s := &manualClock{t: t, now: time.Duration(time.Now().UnixNano())}
 	var err1, err2 error
 	s.toProgram, s.out, err1 = os.Pipe()
 	s.acks, s.ackProgram, err2 = os.Pipe()
@@ -45,22 +45,22 @@
 	return s
 }
 
-// pass hands the program's ends to a program that has yet to be started.
-func (s *steps) pass(cmd *exec.Cmd) {
+// attach hands the program's ends to a program that has yet to be started.
+func (s *manualClock) attach(cmd *exec.Cmd) {
 	first := 3 + len(cmd.ExtraFiles)
 	cmd.ExtraFiles = append(cmd.ExtraFiles, s.toProgram, s.ackProgram)
 	cmd.Env = append(cmd.Env, fmt.Sprintf("CLOVERDOOR_TEST_CLOCK=%d", s.now), fmt.Sprintf("CLOVERDOOR_TEST_CLOCK_FD=%d", first))
 }
 
 // advance moves the program's time on. When it returns, the program has carried out all that became due.
-func (s *steps) advance(by time.Duration) {
+func (s *manualClock) advance(by time.Duration) {
 	s.t.Helper()
 	s.now += by
 	if _, err := s.out.Write(binary.BigEndian.AppendUint64(nil, uint64(s.now))); err != nil {
 		s.t.Fatal(err)
 	}
-	var ack [stepSize]byte
-	s.acks.SetReadDeadline(time.Now().Add(patience)) //nolint:errcheck // a pipe takes it
+	var ack [clockMessageSize]byte
+	s.acks.SetReadDeadline(time.Now().Add(testTimeout)) //nolint:errcheck // a pipe takes it
 	if _, err := io.ReadFull(s.acks, ack[:]); err != nil {
 		s.t.Fatalf("the program has not carried out a step: %v", err)
 	}
@@ -69,31 +69,31 @@
 	}
 }
 
-// steppedClock is the other end: the time source of a program that goes by a test's clock.
-type steppedClock struct {
+// manualTimeSource is the other end: the time source of a program that goes by a test's clock.
+type manualTimeSource struct {
 	now     time.Duration
 	in      int // descriptors
 	acks    int
 	pending bool // a step has been taken and not acknowledged
 }
 
-// lookEvery is how long, in real time, the program waits for readiness before it looks for the next step.
-const lookEvery = time.Millisecond
+// stepPollInterval is how long, in real time, the program waits for readiness before it looks for the next step.
+const stepPollInterval = time.Millisecond
 
-func (c *steppedClock) Now() eventloop.Timestamp { return c.now }
+func (c *manualTimeSource) Now() eventloop.Timestamp { return c.now }
 
 // PollTimeout acknowledges the step that the last turn went by, and takes the next one.
-func (c *steppedClock) PollTimeout(wanted time.Duration) time.Duration {
-	var step [stepSize]byte
+func (c *manualTimeSource) PollTimeout(wanted time.Duration) time.Duration {
+	var step [clockMessageSize]byte
 	if c.pending {
 		c.pending = false
 		binary.BigEndian.PutUint64(step[:], uint64(c.now))
 		syscall.Write(c.acks, step[:]) //nolint:errcheck // a test that has ended reads no acknowledgement
 	}
-	if n, err := syscall.Read(c.in, step[:]); err == nil && n == stepSize {
+	if n, err := syscall.Read(c.in, step[:]); err == nil && n == clockMessageSize {
 		c.now, c.pending = time.Duration(binary.BigEndian.Uint64(step[:])), true
 	}
-	return min(wanted, lookEvery)
+	return min(wanted, stepPollInterval)
 }
 
 // offsetClock goes by a wall clock that was wrong when the program started.
@@ -109,7 +109,7 @@
 
 // serveByTestClock runs the program, by a clock that the test moves on if there is one.
 func serveByTestClock() {
-	breakCalls()
+	injectSyscallFaults()
 	violated = func(text string) { panic("rule broken: " + text) }
 	start, err1 := strconv.ParseInt(os.Getenv("CLOVERDOOR_TEST_CLOCK"), 10, 64)
 	fd, err2 := strconv.Atoi(os.Getenv("CLOVERDOOR_TEST_CLOCK_FD"))
@@ -122,23 +122,23 @@
 		return
 	}
 	syscall.SetNonblock(fd, true) //nolint:errcheck // a pipe takes it
-	serve(&steppedClock{now: time.Duration(start), in: fd, acks: fd + 1})
+	serve(&manualTimeSource{now: time.Duration(start), in: fd, acks: fd + 1})
 }
 
 // A process that is started while its wall clock is wrong keeps to purges and to the slow start of caches all the same, once
 // the coordinator has told what time it is.
 func TestWallClockWrongAtTheStart(t *testing.T) {
 	for _, by := range []string{"1h", "-1h", "4s", "-4s"} {
-		w := prepare(t)
-		w.environment = []string{clockOffset + "=" + by}
-		w.start(list(1, true, member("c1", "std", "edge", "SERVING", w.cache), member("o1", "origin", "hub", "SERVING", w.origin)))
+		w := newTestEnv(t)
+		w.extraEnv = []string{clockOffset + "=" + by}
+		w.start(endpointEvent(1, true, endpoint("c1", "std", "edge", "SERVING", w.cache), endpoint("o1", "origin", "hub", "SERVING", w.origin)))
 		w.awaitAlive("200")
-		receive(t, w.follows, "follow")
+		receive(t, w.followLines, "follow")
 		c := w.dial()
 		moment := time.Now()
-		w.tell(fmt.Sprintf(`{"index":2,"evict":{"ref":"0000000000000001","unix_ms":%d}}`, moment.UnixMilli()))
-		w.heeds()
-		c.ask(1, "artes", longWait, 1, "")
+		w.sendEvent(fmt.Sprintf(`{"index":2,"evict":{"ref":"0000000000000001","unix_ms":%d}}`, moment.UnixMilli()))
+		w.awaitEventsTaken()
+		c.request(1, "artes", longTimeoutMS, 1, "")
 		got := receive(t, w.cache.calls, "call")
 		age, _ := strconv.ParseInt(got.fields["maxage"], 10, 64)
 		if most := time.Since(moment).Milliseconds(); age <= 0 || age > most {
--- a/cmd/edgeproxy/coordinator_test.go
+++ b/cmd/edgeproxy/coordinator_test.go
@@ -13,18 +13,18 @@
 )
 
 func TestDrainedCacheGetsNothingNew(t *testing.T) {
-	w := newWorld(t)
-	receive(t, w.follows, "follow")
-	second := newServer(t)
-	w.cache.serve("served", "-", "first")
-	second.serve("served", "-", "second")
+	w := startTestEnv(t)
+	receive(t, w.followLines, "follow")
+	second := newStandIn(t)
+	w.cache.answerAll("served", "-", "first")
+	second.answerAll("served", "-", "second")
 	c, id := w.dial(), uint16(0)
 	served := func(object int) string {
 		id++
-		c.ask(id, "artes", longWait, object, "")
+		c.request(id, "artes", longTimeoutMS, object, "")
 		return receive(t, c.answers, "answer").body
 	}
-	w.tell(list(2, false, member("c1", "std", "edge", "DRAINING", w.cache), member("c2", "std", "edge", "SERVING", second)))
+	w.sendEvent(endpointEvent(2, false, endpoint("c1", "std", "edge", "DRAINING", w.cache), endpoint("c2", "std", "edge", "SERVING", second)))
 	w.eventually("the list was heeded", func() bool { return served(1) == "second" })
 	for object := range 20 {
 		if got := served(object); got != "second" {
@@ -35,15 +35,15 @@
 
 // Connections belong to a server, not to its address: the next server there gets connections of its own.
 func TestNewServerAtAnOldAddress(t *testing.T) {
-	w := newWorld(t)
-	receive(t, w.follows, "follow")
+	w := startTestEnv(t)
+	receive(t, w.followLines, "follow")
 	c, id := w.dial(), uint16(1)
-	c.ask(id, "artes", longWait, 1, "")
+	c.request(id, "artes", longTimeoutMS, 1, "")
 	old := receive(t, w.cache.calls, "call")
-	w.tell(list(2, false, member("c1", "std", "edge", "DELETED", w.cache), member("c9", "std", "edge", "SERVING", w.cache)))
+	w.sendEvent(endpointEvent(2, false, endpoint("c1", "std", "edge", "DELETED", w.cache), endpoint("c9", "std", "edge", "SERVING", w.cache)))
 	w.eventually("a call on a new connection", func() bool {
 		id++
-		c.ask(id, "artes", longWait, 1, "")
+		c.request(id, "artes", longTimeoutMS, 1, "")
 		got := receive(t, w.cache.calls, "call")
 		got.answer("served", "-", "new")
 		receive(t, c.answers, "answer")
@@ -58,14 +58,14 @@
 // After a purge no older copy is asked for, and one that a joined fill brings all the same is not passed on.
 func TestPurgeBoundsTheAge(t *testing.T) {
 	for _, purge := range []string{`{"index":2,"evict":{"ref":"0000000000000001","unix_ms":%d}}`, `{"index":2,"evict":{"shard":17,"unix_ms":%d}}`} {
-		w := newWorld(t)
-		receive(t, w.follows, "follow")
+		w := startTestEnv(t)
+		receive(t, w.followLines, "follow")
 		c, id := w.dial(), uint16(0)
 		moment := time.Now().Add(-2 * time.Second)
-		w.tell(fmt.Sprintf(purge, moment.UnixMilli()))
+		w.sendEvent(fmt.Sprintf(purge, moment.UnixMilli()))
 		w.eventually("an age in a call", func() bool {
 			id++
-			c.ask(id, "artes", longWait, 1, "")
+			c.request(id, "artes", longTimeoutMS, 1, "")
 			got := receive(t, w.cache.calls, "call")
 			most := time.Since(moment).Milliseconds()
 			got.answer("served", "-", "")
@@ -76,7 +76,7 @@
 			}
 			return age > 0
 		})
-		c.ask(1000, "artes", longWait, 1, "")
+		c.request(1000, "artes", longTimeoutMS, 1, "")
 		got := receive(t, w.cache.calls, "call")
 		if !strings.Contains(got.fields["flags"], "coalesce") {
 			t.Errorf("%q: all that miss after a purge would fill apart", got.words[2])
@@ -97,79 +97,79 @@
 // are missing, its end, and a silence. Repeats are dropped.
 func TestCoordinatorIsFollowedAnew(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := startTestEnv(t)
 	follow := func(what, want string) {
 		t.Helper()
-		if got := receive(t, w.follows, "follow "+what); got != want {
+		if got := receive(t, w.followLines, "follow "+what); got != want {
 			t.Errorf("%s: %q, want %q", what, got, want)
 		}
 	}
 	follow("at the start", "follow 1")
-	w.tell(`{"index":1,"evict":{"shard":1,"unix_ms":1}}`)
-	w.tell(`{"index":2,"evict":{"shard":1,"unix_ms":1}}`)
-	w.tell("2")
-	w.tell("nonsense")
+	w.sendEvent(`{"index":1,"evict":{"shard":1,"unix_ms":1}}`)
+	w.sendEvent(`{"index":2,"evict":{"shard":1,"unix_ms":1}}`)
+	w.sendEvent("2")
+	w.sendEvent("nonsense")
 	follow("after a bad line", "follow 2")
-	w.tell(`{"index":4,"evict":{"shard":1,"unix_ms":1}}`)
+	w.sendEvent(`{"index":4,"evict":{"shard":1,"unix_ms":1}}`)
 	follow("after a gap", "follow 2")
-	w.tell("3")
+	w.sendEvent("3")
 	follow("after a number too high", "follow 2")
-	w.tell(`{"index":3,"evict":{"shard":1,"unix_ms":1}}`)
-	closeWrite(t, w.feed)
+	w.sendEvent(`{"index":3,"evict":{"shard":1,"unix_ms":1}}`)
+	closeWrite(t, w.watchConn)
 	follow("after the stream's end", "follow 3")
 	follow("after silence", "follow 3")
 }
 
 func TestAliveOnceTheListIsKnown(t *testing.T) {
-	w := prepare(t)
+	w := newTestEnv(t)
 	w.start()
 	w.awaitAlive("503")
-	if got := receive(t, w.follows, "follow"); got != "follow 0" {
+	if got := receive(t, w.followLines, "follow"); got != "follow 0" {
 		t.Errorf("%q", got)
 	}
 	c := w.dial()
-	c.ask(1, "artes", longWait, 1, "")
+	c.request(1, "artes", longTimeoutMS, 1, "")
 	if a := receive(t, c.answers, "answer"); a.status != "503" {
 		t.Errorf("without a list: %+v", a)
 	}
-	w.tell(list(1, true, member("c1", "std", "edge", "SERVING", w.cache), member("o1", "origin", "hub", "SERVING", w.origin)))
+	w.sendEvent(endpointEvent(1, true, endpoint("c1", "std", "edge", "SERVING", w.cache), endpoint("o1", "origin", "hub", "SERVING", w.origin)))
 	w.awaitAlive("200")
 }
 
 // A drain counts though the line that told it was cut in half as the stream died: it is told again, whole.
 func TestDrainInHalfALine(t *testing.T) {
-	w := newWorld(t)
-	receive(t, w.follows, "follow")
-	second := newServer(t)
-	second.serve("served", "-", "second")
-	w.tell(list(2, false, member("c2", "std", "edge", "SERVING", second)))
+	w := startTestEnv(t)
+	receive(t, w.followLines, "follow")
+	second := newStandIn(t)
+	second.answerAll("served", "-", "second")
+	w.sendEvent(endpointEvent(2, false, endpoint("c2", "std", "edge", "SERVING", second)))
 	drain := `{"index":3,"endpoints":{"version":3,"full":false,"servers":[{"id":"c1","addr":"` + w.cache.Addr().String() +
 		`","zone":"edge","kind":"std","state":"DRAINING","weight":10000}]}}`
 	w.mu.Lock()
-	mustWrite(t, w.feed, drain[:len(drain)/2])
-	closeOnce(t, w.feed)
+	mustWrite(t, w.watchConn, drain[:len(drain)/2])
+	closeOnce(t, w.watchConn)
 	w.mu.Unlock()
-	if got := receive(t, w.follows, "follow"); got != "follow 2" {
+	if got := receive(t, w.followLines, "follow"); got != "follow 2" {
 		t.Errorf("%q", got)
 	}
-	w.tell(drain)
-	w.heeds()
+	w.sendEvent(drain)
+	w.awaitEventsTaken()
 	w.servedOnlyBy("second")
 }
 
-// heeds waits until all that was told has been taken.
-func (w *world) heeds() {
+// awaitEventsTaken waits until all that was told has been taken.
+func (w *testEnv) awaitEventsTaken() {
 	w.t.Helper()
-	w.tell("nonsense") // is answered by following anew
-	receive(w.t, w.follows, "follow")
+	w.sendEvent("nonsense") // is answered by following anew
+	receive(w.t, w.followLines, "follow")
 }
 
 // servedOnlyBy checks that reads of all kinds of objects are answered with one body.
-func (w *world) servedOnlyBy(body string) {
+func (w *testEnv) servedOnlyBy(body string) {
 	w.t.Helper()
 	c := w.dial()
 	for i := range 30 {
-		c.ask(1, "artes", longWait, i, "")
+		c.request(1, "artes", longTimeoutMS, i, "")
 		if a := receive(w.t, c.answers, "answer"); a.body != body {
 			w.t.Errorf("object %d: %+v", i, a)
 		}
@@ -182,62 +182,62 @@
 // A stream that goes on and on without ending a line is as good as silent.
 func TestEndlessLineIsGivenUp(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
-	receive(t, w.follows, "follow")
+	w := startTestEnv(t)
+	receive(t, w.followLines, "follow")
 	w.mu.Lock()
-	feed := w.feed
+	feed := w.watchConn
 	w.mu.Unlock()
 	go func() {
 		for _, err := fmt.Fprint(feed, `{"index":2,`); err == nil; _, err = fmt.Fprint(feed, " ") {
 			time.Sleep(50 * time.Millisecond)
 		}
 	}()
-	if got := receive(t, w.follows, "follow anew"); got != "follow 1" {
+	if got := receive(t, w.followLines, "follow anew"); got != "follow 1" {
 		t.Errorf("%q", got)
 	}
 }
 
 // An entry that can't be read may have told of a drain: its server gets nothing new.
 func TestUnreadableEntryCountsAsGone(t *testing.T) {
-	w := newWorld(t)
-	receive(t, w.follows, "follow")
-	second := newServer(t)
-	second.serve("served", "-", "second")
-	broken := member("c1", "std", "edge", "DRAINING", w.cache)
+	w := startTestEnv(t)
+	receive(t, w.followLines, "follow")
+	second := newStandIn(t)
+	second.answerAll("served", "-", "second")
+	broken := endpoint("c1", "std", "edge", "DRAINING", w.cache)
 	broken["addr"] = "nowhere"
-	w.tell(list(2, false, broken, member("c2", "std", "edge", "SERVING", second)))
-	w.heeds()
+	w.sendEvent(endpointEvent(2, false, broken, endpoint("c2", "std", "edge", "SERVING", second)))
+	w.awaitEventsTaken()
 	w.servedOnlyBy("second")
 }
 
 // A whole list that leaves a server out says that it is gone, just after a reload too.
 func TestWholeListAfterAReload(t *testing.T) {
-	w := newWorld(t)
-	receive(t, w.follows, "follow")
-	second := newServer(t)
-	second.serve("served", "-", "second")
-	old := w.feed
-	w.reload(old.LocalAddr().String(), w.coordinator())
-	receive(t, w.follows, "follow")
-	w.tell(list(2, true, member("c2", "std", "edge", "SERVING", second), member("o1", "origin", "hub", "SERVING", w.origin)))
-	w.heeds()
+	w := startTestEnv(t)
+	receive(t, w.followLines, "follow")
+	second := newStandIn(t)
+	second.answerAll("served", "-", "second")
+	old := w.watchConn
+	w.reload(old.LocalAddr().String(), w.startCoordinator())
+	receive(t, w.followLines, "follow")
+	w.sendEvent(endpointEvent(2, true, endpoint("c2", "std", "edge", "SERVING", second), endpoint("o1", "origin", "hub", "SERVING", w.origin)))
+	w.awaitEventsTaken()
 	w.servedOnlyBy("second")
 }
 
 // A restarted process serves at once by the list in its configuration, though discovery is down.
 func TestReadyWithDiscoveryDown(t *testing.T) {
-	w := prepare(t)
-	w.cache.serve("served", "-", "fine")
-	w.down = true
-	w.start(list(1, true, member("c1", "std", "edge", "SERVING", w.cache), member("o1", "origin", "hub", "SERVING", w.origin)))
+	w := newTestEnv(t)
+	w.cache.answerAll("served", "-", "fine")
+	w.coordinatorDown = true
+	w.start(endpointEvent(1, true, endpoint("c1", "std", "edge", "SERVING", w.cache), endpoint("o1", "origin", "hub", "SERVING", w.origin)))
 	w.awaitAlive("200")
 	c := w.dial()
-	c.ask(1, "artes", longWait, 1, "")
+	c.request(1, "artes", longTimeoutMS, 1, "")
 	if a := receive(t, c.answers, "answer"); a.body != "fine" {
 		t.Errorf("%+v", a)
 	}
-	w.resume()
-	if got := receive(t, w.follows, "follow"); got != "follow 1" {
+	w.resumeCoordinator()
+	if got := receive(t, w.followLines, "follow"); got != "follow 1" {
 		t.Errorf("%q", got)
 	}
 }
@@ -269,8 +269,8 @@
 	return s
 }
 
-// bring writes the next bytes to each follower.
-func (s *slowCoordinator) bring(bytes int) {
+// writeNext writes the next bytes to each follower.
+func (s *slowCoordinator) writeNext(bytes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for conn, sent := range s.sent {
@@ -283,18 +283,18 @@
 // A coordinator that brings an event slowly but steadily is heard: what has come of the line is not thrown away.
 func TestSlowLineIsHeard(t *testing.T) {
 	const inAll, step = 6 * time.Second, 100 * time.Millisecond
-	w := prepare(t)
-	w.clock = newSteps(t)
-	second := newServer(t)
-	second.serve("served", "-", "second")
-	drain := newSlowCoordinator(t, list(2, false, member("c1", "std", "edge", "DRAINING", w.cache)), w.follows)
-	w.via = func(string) string { return drain.Addr().String() }
-	w.start(list(1, true, member("c1", "std", "edge", "SERVING", w.cache), member("c2", "std", "edge", "SERVING", second),
-		member("o1", "origin", "hub", "SERVING", w.origin)))
+	w := newTestEnv(t)
+	w.clock = newManualClock(t)
+	second := newStandIn(t)
+	second.answerAll("served", "-", "second")
+	drain := newSlowCoordinator(t, endpointEvent(2, false, endpoint("c1", "std", "edge", "DRAINING", w.cache)), w.followLines)
+	w.coordinatorVia = func(string) string { return drain.Addr().String() }
+	w.start(endpointEvent(1, true, endpoint("c1", "std", "edge", "SERVING", w.cache), endpoint("c2", "std", "edge", "SERVING", second),
+		endpoint("o1", "origin", "hub", "SERVING", w.origin)))
 	w.awaitAlive("200")
-	receive(t, w.follows, "follow")
+	receive(t, w.followLines, "follow")
 	for range inAll / step {
-		drain.bring(1 + len(drain.line)/int(inAll/step))
+		drain.writeNext(1 + len(drain.line)/int(inAll/step))
 		w.clock.advance(step)
 	}
 	w.awaitAlive("200") // a turn later: all that came before has been read
@@ -304,90 +304,90 @@
 // An entry in a state that this version does not know counts as gone; the rest of its event and the later events are
 // taken, and nothing is asked for again.
 func TestUnknownStateHidesNothing(t *testing.T) {
-	w := prepare(t)
-	w.start(list(1, true, member("c0", "std", "edge", "RESTING", w.cache), member("c1", "std", "edge", "SERVING", w.cache),
-		member("o1", "origin", "hub", "SERVING", w.origin)))
+	w := newTestEnv(t)
+	w.start(endpointEvent(1, true, endpoint("c0", "std", "edge", "RESTING", w.cache), endpoint("c1", "std", "edge", "SERVING", w.cache),
+		endpoint("o1", "origin", "hub", "SERVING", w.origin)))
 	w.awaitAlive("200")
-	receive(t, w.follows, "follow")
-	second := newServer(t)
-	second.serve("served", "-", "second")
-	w.tell(list(2, false, member("c1", "std", "edge", "RESTING", w.cache), member("c2", "std", "edge", "SERVING", second),
-		member("c3", "std", "edge", "SERVING", second)))
-	w.eventually("the rest of the event is taken", func() bool { return w.figure("svc_registry_entries") == 3 })
+	receive(t, w.followLines, "follow")
+	second := newStandIn(t)
+	second.answerAll("served", "-", "second")
+	w.sendEvent(endpointEvent(2, false, endpoint("c1", "std", "edge", "RESTING", w.cache), endpoint("c2", "std", "edge", "SERVING", second),
+		endpoint("c3", "std", "edge", "SERVING", second)))
+	w.eventually("the rest of the event is taken", func() bool { return w.metric("svc_registry_entries") == 3 })
 	w.servedOnlyBy("second")
-	w.tell(list(3, false, member("c3", "std", "edge", "DELETED", second)))
-	w.eventually("the next event is taken", func() bool { return w.figure("svc_registry_entries") == 2 })
-	if len(w.follows) != 0 {
-		t.Errorf("followed anew: %q", <-w.follows)
+	w.sendEvent(endpointEvent(3, false, endpoint("c3", "std", "edge", "DELETED", second)))
+	w.eventually("the next event is taken", func() bool { return w.metric("svc_registry_entries") == 2 })
+	if len(w.followLines) != 0 {
+		t.Errorf("followed anew: %q", <-w.followLines)
 	}
 }
 
 // A line that can't be read is asked for once more, as it may have been spoilt on its way; when it comes again, it is passed
 // over, and the events behind it are taken.
 func TestLineThatIsNeverReadable(t *testing.T) {
-	w := newWorld(t)
-	receive(t, w.follows, "follow")
-	w.tell("{broken")
-	if got := receive(t, w.follows, "follow anew"); got != "follow 1" {
+	w := startTestEnv(t)
+	receive(t, w.followLines, "follow")
+	w.sendEvent("{broken")
+	if got := receive(t, w.followLines, "follow anew"); got != "follow 1" {
 		t.Errorf("%q", got)
 	}
-	w.tell("{broken")
-	w.tell(list(3, false, member("c2", "std", "edge", "SERVING", w.cache)))
-	w.eventually("the event behind it is taken", func() bool { return w.figure("svc_registry_entries") == 3 })
-	if w.figure("svc_registry_unreadable") != 1 || len(w.follows) != 0 {
-		t.Errorf("%d unreadable, %d followed", w.figure("svc_registry_unreadable"), len(w.follows))
+	w.sendEvent("{broken")
+	w.sendEvent(endpointEvent(3, false, endpoint("c2", "std", "edge", "SERVING", w.cache)))
+	w.eventually("the event behind it is taken", func() bool { return w.metric("svc_registry_entries") == 3 })
+	if w.metric("svc_registry_unreadable") != 1 || len(w.followLines) != 0 {
+		t.Errorf("%d unreadable, %d followed", w.metric("svc_registry_unreadable"), len(w.followLines))
 	}
 }
 
 // An event of a kind that this version does not know is passed over: it is not asked for again without end.
 func TestUnknownKindOfEventHidesNothing(t *testing.T) {
-	w := newWorld(t)
-	receive(t, w.follows, "follow")
-	w.tell(`{"index":2,"quota":{"server":"c1","share":0.5}}`)
-	w.tell(list(3, false, member("c2", "std", "edge", "SERVING", w.cache)))
-	w.eventually("the next event is taken", func() bool { return w.figure("svc_registry_entries") == 3 })
-	if len(w.follows) != 0 || w.figure("svc_registry_unreadable") != 1 {
-		t.Errorf("%d followed, %d unreadable", len(w.follows), w.figure("svc_registry_unreadable"))
+	w := startTestEnv(t)
+	receive(t, w.followLines, "follow")
+	w.sendEvent(`{"index":2,"quota":{"server":"c1","share":0.5}}`)
+	w.sendEvent(endpointEvent(3, false, endpoint("c2", "std", "edge", "SERVING", w.cache)))
+	w.eventually("the next event is taken", func() bool { return w.metric("svc_registry_entries") == 3 })
+	if len(w.followLines) != 0 || w.metric("svc_registry_unreadable") != 1 {
+		t.Errorf("%d followed, %d unreadable", len(w.followLines), w.metric("svc_registry_unreadable"))
 	}
 }
 
 // Events that the coordinator leaves out each time it is asked are gone; those behind them are taken.
 func TestMissingEventHidesNothing(t *testing.T) {
-	w := newWorld(t)
-	receive(t, w.follows, "follow")
-	behind := list(4, false, member("c2", "std", "edge", "SERVING", w.cache))
-	w.tell(behind)
-	if got := receive(t, w.follows, "follow anew"); got != "follow 1" {
+	w := startTestEnv(t)
+	receive(t, w.followLines, "follow")
+	behind := endpointEvent(4, false, endpoint("c2", "std", "edge", "SERVING", w.cache))
+	w.sendEvent(behind)
+	if got := receive(t, w.followLines, "follow anew"); got != "follow 1" {
 		t.Errorf("%q", got)
 	}
-	w.tell(behind)
-	w.eventually("the event behind the gap is taken", func() bool { return w.figure("svc_registry_entries") == 3 })
-	w.tell("6") // more are said to be missing
-	if got := receive(t, w.follows, "follow anew"); got != "follow 4" {
+	w.sendEvent(behind)
+	w.eventually("the event behind the gap is taken", func() bool { return w.metric("svc_registry_entries") == 3 })
+	w.sendEvent("6") // more are said to be missing
+	if got := receive(t, w.followLines, "follow anew"); got != "follow 4" {
 		t.Errorf("%q", got)
 	}
-	w.tell("6")
-	w.tell(list(5, false, member("c3", "std", "edge", "SERVING", w.cache)))
-	w.eventually("a late one is taken all the same", func() bool { return w.figure("svc_registry_entries") == 4 })
+	w.sendEvent("6")
+	w.sendEvent(endpointEvent(5, false, endpoint("c3", "std", "edge", "SERVING", w.cache)))
+	w.eventually("a late one is taken all the same", func() bool { return w.metric("svc_registry_entries") == 4 })
 }
 
 // A drain that has come together with a line that can't be read, just before it, is heeded in the same turn.
 func TestDrainBehindAnUnreadableLine(t *testing.T) {
-	w := newWorld(t)
-	receive(t, w.follows, "follow")
-	second := newServer(t)
-	second.serve("served", "-", "second")
-	w.tell(list(2, false, member("c2", "std", "edge", "SERVING", second)))
-	w.eventually("the second cache is known", func() bool { return w.figure("svc_registry_entries") == 3 })
+	w := startTestEnv(t)
+	receive(t, w.followLines, "follow")
+	second := newStandIn(t)
+	second.answerAll("served", "-", "second")
+	w.sendEvent(endpointEvent(2, false, endpoint("c2", "std", "edge", "SERVING", second)))
+	w.eventually("the second cache is known", func() bool { return w.metric("svc_registry_entries") == 3 })
 	c := w.dial()
-	drain, err := json.Marshal(list(4, false, member("c1", "std", "edge", "DRAINING", w.cache)))
+	drain, err := json.Marshal(endpointEvent(4, false, endpoint("c1", "std", "edge", "DRAINING", w.cache)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	thaw := w.freeze()
-	w.tell("{broken\n" + string(drain))
+	thaw := w.pause()
+	w.sendEvent("{broken\n" + string(drain))
 	for id := range uint16(30) {
-		c.ask(id+1, "artes", longWait, int(id), "")
+		c.request(id+1, "artes", longTimeoutMS, int(id), "")
 	}
 	thaw()
 	for range 30 {
@@ -395,7 +395,7 @@
 			t.Errorf("%+v", a)
 		}
 	}
-	if len(w.cache.calls) > 0 || len(w.follows) > 0 {
-		t.Errorf("%d calls to the cache that drains, %d followed anew", len(w.cache.calls), len(w.follows))
+	if len(w.cache.calls) > 0 || len(w.followLines) > 0 {
+		t.Errorf("%d calls to the cache that drains, %d followed anew", len(w.cache.calls), len(w.followLines))
 	}
 }
--- a/cmd/edgeproxy/fastcgi_client_test.go
+++ b/cmd/edgeproxy/fastcgi_client_test.go
@@ -24,7 +24,7 @@
 	protocol     byte // the protocol's status
 }
 
-func (w *world) dial() *client {
+func (w *testEnv) dial() *client {
 	w.t.Helper()
 	conn, err := net.Dial("tcp", w.addr)
 	if err != nil {
@@ -36,11 +36,11 @@
 
 func newClient(conn net.Conn) *client {
 	c := &client{conn, make(chan answer, 1000)}
-	go c.read()
+	go c.readAnswers()
 	return c
 }
 
-func (c *client) read() {
+func (c *client) readAnswers() {
 	defer func() { c.answers <- answer{} }()
 	texts := map[uint16]string{}
 	for {
@@ -64,27 +64,27 @@
 	}
 }
 
-func (c *client) record(kind byte, id uint16, content string) {
+func (c *client) writeRecord(kind byte, id uint16, content string) {
 	head := []byte{1, kind, byte(id >> 8), byte(id), byte(len(content) >> 8), byte(len(content)), 0, 0}
 	c.Write(append(head, content...)) //nolint:errcheck // a lost connection shows in the answers
 }
 
-func (c *client) send(id uint16, params map[string]string, body string) {
-	c.record(1, id, "\x00\x01\x01\x00\x00\x00\x00\x00")
+func (c *client) writeRequest(id uint16, params map[string]string, body string) {
+	c.writeRecord(1, id, "\x00\x01\x01\x00\x00\x00\x00\x00")
 	var pairs []byte
 	for name, value := range params {
 		pairs = append(append(append(pairs, byte(len(name)), byte(len(value))), name...), value...)
 	}
-	c.record(4, id, string(pairs))
-	c.record(4, id, "")
+	c.writeRecord(4, id, string(pairs))
+	c.writeRecord(4, id, "")
 	if body != "" {
-		c.record(5, id, body)
+		c.writeRecord(5, id, body)
 	}
-	c.record(5, id, "")
+	c.writeRecord(5, id, "")
 }
 
-// ask sends a request for an object that is named by number; extra fields come in pairs.
-func (c *client) ask(id uint16, class string, wait int, object int, body string, extra ...string) {
+// request sends a request for an object that is named by number; extra fields come in pairs.
+func (c *client) request(id uint16, class string, wait int, object int, body string, extra ...string) {
 	params := map[string]string{
 		"SCRIPT_NAME": "/ops/" + class, "HTTP_REQ_ID": fmt.Sprintf("%016x", time.Now().UnixNano()), "HTTP_REQ_WAIT_MS": strconv.Itoa(wait),
 		"HTTP_REQ_KEY": fmt.Sprintf("%016x", object), "HTTP_X_PIECE": "3", "HTTP_X_LOT": "17",
@@ -92,21 +92,21 @@
 	for i := 0; i < len(extra); i += 2 {
 		params[extra[i]] = extra[i+1]
 	}
-	c.send(id, params, body)
+	c.writeRequest(id, params, body)
 }
 
-// batch is a connection whose output goes out in one write.
-type batch struct {
+// bufferedConn is a connection whose output goes out in one write.
+type bufferedConn struct {
 	net.Conn
-	out []byte
+	buffer []byte
 }
 
-func (b *batch) Write(data []byte) (int, error) {
-	b.out = append(b.out, data...)
+func (b *bufferedConn) Write(data []byte) (int, error) {
+	b.buffer = append(b.buffer, data...)
 	return len(data), nil
 }
 
-func (b *batch) flush() {
-	b.Conn.Write(b.out) //nolint:errcheck // a lost connection shows in the answers
-	b.out = nil
+func (b *bufferedConn) flush() {
+	b.Conn.Write(b.buffer) //nolint:errcheck // a lost connection shows in the answers
+	b.buffer = nil
 }
--- a/cmd/edgeproxy/fault_test.go
+++ b/cmd/edgeproxy/fault_test.go
@@ -15,18 +15,18 @@
 	"cloverdoor/internal/relay"
 )
 
-// broken is a relay before an address. It stands in for a listener wherever only its address is asked for.
-type broken struct {
+// faultyAddr is a relay before an address. It stands in for a listener wherever only its address is asked for.
+type faultyAddr struct {
 	net.Listener
 	relay *relay.Relay
 	mu    sync.Mutex
 	fired []string
 }
 
-func (b *broken) Addr() net.Addr { return b.relay.Addr("c") }
+func (b *faultyAddr) Addr() net.Addr { return b.relay.Addr("c") }
 
 // log returns the faults that have fired, by connection and direction.
-func (b *broken) log() string {
+func (b *faultyAddr) log() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	list := slices.Clone(b.fired)
@@ -34,14 +34,14 @@
 	return strings.Join(list, "\n")
 }
 
-// breaking starts a relay to an address that breaks traffic by rules, each for the link c.
-func breaking(t *testing.T, target string, rules ...string) *broken {
+// newFaultyAddr starts a relay to an address that breaks traffic by rules, each for the link c.
+func newFaultyAddr(t *testing.T, target string, rules ...string) *faultyAddr {
 	t.Helper()
 	script, err := fault.Parse(fmt.Sprintf("seed 3\nlink c listen 127.0.0.1:0 to %s\n%s", target, strings.Join(rules, "\n")))
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &broken{}
+	b := &faultyAddr{}
 	if b.relay, err = relay.Start(script, func(e fault.Firing) {
 		b.mu.Lock()
 		defer b.mu.Unlock()
@@ -53,10 +53,10 @@
 	return b
 }
 
-// startBehind starts the program with the cache and the origin at the given places.
-func (w *world) startBehind(cache, origin net.Listener) {
+// startWith starts the program with the cache and the origin at the given places.
+func (w *testEnv) startWith(cache, origin net.Listener) {
 	w.t.Helper()
-	w.start(list(1, true, member("c1", "std", "edge", "SERVING", cache), member("o1", "origin", "hub", "SERVING", origin)))
+	w.start(endpointEvent(1, true, endpoint("c1", "std", "edge", "SERVING", cache), endpoint("o1", "origin", "hub", "SERVING", origin)))
 	w.awaitAlive("200")
 }
 
@@ -71,10 +71,10 @@
 		`c down match "wri" : reset`:       1,      // in the middle of it
 		`c down match "wri" : halfclose`:   1,
 	} {
-		w := prepare(t)
-		origin := breaking(t, w.origin.Addr().String(), strings.Replace(rule, "c ", "c conn 1 ", 1))
-		w.startBehind(w.cache, origin)
-		var ran []*call
+		w := newTestEnv(t)
+		origin := newFaultyAddr(t, w.origin.Addr().String(), strings.Replace(rule, "c ", "c conn 1 ", 1))
+		w.startWith(w.cache, origin)
+		var ran []*receivedCall
 		var mu sync.Mutex
 		go func() {
 			for got := range w.origin.calls {
@@ -85,7 +85,7 @@
 			}
 		}()
 		c := w.dial()
-		c.ask(1, "registro", 2000, 1, "a body up to the end")
+		c.request(1, "registro", 2000, 1, "a body up to the end")
 		a := receive(t, c.answers, "outcome")
 		if a.id != 1 || a.status == "200" && runs != either {
 			t.Errorf("%s: %+v", rule, a)
@@ -93,7 +93,7 @@
 		if runs == either { // it ran once just where it was answered so
 			runs = map[string]int{"200": 1}[a.status]
 		}
-		c.ask(2, "registro", longWait, 2, "x") // comes to the origin over a sound connection, after all of the first
+		c.request(2, "registro", longTimeoutMS, 2, "x") // comes to the origin over a sound connection, after all of the first
 		if a := receive(t, c.answers, "answer"); a.id != 2 || a.status != "200" {
 			t.Errorf("%s, then: %+v", rule, a)
 		}
@@ -108,38 +108,38 @@
 // A coordinator that falls silent in the middle of the line that tells of a drain: once told again, the drain is kept.
 func TestCoordinatorSilentInADrain(t *testing.T) {
 	t.Parallel()
-	w := prepare(t)
-	w.via = func(addr string) string {
-		return breaking(t, addr, `c down conn 1 match "DRAIN" : silence`).Addr().String()
+	w := newTestEnv(t)
+	w.coordinatorVia = func(addr string) string {
+		return newFaultyAddr(t, addr, `c down conn 1 match "DRAIN" : silence`).Addr().String()
 	}
-	second := newServer(t)
-	second.serve("served", "-", "second")
-	w.start(list(1, true, member("c1", "std", "edge", "SERVING", w.cache), member("c2", "std", "edge", "SERVING", second),
-		member("o1", "origin", "hub", "SERVING", w.origin)))
-	receive(t, w.follows, "follow")
-	drain := list(2, false, member("c1", "std", "edge", "DRAINING", w.cache))
-	w.tell(drain)
-	if got := receive(t, w.follows, "follow anew"); got != "follow 1" {
+	second := newStandIn(t)
+	second.answerAll("served", "-", "second")
+	w.start(endpointEvent(1, true, endpoint("c1", "std", "edge", "SERVING", w.cache), endpoint("c2", "std", "edge", "SERVING", second),
+		endpoint("o1", "origin", "hub", "SERVING", w.origin)))
+	receive(t, w.followLines, "follow")
+	drain := endpointEvent(2, false, endpoint("c1", "std", "edge", "DRAINING", w.cache))
+	w.sendEvent(drain)
+	if got := receive(t, w.followLines, "follow anew"); got != "follow 1" {
 		t.Errorf("%q", got)
 	}
-	w.tell(drain)
-	w.heeds()
+	w.sendEvent(drain)
+	w.awaitEventsTaken()
 	w.servedOnlyBy("second")
 }
 
 // A client that is gone with the last byte of its request: whatever had begun is stopped, and nothing follows.
 func TestClientGoneWithItsRequest(t *testing.T) {
-	w := newWorld(t)
-	front := breaking(t, w.addr, `c up conn 1 match "\x01\x05\x00\x01\x00\x00\x00\x00" : reset`)
+	w := startTestEnv(t)
+	front := newFaultyAddr(t, w.addr, `c up conn 1 match "\x01\x05\x00\x01\x00\x00\x00\x00" : reset`)
 	conn, err := net.Dial("tcp", front.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer closeOnce(t, conn)
-	newClient(conn).ask(1, "artes", longWait, 1, "")
+	newClient(conn).request(1, "artes", longTimeoutMS, 1, "")
 	w.eventually("the reset", func() bool { return front.log() != "" })
 	other := w.dial()
-	other.ask(1, "artes", longWait, 77, "")
+	other.request(1, "artes", longTimeoutMS, 77, "")
 	for {
 		got := receive(t, w.cache.calls, "call")
 		if got.fields["k"] == fmt.Sprintf("%016x", 77) {
@@ -158,8 +158,8 @@
 // Answers that are half written when the program is told to stop arrive whole.
 func TestStopWithAnswersHalfWritten(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
-	front := breaking(t, w.addr, "c down byte 300000 : silence 1500ms")
+	w := startTestEnv(t)
+	front := newFaultyAddr(t, w.addr, "c down byte 300000 : silence 1500ms")
 	conn, err := net.Dial("tcp", front.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -167,7 +167,7 @@
 	defer closeOnce(t, conn)
 	c := newClient(conn)
 	for id := range uint16(20) {
-		c.ask(id+1, "artes", longWait, int(id), "")
+		c.request(id+1, "artes", longTimeoutMS, int(id), "")
 	}
 	for range 20 {
 		receive(t, w.cache.calls, "call").answer("served", "-", strings.Repeat("x", 240_000))
@@ -179,7 +179,7 @@
 			t.Errorf("%d: %s, %d bytes", a.id, a.status, len(a.body))
 		}
 	}
-	if err := receive(t, w.exit, "exit"); err != nil {
+	if err := receive(t, w.exited, "exit"); err != nil {
 		t.Error(err)
 	}
 }
@@ -196,17 +196,17 @@
 		"c down conn 1 byte 45 : drop 5":     "",
 		"c down conn 1 byte 30 : silence 1s": "200",
 	} {
-		w := prepare(t)
-		w.startBehind(breaking(t, w.cache.Addr().String(), rule), w.origin)
-		w.cache.serve("served", "made=1,note=TCP_HIT", "whole")
-		w.origin.serve("served", "made=1", "whole")
+		w := newTestEnv(t)
+		w.startWith(newFaultyAddr(t, w.cache.Addr().String(), rule), w.origin)
+		w.cache.answerAll("served", "made=1,note=TCP_HIT", "whole")
+		w.origin.answerAll("served", "made=1", "whole")
 		c := w.dial()
-		c.ask(1, "artes", 2500, 1, "")
+		c.request(1, "artes", 2500, 1, "")
 		if a := receive(t, c.answers, "outcome"); a.id != 1 || want != "" && a.status != want || a.status == "200" && a.body != "whole" {
 			t.Errorf("%s: %+v", rule, a)
 		}
 		for id := range uint16(3) {
-			c.ask(id+2, "artes", longWait, int(id), "")
+			c.request(id+2, "artes", longTimeoutMS, int(id), "")
 			if a := receive(t, c.answers, "answer"); a.id != id+2 || a.status != "200" || a.body != "whole" {
 				t.Errorf("%s, then: %+v", rule, a)
 			}
@@ -214,9 +214,9 @@
 	}
 }
 
-// soakTime is how long the script is played, by the program's clock: seconds with the other tests, minutes where
+// playTime is how long the script is played, by the program's clock: seconds with the other tests, minutes where
 // FAULT_SOAK says so.
-func soakTime(t *testing.T) time.Duration {
+func playTime(t *testing.T) time.Duration {
 	t.Helper()
 	text := os.Getenv("FAULT_SOAK")
 	if text == "" {
@@ -235,8 +235,8 @@
 // some answers take longer than the program waits for one before it asks again.
 func playScript(t *testing.T, length time.Duration, slow bool) (figures, faults string) {
 	t.Helper()
-	w := prepare(t)
-	w.clock = newSteps(t)
+	w := newTestEnv(t)
+	w.clock = newManualClock(t)
 	calls := 0
 	go func() {
 		for got := range w.cache.calls {
@@ -246,23 +246,23 @@
 			got.answer("served", "made=1,note=TCP_HIT", strings.Repeat("c", 500))
 		}
 	}()
-	w.origin.serve("served", "made=1", strings.Repeat("o", 200))
-	cache := breaking(t, w.cache.Addr().String(), "c down every 2 byte 7000 : reset", "c down byte 9100 : close",
+	w.origin.answerAll("served", "made=1", strings.Repeat("o", 200))
+	cache := newFaultyAddr(t, w.cache.Addr().String(), "c down every 2 byte 7000 : reset", "c down byte 9100 : close",
 		"c down every 3 byte 5000 : garble 9", "c up : pieces 50", "c : delay 1ms", "c down every 5 byte 3000 : repeat 600")
-	origin := breaking(t, w.origin.Addr().String(), "c down byte 1100 : reset", "c up every 5 byte 900 : reset",
+	origin := newFaultyAddr(t, w.origin.Addr().String(), "c down byte 1100 : reset", "c up every 5 byte 900 : reset",
 		"c down every 3 byte 700 : halfclose")
-	var feed *broken
-	w.via = func(addr string) string {
-		feed = breaking(t, addr, "c down every 2 byte 400 : reset", "c down every 3 byte 300 : garble 3")
+	var feed *faultyAddr
+	w.coordinatorVia = func(addr string) string {
+		feed = newFaultyAddr(t, addr, "c down every 2 byte 400 : reset", "c down every 3 byte 300 : garble 3")
 		return feed.Addr().String()
 	}
-	w.startBehind(cache, origin)
-	front := breaking(t, w.addr, "c up every 3 byte 2500 : reset", "c down byte 14000 : close", "c : pieces 70")
-	requests := int(length / soakStep)
+	w.startWith(cache, origin)
+	front := newFaultyAddr(t, w.addr, "c up every 3 byte 2500 : reset", "c down byte 14000 : close", "c : pieces 70")
+	requests := int(length / clockStep)
 	var c *client
 	lost := 0
 	for i := range requests {
-		w.clock.advance(soakStep)
+		w.clock.advance(clockStep)
 		if c == nil || i%40 == 0 {
 			conn, err := net.Dial("tcp", front.Addr().String())
 			if err != nil {
@@ -275,7 +275,7 @@
 		if i%3 == 0 {
 			class = "registro"
 		}
-		c.ask(uint16(i%1000+1), class, 5000, i%17, "")
+		c.request(uint16(i%1000+1), class, 5000, i%17, "")
 		switch a := receive(t, c.answers, "outcome"); {
 		case a.id == 0: // its connection was broken: the request has no outcome at the client's end
 			lost++
@@ -284,8 +284,8 @@
 			t.Fatalf("request %d: %+v", i, a)
 		}
 	}
-	w.eventually("nothing is open", func() bool { return w.figure("svc_open_requests") == 0 })
-	_, stats := w.operate("GET", "/ops/stats")
+	w.eventually("nothing is open", func() bool { return w.metric("svc_open_requests") == 0 })
+	_, stats := w.adminCall("GET", "/ops/stats")
 	for _, line := range strings.Split(stats, "\n") {
 		if strings.HasPrefix(line, "svc_operations") {
 			figures += line + "\n"
@@ -295,14 +295,14 @@
 	return figures, strings.Join([]string{cache.log(), origin.log(), front.log()}, "\n--\n")
 }
 
-// soakStep is how far the program's time moves on between two requests.
-const soakStep = 25 * time.Millisecond
+// clockStep is how far the program's time moves on between two requests.
+const clockStep = 25 * time.Millisecond
 
 // Two runs of one script with one seed have the same faults and the same outcomes at the program, also when the machine
 // holds answers up in one of them.
 func TestSameScriptSameOutcomes(t *testing.T) {
 	t.Parallel()
-	length := soakTime(t)
+	length := playTime(t)
 	var figures, faults [2]string
 	var both sync.WaitGroup
 	for i := range figures {
--- a/cmd/edgeproxy/process_test.go
+++ b/cmd/edgeproxy/process_test.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// longWait is how long a client waits, in milliseconds, where its time must not run out.
-const longWait = 60_000
+// longTimeoutMS is how long a client waits, in milliseconds, where its time must not run out.
+const longTimeoutMS = 60_000
 
-// freeze stops the program's process until thaw is called: what is sent meanwhile arrives in one piece.
-func (w *world) freeze() (thaw func()) {
+// pause stops the program's process until thaw is called: what is sent meanwhile arrives in one piece.
+func (w *testEnv) pause() (thaw func()) {
 	w.t.Helper()
 	if err := w.cmd.Process.Signal(syscall.SIGSTOP); err != nil {
 		w.t.Fatal(err)
@@ -36,5 +36,5 @@
 	}
 }
 
-// longer is more than the operators allow between a client's end and an attempt for it.
-const longer = 150 * time.Millisecond
+// overCancelGrace is more than the operators allow between a client's end and an attempt for it.
+const overCancelGrace = 150 * time.Millisecond
--- a/cmd/edgeproxy/replace_test.go
+++ b/cmd/edgeproxy/replace_test.go
@@ -12,24 +12,24 @@
 // A process that takes over serves on the socket that the platform holds. The old one lets nothing in any more once
 // it is told to stop, answers what it has taken and ends; what waits in the socket's queue is not lost.
 func TestReplacingTheProcess(t *testing.T) {
-	w := prepare(t)
+	w := newTestEnv(t)
 	held := listen(t).(*net.TCPListener)
 	socket, err := held.File()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer closeOnce(t, socket)
-	w.socket = socket
-	w.start(list(1, true, member("c1", "std", "edge", "SERVING", w.cache), member("o1", "origin", "hub", "SERVING", w.origin)))
+	w.heldSocket = socket
+	w.start(endpointEvent(1, true, endpoint("c1", "std", "edge", "SERVING", w.cache), endpoint("o1", "origin", "hub", "SERVING", w.origin)))
 	w.addr = held.Addr().String()
 	w.awaitAlive("200")
 	kept := w.dial()
-	kept.ask(1, "artes", longWait, 1, "")
+	kept.request(1, "artes", longTimeoutMS, 1, "")
 	open := receive(t, w.cache.calls, "call")
 
-	old := w.replace()
+	old := w.startReplacement()
 	w.eventually("the new process is ready", func() bool {
-		conn, err := net.Dial("tcp", w.admin)
+		conn, err := net.Dial("tcp", w.adminAddr)
 		if err == nil {
 			closeOnce(t, conn)
 		}
@@ -40,7 +40,7 @@
 	}
 	for id := range uint16(50) { // the new process alone answers yes, once the old one lets nothing in any more
 		c := w.dial()
-		c.ask(id+1, "artes", longWait, int(id), "")
+		c.request(id+1, "artes", longTimeoutMS, int(id), "")
 		receive(t, w.cache.calls, "call").answer("served", "-", "new")
 		if a := receive(t, c.answers, "answer"); a.body != "new" {
 			t.Fatalf("%+v", a)
@@ -53,31 +53,31 @@
 	if a := receive(t, kept.answers, "close"); a.id != 0 {
 		t.Errorf("%+v", a)
 	}
-	if err := receive(t, w.exit, "exit"); err != nil {
+	if err := receive(t, w.exited, "exit"); err != nil {
 		t.Error(err)
 	}
 	w.awaitAlive("200")
-	if w.figure(operations("artes", "fulfilled")) < 1 {
+	if w.metric(operationsMetric("artes", "fulfilled")) < 1 {
 		t.Error("the new process has served nothing")
 	}
 }
 
 // What waited in the held socket's queue before the process was started has waited for as long.
 func TestRequestFromBeforeTheStart(t *testing.T) {
-	w := prepare(t)
-	w.cache.serve("served", "-", "fine")
+	w := newTestEnv(t)
+	w.cache.answerAll("served", "-", "fine")
 	held := listen(t).(*net.TCPListener)
 	socket, err := held.File()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer closeOnce(t, socket)
-	w.socket, w.addr = socket, held.Addr().String()
+	w.heldSocket, w.addr = socket, held.Addr().String()
 	late, inTime := w.dial(), w.dial()
-	late.ask(1, "artes", 500, 1, "")
-	inTime.ask(2, "artes", longWait, 2, "")
+	late.request(1, "artes", 500, 1, "")
+	inTime.request(2, "artes", longTimeoutMS, 2, "")
 	time.Sleep(600 * time.Millisecond) // not a race: it is by this that the first one's time is over
-	w.start(list(1, true, member("c1", "std", "edge", "SERVING", w.cache), member("o1", "origin", "hub", "SERVING", w.origin)))
+	w.start(endpointEvent(1, true, endpoint("c1", "std", "edge", "SERVING", w.cache), endpoint("o1", "origin", "hub", "SERVING", w.origin)))
 	if a := receive(t, late.answers, "refusal"); a.status != "503" {
 		t.Errorf("%+v", a)
 	}
@@ -88,7 +88,7 @@
 
 func TestBadListenDescriptor(t *testing.T) {
 	for _, fd := range []string{"x", "-1", "9"} {
-		w := prepare(t)
+		w := newTestEnv(t)
 		w.start()
 		cmd := exec.Command(w.cmd.Path)
 		cmd.Env = append(w.cmd.Env, "BALANCER_LISTEN_FD="+fd)
--- a/cmd/edgeproxy/standin_test.go
+++ b/cmd/edgeproxy/standin_test.go
@@ -11,37 +11,37 @@
 	"testing"
 )
 
-// call is a command that reached a server, on its connection.
-type call struct {
+// receivedCall is a command that reached a server, on its connection.
+type receivedCall struct {
 	conn   net.Conn
 	words  []string
 	fields map[string]string
 }
 
-func (c *call) answer(word, fields, body string) {
+func (c *receivedCall) answer(word, fields, body string) {
 	text := fmt.Sprintf("*4\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n",
 		len(c.words[1]), c.words[1], len(word), word, len(fields), fields, len(body), body)
 	io.WriteString(c.conn, text) //nolint:errcheck // the program may have closed the connection
 }
 
-// server stands in for a cache, a parent or the origin.
-type server struct {
+// standIn stands in for a cache, a parent or the origin.
+type standIn struct {
 	net.Listener
-	calls chan *call // REQ
-	stops chan *call // STOP
+	calls chan *receivedCall // REQ
+	stops chan *receivedCall // STOP
 }
 
-func newServer(t *testing.T) *server {
+func newStandIn(t *testing.T) *standIn {
 	t.Helper()
-	s := &server{listen(t), make(chan *call, 1000), make(chan *call, 1000)}
+	s := &standIn{listen(t), make(chan *receivedCall, 1000), make(chan *receivedCall, 1000)}
 	go serveEach(s, func(conn net.Conn) {
 		in := bufio.NewReader(conn)
 		for {
-			words, err := command(in)
+			words, err := readCommand(in)
 			if err != nil {
 				return
 			}
-			c := &call{conn: conn, words: words, fields: map[string]string{}}
+			c := &receivedCall{conn: conn, words: words, fields: map[string]string{}}
 			if words[0] == "STOP" {
 				s.stops <- c
 				continue
@@ -56,8 +56,8 @@
 	return s
 }
 
-// serve answers every call alike from now on.
-func (s *server) serve(word, fields, body string) {
+// answerAll answers every call alike from now on.
+func (s *standIn) answerAll(word, fields, body string) {
 	go func() {
 		for c := range s.calls {
 			c.answer(word, fields, body)
@@ -82,8 +82,8 @@
 	return fmt.Sprintf("127.%d.%d.%d:0", 1+pid>>8&0x7f, pid&0xff, host)
 }
 
-// given are the addresses that freeAddr has handed out.
-var given sync.Map
+// handedOutAddrs are the addresses that freeAddr has handed out.
+var handedOutAddrs sync.Map
 
 // freeAddr returns an address for the program to listen on.
 func freeAddr(t *testing.T) string {
@@ -94,7 +94,7 @@
 			t.Fatal(err)
 		}
 		closeOnce(t, l)
-		if _, taken := given.LoadOrStore(l.Addr().String(), true); !taken {
+		if _, taken := handedOutAddrs.LoadOrStore(l.Addr().String(), true); !taken {
 			return l.Addr().String()
 		}
 	}
@@ -110,7 +110,7 @@
 	}
 }
 
-func command(in *bufio.Reader) (words []string, err error) {
+func readCommand(in *bufio.Reader) (words []string, err error) {
 	var n, size int
 	if _, err := fmt.Fscanf(in, "*%d\r\n", &n); err != nil {
 		return nil, err
--- a/cmd/edgeproxy/system_test.go
+++ b/cmd/edgeproxy/system_test.go
@@ -16,9 +16,9 @@
 	"cloverdoor/internal/eventloop"
 )
 
-// brokenCalls is the environment variable that tells a program under test which system calls fail: words of the form
+// syscallFaultsEnv is the environment variable that tells a program under test which system calls fail: words of the form
 // CALL:ERRNO:FROM-TO, where FROM and TO count the calls, or halfwrite:TEXT for writes that stop for good behind TEXT.
-const brokenCalls = "CLOVERDOOR_TEST_FAULTS"
+const syscallFaultsEnv = "CLOVERDOOR_TEST_FAULTS"
 
 // randomFailures is the environment variable that has system calls fail by a seed, now and then.
 const randomFailures = "CLOVERDOOR_TEST_RANDOM_FAULTS"
@@ -28,9 +28,9 @@
 	shortChance   = 0.05 // of a read or write that does only a part
 )
 
-// breakRandomly has every call of the table fail now and then, in the ways that its manual page lists. What ends a connection
+// injectRandomSyscallFaults has every call of the table fail now and then, in the ways that its manual page lists. What ends a connection
 // for good happens only on those that the program has made itself: a client's is whole, and its requests are owed an answer.
-func breakRandomly() {
+func injectRandomSyscallFaults() {
 	seed, err := strconv.ParseUint(os.Getenv(randomFailures), 10, 64)
 	if err != nil {
 		return
@@ -106,13 +106,13 @@
 	}
 }
 
-// breakCalls puts the failing calls into the program's table.
-func breakCalls() {
-	breakRandomly()
-	for _, word := range strings.Fields(os.Getenv(brokenCalls)) {
+// injectSyscallFaults puts the failing calls into the program's table.
+func injectSyscallFaults() {
+	injectRandomSyscallFaults()
+	for _, word := range strings.Fields(os.Getenv(syscallFaultsEnv)) {
 		call, rest, _ := strings.Cut(word, ":")
 		if call == "halfwrite" {
-			breakWritesBehind([]byte(rest))
+			blockWritesAfter([]byte(rest))
 			continue
 		}
 		name, bounds, _ := strings.Cut(rest, ":")
@@ -120,7 +120,7 @@
 		if _, err := fmt.Sscanf(bounds, "%d-%d", &from, &to); err != nil {
 			panic(word)
 		}
-		breakCall(call, errno(name), from, to)
+		failCall(call, errno(name), from, to)
 	}
 }
 
@@ -133,8 +133,8 @@
 	panic(name)
 }
 
-// breakCall lets one call fail from its nth time to another.
-func breakCall(call string, code unix.Errno, from, to int) {
+// failCall lets one call fail from its nth time to another.
+func failCall(call string, code unix.Errno, from, to int) {
 	count := 0
 	fails := func() bool {
 		count++
@@ -167,9 +167,9 @@
 	}
 }
 
-// breakWritesBehind lets the first output that holds a text stop behind it: its peer takes no more. Other connections are
+// blockWritesAfter lets the first output that holds a text stop behind it: its peer takes no more. Other connections are
 // sound, also one that gets the same descriptor later.
-func breakWritesBehind(text []byte) {
+func blockWritesAfter(text []byte) {
 	const none, over = -1, -2
 	write, stuck, socket := eventloop.System.Write, none, eventloop.System.Socket
 	eventloop.System.Socket = func(family, kind, protocol int) (int, error) {
@@ -194,11 +194,11 @@
 // A call of which its server takes only a part never runs. It is given up before the deadline that it tells is too late, and
 // may be sent again, also where it must not run twice.
 func TestHalfWrittenCallIsSentAgain(t *testing.T) {
-	w := prepare(t)
-	w.environment = []string{brokenCalls + "=halfwrite:registro"}
-	w.startBehind(w.cache, w.origin)
+	w := newTestEnv(t)
+	w.extraEnv = []string{syscallFaultsEnv + "=halfwrite:registro"}
+	w.startWith(w.cache, w.origin)
 	c := w.dial()
-	c.ask(1, "registro", 2000, 1, "x")
+	c.request(1, "registro", 2000, 1, "x")
 	receive(t, w.origin.calls, "whole call").answer("served", "-", "written")
 	if a := receive(t, c.answers, "answer"); a.body != "written" {
 		t.Errorf("%+v", a)
@@ -211,17 +211,17 @@
 // That this machine has no descriptor or port left says nothing of a server: none is suspected.
 func TestLocalFailureSuspectsNobody(t *testing.T) {
 	for _, failure := range []string{"socket:ENFILE:4-40", "socket:ENOBUFS:4-40", "connect:EADDRNOTAVAIL:2-40"} {
-		w := prepare(t)
-		w.cache.serve("served", "-", "fine")
-		w.environment = []string{brokenCalls + "=" + failure}
-		w.startBehind(w.cache, w.origin)
-		receive(t, w.follows, "follow")
+		w := newTestEnv(t)
+		w.cache.answerAll("served", "-", "fine")
+		w.extraEnv = []string{syscallFaultsEnv + "=" + failure}
+		w.startWith(w.cache, w.origin)
+		receive(t, w.followLines, "follow")
 		c := w.dial()
-		c.ask(1, "artes", longWait, 1, "")
+		c.request(1, "artes", longTimeoutMS, 1, "")
 		if a := receive(t, c.answers, "refusal"); a.status != "503" {
 			t.Errorf("%s: %+v", failure, a)
 		}
-		if n := w.figure("svc_out_of_rotation"); n != 0 {
+		if n := w.metric("svc_out_of_rotation"); n != 0 {
 			t.Errorf("%s: %d servers are suspected", failure, n)
 		}
 		w.cmd.Process.Signal(syscall.SIGKILL) //nolint:errcheck // the next one is another program
--- a/cmd/edgeproxy/world_test.go
+++ b/cmd/edgeproxy/world_test.go
@@ -27,75 +27,75 @@
 	os.Exit(m.Run())
 }
 
-// patience bounds every wait of a test; none of them depends on how long one really takes.
-const patience = 20 * time.Second
+// testTimeout bounds every wait of a test; none of them depends on how long one really takes.
+const testTimeout = 20 * time.Second
 
 func receive[T any](t *testing.T, from <-chan T, what string) (v T) {
 	t.Helper()
 	select {
 	case v = <-from:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatalf("no %s", what)
 	}
 	return v
 }
 
-// world is the program and all that it talks to.
-type world struct {
-	t             *testing.T
-	cmd           *exec.Cmd
-	config, text  string // path of its configuration, and what it began with
-	addr, admin   string
-	follows       chan string // 'follow' lines
-	mu            sync.Mutex
-	feed          net.Conn
-	listener      net.Listener             // of the coordinator
-	down          bool                     // it is down at the start
-	via           func(addr string) string // where the program finds it instead; nil: at its own address
-	cache, origin *server
-	exit          chan error
-	log           *os.File // of the program
-	socket        *os.File // listening for clients, held by the platform; nil: the program listens by itself
-	clock         *steps   // by which the program goes; nil: the system's
-	memory        int      // megabytes that it may use
-	environment   []string // of the program, besides the usual
+// testEnv is the program and all that it talks to.
+type testEnv struct {
+	t                         *testing.T
+	cmd                       *exec.Cmd
+	configPath, initialConfig string // path of its configuration, and what it began with
+	addr, adminAddr           string
+	followLines               chan string // 'follow' lines
+	mu                        sync.Mutex
+	watchConn                 net.Conn
+	coordinatorListener       net.Listener             // of the coordinator
+	coordinatorDown           bool                     // it is down at the start
+	coordinatorVia            func(addr string) string // where the program finds it instead; nil: at its own address
+	cache, origin             *standIn
+	exited                    chan error
+	stderr                    *os.File     // of the program
+	heldSocket                *os.File     // listening for clients, held by the platform; nil: the program listens by itself
+	clock                     *manualClock // by which the program goes; nil: the system's
+	memoryMB                  int          // megabytes that it may use
+	extraEnv                  []string     // of the program, besides the usual
 }
 
-// member is an entry of the coordinator's list.
-func member(id, kind, zone, state string, at net.Listener) map[string]any {
+// endpoint is an entry of the coordinator's list.
+func endpoint(id, kind, zone, state string, at net.Listener) map[string]any {
 	return map[string]any{"id": id, "addr": at.Addr().String(), "zone": zone, "kind": kind, "state": state, "weight": 10000}
 }
 
-func list(index int, full bool, servers ...any) map[string]any {
+func endpointEvent(index int, full bool, servers ...any) map[string]any {
 	return map[string]any{"index": index, "endpoints": map[string]any{"version": index, "full": full, "servers": servers}}
 }
 
-// newWorld starts the program with one cache and the origin known from the start, as event 1.
-func newWorld(t *testing.T) *world {
+// startTestEnv starts the program with one cache and the origin known from the start, as event 1.
+func startTestEnv(t *testing.T) *testEnv {
 	t.Helper()
-	w := prepare(t)
-	w.start(list(1, true, member("c1", "std", "edge", "SERVING", w.cache), member("o1", "origin", "hub", "SERVING", w.origin)))
+	w := newTestEnv(t)
+	w.start(endpointEvent(1, true, endpoint("c1", "std", "edge", "SERVING", w.cache), endpoint("o1", "origin", "hub", "SERVING", w.origin)))
 	w.awaitAlive("200")
 	return w
 }
 
-func prepare(t *testing.T) *world {
+func newTestEnv(t *testing.T) *testEnv {
 	t.Helper()
-	return &world{t: t, follows: make(chan string, 100), cache: newServer(t), origin: newServer(t), exit: make(chan error, 1), log: os.Stderr, memory: 192}
+	return &testEnv{t: t, followLines: make(chan string, 100), cache: newStandIn(t), origin: newStandIn(t), exited: make(chan error, 1), stderr: os.Stderr, memoryMB: 192}
 }
 
-func (w *world) start(known ...any) {
-	w.addr, w.admin = freeAddr(w.t), freeAddr(w.t)
-	coordinator := w.coordinator()
-	if w.via != nil {
-		coordinator = w.via(coordinator)
+func (w *testEnv) start(known ...any) {
+	w.addr, w.adminAddr = freeAddr(w.t), freeAddr(w.t)
+	coordinator := w.startCoordinator()
+	if w.coordinatorVia != nil {
+		coordinator = w.coordinatorVia(coordinator)
 	}
 	class := func(name, effect string) map[string]any {
 		return map[string]any{"name": name, "semantics": effect, "promise-us": 500000, "gain": 1}
 	}
-	w.cmd, w.config = program(w.t, map[string]any{
-		"name": "n1", "listen": w.addr, "admin_addr": w.admin, "seed": "8c1f30d27a5be964", "coordinator": coordinator,
-		"limits": map[string]any{"cores": 1, "memory_mb": w.memory, "sockets": 1024},
+	w.cmd, w.configPath = programCommand(w.t, map[string]any{
+		"name": "n1", "listen": w.addr, "admin_addr": w.adminAddr, "seed": "8c1f30d27a5be964", "coordinator": coordinator,
+		"limits": map[string]any{"cores": 1, "memory_mb": w.memoryMB, "sockets": 1024},
 		"known":  map[string]any{"index": len(known), "updates": known},
 		"settings": map[string]any{
 			"areas": []string{"hub", "edge"}, "host-types": []string{"std", "parent", "origin"}, "zone": 1, "group-size": 1, "weight-source": "nominal",
@@ -107,38 +107,38 @@
 			"rules": map[string]any{"start-capacity": 1, "warm-within-us": 1, "fall-multiple": 2, "fall-us": 1000000},
 		},
 	})
-	text, err := os.ReadFile(w.config)
+	text, err := os.ReadFile(w.configPath)
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	w.text = string(text)
-	w.run()
+	w.initialConfig = string(text)
+	w.startProgram()
 }
 
-// run starts the program that has been prepared.
-func (w *world) run() {
-	w.cmd.Stderr = w.log
-	w.cmd.Env = append(w.cmd.Env, w.environment...)
-	if w.socket != nil {
-		w.cmd.ExtraFiles = []*os.File{w.socket}
+// startProgram starts the program that has been prepared.
+func (w *testEnv) startProgram() {
+	w.cmd.Stderr = w.stderr
+	w.cmd.Env = append(w.cmd.Env, w.extraEnv...)
+	if w.heldSocket != nil {
+		w.cmd.ExtraFiles = []*os.File{w.heldSocket}
 		w.cmd.Env = append(w.cmd.Env, "BALANCER_LISTEN_FD=3")
 	}
 	if w.clock != nil {
-		w.clock.pass(w.cmd)
+		w.clock.attach(w.cmd)
 	}
 	if err := w.cmd.Start(); err != nil {
 		w.t.Fatal(err)
 	}
 	cmd := w.cmd
-	go func() { w.exit <- cmd.Wait() }()
+	go func() { w.exited <- cmd.Wait() }()
 	w.t.Cleanup(func() { cmd.Process.Kill() }) //nolint:errcheck // it may have ended
 }
 
 // reload has the program read a changed configuration: each odd text of the first one is replaced by the next; in
 // place of "" the next is the whole file.
-func (w *world) reload(changes ...string) {
+func (w *testEnv) reload(changes ...string) {
 	w.t.Helper()
-	text := w.text
+	text := w.initialConfig
 	for i := 0; i < len(changes); i += 2 {
 		if changes[i] == "" {
 			text = changes[i+1]
@@ -146,7 +146,7 @@
 			w.t.Fatalf("%q is not in the configuration", changes[i])
 		}
 	}
-	if err := os.WriteFile(w.config, []byte(text), 0o600); err != nil {
+	if err := os.WriteFile(w.configPath, []byte(text), 0o600); err != nil {
 		w.t.Fatal(err)
 	}
 	if err := w.cmd.Process.Signal(syscall.SIGHUP); err != nil {
@@ -154,60 +154,60 @@
 	}
 }
 
-// replace starts the program once more beside the running one, with an operators' address of its own.
-func (w *world) replace() (old *exec.Cmd) {
-	old, w.admin = w.cmd, freeAddr(w.t)
+// startReplacement starts the program once more beside the running one, with an operators' address of its own.
+func (w *testEnv) startReplacement() (old *exec.Cmd) {
+	old, w.adminAddr = w.cmd, freeAddr(w.t)
 	w.cmd = exec.Command(os.Args[0])
-	w.cmd.Env = append(os.Environ(), "CLOVERDOOR_TEST_PROGRAM=1", "BALANCER_CONFIG="+w.config, "BALANCER_ADMIN_ADDR="+w.admin)
-	w.run()
+	w.cmd.Env = append(os.Environ(), "CLOVERDOOR_TEST_PROGRAM=1", "BALANCER_CONFIG="+w.configPath, "BALANCER_ADMIN_ADDR="+w.adminAddr)
+	w.startProgram()
 	return old
 }
 
-// silence ends the coordinator and its stream; its address refuses connections until resume.
-func (w *world) silence() {
+// stopCoordinator ends the coordinator and its stream; its address refuses connections until resume.
+func (w *testEnv) stopCoordinator() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	closeOnce(w.t, w.listener)
-	closeOnce(w.t, w.feed)
+	closeOnce(w.t, w.coordinatorListener)
+	closeOnce(w.t, w.watchConn)
 }
 
-// resume opens the coordinator again at its address.
-func (w *world) resume() {
+// resumeCoordinator opens the coordinator again at its address.
+func (w *testEnv) resumeCoordinator() {
 	w.t.Helper()
-	l, err := net.Listen("tcp", w.listener.Addr().String())
+	l, err := net.Listen("tcp", w.coordinatorListener.Addr().String())
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	w.t.Cleanup(func() { closeOnce(w.t, l) })
-	w.coordinate(l)
+	w.serveCoordinator(l)
 }
 
-// coordinator starts a coordinator and returns its address.
-func (w *world) coordinator() string {
+// startCoordinator starts a startCoordinator and returns its address.
+func (w *testEnv) startCoordinator() string {
 	l := listen(w.t)
-	w.coordinate(l)
+	w.serveCoordinator(l)
 	return l.Addr().String()
 }
 
-func (w *world) coordinate(l net.Listener) {
-	if w.listener = l; w.down {
-		w.down = false
+func (w *testEnv) serveCoordinator(l net.Listener) {
+	if w.coordinatorListener = l; w.coordinatorDown {
+		w.coordinatorDown = false
 		closeOnce(w.t, l)
 		return
 	}
 	go serveEach(l, func(conn net.Conn) {
 		w.mu.Lock()
-		w.feed = conn
+		w.watchConn = conn
 		w.mu.Unlock()
 		in := bufio.NewScanner(conn)
 		for in.Scan() {
-			w.follows <- in.Text()
+			w.followLines <- in.Text()
 		}
 	})
 }
 
-// program returns a command that starts the program, and the path of its configuration.
-func program(t *testing.T, config any) (cmd *exec.Cmd, path string) {
+// programCommand returns a command that starts the programCommand, and the path of its configuration.
+func programCommand(t *testing.T, config any) (cmd *exec.Cmd, path string) {
 	t.Helper()
 	text, err := json.Marshal(config)
 	if err != nil {
@@ -222,8 +222,8 @@
 	return cmd, path
 }
 
-// tell sends a line to whoever follows the coordinator now.
-func (w *world) tell(line any) {
+// sendEvent sends a line to whoever follows the coordinator now.
+func (w *testEnv) sendEvent(line any) {
 	w.t.Helper()
 	text, ok := line.(string)
 	if !ok {
@@ -235,22 +235,22 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if _, err := io.WriteString(w.feed, text+"\n"); err != nil {
+	if _, err := io.WriteString(w.watchConn, text+"\n"); err != nil {
 		w.t.Fatal(err)
 	}
 }
 
 // eventually tries until done.
-func (w *world) eventually(what string, done func() bool) {
+func (w *testEnv) eventually(what string, done func() bool) {
 	w.t.Helper()
-	for end := time.Now().Add(patience); !done(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !done(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			w.t.Fatalf("never happened: %s", what)
 		}
 	}
 }
 
-func (w *world) awaitAlive(status string) {
+func (w *testEnv) awaitAlive(status string) {
 	w.t.Helper()
 	w.eventually("/alive "+status, func() bool {
 		conn, err := net.Dial("tcp", w.addr)
@@ -259,14 +259,14 @@
 		}
 		c := newClient(conn)
 		defer closeOnce(w.t, conn)
-		c.send(1, map[string]string{"SCRIPT_NAME": "/alive"}, "")
+		c.writeRequest(1, map[string]string{"SCRIPT_NAME": "/alive"}, "")
 		got := receive(w.t, c.answers, "answer to /alive")
 		return got.status == status
 	})
 }
 
 // checkMemory checks the program's peak against its limit.
-func (w *world) checkMemory() {
+func (w *testEnv) checkMemory() {
 	w.t.Helper()
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", w.cmd.Process.Pid))
 	if err != nil {
