--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -1,9 +1,9 @@
-// Command toy stands in for the world around one cloverdoor, so that a newcomer can try it on one machine:
+// Command toy is a coordinator, a cache, an origin and a client for one edge proxy, to try it on one machine:
 //
 //	toy serve              a coordinator on 127.0.0.1:7070, a cache on :7101 and the origin on :7102
 //	toy ask CLASS OBJECT   one request to the proxy on 127.0.0.1:7000
 //
-// The cache keeps everything, the origin makes every object up.
+// The cache never evicts an object, the origin generates each object from its key.
 package main
 
 import (
@@ -21,6 +21,7 @@
 	"time"
 )
 
+// The addresses of example/config.json.
 const (
 	proxyAddr       = "127.0.0.1:7000"
 	coordinatorAddr = "127.0.0.1:7070"
@@ -28,6 +29,24 @@
 	originAddr      = "127.0.0.1:7102"
 )
 
+// The record types of FastCGI that a client needs.
+const (
+	fcgiBeginRequest = 1
+	fcgiEndRequest   = 3
+	fcgiParams       = 4
+	fcgiStdin        = 5
+	fcgiStdout       = 6
+)
+
+// fcgiHeaderSize is the length of a record's header in bytes.
+const fcgiHeaderSize = 8
+
+// beginResponder is the body of BEGIN_REQUEST: role responder, and close the connection after the answer.
+const beginResponder = "\x00\x01\x00\x00\x00\x00\x00\x00"
+
+// progressInterval is how often the coordinator sends the index of its last event.
+const progressInterval = time.Second
+
 func main() {
 	log.SetFlags(log.Ltime)
 	err := errors.New("usage: toy serve | toy ask CLASS OBJECT")
@@ -35,30 +54,32 @@
 	case len(os.Args) == 2 && os.Args[1] == "serve":
 		err = serve()
 	case len(os.Args) == 4 && os.Args[1] == "ask":
-		err = ask(os.Args[2], os.Args[3])
+		err = request(os.Args[2], os.Args[3])
 	}
 	if err != nil {
 		log.Fatal(err)
 	}
 }
 
+// serve runs the three servers until one of them fails.
 func serve() error {
 	ended := make(chan error)
 	for addr, handle := range map[string]func(net.Conn) error{
-		coordinatorAddr: coordinate,
-		cacheAddr:       func(c net.Conn) error { return store(c, "cache") },
-		originAddr:      func(c net.Conn) error { return store(c, "origin") },
+		coordinatorAddr: sendEvents,
+		cacheAddr:       func(c net.Conn) error { return serveObjects(c, "cache") },
+		originAddr:      func(c net.Conn) error { return serveObjects(c, "origin") },
 	} {
 		l, err := net.Listen("tcp", addr)
 		if err != nil {
 			return err
 		}
-		go func() { ended <- accept(l, handle) }()
+		go func() { ended <- acceptAll(l, handle) }()
 	}
 	return <-ended
 }
 
-func accept(l net.Listener, handle func(net.Conn) error) error {
+// acceptAll handles each connection of a listener in a goroutine of its own.
+func acceptAll(l net.Listener, handle func(net.Conn) error) error {
 	for {
 		conn, err := l.Accept()
 		if err != nil {
@@ -73,14 +94,14 @@
 	}
 }
 
-// coordinate tells one event, the whole list, and then its number every second.
-func coordinate(conn net.Conn) error {
-	var last int
-	if _, err := fmt.Fscanf(conn, "follow %d\n", &last); err != nil {
+// sendEvents sends a follower event 1, the full endpoint list, unless it has it, and then the event's index every second.
+func sendEvents(conn net.Conn) error {
+	var lastIndex int
+	if _, err := fmt.Fscanf(conn, "follow %d\n", &lastIndex); err != nil {
 		return err
 	}
-	log.Printf("coordinator: followed from %d", last)
-	if last < 1 {
+	log.Printf("coordinator: followed from %d", lastIndex)
+	if lastIndex < 1 {
 		const server = `{"id":%q,"addr":%q,"zone":%q,"kind":%q,"cell":0,"state":"SERVING","weight":20,"started_ms":0}`
 		list := fmt.Sprintf(server, "s-cache", cacheAddr, "office", "estandar") + "," +
 			fmt.Sprintf(server, "s-origin", originAddr, "hub", "origin")
@@ -92,16 +113,17 @@
 		if _, err := fmt.Fprintln(conn, 1); err != nil {
 			return err
 		}
-		time.Sleep(time.Second)
+		time.Sleep(progressInterval)
 	}
 }
 
-// store answers every request with an object made up from its key.
-func store(conn net.Conn, name string) error {
+// serveObjects answers every request with an object generated from its key. An object counts as cached from its second
+// request on the connection.
+func serveObjects(conn net.Conn, name string) error {
 	in := bufio.NewReader(conn)
-	held := map[string]bool{}
+	cached := map[string]bool{}
 	for {
-		words, err := command(in)
+		words, err := readCommand(in)
 		if err != nil {
 			return err
 		}
@@ -112,26 +134,26 @@
 		_, key, _ := strings.Cut(words[2], "k=")
 		key, _, _ = strings.Cut(key, ",")
 		note := "TCP_MISS"
-		if held[key] {
+		if cached[key] {
 			note = "TCP_HIT"
 		}
-		held[key] = true
+		cached[key] = true
 		h := fnv.New64a()
 		h.Write([]byte(key)) //nolint:errcheck // a hash takes everything
 		fields := fmt.Sprintf("etag=%016x,made=%d,note=%s,ttfb=0", h.Sum64(), time.Now().UnixMilli(), note)
-		if _, err := conn.Write(array(words[1], "served", fields, "object "+key+" from the "+name+"\n")); err != nil {
+		if _, err := conn.Write(bulkArray(words[1], "served", fields, "object "+key+" from the "+name+"\n")); err != nil {
 			return err
 		}
 	}
 }
 
-// command reads a RESP array of bulk strings.
-func command(in *bufio.Reader) (words []string, err error) {
-	var n, size int
-	if _, err := fmt.Fscanf(in, "*%d\r\n", &n); err != nil {
+// readCommand reads a RESP array of bulk strings.
+func readCommand(in *bufio.Reader) (words []string, err error) {
+	var count, size int
+	if _, err := fmt.Fscanf(in, "*%d\r\n", &count); err != nil {
 		return nil, err
 	}
-	for range n {
+	for range count {
 		if _, err := fmt.Fscanf(in, "$%d\r\n", &size); err != nil {
 			return nil, err
 		}
@@ -144,7 +166,8 @@
 	return words, nil
 }
 
-func array(words ...string) []byte {
+// bulkArray encodes a RESP array of bulk strings.
+func bulkArray(words ...string) []byte {
 	out := fmt.Appendf(nil, "*%d\r\n", len(words))
 	for _, w := range words {
 		out = fmt.Appendf(out, "$%d\r\n%s\r\n", len(w), w)
@@ -152,8 +175,8 @@
 	return out
 }
 
-// ask sends one FastCGI request and prints the answer.
-func ask(class, object string) error {
+// request sends one FastCGI request to the proxy and prints the answer.
+func request(class, object string) error {
 	conn, err := net.Dial("tcp", proxyAddr)
 	if err != nil {
 		return err
@@ -162,44 +185,51 @@
 	h := fnv.New64a()
 	h.Write([]byte(object)) //nolint:errcheck // a hash takes everything
 	var params []byte
-	for _, p := range [][2]string{
+	for _, pair := range []struct{ name, value string }{
 		{"SCRIPT_NAME", "/ops/" + class}, {"HTTP_REQ_ID", fmt.Sprintf("%016x", rand.Uint64())},
 		{"HTTP_REQ_WAIT_MS", "3000"}, {"HTTP_REQ_KEY", fmt.Sprintf("%016x", h.Sum64())},
 		{"HTTP_X_PIECE", "0"}, {"HTTP_X_LOT", "17"},
 	} {
-		params = append(append(append(params, byte(len(p[0])), byte(len(p[1]))), p[0]...), p[1]...)
+		params = append(params, byte(len(pair.name)), byte(len(pair.value)))
+		params = append(params, pair.name...)
+		params = append(params, pair.value...)
 	}
-	request := record(1, "\x00\x01\x00\x00\x00\x00\x00\x00") // BEGIN_REQUEST: Responder, close when done
-	request = append(request, record(4, string(params))...)
-	request = append(append(request, record(4, "")...), record(5, "")...)
-	if _, err := conn.Write(request); err != nil {
+	records := encodeRecord(fcgiBeginRequest, beginResponder)
+	records = append(records, encodeRecord(fcgiParams, string(params))...)
+	records = append(records, encodeRecord(fcgiParams, "")...)
+	records = append(records, encodeRecord(fcgiStdin, "")...)
+	if _, err := conn.Write(records); err != nil {
 		return err
 	}
-	return show(conn)
+	return printAnswer(conn)
 }
 
-func record(kind byte, content string) []byte {
-	head := []byte{1, kind, 0, 1}
-	head = binary.BigEndian.AppendUint16(head, uint16(len(content)))
-	return append(append(head, 0, 0), content...)
+// encodeRecord encodes a record of request 1, in FastCGI version 1 and without padding.
+func encodeRecord(kind byte, content string) []byte {
+	record := []byte{1, kind, 0, 1}
+	record = binary.BigEndian.AppendUint16(record, uint16(len(content)))
+	record = append(record, 0, 0)
+	return append(record, content...)
 }
 
-// show prints STDOUT records until END_REQUEST.
-func show(conn net.Conn) error {
+// printAnswer prints STDOUT records until END_REQUEST.
+func printAnswer(conn net.Conn) error {
 	for {
-		var head [8]byte
-		if _, err := io.ReadFull(conn, head[:]); err != nil {
+		var header [fcgiHeaderSize]byte
+		if _, err := io.ReadFull(conn, header[:]); err != nil {
 			return fmt.Errorf("answer cut off: %w", err)
 		}
-		content := make([]byte, int(binary.BigEndian.Uint16(head[4:]))+int(head[6]))
+		contentLength := int(binary.BigEndian.Uint16(header[4:]))
+		paddingLength := int(header[6])
+		content := make([]byte, contentLength+paddingLength)
 		if _, err := io.ReadFull(conn, content); err != nil {
 			return fmt.Errorf("answer cut off: %w", err)
 		}
-		switch head[1] {
-		case 3:
+		switch header[1] {
+		case fcgiEndRequest:
 			return nil
-		case 6:
-			os.Stdout.Write(content[:len(content)-int(head[6])]) //nolint:errcheck // a terminal
+		case fcgiStdout:
+			os.Stdout.Write(content[:contentLength]) //nolint:errcheck // standard output is a terminal
 		}
 	}
 }
