--- /dev/null
+++ b/internal/relay/conn.go
@@ -0,0 +1,177 @@
+package relay
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net"
+	"sync"
+	"time"
+
+	"cloverdoor/internal/fault"
+)
+
+const (
+	readBufferSize    = 16 << 10 // bytes
+	maxPendingOutputs = 32       // of one direction that wait for their time, each of readBufferSize at most
+	dialTimeout       = 5 * time.Second
+)
+
+// relayedConn is one relayed connection. It owns both ends: close closes them.
+type relayedConn struct {
+	relay     *Relay
+	ctx       context.Context // ends when the connection is closed, or with the relay
+	cancel    context.CancelFunc
+	planMu    sync.Mutex
+	plan      *fault.ConnPlan // under planMu
+	client    *net.TCPConn
+	target    *net.TCPConn
+	closeOnce sync.Once
+}
+
+// relayConn relays one accepted connection until both directions have ended. Where the target refuses, the client gets
+// a reset: its connection has been established already.
+func (r *Relay) relayConn(link fault.Link, number int, client *net.TCPConn) {
+	dialer := net.Dialer{Timeout: dialTimeout}
+	target, err := dialer.DialContext(r.ctx, "tcp", link.Target.String())
+	if err != nil {
+		reset(client)
+		return
+	}
+	ctx, cancel := context.WithCancel(r.ctx)
+	defer cancel()
+	c := &relayedConn{
+		relay: r, ctx: ctx, cancel: cancel, plan: r.script.PlanConn(link.Name, number, r.now()),
+		client: client, target: target.(*net.TCPConn),
+	}
+	context.AfterFunc(ctx, func() { c.close(fault.EndClosed) })
+	r.recordAll(c.plan.TakeFirings())
+	var directions sync.WaitGroup
+	directions.Go(func() { c.relayDirection(fault.Up, c.client, c.target) })
+	directions.Go(func() { c.relayDirection(fault.Down, c.target, c.client) })
+	directions.Wait()
+}
+
+// relayDirection reads one direction, and has a goroutine of its own write what the plan makes of it.
+func (c *relayedConn) relayDirection(d fault.Direction, from, to *net.TCPConn) {
+	outputs := make(chan fault.Output, maxPendingOutputs)
+	stream := c.plan.Stream(d)
+	c.fireDue(stream, to)
+	for _, due := range c.pendingTimes(stream) {
+		c.relay.runAt(c.ctx, due, func() { c.fireDue(stream, to) })
+	}
+	var writer sync.WaitGroup
+	writer.Go(func() { c.write(to, outputs) })
+	c.read(from, stream, outputs)
+	close(outputs)
+	writer.Wait()
+}
+
+func (c *relayedConn) pendingTimes(s *fault.StreamPlan) []time.Duration {
+	c.planMu.Lock()
+	defer c.planMu.Unlock()
+	return s.PendingTimes()
+}
+
+// fireDue fires the rules by time that are due. It applies their endings itself: the reader may be blocked in a read.
+func (c *relayedConn) fireDue(s *fault.StreamPlan, to *net.TCPConn) {
+	c.planMu.Lock()
+	outputs := s.Advance(c.relay.now())
+	firings := c.plan.TakeFirings()
+	c.planMu.Unlock()
+	c.relay.recordAll(firings)
+	for _, o := range outputs {
+		c.applyEnding(to, o.Ending)
+	}
+}
+
+// read reads until the stream or the connection ends.
+func (c *relayedConn) read(from *net.TCPConn, s *fault.StreamPlan, outputs chan<- fault.Output) {
+	buffer := make([]byte, readBufferSize)
+	for {
+		n, err := from.Read(buffer)
+		planned := c.feed(s, buffer[:n], err != nil)
+		if err != nil && !errors.Is(err, io.EOF) {
+			c.close(fault.EndReset) // the other end gets a reset too
+			return
+		}
+		if !c.enqueue(planned, outputs) || err != nil {
+			return
+		}
+	}
+}
+
+// feed passes what was read to the plan, records what fires, and returns what is to be written.
+func (c *relayedConn) feed(s *fault.StreamPlan, data []byte, inputEnded bool) []fault.Output {
+	c.planMu.Lock()
+	planned := s.Feed(data, c.relay.now())
+	if inputEnded {
+		planned = append(planned, s.CloseInput(c.relay.now())...)
+	}
+	firings := c.plan.TakeFirings()
+	c.planMu.Unlock()
+	c.relay.recordAll(firings)
+	return planned
+}
+
+// enqueue passes outputs to the writer. It reports false once the stream or the connection has ended.
+func (c *relayedConn) enqueue(planned []fault.Output, outputs chan<- fault.Output) bool {
+	for _, o := range planned {
+		select {
+		case outputs <- o:
+		case <-c.ctx.Done():
+			return false
+		}
+		if o.Ending != fault.NotEnded {
+			return false
+		}
+	}
+	return true
+}
+
+// write writes each output at its time, until the channel is closed or the connection has ended.
+func (c *relayedConn) write(to *net.TCPConn, outputs <-chan fault.Output) {
+	for o := range outputs {
+		if !c.relay.sleepUntil(c.ctx, o.Due) {
+			return
+		}
+		if len(o.Data) > 0 {
+			if _, err := to.Write(o.Data); err != nil {
+				c.close(fault.EndReset)
+				return
+			}
+		}
+		c.applyEnding(to, o.Ending)
+	}
+}
+
+// applyEnding ends one direction, or the connection, as the plan says.
+func (c *relayedConn) applyEnding(to *net.TCPConn, ending fault.Ending) {
+	switch ending {
+	case fault.NotEnded:
+	case fault.EndHalfClosed:
+		to.CloseWrite() //nolint:errcheck // the connection may have ended
+	default:
+		c.close(ending)
+	}
+}
+
+// close closes both ends, with RST if the ending is a reset. Only the first call has an effect.
+func (c *relayedConn) close(ending fault.Ending) {
+	c.closeOnce.Do(func() {
+		for _, conn := range []*net.TCPConn{c.client, c.target} {
+			if ending == fault.EndReset {
+				reset(conn)
+			} else {
+				conn.Close() //nolint:errcheck // the peer may have closed it
+			}
+		}
+		c.cancel()
+	})
+}
+
+// reset closes a connection with RST.
+func reset(conn *net.TCPConn) {
+	conn.SetLinger(0) //nolint:errcheck // the peer may have closed it
+	conn.Close()      //nolint:errcheck // as above
+}
