--- a/Makefile
+++ b/Makefile
@@ -1,7 +1,7 @@
 # build, test, lint, run: the one place for the commands that README names.
 .PHONY: build test lint fuzz run toy soak
 
-STATICCHECK = honnef.co/go/tools/cmd/staticcheck@v0.8.2
+GOLANGCI_LINT = github.com/golangci/golangci-lint/v2/cmd/golangci-lint@v2.15.0
 
 build:
 	mkdir -p bin
@@ -18,7 +18,7 @@
 	@unformatted=$$(gofmt -l policy internal cmd example); \
 	if [ -n "$$unformatted" ]; then echo "not gofmt'ed: $$unformatted"; exit 1; fi
 	go vet ./...
-	go run $(STATICCHECK) ./...
+	go run $(GOLANGCI_LINT) run ./...
 
 fuzz:
 	for p in fastcgi resp watch http1; do go test ./internal/$$p -run '^$$' -fuzz FuzzDecode -fuzztime 20s || exit 1; done
