--- a/internal/proxy/adminoperations.go
+++ b/internal/proxy/adminoperations.go
@@ -1,5 +1,7 @@
 package proxy
 
+// This file holds the operations that operators can call, and their HTTP answers.
+
 import "cloverdoor/internal/http1"
 
 // adminHandler is what operators can ask for. Its methods are called on the loop's goroutine and must not
--- a/internal/proxy/adminserver.go
+++ b/internal/proxy/adminserver.go
@@ -1,5 +1,7 @@
 package proxy
 
+// This file holds the operators' HTTP server: its connections, their number and their timeouts.
+
 import (
 	"errors"
 	"time"
--- a/internal/proxy/backpressure.go
+++ b/internal/proxy/backpressure.go
@@ -1,7 +1,7 @@
 package proxy
 
-// Backpressure: while a client has too many unread bytes of answers, its further requests are blocked.
-// A blocked request is open, so that its client can abort it, but it is not submitted.
+// This file holds backpressure: while a client has too many unread bytes of answers, its further requests are
+// blocked. A blocked request is open, so that its client can abort it, but it is not submitted.
 
 import (
 	"errors"
@@ -15,8 +15,8 @@
 // blocked.
 const backpressureBytes = 1 << 20
 
-// blockedTimeoutDivisor sets how long a request may stay blocked before it is rejected: for its timeout divided by
-// this. A later rejection would leave the client too little time for a retry.
+// blockedTimeoutDivisor sets how long a request may stay blocked before it is rejected: for its timeout
+// divided by this. A later rejection would leave the client too little time for a retry.
 const blockedTimeoutDivisor = 2
 
 // errMemoryLimit closes a connection whose unread answers take memory that the process does not have.
--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -1,5 +1,7 @@
 package proxy
 
+// This file holds a client's connection: its records, its open requests, and when it is closed.
+
 import (
 	"slices"
 	"time"
--- a/internal/proxy/coordinatorclock.go
+++ b/internal/proxy/coordinatorclock.go
@@ -1,5 +1,7 @@
 package proxy
 
+// This file holds the comparison of the process's clock with the coordinator's.
+
 import (
 	"log/slog"
 	"slices"
--- a/internal/proxy/disconnect.go
+++ b/internal/proxy/disconnect.go
@@ -1,7 +1,7 @@
 package proxy
 
-// Disconnects: what is done when a client stops sending, or closes its connection, while requests of it are
-// open.
+// This file holds what is done when a client stops sending, or closes its connection, while requests of it
+// are open.
 
 import (
 	"math"
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -1,5 +1,8 @@
 package proxy
 
+// This file holds the table of endpoints: what the coordinator's updates change in it, in the decision module
+// and in the connection pools.
+
 import (
 	"errors"
 	"log/slog"
--- a/internal/proxy/eviction.go
+++ b/internal/proxy/eviction.go
@@ -1,8 +1,8 @@
 package proxy
 
-// Eviction: when clients hold all the connections that they may, an idle one is closed so that a new one can
-// be accepted. Without it, clients that connect and send nothing, or send one request and stay, would keep
-// out all others.
+// This file holds eviction: when clients hold all the connections that they may, an idle one is closed so
+// that a new one can be accepted. Without it, clients that connect and send nothing, or send one request and
+// stay, would keep out all others.
 
 import (
 	"time"
--- a/internal/proxy/fastcgiserver.go
+++ b/internal/proxy/fastcgiserver.go
@@ -1,5 +1,7 @@
 package proxy
 
+// This file holds the FastCGI server: what it needs of the proxy, its timeouts, and how it stops.
+
 import (
 	"log/slog"
 	"time"
--- a/internal/proxy/fields.go
+++ b/internal/proxy/fields.go
@@ -1,5 +1,7 @@
 package proxy
 
+// This file holds the decoding of the fields of a FastCGI request.
+
 import (
 	"errors"
 	"fmt"
--- a/internal/proxy/listen.go
+++ b/internal/proxy/listen.go
@@ -1,5 +1,7 @@
 package proxy
 
+// This file holds the opening of the proxy's servers.
+
 import (
 	"net/netip"
 
--- a/internal/proxy/partialrequest.go
+++ b/internal/proxy/partialrequest.go
@@ -1,6 +1,6 @@
 package proxy
 
-// Partial requests: the memory that requests take before they are complete, and how it is freed while the
+// This file holds the memory that requests take before they are complete, and how it is freed while the
 // memory budget is critical.
 
 import "cloverdoor/internal/fastcgi"
--- a/internal/proxy/responder.go
+++ b/internal/proxy/responder.go
@@ -1,5 +1,7 @@
 package proxy
 
+// This file holds the encoding of answers for FastCGI clients.
+
 import (
 	"strconv"
 
--- a/internal/proxy/watch.go
+++ b/internal/proxy/watch.go
@@ -1,5 +1,7 @@
 package proxy
 
+// This file holds the watch of the coordinator: which streams are open, and what has been received on them.
+
 import (
 	"bytes"
 	"errors"
--- a/internal/proxy/watchevents.go
+++ b/internal/proxy/watchevents.go
@@ -1,5 +1,7 @@
 package proxy
 
+// This file holds the proxy's side of the watch: what an event of the coordinator does.
+
 import (
 	"net/netip"
 	"time"
--- a/internal/proxy/watchstream.go
+++ b/internal/proxy/watchstream.go
@@ -1,5 +1,7 @@
 package proxy
 
+// This file holds one stream of the watch: its lines, and the order of their events.
+
 import (
 	"errors"
 	"time"
