--- a/internal/proxy/eviction.go
+++ b/internal/proxy/eviction.go
@@ -4,9 +4,7 @@
 // that a new one can be accepted. Without it, clients that connect and send nothing, or send one request and
 // stay, would keep out all others.
 
-import (
-	"time"
-)
+import "time"
 
 // How long a connection must have been idle before it can be evicted.
 const (
