--- a/internal/eventloop/accept.go
+++ b/internal/eventloop/accept.go
@@ -35,7 +35,7 @@
 func (ln *Listener) acceptWhilePossible() {
 	aborted := 0
 	for ln.HasPending() {
-		if aborted == maxAbortedAccepts || !ln.hasCapacity() {
+		if aborted == maxAbortedAccepts || !ln.ensureCapacity() {
 			ln.pause()
 			return
 		}
@@ -54,7 +54,7 @@
 	}
 }
 
-// backlogNonEmpty reports whether a connection waits to be accepted. It is checked before hasCapacity, which
+// backlogNonEmpty reports whether a connection waits to be accepted. It is checked before ensureCapacity, which
 // may evict another connection: a process that shares the socket may have accepted the one that woke this
 // process.
 func (ln *Listener) backlogNonEmpty() bool {
--- a/internal/eventloop/conn_test.go
+++ b/internal/eventloop/conn_test.go
@@ -69,9 +69,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	hasCapacity := func() bool { return true }
+	ensureCapacity := func() bool { return true }
 	accept := func(*Conn) Handler { return discarder{} }
-	ln, err := l.Listen(netip.MustParseAddrPort("127.0.0.1:0"), hasCapacity, accept)
+	ln, err := l.Listen(netip.MustParseAddrPort("127.0.0.1:0"), ensureCapacity, accept)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/eventloop/listen.go
+++ b/internal/eventloop/listen.go
@@ -15,16 +15,16 @@
 type Listener struct {
 	loop           *Loop
 	fd             int
-	hasCapacity    func() bool
+	ensureCapacity    func() bool
 	accept         func(*Conn) Handler
 	closed         bool
 	paused         bool // until a timer resumes accepting
 	backlogRemains bool // connections remained in the accept queue; since when is unknown
 }
 
-// Listen accepts connections on addr. hasCapacity is called before each accept; while it returns false,
+// Listen accepts connections on addr. ensureCapacity is called before each accept; while it returns false,
 // connections wait in the system's queue. accept returns the handler of a new connection. Neither must block.
-func (l *Loop) Listen(addr netip.AddrPort, hasCapacity func() bool, accept func(*Conn) Handler) (*Listener, error) {
+func (l *Loop) Listen(addr netip.AddrPort, ensureCapacity func() bool, accept func(*Conn) Handler) (*Listener, error) {
 	fd, err := newSocket(addr)
 	if err != nil {
 		return nil, fmt.Errorf("listen on %s: %w", addr, startError(err))
@@ -33,7 +33,7 @@
 		unix.Close(fd) //nolint:errcheck // the first error is returned
 		return nil, fmt.Errorf("listen on %s: %w", addr, startError(err))
 	}
-	ln, err := l.newListener(fd, hasCapacity, accept)
+	ln, err := l.newListener(fd, ensureCapacity, accept)
 	if err != nil {
 		unix.Close(fd) //nolint:errcheck // the first error is returned
 	}
@@ -52,12 +52,12 @@
 
 // ListenOn accepts connections on a listening socket that the process inherited and may share with other
 // processes. The functions are those of Listen.
-func (l *Loop) ListenOn(fd int, hasCapacity func() bool, accept func(*Conn) Handler) (*Listener, error) {
+func (l *Loop) ListenOn(fd int, ensureCapacity func() bool, accept func(*Conn) Handler) (*Listener, error) {
 	if err := prepareInherited(fd); err != nil {
 		return nil, fmt.Errorf("listen on descriptor %d: %w", fd, startError(err))
 	}
 	unix.CloseOnExec(fd)
-	ln, err := l.newListener(fd, hasCapacity, accept)
+	ln, err := l.newListener(fd, ensureCapacity, accept)
 	if err == nil {
 		ln.backlogRemains = true // connections may have waited since before the process started
 	}
@@ -76,8 +76,8 @@
 	return unix.SetNonblock(fd, true)
 }
 
-func (l *Loop) newListener(fd int, hasCapacity func() bool, accept func(*Conn) Handler) (*Listener, error) {
-	ln := &Listener{loop: l, fd: fd, hasCapacity: hasCapacity, accept: accept}
+func (l *Loop) newListener(fd int, ensureCapacity func() bool, accept func(*Conn) Handler) (*Listener, error) {
+	ln := &Listener{loop: l, fd: fd, ensureCapacity: ensureCapacity, accept: accept}
 	if err := l.register(fd, unix.EPOLLIN, ln); err != nil {
 		return nil, startError(err)
 	}
--- a/internal/eventloop/system_test.go
+++ b/internal/eventloop/system_test.go
@@ -43,13 +43,13 @@
 }
 
 // newTestListener listens on loopback.
-func newTestListener(t *testing.T, hasCapacity func() bool, accept func(*Conn) Handler) *testListener {
+func newTestListener(t *testing.T, ensureCapacity func() bool, accept func(*Conn) Handler) *testListener {
 	t.Helper()
 	loop, err := NewLoop(SystemClock())
 	if err != nil {
 		t.Fatal(err)
 	}
-	ln, err := loop.Listen(netip.MustParseAddrPort("127.0.0.1:0"), hasCapacity, accept)
+	ln, err := loop.Listen(netip.MustParseAddrPort("127.0.0.1:0"), ensureCapacity, accept)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -252,8 +252,8 @@
 // first.
 func TestListenerComesBack(t *testing.T) {
 	var server *echo
-	hasCapacity := false
-	p := newTestListener(t, func() bool { return hasCapacity }, func(c *Conn) Handler {
+	ensureCapacity := false
+	p := newTestListener(t, func() bool { return ensureCapacity }, func(c *Conn) Handler {
 		server = &echo{conn: c}
 		return server
 	})
@@ -270,7 +270,7 @@
 		}
 	})
 	runTurns(t, p.loop, func() bool { return refused > 0 })
-	hasCapacity = true
+	ensureCapacity = true
 	calls := 0
 	accept := System.Accept
 	System.Accept = func(int, int) (int, error) { calls++; return -1, unix.ENOBUFS }
--- a/internal/proxy/adminserver.go
+++ b/internal/proxy/adminserver.go
@@ -32,10 +32,10 @@
 	conns   map[*adminConn]bool
 }
 
-// hasCapacity reports whether one more connection can be accepted. When there are too many, the oldest is
+// ensureCapacity reports whether one more connection can be accepted. When there are too many, the oldest is
 // closed for it, so that callers that send nothing don't keep out others; while none has had
 // minAdminCallTime, the new one waits to be accepted.
-func (a *AdminServer) hasCapacity() bool {
+func (a *AdminServer) ensureCapacity() bool {
 	if len(a.conns) < maxAdminConns {
 		return true
 	}
--- a/internal/proxy/backpressure.go
+++ b/internal/proxy/backpressure.go
@@ -89,7 +89,7 @@
 // reject rejects a blocked request, with advice to retry on another connection.
 func (c *clientConn) reject(b blockedRequest) {
 	to := &responder{conn: c, id: b.request.ID}
-	c.server.handler.rejectUnsubmitted(b.parsed, to, Answer{Status: Rejected, RetryAfter: closingRetryAfter})
+	c.server.handler.rejectUnsubmitted(b.parsed, to, Answer{Status: Rejected, RetryAfter: unsubmittedRetryAfter})
 }
 
 // relieveMemory makes way for an answer while the memory budget is critical: queued output is written at
--- a/internal/proxy/disconnect.go
+++ b/internal/proxy/disconnect.go
@@ -18,15 +18,15 @@
 	// clientPollInterval is how old what has been read from a client may be before it is polled within a
 	// turn.
 	clientPollInterval = 30 * time.Millisecond
-	// disconnectedEarlier is the disconnect time of a client where it is not known.
-	disconnectedEarlier eventloop.Timestamp = 1
+	// unknownDisconnectTime is the disconnect time of a client where it is not known.
+	unknownDisconnectTime eventloop.Timestamp = 1
 )
 
 // PeerClosing notes that the client sends no more: it stopped after the given time (0: not known). It has
 // most likely closed the connection, but may also have closed only its sending side and wait for its answers:
 // those that come within disconnectGrace are still sent.
 func (c *clientConn) PeerClosing(after eventloop.Timestamp) {
-	c.disconnectedSince = max(disconnectedEarlier, after)
+	c.disconnectedSince = max(unknownDisconnectTime, after)
 	c.server.loop.At(c.disconnectedSince+disconnectGrace, c.cancelOpenRequests)
 }
 
--- a/internal/proxy/eviction.go
+++ b/internal/proxy/eviction.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// hasCapacity reports whether one more client can be accepted. It may evict another for that.
-func (f *FastCGIServer) hasCapacity() bool {
+// ensureCapacity reports whether one more client can be accepted. It may evict another for that.
+func (f *FastCGIServer) ensureCapacity() bool {
 	return len(f.conns) < f.maxConns || f.evictIdleClient()
 }
 
--- a/internal/proxy/fields_test.go
+++ b/internal/proxy/fields_test.go
@@ -8,7 +8,7 @@
 
 // A size that a client sends is decoded; anything that is not a size in range is rejected.
 func TestObjectSizes(t *testing.T) {
-	f := &FastCGIServer{handler: &Proxy{set: runtimeConfig{classIndexes: map[string]int{"artes": 0}}}}
+	f := &FastCGIServer{handler: &Proxy{config: runtimeConfig{classIndexes: map[string]int{"artes": 0}}}}
 	for text, want := range map[string]float64{"": 0, "0": 0, "2666.007": 2666.007, "1e3": 1000} {
 		in, err := f.parse(requestWith("HTTP_REQ_KB", text))
 		if err != nil || in.SizeKB != want {
--- a/internal/proxy/invariants.go
+++ b/internal/proxy/invariants.go
@@ -142,7 +142,7 @@
 // recordPurge records a purge and forgets those that are completed everywhere. The latest purge of an object
 // or group counts.
 func (c *invariantChecker) recordPurge(purge *watch.Purge, now eventloop.Timestamp) {
-	retention := c.p.set.Policy.PurgeCompletedWithin + purgeRetentionMargin
+	retention := c.p.config.Policy.PurgeCompletedWithin + purgeRetentionMargin
 	maps.DeleteFunc(c.purges, func(_ any, record purgeRecord) bool { return now-record.receivedAt > retention })
 	var key any
 	switch {
@@ -198,7 +198,7 @@
 	if ans.CreatedAtMillis == 0 {
 		return
 	}
-	limit := c.p.set.Policy.PurgeGrace + checkTolerance
+	limit := c.p.config.Policy.PurgeGrace + checkTolerance
 	for _, key := range []any{a.req.Object, a.req.Group} {
 		purge, known := c.purges[key]
 		if known && a.record.sentAt-purge.receivedAt > limit && ans.CreatedAtMillis < purge.createdBefore {
--- a/internal/proxy/invariants_test.go
+++ b/internal/proxy/invariants_test.go
@@ -110,7 +110,7 @@
 			t.Fatal(err)
 		}
 		p := &Proxy{loop: loop, log: slog.New(slog.DiscardHandler)}
-		p.set.Policy.PurgeCompletedWithin = time.Minute
+		p.config.Policy.PurgeCompletedWithin = time.Minute
 		var reports []string
 		checker := newInvariantChecker(p, func(text string) { reports = append(reports, text) })
 		group := purgedGroup
--- a/internal/proxy/listen.go
+++ b/internal/proxy/listen.go
@@ -11,7 +11,7 @@
 // Listen opens a FastCGI server on addr that holds at most maxConns connections of clients.
 func (p *Proxy) Listen(addr netip.AddrPort, maxConns int) error {
 	f := p.newFastCGIServer(maxConns)
-	ln, err := p.loop.Listen(addr, f.hasCapacity, f.accept)
+	ln, err := p.loop.Listen(addr, f.ensureCapacity, f.accept)
 	if err != nil {
 		return err
 	}
@@ -24,7 +24,7 @@
 func (p *Proxy) ListenOn(fd, maxConns int) error {
 	f := p.newFastCGIServer(maxConns)
 	f.sharedSocket = true
-	ln, err := p.loop.ListenOn(fd, f.hasCapacity, f.accept)
+	ln, err := p.loop.ListenOn(fd, f.ensureCapacity, f.accept)
 	if err != nil {
 		return err
 	}
@@ -56,7 +56,7 @@
 // ListenAdmin opens the operators' server on addr.
 func (p *Proxy) ListenAdmin(addr netip.AddrPort) error {
 	a := &AdminServer{handler: p, loop: p.loop, conns: map[*adminConn]bool{}}
-	_, err := p.loop.Listen(addr, a.hasCapacity, a.accept)
+	_, err := p.loop.Listen(addr, a.ensureCapacity, a.accept)
 	if err != nil {
 		return err
 	}
--- a/internal/proxy/memory.go
+++ b/internal/proxy/memory.go
@@ -7,7 +7,7 @@
 // The memory budget, as fractions of the process's memory limit. The rest is the runtime's and the garbage
 // collector's.
 const (
-	rejectFraction   = 4 // at 1/4 of the limit new requests are rejected
+	rejectDivisor   = 4 // at 1/4 of the limit new requests are rejected
 	criticalMultiple = 2 // at twice that, connections that only hold memory are closed
 )
 
@@ -21,7 +21,7 @@
 }
 
 func newMemoryBudget(loop *eventloop.Loop, limitBytes int) *memoryBudget {
-	return &memoryBudget{loop: loop, rejectAt: limitBytes / rejectFraction}
+	return &memoryBudget{loop: loop, rejectAt: limitBytes / rejectDivisor}
 }
 
 // buffered is how many bytes are kept in all.
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -29,7 +29,7 @@
 	log        *slog.Logger
 	rng        *rand.Rand
 	router     *policy.Router // the decision module
-	set        runtimeConfig
+	config        runtimeConfig
 	lifecycle  *lifecycle
 	memory     *memoryBudget
 	counters   *counters
@@ -85,7 +85,7 @@
 // applyConfig replaces the configuration that can change at run time. The caller notifies the decision
 // module.
 func (p *Proxy) applyConfig(c runtimeConfig) {
-	p.set = c
+	p.config = c
 	for _, class := range c.Policy.Classes {
 		p.counters.addClass(class.Name)
 	}
@@ -150,7 +150,7 @@
 
 // classIndex is a class's index among the classes of the settings in use.
 func (p *Proxy) classIndex(name string) (index int, known bool) {
-	index, known = p.set.classIndexes[name]
+	index, known = p.config.classIndexes[name]
 	return index, known
 }
 
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -21,9 +21,9 @@
 	// expiryRecheckTime is how long the decision module has for the final answer once the open attempts were
 	// ended at the deadline.
 	expiryRecheckTime = answerReserve / 4
-	// closingRetryAfter is the Retry-After advice while the proxy drains: the client's connection is closed
+	// unsubmittedRetryAfter is the Retry-After advice while the proxy drains: the client's connection is closed
 	// by then, and the client is served by another proxy.
-	closingRetryAfter = 100 * time.Millisecond
+	unsubmittedRetryAfter = 100 * time.Millisecond
 )
 
 // request is one client request, from its admission until it is finished and its last attempt has ended.
@@ -71,10 +71,10 @@
 func (p *Proxy) mayAdmit(in Request, responder Responder) policy.Verdict {
 	return policy.MayAdmit(policy.AdmitInfo{
 		ClientDisconnected: responder.ClientDisconnected().GraceOver,
-		Stopping:           p.lifecycle.rejecting(),
+		RejectingNew:           p.lifecycle.rejecting(),
 		Remaining:          in.Timeout,
 		OpenRequests:       len(p.requests),
-		MaxOpenRequests:    p.set.openRequestLimit(),
+		MaxOpenRequests:    p.config.openRequestLimit(),
 		MemoryFull:         p.memory.full(),
 	})
 }
@@ -85,7 +85,7 @@
 	if verdict.Rule == policy.RuleLimits {
 		return Answer{Status: Overloaded}
 	}
-	return Answer{Status: Rejected, RetryAfter: closingRetryAfter}
+	return Answer{Status: Rejected, RetryAfter: unsubmittedRetryAfter}
 }
 
 // admit opens a request and starts its timer.
@@ -95,7 +95,7 @@
 		Request:     in,
 		moduleID:    p.lastModuleID,
 		responder:   responder,
-		idempotency: p.set.Policy.Classes[in.Class].Idempotency,
+		idempotency: p.config.Policy.Classes[in.Class].Idempotency,
 		deadline:    p.answerDeadline(in.Timeout),
 	}
 	p.requests[q.moduleID] = q
@@ -119,7 +119,7 @@
 // rejectUnsubmitted answers a request that has not been submitted to the decision module.
 func (p *Proxy) rejectUnsubmitted(in Request, responder Responder, a Answer) {
 	p.counters.count(in.ClassName, a.Status.outcome())
-	responder.Respond(p.set.withAllowedRetryAfter(a))
+	responder.Respond(p.config.withAllowedRetryAfter(a))
 }
 
 // markRouted marks the requests among events that the decision module has processed. Those that were given up
@@ -148,7 +148,7 @@
 	p.finish(q)
 	p.invariants.checkFinalAnswer(q, a.Status)
 	p.counters.count(q.ClassName, a.Status.outcome())
-	q.responder.Respond(p.set.withAllowedRetryAfter(a))
+	q.responder.Respond(p.config.withAllowedRetryAfter(a))
 }
 
 // expire handles a request's deadline. Its open attempts are ended, upon which the decision module gives the
@@ -206,16 +206,16 @@
 		return
 	}
 	status := Rejected
-	if q.possiblyExecuted() {
+	if q.hasStartedNonIdempotentCall() {
 		status = Failed
 	}
 	p.answer(q, Answer{Status: status})
 	p.notify(policy.ClientDisconnected{ID: moduleID})
 }
 
-// possiblyExecuted reports whether a call for a request that may not be repeated freely has begun to be
+// hasStartedNonIdempotentCall reports whether a call for a request that may not be repeated freely has begun to be
 // sent.
-func (q *request) possiblyExecuted() bool {
+func (q *request) hasStartedNonIdempotentCall() bool {
 	if q.isIdempotent() {
 		return false
 	}
--- a/internal/proxy/result.go
+++ b/internal/proxy/result.go
@@ -119,7 +119,7 @@
 // where no hedging is allowed and a retry may follow: a server that hangs does not read the STOP command, and
 // would execute both calls.
 func (p *Proxy) requiresConnClose(a *attempt) bool {
-	return !p.set.Policy.Hedging && a.started && !a.req.finished
+	return !p.config.Policy.Hedging && a.started && !a.req.finished
 }
 
 // canCancel reports whether an attempt can be cancelled without harm to other calls on its connection.
@@ -151,7 +151,7 @@
 		CacheStatus:     policy.CacheStatus(ans.CacheStatus),
 		Elapsed:         p.loop.Now() - a.createdAt,
 		SourceFirstByte: ans.SourceFirstByte,
-		TransferTime:    p.set.transferTime(len(ans.Body)),
+		TransferTime:    p.config.transferTime(len(ans.Body)),
 		RequestFinished: a.req.finished,
 	})
 	p.releaseIfDone(a.req)
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -25,7 +25,7 @@
 // beginStop begins a graceful shutdown. Requests that are open get no more time than the platform leaves to
 // the process: one that a kill finds unanswered is lost.
 func (p *Proxy) beginStop() {
-	p.lifecycle.beginStop(p.set.MaxDeadline, p.isTakenOver(), p.openRequests)
+	p.lifecycle.beginStop(p.config.MaxDeadline, p.isTakenOver(), p.openRequests)
 	for _, q := range p.requests {
 		p.shortenDeadline(q, p.lifecycle.answerBy)
 	}
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -2,7 +2,7 @@
 
 // An attempt sends a request to a target, which fills a miss from a source.
 //
-// Starting one estimates how long it will take, in seconds. A request that load shedding (admission.go) or
+// Starting one estimates how long it will take, in seconds. A request that load shedding (loadshedding.go) or
 // the origin's concurrency limit (originlimit.go) does not admit is rejected instead. Ending one classifies
 // its result: it never ran, may have run, or succeeded. That decides whether the request may be retried
 // (retry.go, idempotency.go) and whether the target counts as failing (outliers.go).
--- a/policy/guard.go
+++ b/policy/guard.go
@@ -58,7 +58,7 @@
 // AdmitInfo describes a request that has arrived completely.
 type AdmitInfo struct {
 	ClientDisconnected bool
-	Stopping           bool          // the process shuts down, and the time for clients to leave is over
+	RejectingNew           bool          // the process shuts down, and the time for clients to leave is over
 	Remaining          time.Duration // to the client's deadline
 	OpenRequests       int
 	MaxOpenRequests    int
@@ -70,7 +70,7 @@
 	switch {
 	case info.ClientDisconnected:
 		return Verdict{RuleClientDisconnected, ReasonClientDisconnected}
-	case info.Stopping:
+	case info.RejectingNew:
 		return Verdict{RuleAnswer, ReasonStopping}
 	case info.Remaining <= 0:
 		return Verdict{RuleDeadline, ReasonDeadlineExceeded}
--- a/policy/router.go
+++ b/policy/router.go
@@ -7,7 +7,7 @@
 //
 //   - a request: request.go (its life), attempt.go, routing.go (the way it takes), selection.go (the endpoint
 //     of a tier), fillsource.go and fillorders.go (misses), retry.go, overdue.go, idempotency.go
-//   - limits on load: admission.go (load shedding), slowstart.go, originlimit.go, outliers.go
+//   - limits on load: loadshedding.go (load shedding), slowstart.go, originlimit.go, outliers.go
 //   - state and estimates: endpoints.go, links.go, linkpace.go, transfertime.go, cacheindex.go, purges.go,
 //     estimators.go
 //   - guard.go checks these rules again at the last instant before a proxy acts.
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -36,8 +36,8 @@
 	overloadMultiple float64       // multiple of its present capacity at which it fails
 }
 
-// slowStartRules returns the rules of the endpoint's kind.
-func (r *Router) slowStartRules(e *endpointState) slowStartRules {
+// slowStartRulesOf returns the rules of the endpoint's kind.
+func (r *Router) slowStartRulesOf(e *endpointState) slowStartRules {
 	if e.Kind == r.settings.ParentKind {
 		return slowStartRules{
 			initialCapacity:  r.settings.ParentSlowStartCapacity,
@@ -55,7 +55,7 @@
 // slowStartFraction is the fraction of its capacity that an endpoint has now. It rises linearly from the
 // initial capacity to 1; the origin has no slow start.
 func (r *Router) slowStartFraction(e *endpointState) float64 {
-	rules := r.slowStartRules(e)
+	rules := r.slowStartRulesOf(e)
 	age := r.now - e.Started
 	if e.Started == 0 || age >= rules.duration || rules.duration == 0 || e.Kind == r.settings.OriginKind {
 		return 1
@@ -133,14 +133,14 @@
 func (r *Router) slowStartQuota(e *endpointState) float64 {
 	processes := e.link.routers * float64(max(1, r.settings.ProcessesPerRouter))
 	capacity := min(e.link.capacity, e.link.nominalCapacity)
-	return slowStartUtilization * r.slowStartRules(e).overloadMultiple * capacity / processes
+	return slowStartUtilization * r.slowStartRulesOf(e).overloadMultiple * capacity / processes
 }
 
 // hasQuotaTurn rotates the quotas where one request takes several windows of a quota. A turn comes each time
 // the endpoint has offered turnSeconds of its full capacity since its start; routers start at different
 // points of a turn.
 func (r *Router) hasQuotaTurn(e *endpointState, window time.Duration, turnSeconds float64) bool {
-	rules := r.slowStartRules(e)
+	rules := r.slowStartRulesOf(e)
 	offset := math.Mod(float64(r.settings.RouterIndex)*math.Phi, 1)
 	turnsAt := func(at time.Duration) float64 {
 		return math.Floor(offset + rules.offeredSeconds(at-e.Started)/turnSeconds)
