--- a/cmd/edgeproxy/config.go
+++ b/cmd/edgeproxy/config.go
@@ -18,8 +18,9 @@
 	minSockets  = 64
 	// firstInheritableFD is the first descriptor after standard input, output and error.
 	firstInheritableFD = 3
-	// overlappingProcesses is how many processes of one router run at a time while a new one replaces the old
-	// one on the listening socket that they inherit. They share the limits.
+	// overlappingProcesses is how many processes of one router run at a time while a new one replaces the
+	// old one on the listening socket that they inherit. Each has its part of the memory and of the
+	// connections to caches; client connections are not divided.
 	overlappingProcesses = 2
 )
 
--- a/cmd/edgeproxy/reload.go
+++ b/cmd/edgeproxy/reload.go
@@ -75,8 +75,8 @@
 
 // restartOnlyChanges names the fields that differ in a later configuration but take effect only at the next
 // start: addresses and limits are fixed while the proxy runs. The settings, the transfer rate and the
-// coordinator's address take effect at once. The initial state is not used again: the coordinator has
-// reported everything since.
+// coordinator's address take effect at once. The seed and the initial state are not compared: they are only
+// used at the start, and the coordinator has reported everything since.
 func (c *config) restartOnlyChanges(later *config) string {
 	var names []string
 	for _, field := range []struct {
--- a/internal/connpool/conn.go
+++ b/internal/connpool/conn.go
@@ -46,6 +46,9 @@
 	return c
 }
 
+// EndpointID is the id of the endpoint that the connection belongs to.
+func (c *PooledConn) EndpointID() string { return c.pool.id }
+
 // MarkAlive records that input has arrived since the last use began: the connection was not lost.
 func (c *PooledConn) MarkAlive() {
 	if c.trialBucket != noBucket {
--- a/internal/connpool/pools.go
+++ b/internal/connpool/pools.go
@@ -34,6 +34,7 @@
 // endpointPool is the connections to one server.
 type endpointPool struct {
 	pools             *Pools
+	id                string
 	addr              netip.AddrPort
 	conns             []*PooledConn
 	medianConnectTime time.Duration // estimate
@@ -56,7 +57,7 @@
 		return
 	}
 	ps.RemoveEndpoint(id)
-	ps.endpoints[id] = &endpointPool{pools: ps, addr: addr, medianConnectTime: initialConnectTime}
+	ps.endpoints[id] = &endpointPool{pools: ps, id: id, addr: addr, medianConnectTime: initialConnectTime}
 }
 
 // RemoveEndpoint removes a server. Its connections that are not established fail, as a server that takes over
--- a/internal/eventloop/handler.go
+++ b/internal/eventloop/handler.go
@@ -8,7 +8,7 @@
 	// An error closes the connection.
 	Receive(data []byte) (used int, err error)
 	// Closed is called once, when the connection ends for any reason but a call of Close. err is io.EOF when
-	// the peer closed it in an orderly way.
+	// the peer closed it in an orderly way, or when CloseAfterFlush has ended.
 	Closed(err error)
 }
 
--- a/internal/eventloop/input.go
+++ b/internal/eventloop/input.go
@@ -129,9 +129,9 @@
 	}
 }
 
-// HasUnreadInput reports whether the peer has sent something that has not been read. Closing would lose it.
-// It may have waited for long, as the process does not always have a CPU, so the peer would not take it for a
-// request that crossed the close.
+// HasUnreadInput reports whether the peer has sent something that has not been read. Closing would lose it:
+// a peer sends a request again only if it crossed the close on its way, and this one may have waited here
+// for long, as the process does not always have a CPU.
 func (c *Conn) HasUnreadInput() bool {
 	var first [1]byte
 	n, err := System.Peek(c.fd, first[:])
--- a/internal/eventloop/listen.go
+++ b/internal/eventloop/listen.go
@@ -15,7 +15,7 @@
 type Listener struct {
 	loop           *Loop
 	fd             int
-	ensureCapacity    func() bool
+	ensureCapacity func() bool
 	accept         func(*Conn) Handler
 	closed         bool
 	paused         bool // until a timer resumes accepting
--- a/internal/proxy/backpressure.go
+++ b/internal/proxy/backpressure.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// reject rejects a blocked request, with advice to retry on another connection.
+// reject rejects a blocked request.
 func (c *clientConn) reject(b blockedRequest) {
 	to := &responder{conn: c, id: b.request.ID}
 	c.server.handler.rejectUnsubmitted(b.parsed, to, Answer{Status: Rejected, RetryAfter: unsubmittedRetryAfter})
--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -184,13 +184,14 @@
 	c.closeIfDone()
 }
 
-// Closed ends the requests that are open on the connection. err is nil where this program has closed it by
-// its own decision.
+// Closed ends the requests that are open on the connection. err is nil after an eviction alone: only that
+// must never meet an open request. A client that is stalled, or for which memory is lacking, loses its
+// requests.
 func (c *clientConn) Closed(err error) {
 	delete(c.server.conns, c)
 	delete(c.server.blockedConns, c)
 	for _, number := range c.openRequests {
-		c.server.handler.handleConnectionClosed(number, err != nil)
+		c.server.handler.handleConnectionClosed(number, err == nil)
 	}
 	c.openRequests = nil
 	c.blocked = nil
--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -17,7 +17,7 @@
 // The outcomes that are counted for each class.
 const (
 	fulfilled outcome = iota // answered as asked
-	throttled                // rejected: not executed, and may be sent again
+	throttled                // rejected: may be sent again
 	faulted                  // failed, or given up by the client
 	relayed                  // forwarded: counts attempts, not requests
 	outcomeCount
@@ -49,9 +49,9 @@
 
 // The actions that guards look at.
 const (
-	actionSend  action = "send"
-	actionStart action = "start"
-	actionClose action = "close"
+	actionSend  action = "send"  // write the first byte of an attempt
+	actionStart action = "start" // admit a complete request
+	actionClose action = "close" // close a client connection
 )
 
 // denial is an action that a guard has denied, and why.
--- a/internal/proxy/disconnect.go
+++ b/internal/proxy/disconnect.go
@@ -18,7 +18,8 @@
 	// clientPollInterval is how old what has been read from a client may be before it is polled within a
 	// turn.
 	clientPollInterval = 30 * time.Millisecond
-	// unknownDisconnectTime is the disconnect time of a client where it is not known.
+	// unknownDisconnectTime stands for a disconnect whose time is not known: it counts as long ago, so that
+	// the grace is over.
 	unknownDisconnectTime eventloop.Timestamp = 1
 )
 
--- a/internal/proxy/fastcgiserver.go
+++ b/internal/proxy/fastcgiserver.go
@@ -16,8 +16,9 @@
 	writeStallTimeout = 10 * time.Second
 	// criticalWriteStallTimeout replaces writeStallTimeout while the memory budget is critical.
 	criticalWriteStallTimeout = 200 * time.Millisecond
-	// idleTimeout is how long a connection without open requests may receive nothing. Clients close theirs
-	// after 4 s: one that is older has probably vanished, and would keep its descriptor.
+	// idleTimeout is how long a connection may receive nothing. Clients close theirs after 4 s: one that is
+	// older has probably vanished, and would keep its descriptor. A connection with open requests is kept:
+	// the guard denies its close.
 	idleTimeout = 5 * time.Second
 	// requestPauseTimeout is how long a client may pause before its first request, or in the middle of one.
 	requestPauseTimeout = 2 * time.Second
@@ -43,9 +44,9 @@
 	// CancelAfterDisconnect cancels a request whose client has probably disconnected, and answers it at once:
 	// the client may have closed only its sending side.
 	CancelAfterDisconnect(number int64)
-	// handleConnectionClosed ends a request whose connection has closed. byPeer reports whether the client
-	// closed it, or an error did.
-	handleConnectionClosed(number int64, byPeer bool)
+	// handleConnectionClosed ends a request whose connection has closed. evicted says that it was closed for
+	// another client, which must not happen while a request is open.
+	handleConnectionClosed(number int64, evicted bool)
 }
 
 // FastCGIServer accepts clients' connections and turns their FastCGI records into Requests. It closes
--- a/internal/proxy/fields.go
+++ b/internal/proxy/fields.go
@@ -45,7 +45,7 @@
 		IdempotencyKey: r.Params["HTTP_REQ_TOKEN"],
 		Body:           r.Body,
 	}
-	if !isHex(parsed.ID) || !isHex(parsed.Object) {
+	if !isHexID(parsed.ID) || !isHexID(parsed.Object) {
 		return Request{}, errors.New("Req-Id and Req-Key must be 16 hex digits")
 	}
 	err := parsed.parseNumbers(r.Params)
@@ -58,7 +58,7 @@
 	// A version in any other form could not be forwarded. Without it the client gets the complete object,
 	// which is always right.
 	version := r.Params["HTTP_X_VER"]
-	if isHex(version) {
+	if isHexID(version) {
 		parsed.KnownVersion = version
 	}
 	return parsed, nil
@@ -77,8 +77,8 @@
 	return errors.Join(errTimeout, errPart, errGroup, errSize)
 }
 
-// isHex reports whether s is 16 hex digits: the only form of ids, objects and versions that is forwarded.
-func isHex(s string) bool {
+// isHexID reports whether s is 16 hex digits: the only form of ids, objects and versions that is forwarded.
+func isHexID(s string) bool {
 	return len(s) == idLength && strings.Trim(s, hexDigits) == ""
 }
 
--- a/internal/proxy/memory.go
+++ b/internal/proxy/memory.go
@@ -4,11 +4,11 @@
 
 import "cloverdoor/internal/eventloop"
 
-// The memory budget, as fractions of the process's memory limit. The rest is the runtime's and the garbage
+// The memory budget, as parts of the process's memory limit. The rest is the runtime's and the garbage
 // collector's.
 const (
-	rejectDivisor   = 4 // at 1/4 of the limit new requests are rejected
-	criticalMultiple = 2 // at twice that, connections that only hold memory are closed
+	rejectDivisor    = 4 // at 1/4 of the limit new requests are rejected
+	criticalMultiple = 2 // at twice that, 1/2 of the limit, connections that only hold memory are closed
 )
 
 // memoryBudget counts the bytes that are buffered for clients and caches, and decides when there are too
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -29,7 +29,7 @@
 	log        *slog.Logger
 	rng        *rand.Rand
 	router     *policy.Router // the decision module
-	config        runtimeConfig
+	config     runtimeConfig
 	lifecycle  *lifecycle
 	memory     *memoryBudget
 	counters   *counters
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -32,8 +32,8 @@
 const (
 	Served      Status = iota
 	NotModified        // served: the client's copy is current
-	Rejected           // not executed; a retry is safe
-	Overloaded         // rejected without being submitted to the decision module
+	Rejected           // a retry is safe: not executed, or may be executed again
+	Overloaded         // rejected at a limit of the process; answered by END_REQUEST alone
 	Failed             // may or may not have been executed
 )
 
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -21,8 +21,8 @@
 	// expiryRecheckTime is how long the decision module has for the final answer once the open attempts were
 	// ended at the deadline.
 	expiryRecheckTime = answerReserve / 4
-	// unsubmittedRetryAfter is the Retry-After advice while the proxy drains: the client's connection is closed
-	// by then, and the client is served by another proxy.
+	// unsubmittedRetryAfter is the Retry-After of a request that was never submitted to the decision
+	// module: it is no sign of congestion, so that the client may retry soon.
 	unsubmittedRetryAfter = 100 * time.Millisecond
 )
 
@@ -71,7 +71,7 @@
 func (p *Proxy) mayAdmit(in Request, responder Responder) policy.Verdict {
 	return policy.MayAdmit(policy.AdmitInfo{
 		ClientDisconnected: responder.ClientDisconnected().GraceOver,
-		RejectingNew:           p.lifecycle.rejecting(),
+		RejectingNew:       p.lifecycle.rejecting(),
 		Remaining:          in.Timeout,
 		OpenRequests:       len(p.requests),
 		MaxOpenRequests:    p.config.openRequestLimit(),
@@ -188,11 +188,11 @@
 	p.notify(policy.ClientDisconnected{ID: moduleID})
 }
 
-// handleConnectionClosed gives up an open request whose client connection has closed. byPeer says that the
-// client closed it.
-func (p *Proxy) handleConnectionClosed(moduleID int64, byPeer bool) {
+// handleConnectionClosed gives up an open request whose client connection has closed. evicted says that it
+// was closed for another client.
+func (p *Proxy) handleConnectionClosed(moduleID int64, evicted bool) {
 	if q := p.requests[moduleID]; q != nil {
-		p.invariants.checkConnectionClosed(q, byPeer)
+		p.invariants.checkConnectionClosed(q, evicted)
 	}
 	p.HandleDisconnect(moduleID)
 }
@@ -213,8 +213,8 @@
 	p.notify(policy.ClientDisconnected{ID: moduleID})
 }
 
-// hasStartedNonIdempotentCall reports whether a call for a request that may not be repeated freely has begun to be
-// sent.
+// hasStartedNonIdempotentCall reports whether the request is not idempotent and the first byte of a call
+// for it has been written: the rest may follow before its connection is closed.
 func (q *request) hasStartedNonIdempotentCall() bool {
 	if q.isIdempotent() {
 		return false
--- a/internal/proxy/responder.go
+++ b/internal/proxy/responder.go
@@ -60,7 +60,7 @@
 
 // versionHeader names the served copy's version. A version in any other form than 16 hex digits is omitted.
 func versionHeader(version string) [][2]string {
-	if !isHex(version) {
+	if !isHexID(version) {
 		return nil
 	}
 	return [][2]string{{"X-Ver", version}}
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -36,7 +36,8 @@
 	return !slices.ContainsFunc(p.fastcgiServers, func(f *FastCGIServer) bool { return !f.sharedSocket })
 }
 
-// hasOpenWork reports whether any client still waits for an answer, or for the rest of one.
+// hasOpenWork reports whether a client connection is open or waits to be accepted, or a request has no
+// answer.
 func (p *Proxy) hasOpenWork() bool {
 	for _, f := range p.fastcgiServers {
 		if !f.Idle() {
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -89,10 +89,10 @@
 func (u *upstream) Closed(err error) {
 	u.conn.RemoveFromPool()
 	if len(u.calls) > 0 {
-		u.p.log.Info("upstream connection lost", "open_calls", len(u.calls), "error", err)
+		u.p.log.Info("upstream connection lost", "server", u.conn.EndpointID(), "open_calls", len(u.calls), "error", err)
 	}
 	if errors.Is(err, resp.ErrMalformed) && !errors.Is(err, eventloop.ErrNotConnected) {
-		u.p.log.Warn("upstream connection closed after a malformed answer", "error", err)
+		u.p.log.Warn("upstream connection closed after a malformed answer", "server", u.conn.EndpointID(), "error", err)
 	}
 	byAdmission := func(a, b *attempt) int { return cmp.Compare(a.req.moduleID, b.req.moduleID) }
 	for _, a := range slices.SortedFunc(maps.Values(u.calls), byAdmission) {
@@ -113,7 +113,8 @@
 
 // isUnusableAfter reports whether the connection must take no new calls once a call that was sent on it has
 // been stopped. That is also so if an answer has come in part, as it would take the bytes of the next one for
-// its own, and if the call has been written in part, as the rest must not be sent any more.
+// its own, and if the call has been written in part. The rest of that is sent only if other calls keep the
+// connection open.
 func (u *upstream) isUnusableAfter(stopped *attempt) bool {
 	return u.unresponsive() || u.conn.UnparsedBytes() > 0 || !stopped.written || u.p.requiresConnClose(stopped)
 }
--- a/internal/proxy/watch.go
+++ b/internal/proxy/watch.go
@@ -153,7 +153,7 @@
 // replaceStalled opens a stream beside a stalled one, or instead of the older of two.
 func (w *coordinatorWatch) replaceStalled() {
 	if len(w.streams) < maxWatchStreams {
-		w.log.Warn("coordinator watch stalled, second stream opened", "event", w.lastIndex)
+		w.log.Warn("coordinator watch stalled, opening a second stream", "event", w.lastIndex)
 	} else {
 		byLastLine := func(a, b *watchStream) int { return int(a.lastLineAt - b.lastLineAt) }
 		w.closeStream(slices.MinFunc(w.streams, byLastLine))
--- a/internal/proxy/watchevents.go
+++ b/internal/proxy/watchevents.go
@@ -60,7 +60,7 @@
 	}
 	if ev.Unreadable > 0 {
 		p.countUnreadable(ev.Unreadable)
-		p.log.Error("event partly unreadable, endpoints in those parts removed",
+		p.log.Error("coordinator event partly unreadable",
 			"event", ev.Index, "parts", ev.Unreadable)
 	}
 }
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -79,11 +79,11 @@
 	ConnectTimeout    microseconds `json:"connect-timeout-us"`
 	MaxOpenRequests   int          `json:"max-open"`         // of one proxy; 0: unlimited
 	MaxStreamsPerConn int          `json:"streams-per-conn"` // attempts on one connection at once; 0: unknown
-	MaxAttempts       *int         `json:"max-attempts"`     // of one request
+	MaxAttempts       *int         `json:"max-attempts"`     // of one request, after which it is not retried
 	RetryAfter        *bool        `json:"retry-after"`      // rejected clients get a Retry-After; absent: true
 	MaxRetryAfter     microseconds `json:"max-retry-after-us"`
 	MayCancel         bool         `json:"may-cancel"`    // attempts may be cancelled
-	Hedging           bool         `json:"second-copies"` // two attempts of a request may be in flight at once
+	Hedging           bool         `json:"second-copies"` // an overdue attempt may be repeated while it is in flight
 }
 
 // rulesDocument describes the slow start of caches and when they fail from overload.
--- a/policy/actions.go
+++ b/policy/actions.go
@@ -20,7 +20,8 @@
 	StaleWhileRevalidate bool          // a stale copy is served and refreshed in the background
 }
 
-// Reject is a final answer: the request was not carried out, and sending it again is harmless.
+// Reject is a final answer that says that sending the request again is harmless: it was not carried out, or
+// may be carried out again (idempotency.go).
 type Reject struct {
 	ID         int64         // of the request
 	RetryAfter time.Duration // how long the client should wait
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -74,7 +74,8 @@
 	e.Endpoint = listed
 }
 
-// resetContents resets an endpoint's contents and health: it is empty, and its failures are over.
+// resetContents resets an endpoint's contents and health: it is empty and not ejected. Its consecutive
+// failures still count.
 func (e *endpointState) resetContents() {
 	// NewLRU fails only for a size below 1.
 	e.cacheIndex, _ = simplelru.NewLRU[uint64, cacheRecord](cacheIndexSize, nil)
--- a/policy/estimators.go
+++ b/policy/estimators.go
@@ -1,7 +1,7 @@
 package policy
 
 // Estimators summarize a series of observations in one number: a mean that follows recent values, and the
-// ratio of misses that the fill-source rule is based on.
+// ratio of misses that the fill-source rule is based on. 'The paper' is named in fillsource.go.
 
 const (
 	requestSamples   = 100 // requests over which means of sizes and weights extend
--- a/policy/events.go
+++ b/policy/events.go
@@ -59,15 +59,15 @@
 	ResultOK                          // an answer
 	ResultRejected                    // the target rejected it without processing it
 	ResultTimeout                     // no answer in time
-	ResultConnectFailed               // no connection
+	ResultConnectFailed               // no connection came up, or it ended before the attempt's last byte
 	ResultReset                       // the connection broke while it was in flight
 	ResultCancelled                   // the proxy stopped waiting
-	ResultNotSent                     // the proxy never sent it
+	ResultNotSent                     // not executed, for a reason that says nothing against the target
 	ResultNotFound                    // the target has no copy and filled none
 )
 
 var resultNames = [...]string{
-	"error", "ok", "full", "timeout", "connect_failed", "reset", "cancelled", "moot", "miss",
+	"error", "ok", "rejected", "timeout", "connect_failed", "reset", "cancelled", "not_sent", "not_found",
 }
 
 // String returns the result's name in the log.
--- a/policy/fillsource.go
+++ b/policy/fillsource.go
@@ -5,8 +5,10 @@
 //
 // Inputs: which siblings are believed to have the object, their misindication ratios (rho, 0 to 1), and the
 // mean waits for the first byte of a parent and of a sibling, whose quotient is the miss penalty (beta).
-// Result: the sibling with the lowest rho if 1 + beta*rho < beta, as a miss there costs both waits; otherwise
-// a parent.
+// Result: the sibling with the lowest rho if 1 + beta*rho < beta, as a miss there costs both waits;
+// otherwise a parent. The rule is that of Cohen, Einziger, Friedman and Scalosub, 'Access Strategies for
+// Network Caching', IEEE/ACM Transactions on Networking 29(2), 2021 ('the paper' here and in
+// estimators.go).
 
 import "math"
 
@@ -26,7 +28,8 @@
 	return target
 }
 
-// chooseParent returns the parent that fills a request's object, or the origin if no parent may be used.
+// chooseParent returns the first of the ranked parents, and then of the origin, that has capacity; nil if
+// none may be used.
 func (r *Router) chooseParent(req *request) *endpointState {
 	candidates := append(r.ranked(r.parents, req), r.origin)
 	return r.firstWithCapacity(req, candidates)
--- a/policy/guard.go
+++ b/policy/guard.go
@@ -58,7 +58,7 @@
 // AdmitInfo describes a request that has arrived completely.
 type AdmitInfo struct {
 	ClientDisconnected bool
-	RejectingNew           bool          // the process shuts down, and the time for clients to leave is over
+	RejectingNew       bool          // in a drain or a shutdown, once clients have had time to disconnect
 	Remaining          time.Duration // to the client's deadline
 	OpenRequests       int
 	MaxOpenRequests    int
@@ -82,7 +82,8 @@
 	return Verdict{}
 }
 
-// CloseInfo describes a client's connection that might be closed.
+// CloseInfo describes a client's connection that might be closed. A field that is left zero is not checked:
+// after a timeout, a client may lose a request that it has sent in part.
 type CloseInfo struct {
 	OpenRequests   int  // that arrived completely and are not answered
 	PartialRequest bool // a request has arrived in part
@@ -93,7 +94,7 @@
 	// call.
 	HasUnreadInput func() bool
 
-	// UnackedBytes returns the bytes that were written and not acknowledged. Nil: the close waits for them.
+	// UnackedBytes returns the bytes that were written and not acknowledged. Nil: they are not checked.
 	UnackedBytes func() int
 }
 
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -18,8 +18,8 @@
 	maxFailedAttempts  = 3    // of one request: one that makes caches fail must not reach all of them
 	defaultMaxAttempts = 2    // of one request, where Settings.MaxAttempts is 0
 
-	// minRetryAfter is the shortest Retry-After. Each rejection adds a random part of as much again, so that
-	// clients which were rejected together do not return together.
+	// minRetryAfter is the router's shortest Retry-After. Each rejection adds a random part of as much
+	// again, so that clients which were rejected together do not return together.
 	minRetryAfter = 300 * time.Millisecond
 )
 
--- a/policy/routing.go
+++ b/policy/routing.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// routePastCaches sends a request to a parent that fills from the origin, as no cache of the zone can be
-// used.
+// routePastCaches sends a request to a parent that fills from the origin, or to the origin itself, as no
+// cache of the zone can be used.
 func (r *Router) routePastCaches(req *request) {
 	if !r.settings.DirectRequests {
 		r.rejectOrFail(req)
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -76,9 +76,9 @@
 	CoalesceFills  bool // a miss may wait for a fill of the same object that is in progress
 	Siblings       Siblings
 
-	MaxAttempts   int           // for one request; 0: 2
+	MaxAttempts   int           // of one request, after which it is not retried; hedges go beyond it; 0: 2
 	MayCancel     bool          // attempts may be cancelled
-	Hedging       bool          // a request may have two attempts at once
+	Hedging       bool          // an overdue attempt may be repeated while it is pending
 	MaxRetryAfter time.Duration // longest Retry-After of a rejection; at least 300 ms
 
 	// Slow start of a cache. It fails when it receives OverloadMultiple times its present capacity for
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -199,8 +199,9 @@
 	}
 }
 
-// Attempts that wait for a connection count until they are sent, however long that takes, as all may be sent
-// at once. One that was created before its endpoint restarted is checked again.
+// Attempts that wait for a connection stay within the budget, however long that takes, as all may be sent
+// at once. One that has waited for longer than a window, or was created before its endpoint restarted, is
+// checked again when it is sent.
 func TestDelayedAttemptsKeepSlowStartBudget(t *testing.T) {
 	for _, restarts := range []bool{false, true} {
 		set := testSettings()
--- a/policy/verdict.go
+++ b/policy/verdict.go
@@ -40,7 +40,7 @@
 	ReasonMayHaveRun         Reason = "may_have_run"     // an earlier attempt may have run
 	ReasonWindowExpired      Reason = "window_over"      // the deduplication window has passed
 	ReasonOverBudget         Reason = "over_budget"      // the slow-start budget is used up
-	ReasonStopping           Reason = "stopping"         // the process shuts down
+	ReasonStopping           Reason = "stopping"         // the process drains or shuts down
 	ReasonTooManyOpen        Reason = "many_open"        // the limit on open requests is reached
 	ReasonMemory             Reason = "memory"           // the memory limit is reached
 	ReasonRequestsOpen       Reason = "requests_open"    // the connection has unanswered requests
