--- a/internal/proxy/call.go
+++ b/internal/proxy/call.go
@@ -116,7 +116,7 @@
 func (a *attempt) Written() {
 	a.written = true
 	a.p.invariants.checkWritten(a)
-	a.p.counters.count(a.req.ClassName, relayed)
+	a.p.counters.count(a.req.ClassName, outcomeForwarded)
 }
 
 // failPartialWrite fails the connection of a call of which the peer still has not taken the last byte.
--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -16,18 +16,18 @@
 
 // The outcomes that are counted for each class.
 const (
-	fulfilled outcome = iota // answered as asked
-	throttled                // rejected: may be sent again
-	faulted                  // failed, or given up by the client
-	relayed                  // forwarded: counts attempts, not requests
+	outcomeServed    outcome = iota // answered as asked
+	outcomeRejected                 // rejected: may be sent again
+	outcomeFailed                   // failed, or given up by the client
+	outcomeForwarded                // forwarded: counts attempts, not requests
 	outcomeCount
 )
 
 var outcomeNames = [outcomeCount]string{
-	fulfilled: "fulfilled",
-	throttled: "throttled",
-	faulted:   "faulted",
-	relayed:   "relayed",
+	outcomeServed:    "fulfilled",
+	outcomeRejected:  "throttled",
+	outcomeFailed:    "faulted",
+	outcomeForwarded: "relayed",
 }
 
 // String is the outcome's name in the figures and in the log.
@@ -37,11 +37,11 @@
 func (s Status) outcome() outcome {
 	switch s {
 	case Served, NotModified:
-		return fulfilled
+		return outcomeServed
 	case Rejected, Overloaded:
-		return throttled
+		return outcomeRejected
 	}
-	return faulted
+	return outcomeFailed
 }
 
 // action is what a guard was asked about, under the names of the figures.
--- a/internal/proxy/lifecycle.go
+++ b/internal/proxy/lifecycle.go
@@ -81,9 +81,9 @@
 	l.rejectFrom = l.loop.Now() + drainRejectAfter
 }
 
-// beginStop sets the times of a graceful shutdown. longestDeadline is that of the settings, 0: none. Where
+// beginShutdown sets the times of a graceful shutdown. longestDeadline is that of the settings, 0: none. Where
 // another process accepts clients on the same socket (takeover), idle connections are closed at once.
-func (l *lifecycle) beginStop(longestDeadline time.Duration, takeover bool, openRequests int) {
+func (l *lifecycle) beginShutdown(longestDeadline time.Duration, takeover bool, openRequests int) {
 	l.enter(Stopping, openRequests)
 	l.disconnectFrom = l.loop.Now() + shutdownAcceptTime
 	if takeover {
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -184,7 +184,7 @@
 		return
 	}
 	p.finish(q)
-	p.counters.count(q.ClassName, faulted)
+	p.counters.count(q.ClassName, outcomeFailed)
 	p.notify(policy.ClientDisconnected{ID: moduleID})
 }
 
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -13,7 +13,7 @@
 	select {
 	case <-stop:
 		if p.lifecycle.phase < Stopping {
-			p.beginStop()
+			p.beginShutdown()
 		}
 	default:
 	}
@@ -22,10 +22,10 @@
 	}
 }
 
-// beginStop begins a graceful shutdown. Requests that are open get no more time than the platform leaves to
+// beginShutdown begins a graceful shutdown. Requests that are open get no more time than the platform leaves to
 // the process: one that a kill finds unanswered is lost.
-func (p *Proxy) beginStop() {
-	p.lifecycle.beginStop(p.config.MaxDeadline, p.isTakenOver(), p.openRequests)
+func (p *Proxy) beginShutdown() {
+	p.lifecycle.beginShutdown(p.config.MaxDeadline, p.isTakenOver(), p.openRequests)
 	for _, q := range p.requests {
 		p.shortenDeadline(q, p.lifecycle.answerBy)
 	}
