--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -1,18 +1,11 @@
 package soak
 
 import (
-	"bufio"
-	"bytes"
 	"encoding/json"
 	"fmt"
-	"io"
 	"net"
-	"net/http"
 	"os"
 	"os/exec"
-	"path/filepath"
-	"strconv"
-	"strings"
 	"sync"
 	"syscall"
 	"time"
@@ -101,45 +94,8 @@
 	return nil
 }
 
-// logPipe is a pipe for a program's log. Where nobody reads, it is full from the start.
-func logPipe(full bool) (read, write *os.File, err error) {
-	var ends [2]int
-	if err := syscall.Pipe2(ends[:], syscall.O_CLOEXEC); err != nil {
-		return nil, nil, err
-	}
-	read, write = os.NewFile(uintptr(ends[0]), "log"), os.NewFile(uintptr(ends[1]), "log")
-	if full {
-		_, err = write.Write(bytes.Repeat([]byte("\n"), pipeSize))
-	}
-	return read, write, err
-}
-
-// pipeSize is what a pipe holds.
-const pipeSize = 64 << 10
-
 func (p *process) name() string { return proxyName(p.number) }
 
-// readLog takes the log into the timeline. While nobody is to read it, it waits.
-func (p *process) readLog(log io.ReadCloser) {
-	defer log.Close() //nolint:errcheck // it was only read
-	p.mu.Lock()
-	unread, exited := p.logUnread, p.exited
-	p.logUnread = false
-	p.mu.Unlock()
-	if unread {
-		p.r.h.Note("trouble", "nobody reads the log of %s", p.name())
-		<-exited
-	}
-	lines := bufio.NewScanner(log)
-	lines.Buffer(nil, 1<<20)
-	for lines.Scan() {
-		if lines.Text() != "" {
-			p.r.h.Note(p.name(), "log: %s", lines.Text())
-		}
-	}
-	io.Copy(io.Discard, log) //nolint:errcheck // its end is what counts
-}
-
 // recordExit takes note of the end of a life.
 func (p *process) recordExit(life *Incarnation, cmd *exec.Cmd, exited, read chan struct{}) {
 	state, err := cmd.Process.Wait()
@@ -182,26 +138,6 @@
 	}
 }
 
-// call asks the operators' address.
-func (p *process) call(method, path string) (status int, err error) {
-	conn, err := net.DialTimeout("tcp", p.admin, time.Second)
-	if err != nil {
-		return 0, err
-	}
-	defer conn.Close() //nolint:errcheck // the response has been read
-	if err := conn.SetDeadline(time.Now().Add(2 * time.Second)); err != nil {
-		return 0, err
-	}
-	if _, err := fmt.Fprintf(conn, "%s %s HTTP/1.1\r\nHost: x\r\n\r\n", method, path); err != nil {
-		return 0, err
-	}
-	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
-	if err != nil {
-		return 0, err
-	}
-	return resp.StatusCode, resp.Body.Close()
-}
-
 // signal sends one to the life under way.
 func (p *process) signal(s os.Signal) {
 	p.mu.Lock()
@@ -209,18 +145,6 @@
 	p.cmd.Process.Signal(s) //nolint:errcheck // it may have ended
 }
 
-// pause takes the core away for a time.
-func (p *process) pause(length time.Duration) {
-	p.mu.Lock()
-	life := p.incarnation
-	p.mu.Unlock()
-	from := p.r.h.Now()
-	p.signal(syscall.SIGSTOP)
-	time.Sleep(length)
-	p.signal(syscall.SIGCONT)
-	p.r.h.locked(func() { life.Paused = append(life.Paused, [2]time.Duration{from, p.r.h.Now()}) })
-}
-
 // runsAfter is how long after its start a program surely listens for signals: one that comes before ends it.
 const runsAfter = 500 * time.Millisecond
 
@@ -329,77 +253,3 @@
 	}
 	return p.acceptsConns, p.acceptsRequests, p.incarnation.Number
 }
-
-// measure takes note of the memory and the descriptors held.
-func (p *process) measure() {
-	p.mu.Lock()
-	life, pid := p.incarnation, p.cmd.Process.Pid
-	p.mu.Unlock()
-	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
-	if err != nil {
-		return
-	}
-	_, peak, _ := strings.Cut(string(status), "VmHWM:")
-	kb := 0
-	if fields := strings.Fields(peak); len(fields) > 0 {
-		kb, _ = strconv.Atoi(fields[0])
-	}
-	descriptors, _ := filepath.Glob(fmt.Sprintf("/proc/%d/fd/*", pid))
-	p.r.h.locked(func() {
-		life.PeakMemoryKB = max(life.PeakMemoryKB, kb)
-		life.PeakDescriptors = max(life.PeakDescriptors, len(descriptors))
-	})
-}
-
-// connectIdleClients has more clients connect and say nothing than the proxy has descriptors for, and again as soon as one is closed.
-func (p *process) connectIdleClients(length time.Duration) {
-	var idlers sync.WaitGroup
-	end := time.Now().Add(length)
-	for range p.r.limits.Descriptors / 2 {
-		idlers.Go(func() {
-			for time.Now().Before(end) {
-				conn, err := net.DialTimeout("tcp", p.addr, time.Second)
-				if err != nil {
-					time.Sleep(10 * time.Millisecond)
-					continue
-				}
-				conn.SetReadDeadline(end)  //nolint:errcheck // shows in the read
-				conn.Read(make([]byte, 1)) //nolint:errcheck // its end is waited for
-				conn.Close()               //nolint:errcheck // as above
-			}
-		})
-	}
-	idlers.Wait()
-}
-
-// truncateConfig leaves a configuration that was cut off.
-func (p *process) truncateConfig() error {
-	text, err := os.ReadFile(p.config)
-	if err != nil {
-		return err
-	}
-	return os.WriteFile(p.config, text[:len(text)/2], 0o600)
-}
-
-// drain has the proxy emptied on an operator's order, and takes that back. Clients go as the front tells them to.
-func (p *process) drain(length time.Duration) {
-	if status, err := p.call("PUT", "/ops/drain/start"); err != nil || status != 200 {
-		p.r.h.Note(p.name(), "does not drain: %d %v", status, err)
-		return
-	}
-	p.mu.Lock()
-	life := p.incarnation
-	p.mu.Unlock()
-	time.Sleep(200 * time.Millisecond)
-	p.closeGate(life, &p.acceptsConns)
-	time.Sleep(length)
-	if status, err := p.call("PUT", "/ops/drain/stop"); err != nil || status != 200 {
-		p.r.h.Note(p.name(), "does not serve again: %d %v", status, err)
-		return
-	}
-	p.mu.Lock()
-	if p.incarnation == life && life.SigtermAt == 0 && life.ExitedAt == 0 {
-		p.acceptsConns = true
-	}
-	p.mu.Unlock()
-}
