--- a/cmd/edgeproxy/soak_test.go
+++ b/cmd/edgeproxy/soak_test.go
@@ -12,12 +12,12 @@
 	"cloverdoor/internal/soak"
 )
 
-// number reads a figure from the environment.
-func number(t *testing.T, name string, otherwise int) int {
+// envInt reads a number from an environment variable that may be unset.
+func envInt(t *testing.T, name string, unset int) int {
 	t.Helper()
 	text := os.Getenv(name)
 	if text == "" {
-		return otherwise
+		return unset
 	}
 	n, err := strconv.Atoi(text)
 	if err != nil {
@@ -26,11 +26,11 @@
 	return n
 }
 
-// A fleet of real processes keeps the rules under troubles that are drawn by seed. CI plays two short seeds; `make soak` plays
-// many, and README tells how to play one again.
+// TestSoak runs fleets of real processes under faults that seeds draw, and checks the rules. CI runs two short seeds, `make
+// soak` more: the environment says which and how long.
 func TestSoak(t *testing.T) {
-	first, seeds := number(t, "SEED", 1), number(t, "SEEDS", 2)
-	fleet, seconds := number(t, "FLEET", 10), number(t, "SECONDS", 8)
+	first, seeds := envInt(t, "SEED", 1), envInt(t, "SEEDS", 2)
+	fleet, seconds := envInt(t, "FLEET", 10), envInt(t, "SECONDS", 8)
 	violations := 0
 	for seed := first; seed < first+seeds; seed++ {
 		result, err := soak.Run(uint64(seed), soak.Options{
@@ -41,7 +41,7 @@
 		if err != nil {
 			t.Fatalf("seed %d could not be played: %v", seed, err)
 		}
-		t.Logf("seed %d: %d troubles, %d programs, %d requests, %d served, %d violations",
+		t.Logf("seed %d: %d faults, %d processes, %d requests, %d served, %d violations",
 			seed, len(result.Schedule), result.Incarnations, result.Requests, result.Served, len(result.Violations))
 		for _, v := range result.Violations {
 			t.Errorf("seed %d: %v", seed, v)
--- a/internal/soak/admin.go
+++ b/internal/soak/admin.go
@@ -12,14 +12,19 @@
 	"time"
 )
 
-// call asks the operators' address.
-func (p *process) call(method, path string) (status int, err error) {
-	conn, err := net.DialTimeout("tcp", p.admin, time.Second)
+const (
+	statusOK     = http.StatusOK
+	adminTimeout = 2 * time.Second
+)
+
+// callAdmin makes a call to the operators' address and returns the status of the answer.
+func (p *process) callAdmin(method, path string) (status int, err error) {
+	conn, err := net.DialTimeout("tcp", p.admin, dialTimeout)
 	if err != nil {
 		return 0, err
 	}
-	defer conn.Close() //nolint:errcheck // the response has been read
-	if err := conn.SetDeadline(time.Now().Add(2 * time.Second)); err != nil {
+	defer conn.Close() //nolint:errcheck // the answer has been read
+	if err := conn.SetDeadline(time.Now().Add(adminTimeout)); err != nil {
 		return 0, err
 	}
 	if _, err := fmt.Fprintf(conn, "%s %s HTTP/1.1\r\nHost: x\r\n\r\n", method, path); err != nil {
@@ -32,23 +37,38 @@
 	return resp.StatusCode, resp.Body.Close()
 }
 
-// measure takes note of the memory and the descriptors held.
+// measure records the peak memory and the descriptors of the present incarnation.
 func (p *process) measure() {
 	p.mu.Lock()
-	life, pid := p.incarnation, p.cmd.Process.Pid
+	incarnation := p.incarnation
+	pid := p.cmd.Process.Pid
 	p.mu.Unlock()
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
-		return
+		return // it has exited
 	}
-	_, peak, _ := strings.Cut(string(status), "VmHWM:")
-	kb := 0
-	if fields := strings.Fields(peak); len(fields) > 0 {
-		kb, _ = strconv.Atoi(fields[0])
+	memoryKB := peakMemoryKB(string(status))
+	descriptors, err := filepath.Glob(fmt.Sprintf("/proc/%d/fd/*", pid))
+	if err != nil {
+		return
 	}
-	descriptors, _ := filepath.Glob(fmt.Sprintf("/proc/%d/fd/*", pid))
 	p.r.h.locked(func() {
-		life.PeakMemoryKB = max(life.PeakMemoryKB, kb)
-		life.PeakDescriptors = max(life.PeakDescriptors, len(descriptors))
+		incarnation.PeakMemoryKB = max(incarnation.PeakMemoryKB, memoryKB)
+		incarnation.PeakDescriptors = max(incarnation.PeakDescriptors, len(descriptors))
 	})
 }
+
+// peakMemoryKB reads the peak of the resident memory from a /proc status file; 0: the file has none, as the process has
+// exited.
+func peakMemoryKB(status string) int {
+	_, peak, _ := strings.Cut(status, "VmHWM:")
+	fields := strings.Fields(peak)
+	if len(fields) == 0 {
+		return 0
+	}
+	kb, err := strconv.Atoi(fields[0])
+	if err != nil {
+		return 0
+	}
+	return kb
+}
--- a/internal/soak/answers.go
+++ b/internal/soak/answers.go
@@ -9,137 +9,166 @@
 	"time"
 )
 
-// output is the writing side of a connection.
-type output struct {
-	mu   sync.Mutex
-	conn net.Conn
-}
-
-func (o *output) write(text []byte) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.conn.Write(text) //nolint:errcheck // a lost connection shows at the proxy
-}
-
-// write carries out what must not run twice.
-func (s *server) write(c *Call, out *output) {
-	if s.kind != "origin" {
-		s.writeAnswer(c, out, "not_here", "-", "")
-		return
-	}
-	s.h.locked(func() { c.Ran = true })
-	s.wait(2 * answerTime)
-	word := "served"
-	if s.draw() < 0.02 {
-		word = "crashed"
-	}
-	s.writeAnswer(c, out, word, "-", fmt.Sprintf("%d written", c.Serial))
-}
-
-func (s *server) wait(most time.Duration) {
-	pause := time.Duration(s.draw() * float64(most))
-	if s.isBefore(&s.slowUntil) {
-		pause *= 20
-	}
-	time.Sleep(pause)
-	s.waitWhileHung()
-}
-
 const (
-	bodySize           = 10 << 10 // bytes of an object
-	maxBulk            = 1 << 20  // of a command
-	fillTime           = 8 * time.Millisecond
-	answerTime         = 25 * time.Millisecond  // at the most, while all is well
-	lateReadsAfterHang = 300 * time.Millisecond // within which a server has read what came while it hung
-	maxPurgeDelay      = 5 * time.Second        // within which a server drops copies that a purge made void
+	bodySize      = 10 << 10 // bytes of an object
+	fillTime      = 8 * time.Millisecond
+	maxAnswerTime = 25 * time.Millisecond // of a server that is not slow
+	maxWriteTime  = 2 * maxAnswerTime
+	slowFactor    = 20 // by which a slow server takes longer
+
+	overloadChance = 0.5 // that a call is rejected during an "overload" fault
+	crashedChance  = 0.02
+	joinChance     = 0.03 // that a call joins a fill that had begun before it
+	maxJoinedAge   = time.Second
 )
 
-// record takes note of a call.
-func (s *server) record(words []string, first time.Duration, held bool) *Call {
-	c := &Call{Server: s.id, ID: words[1], FirstByteAt: first, CompleteAt: s.h.Now(), ReadLate: held, Serial: s.serial.next()}
+// record adds a call to the history.
+func (s *server) record(words []string, firstByteAt time.Duration, late bool) *Call {
+	call := &Call{Server: s.id, ID: words[1], FirstByteAt: firstByteAt, CompleteAt: s.h.Now(), ReadLate: late, Serial: s.serials.next()}
 	for _, field := range strings.Split(words[2], ",") {
 		name, value, _ := strings.Cut(field, "=")
-		millis, _ := strconv.Atoi(value)
 		switch name {
 		case "c":
-			c.Class = value
+			call.Class = value
 		case "k":
-			c.Object = value
+			call.Object = value
 		case "src":
-			c.Source = value
+			call.Source = value
 		case "w":
-			c.Timeout = time.Duration(millis) * time.Millisecond
+			call.Timeout = parseMillis(value)
 		case "maxage":
-			c.MaxAge = time.Duration(millis) * time.Millisecond
+			call.MaxAge = parseMillis(value)
 		}
 	}
-	s.h.locked(func() { s.h.Calls = append(s.h.Calls, c) })
-	s.h.Note(s.id, "call %s %s k=%s src=%s w=%v maxage=%v held=%v serial=%d", c.ID, c.Class, c.Object, c.Source, c.Timeout, c.MaxAge, held, c.Serial)
-	return c
+	s.h.locked(func() { s.h.Calls = append(s.h.Calls, call) })
+	s.h.Note(s.id, "call %s %s k=%s src=%s w=%v maxage=%v held=%v serial=%d",
+		call.ID, call.Class, call.Object, call.Source, call.Timeout, call.MaxAge, late, call.Serial)
+	return call
+}
+
+// parseMillis reads a number of milliseconds; 0: it is none.
+func parseMillis(text string) time.Duration {
+	millis, err := strconv.Atoi(text)
+	if err != nil {
+		return 0
+	}
+	return time.Duration(millis) * time.Millisecond
 }
 
 // answer answers one call.
-func (s *server) answer(c *Call, out *output) {
-	if s.isBefore(&s.overloadUntil) && s.draw() < 0.5 {
-		s.writeAnswer(c, out, "overload", "-", "")
+func (s *server) answer(call *Call, out *lockedWriter) {
+	if s.isBefore(&s.overloadUntil) && s.draw() < overloadChance {
+		s.writeAnswer(call, out, "overload", "-", "")
 		return
 	}
-	if c.Class == classWrite {
-		s.write(c, out)
+	if call.Class == classWrite {
+		s.execute(call, out)
 		return
 	}
-	s.wait(answerTime)
-	made, note, held := s.copyFor(c)
-	if !held {
-		s.writeAnswer(c, out, "not_here", "note=PEER_MISS", "")
+	s.work(maxAnswerTime)
+	madeAt, note, found := s.copyFor(call)
+	if !found {
+		s.writeAnswer(call, out, "not_here", "note=PEER_MISS", "")
 		return
 	}
-	s.h.locked(func() { c.CopyMadeAt = made })
-	body := fmt.Sprintf("%d %s ", c.Serial, c.Object)
+	s.h.locked(func() { call.CopyMadeAt = madeAt })
+	body := fmt.Sprintf("%d %s ", call.Serial, call.Object)
 	body += strings.Repeat("x", bodySize-len(body))
-	s.writeAnswer(c, out, "served", fmt.Sprintf("etag=%016x,made=%d,note=%s,ttfb=3", made.UnixMilli(), made.UnixMilli(), note), body)
+	fields := fmt.Sprintf("etag=%016x,made=%d,note=%s,ttfb=3", madeAt.UnixMilli(), madeAt.UnixMilli(), note)
+	s.writeAnswer(call, out, "served", fields, body)
 }
 
-// copyFor finds the copy that answers a call, or fills it.
-func (s *server) copyFor(c *Call) (made time.Time, note string, held bool) {
+// execute executes a write, which the origin alone does.
+func (s *server) execute(call *Call, out *lockedWriter) {
+	if s.kind != "origin" {
+		s.writeAnswer(call, out, "not_here", "-", "")
+		return
+	}
+	s.h.locked(func() { call.Ran = true })
+	s.work(maxWriteTime)
+	result := "served"
+	if s.draw() < crashedChance {
+		result = "crashed"
+	}
+	s.writeAnswer(call, out, result, "-", fmt.Sprintf("%d written", call.Serial))
+}
+
+// work takes a time that it draws, and longer while the server is slow or hangs.
+func (s *server) work(maxTime time.Duration) {
+	length := time.Duration(s.draw() * float64(maxTime))
+	if s.isBefore(&s.slowUntil) {
+		length *= slowFactor
+	}
+	time.Sleep(length)
+	s.waitWhileHung()
+}
+
+// copyFor finds the copy that answers a call, or fills it from the source that the call names. It returns the note by
+// which the answer tells where the copy came from.
+func (s *server) copyFor(call *Call) (madeAt time.Time, note string, found bool) {
 	s.mu.Lock()
-	made, held = s.copies[c.Object]
+	madeAt, cached := s.copies[call.Object]
 	s.mu.Unlock()
-	if held && (c.MaxAge == 0 || time.Since(made) <= c.MaxAge) {
-		return made, "TCP_HIT", true
+	if cached && (call.MaxAge == 0 || time.Since(madeAt) <= call.MaxAge) {
+		return madeAt, "TCP_HIT", true
 	}
-	if c.Source == "" && s.kind != "origin" {
-		return made, "", false
+	if call.Source == "" && s.kind != "origin" {
+		return madeAt, "", false
 	}
-	if s.draw() < 0.03 { // a fill that was under way, perhaps since before a purge
-		return time.Now().Add(-time.Duration(s.draw() * float64(time.Second))), "TCP_JOIN", true
+	if s.draw() < joinChance {
+		age := time.Duration(s.draw() * float64(maxJoinedAge))
+		return time.Now().Add(-age), "TCP_JOIN", true
 	}
-	made = time.Now()
+	madeAt = time.Now()
 	time.Sleep(fillTime)
 	s.mu.Lock()
-	s.copies[c.Object] = made
+	s.copies[call.Object] = madeAt
 	s.mu.Unlock()
-	return made, "TCP_MISS", true
+	return madeAt, "TCP_MISS", true
 }
 
-// writeAnswer writes an answer, whole or spoilt.
-func (s *server) writeAnswer(c *Call, out *output, word, fields, body string) {
+// writeAnswer writes an answer, which a fault may malform.
+func (s *server) writeAnswer(call *Call, out *lockedWriter, result, fields, body string) {
 	s.waitWhileHung()
-	s.h.locked(func() { c.Result = word })
-	text := bulks(c.ID, word, fields, body)
+	s.h.locked(func() { call.Result = result })
+	text := encodeBulks(call.ID, result, fields, body)
+	closes := false
 	if s.isBefore(&s.malformUntil) {
-		switch draw := s.draw(); {
-		case draw < 0.1:
-			text = []byte("?nonsense\r\n")
-		case draw < 0.2:
-			text = text[:len(text)/2]
-			defer out.conn.Close() //nolint:errcheck // as in serve
-		case draw < 0.25:
-			text = text[:len(text)/2] // and the connection stays open
-		case draw < 0.35:
-			text = append(text, text...)
-		}
+		text, closes = malform(text, s.draw())
 	}
 	out.write(text)
-	s.h.Note(s.id, "answered %s %s serial=%d", c.ID, word, c.Serial)
+	s.h.Note(s.id, "answered %s %s serial=%d", call.ID, result, call.Serial)
+	if closes {
+		out.conn.Close() //nolint:errcheck // the proxy may have closed it
+	}
+}
+
+// malform makes an answer unreadable, cuts it off or doubles it, or leaves it as it is, by a draw from [0, 1). It
+// reports whether the connection is to be closed after it.
+func malform(text []byte, draw float64) (malformed []byte, closes bool) {
+	half := text[:len(text)/2]
+	switch {
+	case draw < 0.1:
+		return []byte("?nonsense\r\n"), false
+	case draw < 0.2:
+		return half, true
+	case draw < 0.25:
+		return half, false
+	case draw < 0.35:
+		return append(text, text...), false
+	default:
+		return text, false
+	}
+}
+
+// lockedWriter is the writing side of a connection, which several answers share.
+type lockedWriter struct {
+	mu   sync.Mutex
+	conn net.Conn
+}
+
+func (w *lockedWriter) write(text []byte) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.conn.Write(text) //nolint:errcheck // a lost connection shows at the proxy
 }
--- a/internal/soak/checker_test.go
+++ b/internal/soak/checker_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// quiet is a history in which all rules were kept: one process, one read and one write.
-func quiet() *History {
+// soundHistory is a history without violations: one process, one read and one write.
+func soundHistory() *History {
 	h := NewHistory(Limits{MemoryKB: 1000, Descriptors: 100, DrainGrace: 500 * time.Millisecond, PurgeGrace: 300 * time.Millisecond,
 		OverloadMultiple: 2, SlowStartCapacity: 0.1, LinkTransfers: 3, TransferTime: 50 * time.Millisecond, OverloadWindow: time.Second, SlowStartDuration: 4 * time.Second,
 		MaxDeadline: 3 * time.Second})
@@ -27,9 +27,9 @@
 	return h
 }
 
-// TestOracle breaks each rule in a history that is otherwise sound.
-func TestOracle(t *testing.T) {
-	told := func(e WatchEvent) func(*History) {
+// TestInvariantChecker breaks each rule in a history that is otherwise sound, and checks that it alone is reported.
+func TestInvariantChecker(t *testing.T) {
+	delivered := func(e WatchEvent) func(*History) {
 		return func(h *History) {
 			e.Index, e.PublishedAt, e.DeliveredAt = 2, 8*time.Second, map[int]time.Duration{1: 9 * time.Second}
 			h.Events = append(h.Events, &e)
@@ -44,12 +44,12 @@
 		{"two answers", func(h *History) { h.Requests[0].Answers = append(h.Requests[0].Answers, FinalAnswer{Status: "503"}) }, "second answer"},
 		{"no answer", func(h *History) { h.Requests[0].Answers = nil }, "lost"},
 		{"no answer from a process that was killed", func(h *History) { h.Requests[0].Answers, h.Incarnations[0].KilledAt = nil, 10*time.Second }, ""},
-		{"taken back", func(h *History) { h.Requests[0].Answers, h.Requests[0].CanceledAt = nil, 10*time.Second }, ""},
+		{"aborted", func(h *History) { h.Requests[0].Answers, h.Requests[0].CanceledAt = nil, 10*time.Second }, ""},
 		{"closed", func(h *History) { h.Requests[0].Answers, h.Requests[0].DisconnectedAt = nil, 11*time.Second }, "lost"},
 		{"late answer", func(h *History) { h.Requests[0].Answers[0].At = 12 * time.Second }, "late answer"},
 		{"late while stopped", func(h *History) {
 			h.Requests[0].Answers[0].At = 12 * time.Second
-			h.Incarnations[0].Paused = [][2]time.Duration{{10 * time.Second, 11 * time.Second}}
+			h.Incarnations[0].Paused = []Span{{10 * time.Second, 11 * time.Second}}
 		}, ""},
 		{"ran twice", func(h *History) {
 			again := *h.Calls[1]
@@ -58,36 +58,36 @@
 		}, "ran twice"},
 		{"refused after its run", func(h *History) { h.Requests[1].Answers[0].Status = "503" }, "refused after run"},
 		{"served without a run", func(h *History) { h.Calls[1].Ran = false }, "served unrun"},
-		{"repeated in its window", keyedAgain(300 * time.Millisecond), ""},
-		{"repeated after its window", keyedAgain(700 * time.Millisecond), "repeat after window"},
-		{"a call of nobody", func(h *History) { h.Calls[0].ID = "other" }, "unknown call"},
-		{"begun after the client had left", func(h *History) { h.Requests[0].CanceledAt = 9 * time.Second }, "begun after left"},
+		{"repeated in its window", repeatedKeyed(300 * time.Millisecond), ""},
+		{"repeated after its window", repeatedKeyed(700 * time.Millisecond), "repeat after window"},
+		{"a call without a request", func(h *History) { h.Calls[0].ID = "other" }, "unknown call"},
+		{"begun after the client had disconnected", func(h *History) { h.Requests[0].CanceledAt = 9 * time.Second }, "begun after left"},
 		{"begun just after", func(h *History) { h.Requests[0].CanceledAt = 9950 * time.Millisecond }, ""},
 		{"a deadline that is too late", func(h *History) { h.Calls[0].Timeout = 1400 * time.Millisecond }, "deadline"},
-		{"to a server that drains", told(WatchEvent{PurgedGroup: -1, Withdrawn: []string{"cache"}}), "drain"},
-		{"a drain that was never told", neverTold(), "drain"},
-		{"a drain that could not be heard", neverTold([2]time.Duration{3 * time.Second, 6 * time.Second}, [2]time.Duration{5 * time.Second, 10 * time.Second}), ""},
-		{"a source that is gone", told(WatchEvent{PurgedGroup: -1, Withdrawn: []string{"parent"}}), "drain"},
-		{"another one drains", told(WatchEvent{PurgedGroup: -1, Withdrawn: []string{"other"}}), ""},
+		{"to a server that drains", delivered(WatchEvent{PurgedGroup: -1, Withdrawn: []string{"cache"}}), "drain"},
+		{"a drain that was not delivered", undeliveredDrain(), "drain"},
+		{"a drain while the coordinator sent nothing", undeliveredDrain(Span{3 * time.Second, 6 * time.Second}, Span{5 * time.Second, 10 * time.Second}), ""},
+		{"a source that is removed", delivered(WatchEvent{PurgedGroup: -1, Withdrawn: []string{"parent"}}), "drain"},
+		{"another one drains", delivered(WatchEvent{PurgedGroup: -1, Withdrawn: []string{"other"}}), ""},
 		{"an older copy than a purge", func(h *History) {
-			told(WatchEvent{PurgedObject: "x", PurgedGroup: -1, PurgedBefore: h.start.Add(time.Second)})(h)
+			delivered(WatchEvent{PurgedObject: "x", PurgedGroup: -1, PurgedBefore: h.start.Add(time.Second)})(h)
 		}, "purged copy"},
 		{"an older copy than a group's purge", func(h *History) {
-			told(WatchEvent{PurgedObject: "-", PurgedGroup: 3, PurgedBefore: h.start.Add(time.Second)})(h)
+			delivered(WatchEvent{PurgedObject: "-", PurgedGroup: 3, PurgedBefore: h.start.Add(time.Second)})(h)
 		}, "purged copy"},
 		{"a younger copy", func(h *History) {
-			told(WatchEvent{PurgedObject: "x", PurgedGroup: -1, PurgedBefore: h.start.Add(-time.Second)})(h)
+			delivered(WatchEvent{PurgedObject: "x", PurgedGroup: -1, PurgedBefore: h.start.Add(-time.Second)})(h)
 		}, ""},
 		{"never ready", func(h *History) { h.Incarnations[0].ReadyAt = 20 * time.Second }, "not ready"},
-		{"ends by itself", func(h *History) { h.Incarnations[0].SigtermAt, h.Incarnations[0].ExitedAt = 0, 20*time.Second }, "crash"},
+		{"exits without an order", func(h *History) { h.Incarnations[0].SigtermAt, h.Incarnations[0].ExitedAt = 0, 20*time.Second }, "crash"},
 		{"ends with an error", func(h *History) { h.Incarnations[0].ExitError = "exit status 2" }, "bad end"},
 		{"has to be killed", func(h *History) { h.Incarnations[0].KilledAt = 35 * time.Second }, "late end"},
 		{"takes too much memory", func(h *History) { h.Incarnations[0].PeakMemoryKB = 1001 }, "memory"},
 		{"takes too many descriptors", func(h *History) { h.Incarnations[0].PeakDescriptors = 101 }, "descriptors"},
-		{"a burst to a cold server", func(h *History) { coldBurst(h, 50) }, "cold start"},
-		{"what a cold server bears", func(h *History) { coldBurst(h, 43) }, ""},
+		{"a burst to a server in its slow start", func(h *History) { slowStartBurst(h, 50) }, "cold start"},
+		{"as much as the slow start allows", func(h *History) { slowStartBurst(h, 43) }, ""},
 	} {
-		h := quiet()
+		h := soundHistory()
 		c.change(h)
 		var rules []string
 		for _, v := range Check(h) {
@@ -99,16 +99,17 @@
 	}
 }
 
-// neverTold has the cache drain 8 s before it is sent something, with spans in which the coordinator told nothing.
-func neverTold(withheld ...[2]time.Duration) func(*History) {
+// undeliveredDrain publishes a drain of the cache 8 s before it gets a call, and never delivers it. In the given spans the
+// coordinator sends nothing.
+func undeliveredDrain(withheld ...Span) func(*History) {
 	return func(h *History) {
 		h.Events = append(h.Events, &WatchEvent{Index: 2, PublishedAt: 2 * time.Second, PurgedGroup: -1, Withdrawn: []string{"cache"}})
 		h.Withheld[1] = withheld
 	}
 }
 
-// keyedAgain makes the read a keyed request that is sent again after a time.
-func keyedAgain(after time.Duration) func(*History) {
+// repeatedKeyed gives the read an idempotency key and repeats its call after a time.
+func repeatedKeyed(after time.Duration) func(*History) {
 	return func(h *History) {
 		h.Limits.DeduplicationWindow = 400 * time.Millisecond
 		h.Requests[0].Class = classKeyed
@@ -118,16 +119,17 @@
 	}
 }
 
-// coldBurst sends calls at once to a server that has started, 0.3 s after its proxy was told. The settings allow it 25.5 by then.
-func coldBurst(h *History, count int) {
-	h.Starts = []ServerStart{{Server: "cold", At: 13 * time.Second, EventIndex: 5}}
-	h.Events = append(h.Events, &WatchEvent{Index: 5, PublishedAt: 13 * time.Second, PurgedGroup: -1, Serving: []string{"cold"},
+// slowStartBurst sends calls at once to a server that has started, 0.3 s after its proxy was notified. The settings allow
+// 25.5 calls by then, without the margin.
+func slowStartBurst(h *History, count int) {
+	h.Starts = []ServerStart{{Server: "starting", At: 13 * time.Second, EventIndex: 5}}
+	h.Events = append(h.Events, &WatchEvent{Index: 5, PublishedAt: 13 * time.Second, PurgedGroup: -1, Serving: []string{"starting"},
 		DeliveredAt: map[int]time.Duration{1: 13200 * time.Millisecond}})
 	for i := range count {
 		id := string(rune('a'+i%26)) + string(rune('a'+i/26))
 		at := 13500 * time.Millisecond
 		h.Requests = append(h.Requests, &Request{ID: id, Class: classRead, Proxy: 1, Incarnation: 1, SentAt: at, Timeout: time.Second,
 			Answers: []FinalAnswer{{At: at, Status: "200"}}})
-		h.Calls = append(h.Calls, &Call{Serial: 100 + i, Server: "cold", ID: id, FirstByteAt: at, CompleteAt: at})
+		h.Calls = append(h.Calls, &Call{Serial: 100 + i, Server: "starting", ID: id, FirstByteAt: at, CompleteAt: at})
 	}
 }
--- a/internal/soak/clientconn.go
+++ b/internal/soak/clientconn.go
@@ -7,97 +7,181 @@
 	"time"
 )
 
-// takeAnswer takes a final answer.
-func (c *clientConn) takeAnswer(id uint16, content []byte) {
-	c.mu.Lock()
-	q := c.open[id]
-	if q == nil { // a second answer
-		q = c.done[id]
-	}
-	delete(c.open, id)
-	c.done[id] = q
-	c.lastUsed = c.d.h.Now()
-	c.mu.Unlock()
-	text := string(c.texts[id])
-	delete(c.texts, id)
-	top, body, _ := strings.Cut(text, "\r\n\r\n")
-	status, _, _ := strings.Cut(strings.TrimPrefix(top, "Status: "), "\r\n")
-	a := FinalAnswer{At: c.d.h.Now(), Status: status, ProtocolOverloaded: len(content) > 4 && content[4] == 2, Body: body[:min(len(body), keptBodyBytes)]}
-	if q == nil {
-		return
-	}
-	taken := len(content) > 4 && text == "" && !a.ProtocolOverloaded // END_REQUEST for one that was taken back
-	c.d.h.locked(func() {
-		if !taken {
-			q.Answers = append(q.Answers, a)
-		}
-	})
-	c.d.h.Note("client", "%s answered %s %q", q.ID, status, a.Body[:min(len(a.Body), 20)])
-}
+const (
+	// idleCloseRace is how short before the end of an idle connection a request may be sent whose proxy has not read it.
+	idleCloseRace = 60 * time.Millisecond
+	// keptBodyBytes is how much of an answer's body is recorded.
+	keptBodyBytes = 64
+	// notedBodyBytes is how much of it the timeline shows.
+	notedBodyBytes = 20
+	writeTimeout   = 5 * time.Second
+	// maxRequestID is the highest ID of a request on a connection.
+	maxRequestID = 60000
+)
 
-// clientConn is a client's clientConn to one proxy.
+// clientConn is a client's connection to a proxy. Its goroutine, readAnswers, closes it when the proxy ends it.
 type clientConn struct {
-	d           *proxyClients
+	clients     *proxyClients
+	h           *History
 	conn        net.Conn
-	number      int
-	incarnation int
-	mu          sync.Mutex
-	next        uint16
-	open        map[uint16]*Request
-	done        map[uint16]*Request // answered
-	texts       map[uint16][]byte
-	requests    int
-	lastUsed    time.Duration
-	ended       bool
+	number      int               // among the connections to the proxy, from 1
+	incarnation int               // of the proxy
+	texts       map[uint16][]byte // output so far, of readAnswers alone
+
+	mu       sync.Mutex // of the fields below
+	lastID   uint16
+	open     map[uint16]*Request
+	answered map[uint16]*Request
+	requests int
+	lastUsed time.Duration
+	ended    bool
+}
+
+func newClientConn(pc *proxyClients, conn net.Conn, incarnation int) *clientConn {
+	return &clientConn{
+		clients: pc, h: pc.h, conn: conn, number: pc.dialed, incarnation: incarnation,
+		open: map[uint16]*Request{}, answered: map[uint16]*Request{}, texts: map[uint16][]byte{}, lastUsed: pc.h.Now(),
+	}
 }
 
-// register gives a request its number on the connection.
-func (c *clientConn) register(q *Request) (id uint16, out []byte) {
+// state reports whether the connection has been idle for idleCloseAfter, and whether it has ended.
+func (c *clientConn) state() (idle, ended bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.next = c.next%60000 + 1
-	c.open[c.next] = q
-	q.Incarnation, q.FirstOnConnection = c.incarnation, c.requests == 0
+	idle = len(c.open) == 0 && c.h.Now()-c.lastUsed > idleCloseAfter
+	return idle, c.ended
+}
+
+// register gives a request its ID on the connection and adds it to the history.
+func (c *clientConn) register(q *Request) (id uint16) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.lastID = c.lastID%maxRequestID + 1
+	c.open[c.lastID] = q
+	q.Incarnation = c.incarnation
+	q.FirstOnConnection = c.requests == 0
 	c.requests++
-	c.lastUsed = c.d.h.Now()
-	c.d.h.locked(func() { c.d.h.Requests = append(c.d.h.Requests, q) })
-	return c.next, nil
+	c.lastUsed = c.h.Now()
+	c.h.locked(func() { c.h.Requests = append(c.h.Requests, q) })
+	return c.lastID
 }
 
-// send sends a request, with more behind it in the same piece.
-func (c *clientConn) send(q *Request, rest []byte) (id uint16) {
-	id, out := c.register(q)
-	out = append(append(out, requestRecords(id, q)...), rest...)
-	if c.write(out) == nil {
-		c.d.h.locked(func() { q.SentAt = c.d.h.Now() })
+// send sends a request, and more bytes behind it in the same write.
+func (c *clientConn) send(q *Request, more []byte) (id uint16) {
+	id = c.register(q)
+	if c.write(append(encodeRequest(id, q), more...)) == nil {
+		c.h.locked(func() { q.SentAt = c.h.Now() })
 	}
-	c.d.h.Note("client", "asks proxy-%d %s %s k=%s on connection %d", q.Proxy, q.Class, q.ID, q.Object, c.number)
+	c.h.Note("client", "asks proxy-%d %s %s k=%s on connection %d", q.Proxy, q.Class, q.ID, q.Object, c.number)
 	return id
 }
 
+// writeSlowly sends a request in small pieces.
+func (c *clientConn) writeSlowly(q *Request, records []byte) {
+	for len(records) > 0 {
+		size := min(len(records), slowPieceBytes)
+		if c.write(records[:size]) != nil {
+			return
+		}
+		records = records[size:]
+		if len(records) > 0 {
+			time.Sleep(slowPieceGap)
+		}
+	}
+	c.h.locked(func() { q.SentAt = c.h.Now() })
+	c.h.Note("client", "has asked proxy-%d %s %s slowly on connection %d", q.Proxy, q.Class, q.ID, c.number)
+}
+
 func (c *clientConn) write(data []byte) error {
-	c.conn.SetWriteDeadline(time.Now().Add(5 * time.Second)) //nolint:errcheck // shows in the write
+	c.conn.SetWriteDeadline(time.Now().Add(writeTimeout)) //nolint:errcheck // it fails as the write does
 	_, err := c.conn.Write(data)
 	return err
 }
 
-// closed takes note of what was open as the connection ended. What crossed the closed of one that rested is sent again on a new
-// connection, once.
+// disconnect ends the connection.
+func (c *clientConn) disconnect(way int) {
+	tcp := c.conn.(*net.TCPConn)
+	switch way {
+	case byHalfClose:
+		tcp.CloseWrite() //nolint:errcheck // the proxy may have closed it
+	case byReset:
+		tcp.SetLinger(0) //nolint:errcheck // as above
+		tcp.Close()      //nolint:errcheck // as above
+	case byClose:
+		tcp.Close() //nolint:errcheck // as above
+	}
+}
+
+// readAnswers reads until the connection ends.
+func (c *clientConn) readAnswers() {
+	defer c.closed()
+	for {
+		kind, id, content, err := readRecord(c.conn)
+		if err != nil {
+			return
+		}
+		switch kind {
+		case fcgiStdout:
+			c.texts[id] = append(c.texts[id], content...)
+		case fcgiEndRequest:
+			c.takeAnswer(id, content)
+		}
+	}
+}
+
+// takeAnswer records the answer that an END_REQUEST completes.
+func (c *clientConn) takeAnswer(id uint16, endRequest []byte) {
+	q := c.finish(id)
+	text := string(c.texts[id])
+	delete(c.texts, id)
+	if q == nil {
+		return
+	}
+	header, body, _ := strings.Cut(text, "\r\n\r\n")
+	status, _, _ := strings.Cut(strings.TrimPrefix(header, "Status: "), "\r\n")
+	hasStatus := len(endRequest) > fcgiProtocolStatus
+	a := FinalAnswer{
+		At: c.h.Now(), Status: status, ProtocolOverloaded: hasStatus && endRequest[fcgiProtocolStatus] == fcgiOverloaded,
+		Body: body[:min(len(body), keptBodyBytes)],
+	}
+	confirmsAbort := hasStatus && text == "" && !a.ProtocolOverloaded
+	if !confirmsAbort {
+		c.h.locked(func() { q.Answers = append(q.Answers, a) })
+	}
+	c.h.Note("client", "%s answered %s %q", q.ID, status, a.Body[:min(len(a.Body), notedBodyBytes)])
+}
+
+// finish returns the request of an answer, also of a second one; nil: the ID is unknown.
+func (c *clientConn) finish(id uint16) *Request {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	q := c.open[id]
+	if q == nil {
+		q = c.answered[id]
+	}
+	delete(c.open, id)
+	c.answered[id] = q
+	c.lastUsed = c.h.Now()
+	return q
+}
+
+// closed records which requests were open as the connection ended. A single request that was sent just before, on a
+// connection that had been used, may have met the proxy's close of an idle connection: no answer is owed to it.
 func (c *clientConn) closed() {
-	c.conn.Close() //nolint:errcheck // it has ended
-	now := c.d.h.Now()
+	c.conn.Close() //nolint:errcheck // the proxy has closed it
+	now := c.h.Now()
 	c.mu.Lock()
 	c.ended = true
-	left := c.open
+	open := c.open
 	c.open = map[uint16]*Request{}
 	c.mu.Unlock()
-	for _, q := range left {
-		crossed := false
-		c.d.h.locked(func() {
+	for _, q := range open {
+		raced := false
+		c.h.locked(func() {
 			q.DisconnectedAt = now
-			crossed = q.SentAt != 0 && !q.FirstOnConnection && now-q.SentAt < idleCloseRace && len(left) == 1
-			q.NoAnswerOwed = q.NoAnswerOwed || crossed
+			raced = q.SentAt != 0 && !q.FirstOnConnection && now-q.SentAt < idleCloseRace && len(open) == 1
+			q.NoAnswerOwed = q.NoAnswerOwed || raced
 		})
-		c.d.h.Note("client", "connection %d to proxy-%d ended under %s (crossed %v)", c.number, c.d.p.number, q.ID, crossed)
+		c.h.Note("client", "connection %d to proxy-%d ended under %s (crossed %v)", c.number, c.clients.p.number, q.ID, raced)
 	}
 }
--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -7,200 +7,224 @@
 	"time"
 )
 
+// The classes of requests.
 const (
-	objects        = 60
-	groupsInUse    = 8
-	idleCloseAfter = 3500 * time.Millisecond // before a client closes a connection that it does not use
-	idleCloseRace  = 60 * time.Millisecond   // before the end of a connection that rested
-	keptBodyBytes  = 64                      // bytes of a body that are kept
-	recordHeader   = 8
+	classRead  = "artes"    // idempotent
+	classWrite = "registro" // must be executed at most once
+	classKeyed = "sellos"   // has an idempotency key, which servers know for a while
 )
 
-// The classes of requests.
 const (
-	classRead  = "artes"    // safe to repeat
-	classWrite = "registro" // must never run twice
-	classKeyed = "sellos"   // repeats are dropped for a while, by the request's key
+	objects        = 60 // keys
+	groupsInUse    = 8
+	requestTimeout = 1500 * time.Millisecond
+	shortTimeout   = 30 * time.Millisecond
+	dialTimeout    = time.Second
+	idleCloseAfter = 3500 * time.Millisecond // after which a client closes an idle connection
+
+	burstRequests   = 8
+	maxAbortDelay   = 30 * time.Millisecond // from a request to its abort
+	maxDisconnect   = 60 * time.Millisecond // from requests to the end of their connection
+	slowPieceBytes  = 40
+	slowPieceGap    = 2 * time.Millisecond
+	idleConnections = 10
+	idleFor         = time.Second
+	reuseFraction   = 0.85 // of the requests that go over an open connection
 )
 
-// proxyClients is the clients of one proxy.
+// proxyClients are the clients of one proxy. Their fields belong to the goroutine of run.
 type proxyClients struct {
 	p            *process
 	h            *History
 	rng          *rand.Rand
 	conns        []*clientConn
-	dialed       int
-	meanInterval time.Duration // between two requests, in the mean
+	dialed       int           // connections so far
+	meanInterval time.Duration // between two requests
 }
 
-func newProxyClients(p *process, seed uint64, pause time.Duration) *proxyClients {
-	return &proxyClients{p: p, h: p.r.h, rng: rand.New(rand.NewPCG(seed, uint64(p.number))), meanInterval: pause}
+func newProxyClients(p *process, seed uint64, meanInterval time.Duration) *proxyClients {
+	return &proxyClients{
+		p: p, h: p.r.h, rng: rand.New(rand.NewPCG(seed, uint64(p.number))), meanInterval: meanInterval,
+	}
 }
 
-// run asks until the run is over.
-func (d *proxyClients) run(over <-chan struct{}) {
+// run makes requests until over is closed.
+func (pc *proxyClients) run(over <-chan struct{}) {
 	for {
 		select {
 		case <-over:
 			return
-		case <-time.After(time.Duration(d.rng.ExpFloat64() * float64(d.meanInterval))):
+		case <-time.After(time.Duration(pc.rng.ExpFloat64() * float64(pc.meanInterval))):
 		}
-		d.step()
+		pc.step()
 	}
 }
 
-// step does one of the things that clients do.
-func (d *proxyClients) step() {
-	d.closeIdle()
-	admits, takes, _ := d.p.admission()
-	if !takes {
+// step does one of the things that clients do, which it draws.
+func (pc *proxyClients) step() {
+	pc.closeIdle()
+	state := pc.p.admission()
+	if !state.acceptsRequests {
 		return
 	}
-	c := d.pick(admits)
+	c := pc.pickConn(state.acceptsConns)
 	if c == nil {
 		return
 	}
-	wait := 1500 * time.Millisecond
-	switch draw := d.rng.Float64(); {
+	switch draw := pc.rng.Float64(); {
 	case draw < 0.60:
-		c.send(d.request(classRead, wait), nil)
+		c.send(pc.newRequest(classRead, requestTimeout), nil)
 	case draw < 0.70:
-		c.send(d.request(classKeyed, wait), nil)
+		c.send(pc.newRequest(classKeyed, requestTimeout), nil)
 	case draw < 0.82:
-		c.send(d.request(classWrite, wait), nil)
-	case draw < 0.85: // little time
-		c.send(d.request(classRead, 30*time.Millisecond), nil)
+		c.send(pc.newRequest(classWrite, requestTimeout), nil)
+	case draw < 0.85:
+		c.send(pc.newRequest(classRead, shortTimeout), nil)
 	case draw < 0.88:
-		d.abortRequest(c)
+		pc.abortRequest(c)
 	case draw < 0.91:
-		d.disconnect()
+		pc.disconnect()
 	case draw < 0.94:
-		d.sendMalformed()
+		pc.sendMalformed()
 	case draw < 0.96:
-		d.writeSlowly()
+		pc.writeSlowly()
 	case draw < 0.98:
-		for range 8 {
-			c.send(d.request(classRead, wait), nil)
+		for range burstRequests {
+			c.send(pc.newRequest(classRead, requestTimeout), nil)
 		}
 	default:
-		d.connectIdle()
+		pc.connectIdle()
+	}
+}
+
+// pickConn returns an open connection or a new one; nil: there is none.
+func (pc *proxyClients) pickConn(mayConnect bool) *clientConn {
+	if len(pc.conns) > 0 && (!mayConnect || pc.rng.Float64() < reuseFraction) {
+		return pc.conns[pc.rng.IntN(len(pc.conns))]
+	}
+	if !mayConnect {
+		return nil
 	}
+	c := pc.dial()
+	if c != nil {
+		pc.conns = append(pc.conns, c)
+	}
+	return c
 }
 
-// closeIdle forgets connections that have ended, and closes those that have rested.
-func (d *proxyClients) closeIdle() {
-	kept := d.conns[:0]
-	for _, c := range d.conns {
-		c.mu.Lock()
-		rested := len(c.open) == 0 && d.h.Now()-c.lastUsed > idleCloseAfter
-		ended := c.ended
-		c.mu.Unlock()
-		if rested {
-			c.conn.Close() //nolint:errcheck // it may have ended
+// closeIdle closes connections that have been idle for idleCloseAfter, and forgets those that have ended.
+func (pc *proxyClients) closeIdle() {
+	open := pc.conns[:0]
+	for _, c := range pc.conns {
+		idle, ended := c.state()
+		if idle {
+			c.conn.Close() //nolint:errcheck // the proxy may have closed it
 		}
-		if !ended && !rested {
-			kept = append(kept, c)
+		if !ended && !idle {
+			open = append(open, c)
 		}
 	}
-	d.conns = kept
+	pc.conns = open
 }
 
-func (d *proxyClients) dial() *clientConn {
-	_, _, life := d.p.admission()
-	conn, err := net.DialTimeout("tcp", d.p.addr, time.Second)
+// dial connects to the proxy; nil: the proxy does not accept the connection.
+func (pc *proxyClients) dial() *clientConn {
+	incarnation := pc.p.admission().incarnation
+	conn, err := net.DialTimeout("tcp", pc.p.addr, dialTimeout)
 	if err != nil {
-		d.h.Note("client", "proxy-%d lets nobody in: %v", d.p.number, err)
+		pc.h.Note("client", "proxy-%d lets nobody in: %v", pc.p.number, err)
 		return nil
 	}
-	d.dialed++
-	c := &clientConn{d: d, conn: conn, number: d.dialed, incarnation: life,
-		open: map[uint16]*Request{}, done: map[uint16]*Request{}, texts: map[uint16][]byte{}, lastUsed: d.h.Now()}
-	go c.read()
+	pc.dialed++
+	c := newClientConn(pc, conn, incarnation)
+	go c.readAnswers()
 	return c
 }
 
-// abortRequest takes a request back soon after it was sent.
-func (d *proxyClients) abortRequest(c *clientConn) {
-	q := d.request(classRead, 1500*time.Millisecond)
+// newRequest draws a request.
+func (pc *proxyClients) newRequest(class string, timeout time.Duration) *Request {
+	number := pc.rng.IntN(objects)
+	return &Request{
+		ID: requestID(pc.rng.Uint64()), Class: class, Object: objectName(number), Group: number % groupsInUse,
+		Proxy: pc.p.number, Timeout: timeout,
+	}
+}
+
+// abortRequest aborts a request soon after it was sent.
+func (pc *proxyClients) abortRequest(c *clientConn) {
+	q := pc.newRequest(classRead, requestTimeout)
 	id := c.send(q, nil)
-	time.AfterFunc(time.Duration(d.rng.IntN(30))*time.Millisecond, func() {
-		c.write(record(2, id, "")) //nolint:errcheck // a lost connection shows in the answers
-		d.h.locked(func() { q.CanceledAt = d.h.Now() })
+	time.AfterFunc(pc.drawMillis(maxAbortDelay), func() {
+		c.write(encodeRecord(fcgiAbortRequest, id, "")) //nolint:errcheck // a lost connection shows in the answers
+		pc.h.locked(func() { q.CanceledAt = pc.h.Now() })
 	})
 }
 
-// disconnect asks, and ends its connection soon after: whole, its own side, or with a reset.
-func (d *proxyClients) disconnect() {
-	c := d.dial()
+// drawMillis draws a number of whole milliseconds under a limit.
+func (pc *proxyClients) drawMillis(limit time.Duration) time.Duration {
+	return time.Duration(pc.rng.IntN(int(limit.Milliseconds()))) * time.Millisecond
+}
+
+// The ways in which a client ends its connection.
+const (
+	byHalfClose = iota
+	byReset
+	byClose
+	waysToDisconnect
+)
+
+// disconnect makes a read and a write on a new connection, and ends the connection soon after.
+func (pc *proxyClients) disconnect() {
+	c := pc.dial()
 	if c == nil {
 		return
 	}
-	queries := []*Request{d.request(classRead, 1500*time.Millisecond), d.request(classWrite, 1500*time.Millisecond)}
-	for _, q := range queries {
+	requests := []*Request{pc.newRequest(classRead, requestTimeout), pc.newRequest(classWrite, requestTimeout)}
+	for _, q := range requests {
 		c.send(q, nil)
 	}
-	how := d.rng.IntN(3)
-	time.AfterFunc(time.Duration(d.rng.IntN(60))*time.Millisecond, func() {
-		defer d.h.locked(func() {
-			for _, q := range queries {
-				q.CanceledAt = d.h.Now()
+	way := pc.rng.IntN(waysToDisconnect)
+	time.AfterFunc(pc.drawMillis(maxDisconnect), func() {
+		pc.h.Note("client", "leaves with %s and %s", requests[0].ID, requests[1].ID)
+		c.disconnect(way)
+		pc.h.locked(func() {
+			for _, q := range requests {
+				q.CanceledAt = pc.h.Now()
 			}
 		})
-		d.h.Note("client", "leaves with %s and %s", queries[0].ID, queries[1].ID)
-		switch tcp := c.conn.(*net.TCPConn); how {
-		case 0:
-			tcp.CloseWrite() //nolint:errcheck // it may have ended
-			return
-		case 1:
-			tcp.SetLinger(0) //nolint:errcheck // as above
-		}
-		c.conn.Close() //nolint:errcheck // as above
 	})
 }
 
-// sendMalformed asks, and sends what can't be read right behind.
-func (d *proxyClients) sendMalformed() {
-	c := d.dial()
+// sendMalformed makes a request with a malformed record right behind it.
+func (pc *proxyClients) sendMalformed() {
+	c := pc.dial()
 	if c == nil {
 		return
 	}
-	q := d.request(classRead, 1500*time.Millisecond)
-	rest := []string{"GET / HTTP/1.1\r\n\r\n", "\x01\x01\x00\x09\x00\x00\x00\x00", strings.Repeat("\xff", 4000)}[d.rng.IntN(3)]
-	c.send(q, []byte(rest))
+	q := pc.newRequest(classRead, requestTimeout)
+	malformed := []string{"GET / HTTP/1.1\r\n\r\n", "\x01\x01\x00\x09\x00\x00\x00\x00", strings.Repeat("\xff", 4000)}
+	c.send(q, []byte(malformed[pc.rng.IntN(len(malformed))]))
 }
 
-// writeSlowly sends a request in pieces.
-func (d *proxyClients) writeSlowly() {
-	c := d.dial()
+// writeSlowly sends a request in small pieces.
+func (pc *proxyClients) writeSlowly() {
+	c := pc.dial()
 	if c == nil {
 		return
 	}
-	q := d.request(classRead, 1500*time.Millisecond)
-	id, out := c.register(q)
-	out = append(out, requestRecords(id, q)...)
-	go func() {
-		for len(out) > 0 {
-			size := min(len(out), 40)
-			if c.write(out[:size]) != nil {
-				return
-			}
-			if out = out[size:]; len(out) > 0 {
-				time.Sleep(2 * time.Millisecond)
-			}
-		}
-		d.h.locked(func() { q.SentAt = d.h.Now() })
-		d.h.Note("client", "has asked proxy-%d %s %s slowly on connection %d", q.Proxy, q.Class, q.ID, c.number)
-	}()
+	q := pc.newRequest(classRead, requestTimeout)
+	id := c.register(q)
+	go c.writeSlowly(q, encodeRequest(id, q))
 }
 
-// connectIdle connects and says nothing for a while.
-func (d *proxyClients) connectIdle() {
-	for range 10 {
-		c := d.dial()
+// connectIdle connects and sends nothing.
+func (pc *proxyClients) connectIdle() {
+	for range idleConnections {
+		c := pc.dial()
 		if c == nil {
 			return
 		}
-		time.AfterFunc(time.Second, func() {
+		time.AfterFunc(idleFor, func() {
 			c.conn.Close() //nolint:errcheck // the proxy may have closed it
 		})
 	}
--- a/internal/soak/coordinator.go
+++ b/internal/soak/coordinator.go
@@ -9,21 +9,27 @@
 	"time"
 )
 
-// coordinatorMode is how a coordinator behaves to one proxy.
+// reopenInterval is the time between two attempts to listen again on an address that a connection has taken.
+const reopenInterval = 10 * time.Millisecond
+
+// coordinatorMode is how the coordinator behaves to one proxy.
 type coordinatorMode int
 
+// The modes.
 const (
 	modeHealthy coordinatorMode = iota
-	modeDown                    // it refuses connections, and its streams have ended
-	modeSilent                  // its streams stay open and bring nothing
-	modeSlow                    // they bring one line of the list a byte at a time
+	modeDown                    // connects are refused, streams have ended
+	modeSilent                  // streams stay open and bring nothing
+	modeSlow                    // streams bring one event of the endpoint list a byte at a time
 )
 
-// coordinator stands in for the coordinator: each proxy has an address of its own for it, so that what was told to whom is known.
+// coordinator stands in for the coordinator. It serves each proxy at an address of its own, so that it knows which proxy
+// has been sent which event.
 type coordinator struct {
-	h            *History
-	mu           sync.Mutex
-	lines        []string // of the events, the first has number 1
+	h *History
+
+	mu           sync.Mutex // of the fields below and those of the watch servers
+	lines        []string   // by event, from index 1
 	events       []*WatchEvent
 	watchServers map[int]*watchServer // by proxy
 }
@@ -34,49 +40,49 @@
 
 // serveProxy opens the address for a proxy.
 func (c *coordinator) serveProxy(proxy int, addr string) error {
-	p := &watchServer{c: c, proxy: proxy, addr: addr, streams: map[net.Conn]bool{}}
+	ws := &watchServer{c: c, proxy: proxy, addr: addr, streams: map[net.Conn]bool{}}
 	c.mu.Lock()
-	c.watchServers[proxy] = p
+	c.watchServers[proxy] = ws
 	c.mu.Unlock()
-	return p.listen()
+	return ws.listen()
+}
+
+// addrFor is the address for a proxy.
+func (c *coordinator) addrFor(proxy int) string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.watchServers[proxy].addr
 }
 
-// setMode changes how the coordinator behaves to a proxy.
+// setMode changes how the coordinator behaves to a proxy. When it returns from modeDown, the address is open again.
 func (c *coordinator) setMode(proxy int, m coordinatorMode) {
 	c.mu.Lock()
-	p := c.watchServers[proxy]
-	before := p.mode
-	p.mode, p.slowEvent = m, 0
+	ws := c.watchServers[proxy]
+	before := ws.mode
 	now := c.h.Now()
 	if before == modeDown || before == modeSilent {
-		c.h.locked(func() { c.h.Withheld[proxy] = append(c.h.Withheld[proxy], [2]time.Duration{p.modeSetAt, now}) })
+		c.h.locked(func() { c.h.Withheld[proxy] = append(c.h.Withheld[proxy], Span{ws.modeSetAt, now}) })
 	}
-	p.modeSetAt = now
+	ws.mode = m
+	ws.modeSetAt = now
+	ws.slowEvent = 0
 	if m == modeDown && before != modeDown {
-		p.listener.Close() //nolint:errcheck // it listens no more in any case
-		for conn := range p.streams {
-			conn.Close() //nolint:errcheck // it may have ended
-		}
+		ws.closeAll()
 	}
 	c.mu.Unlock()
 	if before == modeDown && m != modeDown {
-		for p.listen() != nil { // its port is taken by a connection for a moment
-			time.Sleep(10 * time.Millisecond)
+		for ws.listen() != nil {
+			time.Sleep(reopenInterval)
 		}
 	}
 }
 
-func (c *coordinator) modeOf(p *watchServer) coordinatorMode {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return p.mode
-}
-
-// publish tells an event to everybody. Its line gets the next number in place of the verb.
+// publish publishes an event. Its line is the format with the next index in place of the verb.
 func (c *coordinator) publish(e *WatchEvent, format string) {
 	c.mu.Lock()
 	e.Index = len(c.events) + 1
-	e.PublishedAt, e.DeliveredAt = c.h.Now(), map[int]time.Duration{}
+	e.PublishedAt = c.h.Now()
+	e.DeliveredAt = map[int]time.Duration{}
 	c.events = append(c.events, e)
 	line := fmt.Sprintf(format, e.Index)
 	c.lines = append(c.lines, line)
@@ -85,19 +91,45 @@
 	c.h.Note("coord", "event %s", line)
 }
 
-// knownEvents are the events so far, as a configuration holds them.
-func (c *coordinator) knownEvents() (index int, updates string) {
+// knownEvents returns the index of the last event, and the list of those that are well formed as a configuration holds
+// it.
+func (c *coordinator) knownEvents() (lastIndex int, updates string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	isMalformed := func(line string) bool { return !strings.HasPrefix(line, `{"index"`) }
+	wellFormed := slices.DeleteFunc(slices.Clone(c.lines), isMalformed)
+	return len(c.lines), "[" + strings.Join(wellFormed, ",") + "]"
+}
+
+// after returns the event that follows an index, with its line, and the index of the last event. The event is nil if
+// none follows.
+func (c *coordinator) after(index int) (line string, e *WatchEvent, lastIndex int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	sound := slices.DeleteFunc(slices.Clone(c.lines), func(line string) bool { return !strings.HasPrefix(line, "{\"index\"") })
-	return len(c.lines), "[" + strings.Join(sound, ",") + "]"
+	lastIndex = len(c.lines)
+	if index >= lastIndex {
+		return "", nil, lastIndex
+	}
+	return c.lines[index], c.events[index], lastIndex
 }
 
-func (c *coordinator) after(index int) (line string, e *WatchEvent, last int) {
+// recordDelivery records that an event's line has been written to a proxy. The first delivery counts.
+func (c *coordinator) recordDelivery(e *WatchEvent, proxy int) {
+	c.h.locked(func() {
+		if _, delivered := e.DeliveredAt[proxy]; !delivered {
+			e.DeliveredAt[proxy] = c.h.Now()
+		}
+	})
+	c.h.Note("coord", "told proxy-%d event %d", proxy, e.Index)
+}
+
+// stop closes all addresses.
+func (c *coordinator) stop() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if index < len(c.lines) {
-		return c.lines[index], c.events[index], len(c.lines)
+	for _, ws := range c.watchServers {
+		if ws.listener != nil {
+			ws.listener.Close() //nolint:errcheck // it is not used any more
+		}
 	}
-	return "", nil, len(c.lines)
 }
--- a/internal/soak/fastcgi.go
+++ b/internal/soak/fastcgi.go
@@ -1,31 +1,88 @@
 package soak
 
 import (
+	"encoding/binary"
 	"fmt"
+	"io"
 	"strings"
 )
 
-func requestRecords(id uint16, q *Request) []byte {
-	var pairs []byte
-	for _, p := range [][2]string{
+// The record types of FastCGI.
+const (
+	fcgiBeginRequest = 1
+	fcgiAbortRequest = 2
+	fcgiEndRequest   = 3
+	fcgiParams       = 4
+	fcgiStdin        = 5
+	fcgiStdout       = 6
+)
+
+const (
+	// fcgiHeaderSize is the length of a record's header in bytes.
+	fcgiHeaderSize = 8
+	// fcgiProtocolStatus is the offset of the protocol status in END_REQUEST.
+	fcgiProtocolStatus = 4
+	// fcgiOverloaded is the protocol status of a request that is rejected.
+	fcgiOverloaded = 2
+	// beginResponder is the body of BEGIN_REQUEST: role responder, and keep the connection.
+	beginResponder = "\x00\x01\x01\x00\x00\x00\x00\x00"
+	// writeBodySize is the size of a write's body in bytes.
+	writeBodySize = 2000
+)
+
+// param is a FastCGI parameter.
+type param struct{ name, value string }
+
+// requestID is the ID of a request that is drawn by number.
+func requestID(number uint64) string { return fmt.Sprintf("%016x", number) }
+
+// encodeRequest encodes all records of a request.
+func encodeRequest(id uint16, q *Request) []byte {
+	params := []param{
 		{"SCRIPT_NAME", "/ops/" + q.Class}, {"HTTP_REQ_ID", q.ID}, {"HTTP_REQ_KEY", q.Object},
 		{"HTTP_REQ_WAIT_MS", fmt.Sprint(q.Timeout.Milliseconds())}, {"HTTP_X_PIECE", "0"}, {"HTTP_X_LOT", fmt.Sprint(q.Group)},
-	} {
-		pairs = append(append(append(pairs, byte(len(p[0])), byte(len(p[1]))), p[0]...), p[1]...)
 	}
 	if q.Class == classKeyed {
-		name := "HTTP_REQ_TOKEN"
-		pairs = append(append(append(pairs, byte(len(name)), byte(len(q.ID))), name...), q.ID...)
+		params = append(params, param{"HTTP_REQ_TOKEN", q.ID})
 	}
-	out := record(1, id, "\x00\x01\x01\x00\x00\x00\x00\x00")
-	out = append(append(out, record(4, id, string(pairs))...), record(4, id, "")...)
+	out := encodeRecord(fcgiBeginRequest, id, beginResponder)
+	out = append(out, encodeRecord(fcgiParams, id, encodeParams(params))...)
+	out = append(out, encodeRecord(fcgiParams, id, "")...)
 	if q.Class == classWrite {
-		out = append(out, record(5, id, strings.Repeat("w", 2000))...)
+		out = append(out, encodeRecord(fcgiStdin, id, strings.Repeat("w", writeBodySize))...)
 	}
-	return append(out, record(5, id, "")...)
+	return append(out, encodeRecord(fcgiStdin, id, "")...)
 }
 
-func record(kind byte, id uint16, content string) []byte {
-	head := []byte{1, kind, byte(id >> 8), byte(id), byte(len(content) >> 8), byte(len(content)), 0, 0}
-	return append(head, content...)
+// encodeParams encodes parameters whose names and values are shorter than 128 bytes.
+func encodeParams(params []param) string {
+	var out []byte
+	for _, p := range params {
+		out = append(out, byte(len(p.name)), byte(len(p.value)))
+		out = append(out, p.name...)
+		out = append(out, p.value...)
+	}
+	return string(out)
+}
+
+// encodeRecord encodes a record of FastCGI version 1 without padding.
+func encodeRecord(kind byte, id uint16, content string) []byte {
+	out := []byte{1, kind}
+	out = binary.BigEndian.AppendUint16(out, id)
+	out = binary.BigEndian.AppendUint16(out, uint16(len(content)))
+	out = append(out, 0, 0) // padding length, reserved
+	return append(out, content...)
+}
+
+// readRecord reads a record. The content includes the padding, which the proxy does not use.
+func readRecord(in io.Reader) (kind byte, id uint16, content []byte, err error) {
+	var header [fcgiHeaderSize]byte
+	if _, err := io.ReadFull(in, header[:]); err != nil {
+		return 0, 0, nil, err
+	}
+	contentLength := int(binary.BigEndian.Uint16(header[4:]))
+	paddingLength := int(header[6])
+	content = make([]byte, contentLength+paddingLength)
+	_, err = io.ReadFull(in, content)
+	return header[1], binary.BigEndian.Uint16(header[2:]), content, err
 }
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -1,128 +1,170 @@
 package soak
 
 import (
-	"cloverdoor/internal/fault"
-	"cloverdoor/internal/relay"
 	"fmt"
 	"net"
 	"path/filepath"
 	"slices"
 	"strings"
 	"sync"
+
+	"cloverdoor/internal/fault"
+	"cloverdoor/internal/relay"
 )
 
-// stop stops all that may still run.
-func (r *run) stop() {
-	for _, p := range r.fleet {
-		if p.cmd != nil && p.cmd.Process != nil {
-			p.cmd.Process.Kill() //nolint:errcheck // it may have ended
-		}
-		if p.socket != nil {
-			p.socket.Close() //nolint:errcheck // nothing comes any more
-		}
-	}
-	for _, s := range r.servers() {
-		if s != nil {
-			s.crash()
-		}
-	}
-	for _, between := range r.relays {
-		between.Close()
+// The hosts on loopback, by what listens there. Each proxy has one of its own, from proxyHost on.
+const (
+	serverHost      = 1
+	coordinatorHost = 2
+	relayHost       = 3
+	proxyHost       = 10
+)
+
+// start starts the servers, the coordinator and the fleet.
+func (r *run) start() error {
+	r.coordinator = newCoordinator(r.h)
+	if err := r.startServers(); err != nil {
+		return err
 	}
-	r.coordinator.mu.Lock()
-	defer r.coordinator.mu.Unlock()
-	for _, p := range r.coordinator.watchServers {
-		if p.listener != nil {
-			p.listener.Close() //nolint:errcheck // it listens no more in any case
+	r.publishServers()
+	for i := range r.options.Fleet {
+		if err := r.startProxy(i); err != nil {
+			return err
 		}
 	}
+	return nil
 }
 
-// start starts all that takes part.
-func (r *run) start() (err error) {
-	serial := &sequence{}
-	r.coordinator = newCoordinator(r.h)
-	start := func(id, kind, zone string) *server {
+// startServers starts the caches, their parent and the origin.
+func (r *run) startServers() (err error) {
+	serials := &sequence{}
+	for i := range cacheCount {
+		cache, err := r.startServer(fmt.Sprintf("cache-%d", i), "std", "edge", serials)
 		if err != nil {
-			return nil
-		}
-		var s *server
-		if s, err = newServer(r.h, id, kind, zone, r.options.Host(1), r.seed+uint64(serial.next()), serial); err == nil {
-			err = r.relayTo(s)
+			return err
 		}
-		return s
-	}
-	for i := range cacheCount {
-		r.caches = append(r.caches, start(fmt.Sprintf("cache-%d", i), "std", "edge"))
+		r.caches = append(r.caches, cache)
 	}
-	r.parent, r.origin = start("parent", "parent", "hub"), start("origin", "origin", "hub")
+	r.parent, err = r.startServer("parent", "parent", "hub", serials)
 	if err != nil {
 		return err
 	}
+	r.origin, err = r.startServer("origin", "origin", "hub", serials)
+	return err
+}
+
+func (r *run) startServer(id, kind, zone string, serials *sequence) (*server, error) {
+	seed := r.seed + uint64(serials.next())
+	s, err := newServer(r.h, id, kind, zone, r.options.Host(serverHost), seed, serials)
+	if err != nil {
+		return nil, err
+	}
+	if err := r.relayTo(s); err != nil {
+		s.crash()
+		return nil, err
+	}
+	return s, nil
+}
+
+// publishServers publishes the first event: the full endpoint list.
+func (r *run) publishServers() {
 	var entries []string
-	first := &WatchEvent{PurgedGroup: -1}
+	e := &WatchEvent{PurgedGroup: noGroup}
 	for _, s := range r.servers() {
 		entries = append(entries, s.entry())
-		first.Serving = append(first.Serving, s.id)
+		e.Serving = append(e.Serving, s.id)
 	}
-	r.coordinator.publish(first, `{"index":%d,"endpoints":{"version":1,"full":true,"servers":[`+strings.Join(entries, ",")+`]}}`)
-	for i := range r.options.Fleet {
-		p := &process{r: r, number: i, config: filepath.Join(r.options.ConfigDir, fmt.Sprintf("proxy-%d.json", i)),
-			settings: settingsFor(i, r.options.Fleet, true)}
-		if err := r.coordinator.serveProxy(i, r.options.Host(2)); err != nil {
-			return err
-		}
-		if p.addr, p.admin, err = freeAddr(r.options.Host(10+i)), freeAddr(r.options.Host(10+i)), nil; p.addr == "" || p.admin == "" {
-			return fmt.Errorf("no free address for proxy %d", i)
-		}
-		if i%2 == 1 {
-			if err := p.holdSocket(); err != nil {
-				return err
-			}
-		}
-		r.fleet = append(r.fleet, p)
-		if err := p.start(); err != nil {
+	r.coordinator.publish(e, `{"index":%d,"endpoints":{"version":1,"full":true,"servers":[`+strings.Join(entries, ",")+`]}}`)
+}
+
+// startProxy starts one proxy of the fleet. Every second one listens on a socket that the soak holds, so that its
+// process can be replaced without a pause.
+func (r *run) startProxy(number int) error {
+	if err := r.coordinator.serveProxy(number, r.options.Host(coordinatorHost)); err != nil {
+		return err
+	}
+	host := r.options.Host(proxyHost + number)
+	p := &process{
+		r: r, number: number, addr: freeAddr(host), admin: freeAddr(host),
+		config:   filepath.Join(r.options.ConfigDir, fmt.Sprintf("proxy-%d.json", number)),
+		settings: settingsFor(number, r.options.Fleet, true),
+	}
+	if p.addr == "" || p.admin == "" {
+		return fmt.Errorf("no free address for proxy %d", number)
+	}
+	if number%2 == 1 {
+		if err := p.holdSocket(); err != nil {
 			return err
 		}
 	}
-	return nil
+	r.fleet = append(r.fleet, p)
+	return p.start()
 }
 
+// servers are the caches, the parent and the origin. They may be nil where start has failed.
 func (r *run) servers() []*server { return append(slices.Clone(r.caches), r.parent, r.origin) }
 
-// handedOut are the addresses that freeAddr has handed out: the system may offer one again before it is opened.
+// handedOut are the addresses that freeAddr has returned: the system may offer one again before a program opens it.
 var handedOut sync.Map
 
-// freeAddr finds a port of a host that nothing uses, and that was not handed out before.
+// freeAddr returns an address of a host on which nothing listens, and that it has not returned before; empty: the host
+// can't be listened on.
 func freeAddr(host string) string {
 	for {
-		ln, err := net.Listen("tcp", host)
+		listener, err := net.Listen("tcp", host)
 		if err != nil {
 			return ""
 		}
-		ln.Close() //nolint:errcheck // it listens no more in any case
-		if _, taken := handedOut.LoadOrStore(ln.Addr().String(), true); !taken {
-			return ln.Addr().String()
+		listener.Close() //nolint:errcheck // it is not used any more
+		addr := listener.Addr().String()
+		if _, taken := handedOut.LoadOrStore(addr, true); !taken {
+			return addr
 		}
 	}
 }
 
-// relayTo puts a relay before every second cache, which breaks some connections by the seed.
+// relayFaults are the faults of the connections to a cache behind a relay.
+const relayFaults = `c chance 0.1 : delay 5ms jitter 10ms
+c up chance 0.03 byte 300 : reset
+c chance 0.03 : pieces 50 for 500ms
+c down chance 0.02 byte 5000 : halfclose
+`
+
+// relayTo puts a relay before every second cache, which draws faults of its connections by the seed.
 func (r *run) relayTo(s *server) error {
 	if s.kind != "std" || len(r.caches)%2 == 0 {
 		return nil
 	}
-	script, err := fault.Parse(fmt.Sprintf("seed %d\nlink c listen %s to %s\n"+
-		"c chance 0.1 : delay 5ms jitter 10ms\nc up chance 0.03 byte 300 : reset\nc chance 0.03 : pieces 50 for 500ms\n"+
-		"c down chance 0.02 byte 5000 : halfclose\n", r.seed, r.options.Host(3), s.addr))
+	script, err := fault.Parse(fmt.Sprintf("seed %d\nlink c listen %s to %s\n%s", r.seed, r.options.Host(relayHost), s.addr, relayFaults))
 	if err != nil {
 		return err
 	}
-	between, err := relay.Start(script, func(e fault.Firing) { r.h.Note("relay", "%s %v", s.id, e) })
+	cacheRelay, err := relay.Start(script, func(f fault.Firing) { r.h.Note("relay", "%s %v", s.id, f) })
 	if err != nil {
 		return err
 	}
-	r.relays = append(r.relays, between)
-	s.relayAddr = between.Addr("c").String()
+	r.relays = append(r.relays, cacheRelay)
+	s.relayAddr = cacheRelay.Addr("c").String()
 	return nil
 }
+
+// stop stops all that may still run.
+func (r *run) stop() {
+	for _, p := range r.fleet {
+		if p.cmd != nil && p.cmd.Process != nil {
+			p.cmd.Process.Kill() //nolint:errcheck // it may have ended
+		}
+		if p.socket != nil {
+			p.socket.Close() //nolint:errcheck // no process listens any more
+		}
+	}
+	for _, s := range r.servers() {
+		if s != nil {
+			s.crash()
+		}
+	}
+	for _, cacheRelay := range r.relays {
+		cacheRelay.Close()
+	}
+	r.coordinator.stop()
+}
--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -1,9 +1,10 @@
-// Package soak plays a fleet of edge proxies through troubles that are drawn by seed, on loopback, and checks the rules by what
-// clients, caches and the coordinator saw: never by what a proxy says of itself. It knows the proxy as a program to start; the
-// program under test is a test binary, which lets system calls fail.
+// Package soak runs a fleet of edge proxies on loopback under faults that a seed draws, and checks the rules by what
+// clients, servers and the coordinator observed, never by what a proxy says of itself. It starts the proxy as a program:
+// a test binary that can also make system calls fail.
 package soak
 
 import (
+	"cmp"
 	"fmt"
 	"slices"
 	"strings"
@@ -11,7 +12,7 @@
 	"time"
 )
 
-// History is all that was seen in one run.
+// History is all that was observed in one run.
 type History struct {
 	Limits       Limits
 	Requests     []*Request
@@ -19,29 +20,29 @@
 	Events       []*WatchEvent
 	Starts       []ServerStart
 	Incarnations []*Incarnation
-	Withheld     map[int][][2]time.Duration // by proxy: spans in which the coordinator told it nothing
+	Withheld     map[int][]Span // by proxy: when the coordinator sent it no events
 
-	mu       sync.Mutex
+	mu       sync.Mutex // of the fields above while the run lasts, and of those below
 	start    time.Time
 	timeline []Record
-	lags     [][2]time.Duration // spans in which this process itself was held up
+	lags     []Span // when this process was not scheduled in time
 }
 
 // NewHistory begins a history.
 func NewHistory(limits Limits) *History {
-	return &History{Limits: limits, Withheld: map[int][][2]time.Duration{}, start: time.Now()}
+	return &History{Limits: limits, Withheld: map[int][]Span{}, start: time.Now()}
 }
 
 // Now is the time since the start.
 func (h *History) Now() time.Duration { return time.Since(h.start) }
 
 const (
-	lagWatchers = 4
+	lagWatchers = 4 // goroutines, as a lag may hold up some threads alone
 	lagStep     = 5 * time.Millisecond
 	minLag      = 20 * time.Millisecond
 )
 
-// watchLag notes the spans in which this process is held up: what it records then is late.
+// watchLag records until over is closed when this process was not scheduled in time: what it observes then is late.
 func (h *History) watchLag(over <-chan struct{}) {
 	for range lagWatchers {
 		go func() {
@@ -52,20 +53,22 @@
 					return
 				case <-time.After(lagStep):
 				}
-				if to := h.Now(); to-from > minLag {
-					h.locked(func() { h.lags = append(h.lags, [2]time.Duration{from, to}) })
+				to := h.Now()
+				if to-from > minLag {
+					h.locked(func() { h.lags = append(h.lags, Span{from, to}) })
 				}
 			}
 		}()
 	}
 }
 
-// slack is what a record between two moments may be late by: a fixed part, and for how long this process was held up.
+// slack is the delay that observations between two moments may have: a fixed part, and all lags between them. The caller
+// holds mu.
 func (h *History) slack(from, to time.Duration) time.Duration {
 	sum := machineSlack
 	for _, lag := range h.lags {
-		if lag[1] > from && lag[0] < to {
-			sum += lag[1] - lag[0]
+		if lag.overlaps(from, to) {
+			sum += lag.To - lag.From
 		}
 	}
 	return sum
@@ -78,36 +81,44 @@
 	})
 }
 
-// locked changes what is shared by all who take part.
+// locked runs a change of the history under its lock.
 func (h *History) locked(change func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	change()
 }
 
-// TimelineAround returns the timeline around a violation: what names one of the given words within a span, and all troubles.
-func (h *History) TimelineAround(at, span time.Duration, words ...string) string {
+// faultSource is who the timeline names for a fault.
+const faultSource = "fault"
+
+// TimelineAround returns the lines of the timeline within a distance of a moment that contain one of the given words,
+// and all faults.
+func (h *History) TimelineAround(at, distance time.Duration, words ...string) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
+	slices.SortStableFunc(h.timeline, func(a, b Record) int { return cmp.Compare(a.At, b.At) })
 	var b strings.Builder
-	slices.SortStableFunc(h.timeline, func(a, b Record) int { return int(a.At - b.At) })
 	for _, r := range h.timeline {
-		named := r.Who == "trouble"
-		for _, word := range words {
-			named = named || word != "" && (strings.Contains(r.What, word) || r.Who == word)
-		}
-		if named && r.At > at-span && r.At < at+span {
+		near := r.At > at-distance && r.At < at+distance
+		if near && (r.Who == faultSource || r.mentions(words)) {
 			fmt.Fprintln(&b, r)
 		}
 	}
 	return b.String()
 }
 
-// incarnation finds a process.
+// mentions reports whether the record is by or about one of the given words. Empty words name nothing.
+func (r Record) mentions(words []string) bool {
+	return slices.ContainsFunc(words, func(word string) bool {
+		return word != "" && (strings.Contains(r.What, word) || r.Who == word)
+	})
+}
+
+// incarnation finds a process; nil: there is none.
 func (h *History) incarnation(proxy, number int) *Incarnation {
-	for _, l := range h.Incarnations {
-		if l.Proxy == proxy && l.Number == number {
-			return l
+	for _, i := range h.Incarnations {
+		if i.Proxy == proxy && i.Number == number {
+			return i
 		}
 	}
 	return nil
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -8,198 +8,202 @@
 )
 
 const (
-	reloadSignal        = syscall.SIGHUP
-	flowBytes           = 200_000 // a second of one transfer: an object takes 50 ms
-	cacheWeight         = 3.0     // transfers
-	cacheCount          = 4
-	keyWindow           = 400 * time.Millisecond
-	meanPurgeInterval   = 400 * time.Millisecond
-	purgeDelay          = 40 * time.Millisecond // until the coordinator has it
-	measureInterval     = 500 * time.Millisecond
-	meanRequestInterval = 80 * time.Millisecond // of each proxy's clients, in the mean
+	reloadSignal = syscall.SIGHUP
+	// retiredFor is how much longer than its duration a "retire" fault drains a cache: longer than notifyWithin.
+	retiredFor = 9 * time.Second
+	// resetFraction is the fraction of a server's connections that a "reset" fault resets.
+	resetFraction = 0.5
+	// stormPurges is how many objects a "purge-storm" fault purges.
+	stormPurges = 10
 )
 
-// inject carries out one trouble, and takes it back after its length.
-func (r *run) inject(t Fault) {
-	r.h.Note("trouble", "%v", t)
+// inject carries out one fault, and ends it after its duration.
+func (r *run) inject(f Fault) {
+	r.h.Note(faultSource, "%v", f)
 	switch {
-	case slices.Contains(processFaults, t.Kind):
-		r.injectProcessFault(t)
-	case slices.Contains(cacheFaults, t.Kind):
-		r.injectCacheFault(t)
-	case slices.Contains(coordinatorFaults, t.Kind):
-		r.injectCoordinatorFault(t)
+	case slices.Contains(processFaults, f.Kind):
+		r.injectProcessFault(f)
+	case slices.Contains(cacheFaults, f.Kind):
+		r.injectCacheFault(f)
+	case slices.Contains(coordinatorFaults, f.Kind):
+		r.injectCoordinatorFault(f)
 	default:
-		r.injectOtherFault(t)
+		r.injectOtherFault(f)
 	}
-	r.h.Note("trouble", "over: %s %d", t.Kind, t.Target)
+	r.h.Note(faultSource, "over: %s %d", f.Kind, f.Target)
 }
 
-func (r *run) injectProcessFault(t Fault) {
-	p := r.fleet[t.Target]
-	if t.Kind == "crowd" { // beside any other
-		p.connectIdleClients(t.Duration)
+// injectProcessFault carries out a fault of a proxy. Faults of one proxy follow each other, except for idle clients;
+// those of different proxies overlap.
+func (r *run) injectProcessFault(f Fault) {
+	p := r.fleet[f.Target]
+	if f.Kind == "crowd" {
+		p.connectIdleClients(f.Duration)
 		return
 	}
-	p.faultMu.Lock() // one trouble of a process after another; those of others overlap
+	p.faultMu.Lock()
 	defer p.faultMu.Unlock()
-	again := func(environment ...string) {
-		p.environment = environment
-		r.recordFailure(p.start())
-	}
-	switch t.Kind {
+	switch f.Kind {
 	case "freeze":
-		p.pause(t.Duration)
-	case "term":
-		p.term()
-		again()
-	case "kill":
-		p.kill()
-		again()
-	case "reload":
-		p.awaitSettled()
-		p.settings = settingsFor(p.number, r.options.Fleet, t.At%2 == 0)
-		_, err := p.writeConfig()
-		r.recordFailure(err)
-		p.signal(reloadSignal)
-	case "broken-reload":
+		p.pause(f.Duration)
+	case "drain-order":
+		p.drain(f.Duration)
+	case "reload", "broken-reload":
 		p.awaitSettled()
-		r.recordFailure(p.truncateConfig())
+		r.recordFailure(r.rewriteConfig(p, f))
 		p.signal(reloadSignal)
 	case "hand-over":
-		if p.socket == nil {
-			return
+		if p.socket != nil {
+			p.environment = nil
+			r.recordFailure(p.replace())
 		}
-		p.environment = nil
-		r.recordFailure(p.replace())
-	case "drain-order":
-		p.drain(t.Duration)
-	case "deaf-log":
+	default:
+		r.restartProcess(p, f)
+	}
+}
+
+// rewriteConfig writes a configuration with hedging on or off, or truncates the present one.
+func (r *run) rewriteConfig(p *process, f Fault) error {
+	if f.Kind == "broken-reload" {
+		return p.truncateConfig()
+	}
+	hedging := f.At%2 == 0
+	p.settings = settingsFor(p.number, r.options.Fleet, hedging)
+	_, err := p.writeConfig()
+	return err
+}
+
+// restartProcess ends a proxy's process and starts the next one, which may run under a fault.
+func (r *run) restartProcess(p *process, f Fault) {
+	if f.Kind == "kill" {
+		p.kill()
+	} else {
 		p.term()
+	}
+	p.environment = nil
+	switch f.Kind {
+	case "deaf-log":
 		p.logUnread = true
-		again()
 	case "wrong-clock":
-		p.term()
-		by := []string{"1h", "-1h", "3s", "-3s"}[int(t.Duration)%4]
-		again(r.options.ClockOffset + "=" + by)
+		offsets := []string{"1h", "-1h", "3s", "-3s"}
+		p.environment = []string{r.options.ClockOffset + "=" + offsets[int(f.Duration)%len(offsets)]}
 	case "failing-calls":
-		p.term()
-		again(fmt.Sprintf("%s=%d", r.options.FailingCalls, t.At))
+		p.environment = []string{fmt.Sprintf("%s=%d", r.options.FailingCalls, f.At)}
 	}
+	r.recordFailure(p.start())
 }
 
-func (r *run) injectCacheFault(t Fault) {
-	s := r.caches[t.Target]
-	switch end := r.h.Now() + t.Duration; t.Kind {
+func (r *run) injectCacheFault(f Fault) {
+	s := r.caches[f.Target]
+	end := r.h.Now() + f.Duration
+	switch f.Kind {
 	case "hang":
-		s.setUntil(&s.hungUntil, end)
+		s.extend(&s.hungUntil, end)
 	case "slow":
-		s.setUntil(&s.slowUntil, end)
+		s.extend(&s.slowUntil, end)
 	case "spoil":
-		s.setUntil(&s.malformUntil, end)
+		s.extend(&s.malformUntil, end)
 	case "overload":
-		s.setUntil(&s.overloadUntil, end)
+		s.extend(&s.overloadUntil, end)
 	case "reset":
-		s.resetConns(0.5)
+		s.resetConns(resetFraction)
 	default:
 		s.faultMu.Lock()
 		defer s.faultMu.Unlock()
-		r.restartCache(s, t)
+		r.restartCache(s, f)
 	}
 }
 
-// restartCache has a cache go and come back: drained or not, told or not, under its own name.
-func (r *run) restartCache(s *server, t Fault) {
-	if t.Kind != "crash" {
+// restartCache withdraws a cache and announces it again: with a drain before or without, removed or not, and with a
+// restart of the server or without.
+func (r *run) restartCache(s *server, f Fault) {
+	if f.Kind != "crash" {
 		r.announceState(s, "DRAINING")
-		time.Sleep(t.Duration)
+		time.Sleep(f.Duration)
 	}
-	if t.Kind == "retire" { // for longer than news may take
+	if f.Kind == "retire" {
 		time.Sleep(retiredFor)
 	}
-	if t.Kind == "leave" || t.Kind == "replace" {
+	if f.Kind == "leave" || f.Kind == "replace" {
 		r.announceState(s, "DELETED")
-		time.Sleep(t.Duration / 2)
+		time.Sleep(f.Duration / 2)
 	}
-	if t.Kind == "crash" || t.Kind == "replace" {
+	if f.Kind == "crash" || f.Kind == "replace" {
 		s.crash()
-		time.Sleep(t.Duration / 2)
-		r.recordFailure(s.listen())
-		s.mu.Lock()
-		s.started = time.Now()
-		s.mu.Unlock()
+		time.Sleep(f.Duration / 2)
+		r.recordFailure(s.restart())
 	}
 	r.announceState(s, "SERVING")
 }
 
-func (r *run) injectCoordinatorFault(t Fault) {
-	switch t.Kind {
+func (r *run) injectCoordinatorFault(f Fault) {
+	switch f.Kind {
 	case "unknown-state":
-		s := r.caches[t.Target%len(r.caches)]
+		s := r.caches[f.Target%len(r.caches)]
 		s.faultMu.Lock()
 		defer s.faultMu.Unlock()
 		r.announceState(s, "RESTING")
-		time.Sleep(t.Duration)
+		time.Sleep(f.Duration)
 		r.announceState(s, "SERVING")
 	case "unreadable-line":
-		r.coordinator.publish(&WatchEvent{PurgedGroup: -1}, "{event %d that nobody can read")
+		r.coordinator.publish(&WatchEvent{PurgedGroup: noGroup}, "{event %d that nobody can read")
 	case "unreadable-purge":
-		r.coordinator.publish(&WatchEvent{PurgedGroup: -1}, `{"index":%d,"evict":{"everything":true}}`)
+		r.coordinator.publish(&WatchEvent{PurgedGroup: noGroup}, `{"index":%d,"evict":{"everything":true}}`)
 	case "unknown-event":
-		r.coordinator.publish(&WatchEvent{PurgedGroup: -1}, `{"index":%d,"quota":{"share":0.5}}`)
-	default:
-		m := map[string]coordinatorMode{"down": modeDown, "silent": modeSilent, "slow-lines": modeSlow}[t.Kind]
-		for i := range r.fleet {
-			if i%2 == t.Target%2 {
-				r.coordinator.setMode(i, m)
-			}
-		}
-		length := 2 * t.Duration
-		if m == modeSlow {
-			length += slowLineTime
-		}
-		time.Sleep(length)
-		for i := range r.fleet {
-			if i%2 == t.Target%2 {
-				r.coordinator.setMode(i, modeHealthy)
-			}
+		r.coordinator.publish(&WatchEvent{PurgedGroup: noGroup}, `{"index":%d,"quota":{"share":0.5}}`)
+	case "down":
+		r.injectCoordinatorMode(f, modeDown, 2*f.Duration)
+	case "silent":
+		r.injectCoordinatorMode(f, modeSilent, 2*f.Duration)
+	case "slow-lines":
+		r.injectCoordinatorMode(f, modeSlow, 2*f.Duration+slowLineTime)
+	}
+}
+
+// injectCoordinatorMode has the coordinator behave badly for some time to every second proxy.
+func (r *run) injectCoordinatorMode(f Fault, m coordinatorMode, length time.Duration) {
+	r.setCoordinatorMode(f, m)
+	time.Sleep(length)
+	r.setCoordinatorMode(f, modeHealthy)
+}
+
+func (r *run) setCoordinatorMode(f Fault, m coordinatorMode) {
+	for i := range r.fleet {
+		if i%2 == f.Target%2 {
+			r.coordinator.setMode(i, m)
 		}
 	}
 }
 
-func (r *run) injectOtherFault(t Fault) {
-	switch t.Kind {
+func (r *run) injectOtherFault(f Fault) {
+	switch f.Kind {
 	case "purge-group":
-		r.purge("", t.Target%groupsInUse)
+		r.purgeGroup(f.Target % groupsInUse)
 	case "purge-storm":
-		for i := range 10 {
-			r.purge(fmt.Sprintf("%016x", (t.Target+i)%objects), -1)
-			time.Sleep(t.Duration / 10)
+		for i := range stormPurges {
+			r.purgeObject(objectName((f.Target + i) % objects))
+			time.Sleep(f.Duration / stormPurges)
 		}
 	case "origin-hang":
-		r.origin.setUntil(&r.origin.hungUntil, r.h.Now()+t.Duration/2)
+		r.origin.extend(&r.origin.hungUntil, r.h.Now()+f.Duration/2)
 	case "origin-reset":
-		r.origin.resetConns(0.5)
+		r.origin.resetConns(resetFraction)
 	}
 }
 
-// announceState tells everybody the state of a server.
+// announceState publishes the state of a server, and records its start if it has been restarted.
 func (r *run) announceState(s *server, state string) {
-	s.mu.Lock()
-	s.state = state
-	entry := s.entry()
-	started := s.started
-	s.mu.Unlock()
-	e := &WatchEvent{PurgedGroup: -1}
+	entry, restartedAt := s.setState(state)
+	e := &WatchEvent{PurgedGroup: noGroup}
 	if state == "SERVING" {
 		e.Serving = []string{s.id}
 	} else {
 		e.Withdrawn = []string{s.id}
 	}
 	r.coordinator.publish(e, `{"index":%d,"endpoints":{"version":1,"full":false,"servers":[`+entry+`]}}`)
-	if state == "SERVING" && !started.IsZero() {
+	if state == "SERVING" && !restartedAt.IsZero() {
 		r.h.locked(func() {
-			r.h.Starts = append(r.h.Starts, ServerStart{Server: s.id, At: started.Sub(r.h.start), EventIndex: e.Index})
+			r.h.Starts = append(r.h.Starts, ServerStart{Server: s.id, At: restartedAt.Sub(r.h.start), EventIndex: e.Index})
 		})
 	}
 }
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -2,41 +2,65 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
+	"io"
 	"net"
 	"os"
 	"os/exec"
+	"strconv"
 	"sync"
 	"syscall"
 	"time"
 )
 
-// process is one edge proxy: a place in the fleet, with one program after another in it.
+// firstExtraFile is the descriptor of the first file that a program inherits beside the standard ones.
+const firstExtraFile = 3
+
+const (
+	// runsAfter is how long after its start a program listens for signals for certain: an earlier one would end it.
+	runsAfter = 500 * time.Millisecond
+	// settledAfter is how long after a start a proxy may be ordered to read its configuration again.
+	settledAfter = time.Second
+	// statePollInterval is how often the state of a process is looked at.
+	statePollInterval = 10 * time.Millisecond
+	// connsUntil and requestsUntil are how long after SIGTERM clients connect and make requests.
+	connsUntil    = 250 * time.Millisecond
+	requestsUntil = 450 * time.Millisecond
+)
+
+// process is one edge proxy: a place in the fleet with one incarnation after another.
 type process struct {
-	r               *run
-	number          int
-	addr, admin     string
-	config          string
-	mu              sync.Mutex
-	cmd             *exec.Cmd
+	r        *run
+	number   int
+	addr     string // for clients
+	config   string // path of the configuration
+	settings map[string]any
+	socket   *os.File   // for clients, held by the soak; nil: each incarnation opens its own
+	admin    string     // address for operators
+	faultMu  sync.Mutex // held while a fault of the proxy lasts
+
+	// For the next incarnation:
+	environment []string // added to that of all
+	logUnread   bool     // nobody reads its log
+
+	mu              sync.Mutex // of the fields below
+	cmd             *exec.Cmd  // of the present incarnation
 	incarnation     *Incarnation
-	exited          chan struct{} // of the life under way
+	exited          chan struct{} // closed when it has exited
 	acceptsConns    bool          // clients may connect
-	acceptsRequests bool          // requests may be sent on connections that are open
-	environment     []string      // of the next life
-	logUnread       bool          // nobody reads its log in the next life
-	settings        map[string]any
-	faultMu         sync.Mutex // held by the trouble that it is in
-	socket          *os.File   // for clients, held by the platform; nil: each program opens its own
+	acceptsRequests bool          // clients may make requests on open connections
 }
 
-// writeConfig writes the configuration with the events so far.
-func (p *process) writeConfig() (known int, err error) {
+func (p *process) name() string { return proxyName(p.number) }
+
+// writeConfig writes the configuration with the events so far, and returns the index of the last one.
+func (p *process) writeConfig() (knownEvents int, err error) {
 	index, updates := p.r.coordinator.knownEvents()
 	text, err := json.Marshal(map[string]any{
-		"name": fmt.Sprintf("proxy-%d", p.number), "listen": p.addr, "admin_addr": p.admin, "seed": fmt.Sprintf("%x", p.r.seed+uint64(p.number)),
-		"coordinator": p.r.coordinator.watchServers[p.number].addr, "flow_bytes_per_s": flowBytes,
-		"limits":   map[string]any{"cores": 1, "memory_mb": p.r.limits.MemoryKB >> 10, "sockets": p.r.limits.Descriptors},
+		"name": p.name(), "listen": p.addr, "admin_addr": p.admin, "seed": strconv.FormatUint(p.r.seed+uint64(p.number), 16),
+		"coordinator": p.r.coordinator.addrFor(p.number), "flow_bytes_per_s": flowBytesPerSecond,
+		"limits":   map[string]any{"cores": 1, "memory_mb": p.r.limits.MemoryKB / kbPerMB, "sockets": p.r.limits.Descriptors},
 		"known":    map[string]any{"index": index, "updates": json.RawMessage(updates)},
 		"settings": p.settings,
 	})
@@ -50,9 +74,9 @@
 	return index, os.Rename(next, p.config)
 }
 
-// start begins a new life, and lets clients in when it is ready.
+// start starts the next incarnation. Clients use it from when it is ready.
 func (p *process) start() error {
-	known, err := p.writeConfig()
+	knownEvents, err := p.writeConfig()
 	if err != nil {
 		return err
 	}
@@ -62,194 +86,222 @@
 	if p.incarnation != nil {
 		number = p.incarnation.Number + 1
 	}
-	p.incarnation = &Incarnation{Proxy: p.number, Number: number, StartedAt: p.r.h.Now(), KnownEvents: known}
-	p.exited = make(chan struct{})
-	p.cmd = exec.Command(p.r.options.Program)
-	p.cmd.Env = append(append(os.Environ(), p.r.options.Environment...), "BALANCER_CONFIG="+p.config)
-	p.cmd.Env = append(p.cmd.Env, p.environment...)
-	if p.socket != nil {
-		p.cmd.ExtraFiles = []*os.File{p.socket}
-		p.cmd.Env = append(p.cmd.Env, fmt.Sprintf("BALANCER_LISTEN_FD=%d", firstExtraFile))
-	}
-	log, write, err := logPipe(p.logUnread)
+	incarnation := &Incarnation{Proxy: p.number, Number: number, StartedAt: p.r.h.Now(), KnownEvents: knownEvents}
+	cmd := p.command()
+	exited := make(chan struct{})
+	p.incarnation = incarnation
+	p.cmd = cmd
+	p.exited = exited
+	log, err := p.startWithLog(cmd)
 	if err != nil {
 		return err
 	}
-	p.cmd.Stderr = write
-	err = p.cmd.Start()
-	write.Close() //nolint:errcheck // the program has it
-	if err != nil {
-		return err
-	}
-	life, cmd, exited := p.incarnation, p.cmd, p.exited
-	p.r.h.locked(func() { p.r.h.Incarnations = append(p.r.h.Incarnations, life) })
-	p.r.h.Note(p.name(), "life %d begins, knows %d events, %v", number, known, p.environment)
-	read := make(chan struct{})
+	p.r.h.locked(func() { p.r.h.Incarnations = append(p.r.h.Incarnations, incarnation) })
+	p.r.h.Note(p.name(), "life %d begins, knows %d events, %v", number, knownEvents, p.environment)
+	logRead := make(chan struct{})
 	go func() {
-		defer close(read)
+		defer close(logRead)
 		p.readLog(log)
 	}()
-	go p.recordExit(life, cmd, exited, read)
-	go p.awaitReady(life, exited)
+	go p.recordExit(incarnation, cmd, exited, logRead)
+	go p.awaitReady(incarnation, exited)
 	return nil
 }
 
-func (p *process) name() string { return proxyName(p.number) }
+// command is the command that starts the next incarnation.
+func (p *process) command() *exec.Cmd {
+	cmd := exec.Command(p.r.options.Program)
+	cmd.Env = append(os.Environ(), p.r.options.Environment...)
+	cmd.Env = append(cmd.Env, "BALANCER_CONFIG="+p.config)
+	cmd.Env = append(cmd.Env, p.environment...)
+	if p.socket != nil {
+		cmd.ExtraFiles = []*os.File{p.socket}
+		cmd.Env = append(cmd.Env, fmt.Sprintf("BALANCER_LISTEN_FD=%d", firstExtraFile))
+	}
+	return cmd
+}
+
+// startWithLog starts a command, and returns the reading end of its log.
+func (p *process) startWithLog(cmd *exec.Cmd) (log io.ReadCloser, err error) {
+	read, write, err := logPipe(p.logUnread)
+	if err != nil {
+		return nil, err
+	}
+	cmd.Stderr = write
+	err = cmd.Start()
+	write.Close() //nolint:errcheck // the program has its own descriptor
+	return read, err
+}
 
-// recordExit takes note of the end of a life.
-func (p *process) recordExit(life *Incarnation, cmd *exec.Cmd, exited, read chan struct{}) {
+// recordExit waits for the exit of an incarnation and records it. The timeline shows it behind its log.
+func (p *process) recordExit(incarnation *Incarnation, cmd *exec.Cmd, exited chan<- struct{}, logRead <-chan struct{}) {
 	state, err := cmd.Process.Wait()
 	p.r.h.locked(func() {
-		life.ExitedAt = p.r.h.Now()
+		incarnation.ExitedAt = p.r.h.Now()
 		if err != nil || !state.Success() {
-			life.ExitError = fmt.Sprint(state, err)
+			incarnation.ExitError = fmt.Sprint(state, err)
 		}
 	})
 	close(exited)
-	<-read
-	p.r.h.Note(p.name(), "life %d ended: %v", life.Number, state)
-	p.mu.Lock()
-	if p.incarnation == life {
-		p.acceptsConns, p.acceptsRequests = false, false
-	}
-	p.mu.Unlock()
+	<-logRead
+	p.r.h.Note(p.name(), "life %d ended: %v", incarnation.Number, state)
+	p.stopConns(incarnation)
+	p.stopRequests(incarnation)
 }
 
-// awaitReady asks until the process says that it can serve.
-func (p *process) awaitReady(life *Incarnation, ended <-chan struct{}) {
+// awaitReady asks an incarnation for its readiness until it is ready or has exited.
+func (p *process) awaitReady(incarnation *Incarnation, exited <-chan struct{}) {
 	for {
 		select {
-		case <-ended:
+		case <-exited:
 			return
-		case <-time.After(10 * time.Millisecond):
-		}
-		status, err := p.call("GET", "/ops/readiness")
-		if err != nil || status != 200 {
-			continue
+		case <-time.After(statePollInterval):
 		}
-		p.r.h.locked(func() { life.ReadyAt = p.r.h.Now() })
-		p.r.h.Note(p.name(), "life %d is ready", life.Number)
-		p.mu.Lock()
-		if p.incarnation == life && life.SigtermAt == 0 {
-			p.acceptsConns, p.acceptsRequests = true, true
+		status, err := p.callAdmin("GET", "/ops/readiness")
+		if err == nil && status == statusOK {
+			break
 		}
-		p.mu.Unlock()
-		return
+	}
+	p.r.h.locked(func() { incarnation.ReadyAt = p.r.h.Now() })
+	p.r.h.Note(p.name(), "life %d is ready", incarnation.Number)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.incarnation == incarnation && incarnation.SigtermAt == 0 {
+		p.acceptsConns = true
+		p.acceptsRequests = true
 	}
 }
 
-// signal sends one to the life under way.
-func (p *process) signal(s os.Signal) {
+// admission says what clients may do.
+type admission struct {
+	acceptsConns    bool
+	acceptsRequests bool
+	incarnation     int // number; 0: none has started
+}
+
+func (p *process) admission() admission {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.cmd.Process.Signal(s) //nolint:errcheck // it may have ended
+	if p.incarnation == nil {
+		return admission{}
+	}
+	return admission{acceptsConns: p.acceptsConns, acceptsRequests: p.acceptsRequests, incarnation: p.incarnation.Number}
 }
 
-// runsAfter is how long after its start a program surely listens for signals: one that comes before ends it.
-const runsAfter = 500 * time.Millisecond
+// stopConns has clients open no more connections to an incarnation, if it is still the present one.
+func (p *process) stopConns(incarnation *Incarnation) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.incarnation == incarnation {
+		p.acceptsConns = false
+	}
+}
 
-// settledAfter is how long after a start the platform sends no order to read the configuration again.
-const settledAfter = time.Second
+// stopRequests has clients make no more requests to an incarnation, if it is still the present one.
+func (p *process) stopRequests(incarnation *Incarnation) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.incarnation == incarnation {
+		p.acceptsRequests = false
+	}
+}
 
-// awaitState waits until the life under way has come so far, or has ended.
-func (p *process) awaitState(reached func(l *Incarnation, age time.Duration) bool) {
-	for done := false; !done; time.Sleep(10 * time.Millisecond) {
+// awaitState waits until the present incarnation has reached a state, or has exited. The condition gets its age.
+func (p *process) awaitState(reached func(i *Incarnation, age time.Duration) bool) {
+	for done := false; !done; time.Sleep(statePollInterval) {
 		p.mu.Lock()
-		life := p.incarnation
+		incarnation := p.incarnation
 		p.mu.Unlock()
-		p.r.h.locked(func() { done = life.ExitedAt != 0 || reached(life, p.r.h.Now()-life.StartedAt) })
+		p.r.h.locked(func() {
+			done = incarnation.ExitedAt != 0 || reached(incarnation, p.r.h.Now()-incarnation.StartedAt)
+		})
 	}
 }
 
 // awaitRunning waits until the program listens for signals.
 func (p *process) awaitRunning() {
-	p.awaitState(func(l *Incarnation, age time.Duration) bool { return l.ReadyAt != 0 || age > runsAfter })
+	p.awaitState(func(i *Incarnation, age time.Duration) bool { return i.ReadyAt != 0 || age > runsAfter })
 }
 
-// awaitSettled waits until the process may be sent an order to read its configuration again.
+// awaitSettled waits until the proxy may be ordered to read its configuration again.
 func (p *process) awaitSettled() {
-	p.awaitState(func(l *Incarnation, age time.Duration) bool { return l.ReadyAt != 0 && age > settledAfter })
+	p.awaitState(func(i *Incarnation, age time.Duration) bool { return i.ReadyAt != 0 && age > settledAfter })
+}
+
+// signal sends a signal to the present incarnation.
+func (p *process) signal(s os.Signal) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.cmd.Process.Signal(s) //nolint:errcheck // it may have exited
 }
 
-// term ends the life as at a planned restart, and waits for its end. One that is late is killed.
+// term ends the present incarnation by SIGTERM, and kills it if it has not exited in time.
 func (p *process) term() {
 	p.awaitRunning()
 	p.mu.Lock()
-	life, exited := p.incarnation, p.exited
-	p.r.h.locked(func() { life.SigtermAt = p.r.h.Now() })
+	incarnation := p.incarnation
+	exited := p.exited
+	p.r.h.locked(func() { incarnation.SigtermAt = p.r.h.Now() })
 	p.mu.Unlock()
 	p.signal(syscall.SIGTERM)
-	time.AfterFunc(250*time.Millisecond, func() { p.closeGate(life, &p.acceptsConns) })
-	time.AfterFunc(450*time.Millisecond, func() { p.closeGate(life, &p.acceptsRequests) })
+	time.AfterFunc(connsUntil, func() { p.stopConns(incarnation) })
+	time.AfterFunc(requestsUntil, func() { p.stopRequests(incarnation) })
 	select {
 	case <-exited:
-	case <-time.After(p.r.limits.MaxDeadline + killAfter + machineSlack):
+	case <-time.After(p.maxShutdown()):
 		p.kill()
 	}
 }
 
-// closeGate ends what clients may do in a life.
-func (p *process) closeGate(life *Incarnation, gate *bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.incarnation == life {
-		*gate = false
-	}
+// maxShutdown is how long after SIGTERM a process may run.
+func (p *process) maxShutdown() time.Duration {
+	return p.r.limits.MaxDeadline + killAfter + machineSlack
 }
 
-// firstExtraFile is the descriptor of the first file that a program is given.
-const firstExtraFile = 3
+// kill ends the present incarnation by SIGKILL.
+func (p *process) kill() {
+	p.mu.Lock()
+	incarnation := p.incarnation
+	exited := p.exited
+	p.acceptsConns = false
+	p.acceptsRequests = false
+	p.r.h.locked(func() { incarnation.KilledAt = p.r.h.Now() })
+	p.mu.Unlock()
+	p.signal(syscall.SIGKILL)
+	<-exited
+}
 
-// holdSocket opens the clients' address for all programs to come.
+// holdSocket opens the clients' address for all incarnations to come.
 func (p *process) holdSocket() error {
-	ln, err := net.Listen("tcp", p.addr)
+	listener, err := net.Listen("tcp", p.addr)
 	if err != nil {
 		return err
 	}
-	defer ln.Close() //nolint:errcheck // the file keeps the socket open
-	p.socket, err = ln.(*net.TCPListener).File()
-	return err
+	p.socket, err = listener.(*net.TCPListener).File()
+	return errors.Join(err, listener.Close())
 }
 
-// replace starts the next life beside the one under way, on the same socket, and ends that when the next is ready.
+// replace starts the next incarnation beside the present one on the same socket, and ends the old one when the new one
+// is ready.
 func (p *process) replace() error {
 	p.mu.Lock()
-	old, cmd, exited := p.incarnation, p.cmd, p.exited
-	p.admin = freeAddr(p.r.options.Host(10 + p.number))
+	old := p.incarnation
+	oldCmd := p.cmd
+	oldExited := p.exited
+	p.admin = freeAddr(p.r.options.Host(proxyHost + p.number))
 	p.mu.Unlock()
 	if err := p.start(); err != nil {
 		return err
 	}
-	p.awaitState(func(l *Incarnation, _ time.Duration) bool { return l.ReadyAt != 0 })
+	p.awaitState(func(i *Incarnation, _ time.Duration) bool { return i.ReadyAt != 0 })
 	p.r.h.locked(func() { old.SigtermAt = p.r.h.Now() })
-	cmd.Process.Signal(syscall.SIGTERM) //nolint:errcheck // it may have ended
+	oldCmd.Process.Signal(syscall.SIGTERM) //nolint:errcheck // it may have exited
 	select {
-	case <-exited:
-	case <-time.After(p.r.limits.MaxDeadline + killAfter + machineSlack):
+	case <-oldExited:
+	case <-time.After(p.maxShutdown()):
 		p.r.h.locked(func() { old.KilledAt = p.r.h.Now() })
-		cmd.Process.Kill() //nolint:errcheck // as above
-		<-exited
+		oldCmd.Process.Kill() //nolint:errcheck // it may have exited
+		<-oldExited
 	}
 	return nil
 }
-
-// kill ends the life at once.
-func (p *process) kill() {
-	p.mu.Lock()
-	life, exited := p.incarnation, p.exited
-	p.acceptsConns, p.acceptsRequests = false, false
-	p.r.h.locked(func() { life.KilledAt = p.r.h.Now() })
-	p.mu.Unlock()
-	p.signal(syscall.SIGKILL)
-	<-exited
-}
-
-// admission says what clients may do, and in which life.
-func (p *process) admission() (admits, takes bool, life int) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.incarnation == nil {
-		return false, false, 0
-	}
-	return p.acceptsConns, p.acceptsRequests, p.incarnation.Number
-}
--- a/internal/soak/processfaults.go
+++ b/internal/soak/processfaults.go
@@ -8,19 +8,26 @@
 	"time"
 )
 
-// pause takes the core away for a time.
+const (
+	// drainNotice is how long after the order to drain clients still connect.
+	drainNotice = 200 * time.Millisecond
+	// dialRetryInterval is the time between two attempts of an idle client to connect.
+	dialRetryInterval = 10 * time.Millisecond
+)
+
+// pause stops the process by SIGSTOP for a length of time.
 func (p *process) pause(length time.Duration) {
 	p.mu.Lock()
-	life := p.incarnation
+	incarnation := p.incarnation
 	p.mu.Unlock()
 	from := p.r.h.Now()
 	p.signal(syscall.SIGSTOP)
 	time.Sleep(length)
 	p.signal(syscall.SIGCONT)
-	p.r.h.locked(func() { life.Paused = append(life.Paused, [2]time.Duration{from, p.r.h.Now()}) })
+	p.r.h.locked(func() { incarnation.Paused = append(incarnation.Paused, Span{from, p.r.h.Now()}) })
 }
 
-// truncateConfig leaves a configuration that was cut off.
+// truncateConfig cuts the configuration off in the middle.
 func (p *process) truncateConfig() error {
 	text, err := os.ReadFile(p.config)
 	if err != nil {
@@ -29,46 +36,52 @@
 	return os.WriteFile(p.config, text[:len(text)/2], 0o600)
 }
 
-// drain has the proxy emptied on an operator's order, and takes that back. Clients go as the front tells them to.
+// drain orders the proxy to drain for a length of time. Clients stop connecting and follow its closes.
 func (p *process) drain(length time.Duration) {
-	if status, err := p.call("PUT", "/ops/drain/start"); err != nil || status != 200 {
+	if status, err := p.callAdmin("PUT", "/ops/drain/start"); err != nil || status != statusOK {
 		p.r.h.Note(p.name(), "does not drain: %d %v", status, err)
 		return
 	}
 	p.mu.Lock()
-	life := p.incarnation
+	incarnation := p.incarnation
 	p.mu.Unlock()
-	time.Sleep(200 * time.Millisecond)
-	p.closeGate(life, &p.acceptsConns)
+	time.Sleep(drainNotice)
+	p.stopConns(incarnation)
 	time.Sleep(length)
-	if status, err := p.call("PUT", "/ops/drain/stop"); err != nil || status != 200 {
+	if status, err := p.callAdmin("PUT", "/ops/drain/stop"); err != nil || status != statusOK {
 		p.r.h.Note(p.name(), "does not serve again: %d %v", status, err)
 		return
 	}
 	p.mu.Lock()
-	if p.incarnation == life && life.SigtermAt == 0 && life.ExitedAt == 0 {
+	defer p.mu.Unlock()
+	if p.incarnation == incarnation && incarnation.SigtermAt == 0 && incarnation.ExitedAt == 0 {
 		p.acceptsConns = true
 	}
-	p.mu.Unlock()
 }
 
-// connectIdleClients has more clients connect and say nothing than the proxy has descriptors for, and again as soon as one is closed.
+// connectIdleClients keeps as many idle connections open as half of the proxy's descriptors for a length of time: more
+// than it keeps for clients. Each that the proxy closes is opened again.
 func (p *process) connectIdleClients(length time.Duration) {
-	var idlers sync.WaitGroup
+	var clients sync.WaitGroup
 	end := time.Now().Add(length)
 	for range p.r.limits.Descriptors / 2 {
-		idlers.Go(func() {
+		clients.Go(func() {
 			for time.Now().Before(end) {
-				conn, err := net.DialTimeout("tcp", p.addr, time.Second)
-				if err != nil {
-					time.Sleep(10 * time.Millisecond)
-					continue
-				}
-				conn.SetReadDeadline(end)  //nolint:errcheck // shows in the read
-				conn.Read(make([]byte, 1)) //nolint:errcheck // its end is waited for
-				conn.Close()               //nolint:errcheck // as above
+				p.connectIdleClient(end)
 			}
 		})
 	}
-	idlers.Wait()
+	clients.Wait()
+}
+
+// connectIdleClient connects, and waits until the proxy closes the connection or a time has come.
+func (p *process) connectIdleClient(end time.Time) {
+	conn, err := net.DialTimeout("tcp", p.addr, dialTimeout)
+	if err != nil {
+		time.Sleep(dialRetryInterval)
+		return
+	}
+	conn.SetReadDeadline(end)  //nolint:errcheck // it fails as the read does
+	conn.Read(make([]byte, 1)) //nolint:errcheck // it is over when the read returns
+	conn.Close()               //nolint:errcheck // the proxy may have closed it
 }
--- a/internal/soak/resp.go
+++ b/internal/soak/resp.go
@@ -8,7 +8,17 @@
 	"strconv"
 )
 
-func bulks(words ...string) []byte {
+const (
+	// maxWords is how many words a command may have.
+	maxWords = 8
+	// maxBulkSize is the size of the longest word of a command, in bytes.
+	maxBulkSize = 1 << 20
+	// lineEnd is the size of a line's end, CR LF, in bytes.
+	lineEnd = 2
+)
+
+// encodeBulks encodes a RESP array of bulk strings.
+func encodeBulks(words ...string) []byte {
 	out := fmt.Appendf(nil, "*%d\r\n", len(words))
 	for _, w := range words {
 		out = fmt.Appendf(out, "$%d\r\n%s\r\n", len(w), w)
@@ -16,19 +26,19 @@
 	return out
 }
 
-// command reads one command.
-func command(in *bufio.Reader) ([]string, error) {
-	count, err := length(in, '*')
-	if err != nil || count < 1 || count > 8 {
+// readCommand reads a RESP array of bulk strings.
+func readCommand(in *bufio.Reader) ([]string, error) {
+	count, err := readLength(in, '*')
+	if err != nil || count < 1 || count > maxWords {
 		return nil, fmt.Errorf("array of %d: %w", count, err)
 	}
 	words := make([]string, count)
 	for i := range words {
-		size, err := length(in, '$')
-		if err != nil || size > maxBulk {
+		size, err := readLength(in, '$')
+		if err != nil || size > maxBulkSize {
 			return nil, fmt.Errorf("bulk of %d: %w", size, err)
 		}
-		text := make([]byte, size+2)
+		text := make([]byte, size+lineEnd)
 		if _, err := io.ReadFull(in, text); err != nil {
 			return nil, err
 		}
@@ -37,7 +47,8 @@
 	return words, nil
 }
 
-func length(in *bufio.Reader, prefix byte) (int, error) {
+// readLength reads a line that holds a prefix and a number.
+func readLength(in *bufio.Reader, prefix byte) (int, error) {
 	line, err := in.ReadBytes('\n')
 	if err != nil {
 		return 0, err
--- /dev/null
+++ b/internal/soak/rule_answers.go
@@ -0,0 +1,51 @@
+package soak
+
+import (
+	"fmt"
+	"time"
+)
+
+const (
+	// answerSlack is how long after a request's timeout its answer may come.
+	answerSlack = 500 * time.Millisecond
+	// acceptAfterSigterm is how long after SIGTERM requests are still owed an answer.
+	acceptAfterSigterm = 700 * time.Millisecond
+)
+
+// checkFinalAnswers checks that a request got exactly one final answer, in time.
+func (c *invariantChecker) checkFinalAnswers(q *Request) {
+	who := fmt.Sprintf("request %s (%s, proxy %d)", q.ID, q.Class, q.Proxy)
+	words := []string{q.ID, proxyName(q.Proxy)}
+	if len(q.Answers) > 1 {
+		c.report("second answer", q.Answers[1].At, words, "%s got %d answers", who, len(q.Answers))
+	}
+	due, owed := c.answerDue(q)
+	if !owed {
+		return
+	}
+	if len(q.Answers) > 0 {
+		if late := q.Answers[0].At - due; late > 0 {
+			c.report("late answer", q.Answers[0].At, words, "%s was due %.3f before", who, late.Seconds())
+		}
+		return
+	}
+	if q.DisconnectedAt != 0 {
+		c.report("lost", q.DisconnectedAt, words, "%s was sent at %.3f, and its connection ended without an answer", who, q.SentAt.Seconds())
+		return
+	}
+	c.report("lost", due, words, "%s was sent at %.3f, and never answered", who, q.SentAt.Seconds())
+}
+
+// answerDue returns when the answer to a request is due at the latest. None is owed where the request was not sent in
+// full, was canceled, came too long after SIGTERM, or its process was killed before.
+func (c *invariantChecker) answerDue(q *Request) (due time.Duration, owed bool) {
+	incarnation := c.h.incarnation(q.Proxy, q.Incarnation)
+	if q.SentAt == 0 || q.CanceledAt != 0 || q.NoAnswerOwed || incarnation == nil {
+		return 0, false
+	}
+	due = incarnation.whileRunning(q.SentAt, q.Timeout+answerSlack+machineSlack)
+	due += c.h.slack(q.SentAt, due) - machineSlack // it is in due already
+	killedBefore := incarnation.KilledAt != 0 && incarnation.KilledAt < due
+	afterSigterm := incarnation.SigtermAt != 0 && q.SentAt > incarnation.SigtermAt+acceptAfterSigterm
+	return due, !killedBefore && !afterSigterm
+}
--- a/internal/soak/rule_calls.go
+++ b/internal/soak/rule_calls.go
@@ -5,42 +5,82 @@
 	"time"
 )
 
-// checkCall checks one checkCall by the rules on sending.
-func (o *invariantChecker) checkCall(c *Call) {
-	q := o.requests[c.ID]
+const (
+	// cancelGrace is how long after its client has canceled a request a call of it may begin.
+	cancelGrace = 100 * time.Millisecond
+	// deadlineSlack is how much later than the client's the deadline of a call may be.
+	deadlineSlack = 150 * time.Millisecond
+)
+
+// checkCall checks the rules on when and where a call may be sent. They do not apply to a call that its server read
+// late, as the time of its sending is unknown.
+func (c *invariantChecker) checkCall(call *Call) {
+	q := c.requests[call.ID]
 	if q == nil {
-		o.report("unknown call", c.FirstByteAt, []string{c.ID}, "%s got a call that no client sent", c.Server)
+		c.report("unknown call", call.FirstByteAt, []string{call.ID}, "%s got a call that no client sent", call.Server)
 		return
 	}
-	if c.ReadLate { // it is not known when it was sent
+	if call.ReadLate {
 		return
 	}
-	words := []string{c.ID, c.Server, proxyName(q.Proxy)}
-	if q.CanceledAt != 0 && c.FirstByteAt > q.CanceledAt+cancelGrace+o.h.slack(q.CanceledAt, c.FirstByteAt) {
-		o.report("begun after left", c.FirstByteAt, words, "request %s began at %s %.3f after its client had left",
-			c.ID, c.Server, (c.FirstByteAt - q.CanceledAt).Seconds())
+	words := []string{call.ID, call.Server, proxyName(q.Proxy)}
+	c.checkCanceled(q, call, words)
+	c.checkDeadline(q, call, words)
+	c.checkDrain(q, call, call.Server, words)
+	c.checkDrain(q, call, call.Source, words)
+}
+
+// checkCanceled checks that no call begins more than cancelGrace after its client canceled the request.
+func (c *invariantChecker) checkCanceled(q *Request, call *Call, words []string) {
+	if q.CanceledAt == 0 {
+		return
 	}
-	if left := q.SentAt + q.Timeout - c.CompleteAt; q.SentAt != 0 && c.Timeout > left+deadlineSlack+o.h.slack(q.SentAt, c.CompleteAt) {
-		o.report("deadline", c.CompleteAt, words, "request %s passes on %v when its client has %v left", c.ID, c.Timeout, left)
+	last := q.CanceledAt + cancelGrace + c.h.slack(q.CanceledAt, call.FirstByteAt)
+	if call.FirstByteAt > last {
+		since := call.FirstByteAt - q.CanceledAt
+		c.report("begun after left", call.FirstByteAt, words, "request %s began at %s %.3f after its client had left",
+			call.ID, call.Server, since.Seconds())
 	}
-	for _, server := range []string{c.Server, c.Source} {
-		if since, leaving := o.withdrawnSince(server, q, c.FirstByteAt); leaving && c.FirstByteAt > since+o.h.Limits.DrainGrace+socketSlack+o.h.slack(since, c.FirstByteAt) {
-			o.report("drain", c.FirstByteAt, words, "request %s went to or named %s %.3f after its proxy was told that it leaves",
-				c.ID, server, (c.FirstByteAt - since).Seconds())
-		}
+}
+
+// checkDeadline checks that a call gives its server no more time than its client has left.
+func (c *invariantChecker) checkDeadline(q *Request, call *Call, words []string) {
+	remaining := q.SentAt + q.Timeout - call.CompleteAt
+	if q.SentAt != 0 && call.Timeout > remaining+deadlineSlack+c.h.slack(q.SentAt, call.CompleteAt) {
+		c.report("deadline", call.CompleteAt, words, "request %s passes on %v when its client has %v left", call.ID, call.Timeout, remaining)
 	}
 }
 
-// withdrawnSince tells since when a server counts as draining or gone at a time, to the process of a request.
-func (o *invariantChecker) withdrawnSince(server string, q *Request, at time.Duration) (since time.Duration, leaving bool) {
-	for _, e := range o.h.Events {
-		switch {
-		case server == "" || e.PublishedAt > at:
-		case slices.Contains(e.Serving, server):
-			leaving = false
-		case slices.Contains(e.Withdrawn, server) && !leaving:
-			since, leaving = o.notifiedAt(e, q), true
+// checkDrain checks that a call neither goes to nor names a server for longer than the grace period after its proxy was
+// notified that the server is draining or removed.
+func (c *invariantChecker) checkDrain(q *Request, call *Call, server string, words []string) {
+	since, withdrawn := c.withdrawnSince(server, q, call.FirstByteAt)
+	if !withdrawn {
+		return
+	}
+	last := since + c.h.Limits.DrainGrace + socketSlack + c.h.slack(since, call.FirstByteAt)
+	if call.FirstByteAt > last {
+		c.report("drain", call.FirstByteAt, words, "request %s went to or named %s %.3f after its proxy was told that it leaves",
+			call.ID, server, (call.FirstByteAt - since).Seconds())
+	}
+}
+
+// withdrawnSince returns since when, at a moment, the process of a request counts as notified that a server is draining
+// or removed.
+func (c *invariantChecker) withdrawnSince(server string, q *Request, at time.Duration) (since time.Duration, withdrawn bool) {
+	if server == "" {
+		return 0, false
+	}
+	for _, e := range c.h.Events {
+		if e.PublishedAt > at {
+			continue
+		}
+		if slices.Contains(e.Serving, server) {
+			withdrawn = false
+		} else if slices.Contains(e.Withdrawn, server) && !withdrawn {
+			since = c.notifiedAt(e, q)
+			withdrawn = true
 		}
 	}
-	return since, leaving
+	return since, withdrawn
 }
--- a/internal/soak/rule_executions.go
+++ b/internal/soak/rule_executions.go
@@ -1,39 +1,63 @@
 package soak
 
-// checkExecutions checks what must not run twice, and what an answer says of that.
-func (o *invariantChecker) checkExecutions(q *Request) {
+// checkExecutions checks that a write is executed at most once, that it was executed if it is answered as served, and
+// that it was not if it is rejected.
+func (c *invariantChecker) checkExecutions(q *Request) {
 	if q.Class != classWrite {
 		return
 	}
-	runs, words := o.executions[q.ID], []string{q.ID}
-	if runs > 1 {
-		o.report("ran twice", q.SentAt, words, "request %s ran %d times", q.ID, runs)
+	executions := c.executions[q.ID]
+	words := []string{q.ID}
+	if executions > 1 {
+		c.report("ran twice", q.SentAt, words, "request %s ran %d times", q.ID, executions)
 	}
 	for _, a := range q.Answers {
-		if a.Status == "200" && runs == 0 {
-			o.report("served unrun", a.At, words, "request %s was answered as served and never ran", q.ID)
+		if a.Status == "200" && executions == 0 {
+			c.report("served unrun", a.At, words, "request %s was answered as served and never ran", q.ID)
 		}
-		if a.Rejected() && runs > 0 {
-			o.report("refused after run", a.At, words, "request %s was refused and ran", q.ID)
+		if a.Rejected() && executions > 0 {
+			c.report("refused after run", a.At, words, "request %s was refused and ran", q.ID)
 		}
 	}
 }
 
-// checkRepeats checks that a keyed request is repeated only while its key is known: from the first call that may have run.
-func (o *invariantChecker) checkRepeats(q *Request) {
+// checkRepeats checks that a request with an idempotency key is repeated only while servers know its key: within the
+// deduplication window after the first call that may have been executed.
+func (c *invariantChecker) checkRepeats(q *Request) {
 	if q.Class != classKeyed {
 		return
 	}
-	var first *Call
-	for _, c := range o.h.Calls {
-		if c.ID == q.ID && !c.ReadLate && !neverRan[c.Result] && (first == nil || c.FirstByteAt < first.FirstByteAt) {
-			first = c
+	first := c.firstPossibleExecution(q)
+	if first == nil {
+		return
+	}
+	for _, call := range c.h.Calls {
+		if call.ID != q.ID || call.ReadLate {
+			continue
+		}
+		last := first.FirstByteAt + c.h.Limits.DeduplicationWindow + socketSlack + c.h.slack(first.FirstByteAt, call.FirstByteAt)
+		if call.FirstByteAt > last {
+			since := call.FirstByteAt - first.FirstByteAt
+			c.report("repeat after window", call.FirstByteAt, []string{q.ID, proxyName(q.Proxy)},
+				"request %s was repeated %.3f after a call that may have run", q.ID, since.Seconds())
 		}
 	}
-	for _, c := range o.h.Calls {
-		if first != nil && c.ID == q.ID && !c.ReadLate && c.FirstByteAt > first.FirstByteAt+o.h.Limits.DeduplicationWindow+socketSlack+o.h.slack(first.FirstByteAt, c.FirstByteAt) {
-			o.report("repeat after window", c.FirstByteAt, []string{q.ID, proxyName(q.Proxy)}, "request %s was repeated %.3f after a call that may have run",
-				q.ID, (c.FirstByteAt - first.FirstByteAt).Seconds())
+}
+
+// firstPossibleExecution is the first call of a request that may have been executed; nil: there is none.
+func (c *invariantChecker) firstPossibleExecution(q *Request) (first *Call) {
+	for _, call := range c.h.Calls {
+		if call.ID != q.ID || call.ReadLate || provesNotRun(call.Result) {
+			continue
+		}
+		if first == nil || call.FirstByteAt < first.FirstByteAt {
+			first = call
 		}
 	}
+	return first
+}
+
+// provesNotRun reports whether a result proves that its call was not executed.
+func provesNotRun(result string) bool {
+	return result == "overload" || result == "not_here" || result == "nobody"
 }
--- a/internal/soak/rule_incarnations.go
+++ b/internal/soak/rule_incarnations.go
@@ -5,28 +5,55 @@
 	"time"
 )
 
-// checkIncarnation checks one checkIncarnation by the rules on starts, ends and limits.
-func (o *invariantChecker) checkIncarnation(l *Incarnation) {
-	who := fmt.Sprintf("proxy %d, life %d", l.Proxy, l.Number)
-	words := []string{proxyName(l.Proxy)}
-	due := l.whileRunning(l.StartedAt, readyWithin)
-	ended := func(at time.Duration) bool { return at != 0 && at < due }
-	if (l.ReadyAt == 0 || l.ReadyAt > due) && !ended(l.KilledAt) && !ended(l.SigtermAt) && !ended(l.ExitedAt) {
-		o.report("not ready", l.StartedAt, words, "%s was not ready in time", who)
+const (
+	// readyWithin is how long a process may take to be ready.
+	readyWithin = 10 * time.Second
+	// killAfter is how long after SIGTERM and the longest deadline a process is killed.
+	killAfter = 700 * time.Millisecond
+)
+
+// String names the process in violations.
+func (i *Incarnation) String() string { return fmt.Sprintf("proxy %d, life %d", i.Proxy, i.Number) }
+
+// checkIncarnation checks the rules on one process: its start, its exit and its limits.
+func (c *invariantChecker) checkIncarnation(i *Incarnation) {
+	words := []string{proxyName(i.Proxy)}
+	c.checkReady(i, words)
+	c.checkExit(i, words)
+	c.checkResources(i, words)
+}
+
+// checkReady checks that a process is ready in time, unless it ended before.
+func (c *invariantChecker) checkReady(i *Incarnation, words []string) {
+	due := i.whileRunning(i.StartedAt, readyWithin)
+	isBeforeDue := func(at time.Duration) bool { return at != 0 && at < due }
+	endedBefore := isBeforeDue(i.KilledAt) || isBeforeDue(i.SigtermAt) || isBeforeDue(i.ExitedAt)
+	inTime := i.ReadyAt != 0 && i.ReadyAt <= due
+	if !inTime && !endedBefore {
+		c.report("not ready", i.StartedAt, words, "%v was not ready in time", i)
 	}
-	if l.ExitedAt != 0 && (l.SigtermAt == 0 || l.ExitedAt < l.SigtermAt) && l.KilledAt == 0 {
-		o.report("crash", l.ExitedAt, words, "%s ended by itself: %s", who, l.ExitError)
+}
+
+// checkExit checks that a process exits only when it is ordered to, after SIGTERM without an error, and in time.
+func (c *invariantChecker) checkExit(i *Incarnation, words []string) {
+	beforeSigterm := i.SigtermAt == 0 || i.ExitedAt < i.SigtermAt
+	if i.ExitedAt != 0 && beforeSigterm && i.KilledAt == 0 {
+		c.report("crash", i.ExitedAt, words, "%v ended by itself: %s", i, i.ExitError)
 	}
-	if l.SigtermAt != 0 && l.KilledAt == 0 && l.ExitedAt > l.SigtermAt && l.ExitError != "" {
-		o.report("bad end", l.SigtermAt, words, "%s ended with %q after SIGTERM", who, l.ExitError)
+	if i.SigtermAt != 0 && i.KilledAt == 0 && i.ExitedAt > i.SigtermAt && i.ExitError != "" {
+		c.report("bad end", i.SigtermAt, words, "%v ended with %q after SIGTERM", i, i.ExitError)
 	}
-	if l.SigtermAt != 0 && l.KilledAt > l.SigtermAt {
-		o.report("late end", l.KilledAt, words, "%s had to be killed %.3f after SIGTERM", who, (l.KilledAt - l.SigtermAt).Seconds())
+	if i.SigtermAt != 0 && i.KilledAt > i.SigtermAt {
+		c.report("late end", i.KilledAt, words, "%v had to be killed %.3f after SIGTERM", i, (i.KilledAt - i.SigtermAt).Seconds())
 	}
-	if l.PeakMemoryKB > o.h.Limits.MemoryKB {
-		o.report("memory", l.ExitedAt, words, "%s held %d KB", who, l.PeakMemoryKB)
+}
+
+// checkResources checks that a process stays within its memory and descriptors.
+func (c *invariantChecker) checkResources(i *Incarnation, words []string) {
+	if i.PeakMemoryKB > c.h.Limits.MemoryKB {
+		c.report("memory", i.ExitedAt, words, "%v held %d KB", i, i.PeakMemoryKB)
 	}
-	if l.PeakDescriptors > o.h.Limits.Descriptors {
-		o.report("descriptors", l.ExitedAt, words, "%s held %d descriptors", who, l.PeakDescriptors)
+	if i.PeakDescriptors > c.h.Limits.Descriptors {
+		c.report("descriptors", i.ExitedAt, words, "%v held %d descriptors", i, i.PeakDescriptors)
 	}
 }
--- a/internal/soak/rule_purges.go
+++ b/internal/soak/rule_purges.go
@@ -1,26 +1,50 @@
 package soak
 
-import (
-	"strings"
-)
+import "strings"
 
-// checkPurges checks that nothing was served from a copy that a purge had made void before the call was sent.
-func (o *invariantChecker) checkPurges(q *Request) {
+// checkPurges checks that no request is served from a copy that a purge covers, if its call was sent more than the grace
+// period after the proxy was notified of the purge.
+func (c *invariantChecker) checkPurges(q *Request) {
 	for _, a := range q.Answers {
-		serial, _, _ := strings.Cut(a.Body, " ")
-		c := o.serials[serial]
-		if a.Status != "200" || c == nil || c.ReadLate || c.CopyMadeAt.IsZero() || c.ID != q.ID {
+		call := c.callOf(q, a)
+		if call == nil || call.ReadLate || call.CopyMadeAt.IsZero() {
 			continue
 		}
-		for _, e := range o.h.Events {
-			if e.PurgedBefore.IsZero() || e.PurgedObject != q.Object && e.PurgedGroup != q.Group || !c.CopyMadeAt.Before(e.PurgedBefore) {
-				continue
-			}
-			if told := o.notifiedAt(e, q); c.FirstByteAt > told+o.h.Limits.PurgeGrace+socketSlack+o.h.slack(told, c.FirstByteAt) {
-				words := []string{q.ID, c.Server, q.Object, proxyName(q.Proxy)}
-				o.report("purged copy", c.FirstByteAt, words, "request %s was sent %.3f after it was told of a purge, and served from a copy %v older",
-					q.ID, (c.FirstByteAt - told).Seconds(), e.PurgedBefore.Sub(c.CopyMadeAt))
+		for _, e := range c.h.Events {
+			if e.purges(q, call) {
+				c.checkPurgeGrace(q, call, e)
 			}
 		}
 	}
 }
+
+// callOf is the call that served an answer; nil: the answer is no success, or names no call of its request.
+func (c *invariantChecker) callOf(q *Request, a FinalAnswer) *Call {
+	serial, _, _ := strings.Cut(a.Body, " ")
+	call := c.callsBySerial[serial]
+	if a.Status != "200" || call == nil || call.ID != q.ID {
+		return nil
+	}
+	return call
+}
+
+// purges reports whether an event purges the copy that served a call of a request.
+func (e *WatchEvent) purges(q *Request, call *Call) bool {
+	if e.PurgedBefore.IsZero() {
+		return false
+	}
+	matches := e.PurgedObject == q.Object || e.PurgedGroup == q.Group
+	return matches && call.CopyMadeAt.Before(e.PurgedBefore)
+}
+
+func (c *invariantChecker) checkPurgeGrace(q *Request, call *Call, e *WatchEvent) {
+	notified := c.notifiedAt(e, q)
+	last := notified + c.h.Limits.PurgeGrace + socketSlack + c.h.slack(notified, call.FirstByteAt)
+	if call.FirstByteAt <= last {
+		return
+	}
+	since := call.FirstByteAt - notified
+	words := []string{q.ID, call.Server, q.Object, proxyName(q.Proxy)}
+	c.report("purged copy", call.FirstByteAt, words, "request %s was sent %.3f after it was told of a purge, and served from a copy %v older",
+		q.ID, since.Seconds(), e.PurgedBefore.Sub(call.CopyMadeAt))
+}
--- a/internal/soak/rule_slowstart.go
+++ b/internal/soak/rule_slowstart.go
@@ -1,44 +1,82 @@
 package soak
 
 import (
+	"cmp"
+	"math"
 	"slices"
+	"time"
 )
 
-// checkSlowStart checks what a server that has started was sent in each window.
-func (o *invariantChecker) checkSlowStart(s ServerStart) {
-	l := o.h.Limits
-	var sent []*Call
-	for _, c := range o.h.Calls {
-		if c.Server == s.Server && c.FirstByteAt >= s.At && c.FirstByteAt < s.At+l.SlowStartDuration && !c.ReadLate {
-			sent = append(sent, c)
+// checkSlowStart checks that a server that has started gets no more calls in any window than its capacity at that time
+// allows. The capacity grows linearly from SlowStartCapacity to 1 in SlowStartDuration. The rule applies where at least
+// two thirds of the calls come from notified proxies: the others can't know that the server has started. It reports the
+// first violation alone.
+func (c *invariantChecker) checkSlowStart(s ServerStart) {
+	calls := c.callsDuringSlowStart(s)
+	for i, last := range calls {
+		allowed := c.slowStartAllowance(last.FirstByteAt - s.At)
+		count, notified := c.countInWindow(s, calls[:i+1])
+		enoughNotified := float64(notified) >= 2*float64(count)/3
+		if float64(count) > allowed && enoughNotified {
+			c.report("cold start", last.FirstByteAt, []string{s.Server},
+				"%s got %d calls within %v, %.1f allowed, %d from proxies that knew of its start",
+				s.Server, count, c.h.Limits.OverloadWindow, allowed, notified)
+			return
 		}
 	}
-	slices.SortFunc(sent, func(a, b *Call) int { return int(a.FirstByteAt - b.FirstByteAt) })
-	for i, last := range sent {
-		warm := l.SlowStartCapacity + (1-l.SlowStartCapacity)*float64(last.FirstByteAt-s.At)/float64(l.SlowStartDuration)
-		allowed := slowStartAllowance(l.OverloadMultiple * l.LinkTransfers * warm * l.OverloadWindow.Seconds() / l.TransferTime.Seconds())
-		count, told := 0, 0
-		for _, c := range sent[:i+1] {
-			if c.FirstByteAt > last.FirstByteAt-l.OverloadWindow {
-				count++
-				if o.knewOfStart(s, c) {
-					told++
-				}
-			}
+}
+
+// callsDuringSlowStart are the calls that a server read during its slow start, in the order of their first bytes.
+func (c *invariantChecker) callsDuringSlowStart(s ServerStart) (calls []*Call) {
+	for _, call := range c.h.Calls {
+		inSlowStart := call.FirstByteAt >= s.At && call.FirstByteAt < s.At+c.h.Limits.SlowStartDuration
+		if call.Server == s.Server && inSlowStart && !call.ReadLate {
+			calls = append(calls, call)
 		}
-		if float64(count) > allowed && float64(told) >= 2*float64(count)/3 {
-			o.report("cold start", last.FirstByteAt, []string{s.Server}, "%s got %d calls within %v, %.1f allowed, %d from proxies that knew of its start",
-				s.Server, count, l.OverloadWindow, allowed, told)
-			return
+	}
+	slices.SortFunc(calls, func(a, b *Call) int { return cmp.Compare(a.FirstByteAt, b.FirstByteAt) })
+	return calls
+}
+
+// countInWindow counts the calls in the window that ends with the last one, and those of them whose proxy was notified
+// of the server's start.
+func (c *invariantChecker) countInWindow(s ServerStart, calls []*Call) (count, notified int) {
+	windowStart := calls[len(calls)-1].FirstByteAt - c.h.Limits.OverloadWindow
+	for _, call := range calls {
+		if call.FirstByteAt <= windowStart {
+			continue
+		}
+		count++
+		if c.knewOfStart(s, call) {
+			notified++
 		}
 	}
+	return count, notified
+}
+
+// slowStartAllowance is how many calls in a window a server may get when it has run for some time. Proxies share the
+// capacity without knowing of each other's calls, so a margin for the variance of the count is added: a multiple of its
+// square root.
+func (c *invariantChecker) slowStartAllowance(running time.Duration) float64 {
+	const fewCalls = 30
+	l := c.h.Limits
+	capacity := l.SlowStartCapacity + (1-l.SlowStartCapacity)*float64(running)/float64(l.SlowStartDuration)
+	calls := l.OverloadMultiple * l.LinkTransfers * capacity * l.OverloadWindow.Seconds() / l.TransferTime.Seconds()
+	if calls < fewCalls {
+		return calls + 3*math.Sqrt(calls) + 3
+	}
+	return calls + 2*math.Sqrt(calls) + 2
 }
 
-func (o *invariantChecker) knewOfStart(s ServerStart, c *Call) bool {
-	q := o.requests[c.ID]
-	for _, e := range o.h.Events {
-		if q != nil && e.Index == s.EventIndex {
-			return c.FirstByteAt > o.notifiedAt(e, q)
+// knewOfStart reports whether the proxy of a call had been notified of a server's start when it sent the call.
+func (c *invariantChecker) knewOfStart(s ServerStart, call *Call) bool {
+	q := c.requests[call.ID]
+	if q == nil {
+		return false
+	}
+	for _, e := range c.h.Events {
+		if e.Index == s.EventIndex {
+			return call.FirstByteAt > c.notifiedAt(e, q)
 		}
 	}
 	return false
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -7,32 +7,39 @@
 	"cloverdoor/internal/relay"
 )
 
+const (
+	cacheCount          = 4
+	measureInterval     = 500 * time.Millisecond // between two looks at memory and descriptors
+	meanRequestInterval = 80 * time.Millisecond  // of the clients of one proxy, exponentially distributed
+	maxRecordedFailures = 100
+)
+
 // Options say what is run.
 type Options struct {
-	Program      string   // test binary that serves as the proxy
-	Environment  []string // that makes it do so
-	ClockOffset  string   // environment variable by which its clock is wrong
-	FailingCalls string   // environment variable by which its system calls fail, by a seed
-	Host         func(int) string
-	Fleet        int
-	Duration     time.Duration
-	ConfigDir    string   // for the configurations
-	ReportDir    string   // folder for what is kept of violations; empty: nothing is
-	Kinds        []string // of troubles; empty: all
-	Shrink       bool     // look for the least schedule that breaks the same rule
+	Program      string                // path of the test binary that serves as the proxy
+	Environment  []string              // that makes it serve
+	ClockOffset  string                // environment variable with the error of its clock
+	FailingCalls string                // environment variable with the seed by which its system calls fail
+	Host         func(host int) string // the address of a host on loopback, with port 0
+	Fleet        int                   // proxies
+	Duration     time.Duration         // of the run
+	ConfigDir    string                // for the proxies' configurations
+	ReportDir    string                // for reports on violations; empty: none
+	Kinds        []string              // of faults; empty: all
+	Shrink       bool                  // look for a shorter schedule that breaks the same rule
 }
 
-// Result is what one seed brought.
+// Result is the outcome of one seed.
 type Result struct {
 	Seed         uint64
 	Schedule     []Fault
 	Violations   []Violation
 	Requests     int
-	Served       int
-	Incarnations int // programs that were started
+	Served       int // requests with status 200
+	Incarnations int // processes that were started
 }
 
-// run is one run under way.
+// run is one run.
 type run struct {
 	options     Options
 	seed        uint64
@@ -44,11 +51,11 @@
 	origin      *server
 	fleet       []*process
 	relays      []*relay.Relay
-	failure     chan error
-	over        chan struct{}
+	failures    chan error    // of the soak itself
+	over        chan struct{} // closed when the schedule has ended
 }
 
-// Run plays one seed and checks what was seen.
+// Run plays the schedule of one seed and checks the history. Its error is a failure of the soak itself.
 func Run(seed uint64, o Options) (Result, error) {
 	kinds := o.Kinds
 	if len(kinds) == 0 {
@@ -62,77 +69,76 @@
 	return result, shrink(seed, o, result)
 }
 
+// play runs a fleet under a schedule and checks the history.
 func play(seed uint64, o Options, schedule []Fault) (Result, error) {
-	limits := Limits{MemoryKB: 64 << 10, Descriptors: 256, DrainGrace: 500 * time.Millisecond, PurgeGrace: 300 * time.Millisecond,
-		ClearedWithin: 6 * time.Second, OverloadMultiple: 2, SlowStartCapacity: 0.1, LinkTransfers: cacheWeight, TransferTime: bodySize * time.Second / flowBytes,
-		OverloadWindow: time.Second, SlowStartDuration: 4 * time.Second, MaxDeadline: 3 * time.Second, DeduplicationWindow: keyWindow}
-	r := &run{options: o, seed: seed, limits: limits, h: NewHistory(limits), failure: make(chan error, 100), over: make(chan struct{})}
+	limits := fleetLimits()
+	r := &run{
+		options: o, seed: seed, limits: limits, h: NewHistory(limits),
+		failures: make(chan error, maxRecordedFailures), over: make(chan struct{}),
+	}
 	defer r.stop()
 	if err := r.start(); err != nil {
 		return Result{}, err
 	}
-	r.playAll(schedule)
-	select {
-	case err := <-r.failure:
+	r.playSchedule(schedule)
+	if err := r.firstFailure(); err != nil {
 		return Result{}, err
-	default:
-	}
-	result := Result{Seed: seed, Schedule: schedule, Violations: Check(r.h), Requests: len(r.h.Requests), Incarnations: len(r.h.Incarnations)}
-	for _, q := range r.h.Requests {
-		if len(q.Answers) > 0 && q.Answers[0].Status == "200" {
-			result.Served++
-		}
 	}
+	result := r.result(schedule)
 	if len(result.Violations) > 0 && o.ReportDir != "" {
 		return result, r.writeReport(result)
 	}
 	return result, nil
 }
 
-// recordFailure takes note of a failure of the soak itself.
-func (r *run) recordFailure(err error) {
-	if err != nil {
-		r.failure <- err
+func (r *run) result(schedule []Fault) Result {
+	result := Result{
+		Seed: r.seed, Schedule: schedule, Violations: Check(r.h), Requests: len(r.h.Requests), Incarnations: len(r.h.Incarnations),
 	}
-}
-
-// listed is where proxies find the server.
-func (s *server) listed() string {
-	if s.relayAddr != "" {
-		return s.relayAddr
+	for _, q := range r.h.Requests {
+		if len(q.Answers) > 0 && q.Answers[0].Status == "200" {
+			result.Served++
+		}
 	}
-	return s.addr
+	return result
 }
 
-// playAll plays the schedule, and lets what is open come to its end.
-func (r *run) playAll(schedule []Fault) {
-	var clients, troubles sync.WaitGroup
-	stopAsking := make(chan struct{})
+// playSchedule carries out a schedule beside the clients' load, waits for the last answers and stops the proxies.
+func (r *run) playSchedule(schedule []Fault) {
+	var clients, background sync.WaitGroup
+	quiet := make(chan struct{})
 	for _, p := range r.fleet {
-		d := newProxyClients(p, r.seed, meanRequestInterval)
-		clients.Go(func() { d.run(stopAsking) })
+		c := newProxyClients(p, r.seed, meanRequestInterval)
+		clients.Go(func() { c.run(quiet) })
 	}
-	troubles.Go(func() { r.purgeContinuously(stopAsking) })
-	troubles.Go(func() { r.measure(stopAsking) })
+	background.Go(func() { r.purgeContinuously(quiet) })
+	background.Go(func() { r.measure(quiet) })
 	defer close(r.over)
 	r.h.watchLag(r.over)
-	for _, t := range schedule {
-		troubles.Go(func() {
-			time.Sleep(max(0, t.At-r.h.Now()))
-			r.inject(t)
+	for _, f := range schedule {
+		background.Go(func() {
+			time.Sleep(f.At - r.h.Now())
+			r.inject(f)
 		})
 	}
-	time.Sleep(max(0, r.options.Duration-quietEnd-r.h.Now()))
-	close(stopAsking)
+	time.Sleep(r.options.Duration - quietEnd - r.h.Now())
+	close(quiet)
 	clients.Wait()
-	troubles.Wait()
+	background.Wait()
 	time.Sleep(quietEnd)
-	for _, p := range r.fleet { // an ordered end tells whether anything was left open
-		troubles.Go(p.term)
+	r.terminateFleet()
+}
+
+// terminateFleet stops all proxies by SIGTERM, which shows whether they had left anything open.
+func (r *run) terminateFleet() {
+	var proxies sync.WaitGroup
+	for _, p := range r.fleet {
+		proxies.Go(p.term)
 	}
-	troubles.Wait()
+	proxies.Wait()
 }
 
+// measure records the memory and the descriptors of all proxies until over is closed.
 func (r *run) measure(over <-chan struct{}) {
 	for {
 		for _, p := range r.fleet {
@@ -145,3 +151,19 @@
 		}
 	}
 }
+
+// recordFailure records a failure of the soak itself, which makes the run void.
+func (r *run) recordFailure(err error) {
+	if err != nil {
+		r.failures <- err
+	}
+}
+
+func (r *run) firstFailure() error {
+	select {
+	case err := <-r.failures:
+		return err
+	default:
+		return nil
+	}
+}
--- a/internal/soak/run_test.go
+++ b/internal/soak/run_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// No address is handed out twice: the system may offer one again, as it is free until a program opens it.
+// TestAddressesAreGivenOnce checks that freeAddr returns no address twice: the system may offer one again until a program
+// opens it.
 func TestAddressesAreGivenOnce(t *testing.T) {
 	const draws = 3000
 	seen := map[string]bool{}
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// Fault is one thing that goes wrong.
+// Fault is one fault of a schedule.
 type Fault struct {
 	Kind     string
-	At       time.Duration
+	At       time.Duration // since the start of the run
 	Duration time.Duration
-	Target   int // of the fleet, or of the caches
+	Target   int // index in the fleet, or among the caches
 }
 
-// String is the trouble as the schedule is kept.
-func (t Fault) String() string {
-	return fmt.Sprintf("%.3f for %.3f: %s %d", t.At.Seconds(), t.Duration.Seconds(), t.Kind, t.Target)
+// String is the fault as reports show it.
+func (f Fault) String() string {
+	return fmt.Sprintf("%.3f for %.3f: %s %d", f.At.Seconds(), f.Duration.Seconds(), f.Kind, f.Target)
 }
 
-// The kinds of troubles, by what they hit.
+// The kinds of faults, by what they affect. The order is part of the schedules: a seed draws by index.
 var (
 	processFaults = []string{"freeze", "term", "kill", "reload", "broken-reload", "drain-order", "deaf-log", "wrong-clock", "failing-calls",
 		"hand-over", "crowd"}
@@ -31,38 +31,49 @@
 )
 
 const (
-	quietStart        = time.Second
-	quietEnd          = 3 * time.Second
-	minFaultDuration  = 300 * time.Millisecond
+	quietStart        = time.Second            // before the first fault
+	quietEnd          = 3 * time.Second        // without faults and new requests, before the run ends
+	minFaultDuration  = 300 * time.Millisecond // inclusive
 	maxFaultDuration  = 2500 * time.Millisecond
-	retiredFor        = 9 * time.Second
-	meanFaultInterval = 550 * time.Millisecond // in the mean: two or three overlap
+	meanFaultInterval = 550 * time.Millisecond // exponentially distributed: two or three faults overlap
 )
 
-// Kinds are all kinds of troubles.
+// scheduleStream is the stream of a seed's random numbers that draws its schedule.
+const scheduleStream = 11
+
+// Kinds returns all kinds of faults.
 func Kinds() []string {
 	return slices.Concat(processFaults, cacheFaults, coordinatorFaults, otherFaults)
 }
 
-// Schedule draws the troubles of a run from the given kinds.
-func Schedule(seed uint64, length time.Duration, fleet, caches int, kinds []string) (list []Fault) {
-	rng := rand.New(rand.NewPCG(seed, 11))
-	for at := quietStart; at < length-quietEnd; at += time.Duration(rng.ExpFloat64() * float64(meanFaultInterval)) {
-		t := Fault{Kind: kinds[rng.IntN(len(kinds))], At: at, Duration: minFaultDuration + time.Duration(rng.Int64N(int64(maxFaultDuration-minFaultDuration)))}
-		t.Target = rng.IntN(fleet)
-		if slices.Contains(cacheFaults, t.Kind) {
-			t.Target = rng.IntN(caches)
-		}
-		list = append(list, t)
+// Schedule draws the faults of a run of the given length from the given kinds.
+func Schedule(seed uint64, length time.Duration, fleet, caches int, kinds []string) (schedule []Fault) {
+	rng := rand.New(rand.NewPCG(seed, scheduleStream))
+	at := quietStart
+	for at < length-quietEnd {
+		schedule = append(schedule, drawFault(rng, at, fleet, caches, kinds))
+		at += time.Duration(rng.ExpFloat64() * float64(meanFaultInterval))
+	}
+	return schedule
+}
+
+// drawFault draws one fault. The order of the draws is part of the schedules.
+func drawFault(rng *rand.Rand, at time.Duration, fleet, caches int, kinds []string) Fault {
+	f := Fault{At: at}
+	f.Kind = kinds[rng.IntN(len(kinds))]
+	f.Duration = minFaultDuration + time.Duration(rng.Int64N(int64(maxFaultDuration-minFaultDuration)))
+	f.Target = rng.IntN(fleet)
+	if slices.Contains(cacheFaults, f.Kind) {
+		f.Target = rng.IntN(caches)
 	}
-	return list
+	return f
 }
 
-// formatSchedule lists a schedule.
-func formatSchedule(list []Fault) string {
+// formatSchedule lists a schedule, a line a fault.
+func formatSchedule(schedule []Fault) string {
 	var b strings.Builder
-	for _, t := range list {
-		fmt.Fprintln(&b, t)
+	for _, f := range schedule {
+		fmt.Fprintln(&b, f)
 	}
 	return b.String()
 }
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -11,58 +11,75 @@
 	"golang.org/x/sys/unix"
 )
 
-// server stands in for a cache, a parent or the origin: it keeps copies, drops them some time after a purge, and records what it
-// is asked.
+const (
+	// lateReadsAfterHang is how long after a hang a server reads what was sent during it.
+	lateReadsAfterHang = 300 * time.Millisecond
+	// maxPurgeDelay is the longest time after which a server drops purged copies.
+	maxPurgeDelay = 5 * time.Second
+	// hangPollInterval is how often a hung server looks whether the hang is over.
+	hangPollInterval = time.Millisecond
+	// serverStream is the stream of a seed's random numbers that a server draws from.
+	serverStream = 7
+)
+
+// server stands in for a cache, a parent or the origin. It caches objects, drops purged copies some time after the
+// purge, and records the calls that it reads.
 type server struct {
 	h              *History
 	id, kind, zone string
-	addr           string
-	mu             sync.Mutex
-	rng            *rand.Rand
-	listener       net.Listener
-	conns          map[net.Conn]bool
-	copies         map[string]time.Time // when the origin gave each out, by object
-	serial         *sequence
-	hungUntil      time.Duration
-	slowUntil      time.Duration
-	malformUntil   time.Duration
-	overloadUntil  time.Duration
-	started        time.Time  // of a late start
-	state          string     // as the list tells
-	relayAddr      string     // where proxies find it, if that is elsewhere
-	faultMu        sync.Mutex // held by the trouble that it is in
-}
-
-// sequence gives out numbers.
+	serials        *sequence
+	relayAddr      string     // where proxies reach it through a relay; empty: at addr
+	faultMu        sync.Mutex // held while a restart of the server lasts
+
+	mu            sync.Mutex // of the fields below
+	addr          string
+	rng           *rand.Rand
+	listener      net.Listener
+	conns         map[net.Conn]bool
+	copies        map[string]time.Time // by object: when the origin gave the copy out
+	hungUntil     time.Duration        // reads and writes nothing until then
+	slowUntil     time.Duration
+	malformUntil  time.Duration // may malform its answers
+	overloadUntil time.Duration // may reject calls
+	restartedAt   time.Time     // zero: not during the run
+	state         string        // in the endpoint list
+}
+
+// sequence hands out numbers from 1.
 type sequence struct {
-	mu sync.Mutex
-	n  int
+	mu   sync.Mutex
+	last int
 }
 
-func (c *sequence) next() int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.n++
-	return c.n
+func (s *sequence) next() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.last++
+	return s.last
 }
 
-func newServer(h *History, id, kind, zone, addr string, seed uint64, serial *sequence) (*server, error) {
-	s := &server{h: h, id: id, kind: kind, zone: zone, addr: addr, rng: rand.New(rand.NewPCG(seed, 7)), serial: serial,
-		conns: map[net.Conn]bool{}, copies: map[string]time.Time{}, state: "SERVING"}
+// newServer starts a server at an address.
+func newServer(h *History, id, kind, zone, addr string, seed uint64, serials *sequence) (*server, error) {
+	s := &server{
+		h: h, id: id, kind: kind, zone: zone, addr: addr, rng: rand.New(rand.NewPCG(seed, serverStream)), serials: serials,
+		conns: map[net.Conn]bool{}, copies: map[string]time.Time{}, state: "SERVING",
+	}
 	return s, s.listen()
 }
 
+// listen opens the server's address and accepts connections until the listener is closed.
 func (s *server) listen() error {
-	ln, err := net.Listen("tcp", s.addr)
+	listener, err := net.Listen("tcp", s.addr)
 	if err != nil {
 		return err
 	}
 	s.mu.Lock()
-	s.listener, s.addr = ln, ln.Addr().String()
+	s.listener = listener
+	s.addr = listener.Addr().String()
 	s.mu.Unlock()
 	go func() {
 		for {
-			conn, err := ln.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -75,124 +92,156 @@
 	return nil
 }
 
-// crash resets all connections and refuses new ones; what the server kept is lost.
+// crash resets all connections, refuses new ones and loses all copies.
 func (s *server) crash() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.listener.Close() //nolint:errcheck // it listens no more in any case
+	s.listener.Close() //nolint:errcheck // it is not used any more
 	for conn := range s.conns {
-		conn.(*net.TCPConn).SetLinger(0) //nolint:errcheck // it may have ended
-		conn.Close()                     //nolint:errcheck // as above
+		resetConn(conn)
 	}
-	s.conns, s.copies = map[net.Conn]bool{}, map[string]time.Time{}
+	s.conns = map[net.Conn]bool{}
+	s.copies = map[string]time.Time{}
 }
 
-// resetConns ends some connections, whatever is open on them.
-func (s *server) resetConns(share float64) {
+// restart accepts connections again after a crash.
+func (s *server) restart() error {
+	err := s.listen()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.restartedAt = time.Now()
+	return err
+}
+
+// resetConns resets a fraction of the connections.
+func (s *server) resetConns(fraction float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for conn := range s.conns {
-		if s.rng.Float64() < share {
-			conn.(*net.TCPConn).SetLinger(0) //nolint:errcheck // it may have ended
-			conn.Close()                     //nolint:errcheck // as above
+		if s.rng.Float64() < fraction {
+			resetConn(conn)
 			delete(s.conns, conn)
 		}
 	}
 }
 
-// setUntil sets one of the times up to which the server behaves badly.
-func (s *server) setUntil(field *time.Duration, at time.Duration) {
+// resetConn closes a TCP connection with RST.
+func resetConn(conn net.Conn) {
+	conn.(*net.TCPConn).SetLinger(0) //nolint:errcheck // the proxy may have closed it
+	conn.Close()                     //nolint:errcheck // as above
+}
+
+// extend moves the end of a fault, one of the fields that end in Until, to a later time.
+func (s *server) extend(until *time.Duration, at time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	*until = max(*until, at)
+}
+
+// isBefore reports whether a fault, one of the fields that end in Until, lasts.
+func (s *server) isBefore(until *time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	*field = max(*field, at)
+	return s.h.Now() < *until
 }
 
-func (s *server) isBefore(field *time.Duration) bool {
+// waitWhileHung returns when the server does not hang.
+func (s *server) waitWhileHung() {
+	for s.isBefore(&s.hungUntil) {
+		time.Sleep(hangPollInterval)
+	}
+}
+
+// readsLate reports whether what the server reads now may have been sent during a hang.
+func (s *server) readsLate() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.h.Now() < *field
+	return s.h.Now() < s.hungUntil+lateReadsAfterHang
 }
 
-// draw returns a random number.
+// draw returns a random number from [0, 1).
 func (s *server) draw() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.rng.Float64()
 }
 
-// purge drops copies made before a moment, some time later.
-func (s *server) purge(matches func(object string) bool, moment time.Time) {
-	time.AfterFunc(time.Duration(s.draw()*float64(maxPurgeDelay)), func() {
+// purge drops matching copies made before a time, after a delay that it draws.
+func (s *server) purge(matches func(object string) bool, before time.Time) {
+	delay := time.Duration(s.draw() * float64(maxPurgeDelay))
+	time.AfterFunc(delay, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		for object, made := range s.copies {
-			if matches(object) && made.Before(moment) {
+		for object, madeAt := range s.copies {
+			if matches(object) && madeAt.Before(before) {
 				delete(s.copies, object)
 			}
 		}
 	})
 }
 
-// sinceArrival is how long ago the last bytes of a connection came to this machine: they may have been read late.
-func sinceArrival(conn net.Conn) (ago time.Duration) {
-	raw, err := conn.(*net.TCPConn).SyscallConn()
-	if err != nil {
-		return 0
-	}
-	raw.Control(func(fd uintptr) { //nolint:errcheck // it stays 0
-		if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
-			ago = time.Duration(info.Last_data_recv) * time.Millisecond
-		}
-	})
-	return ago
-}
-
-// readsLate says that the server did not read until just now: what it reads may have been sent before.
-func (s *server) readsLate() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.h.Now() < s.hungUntil+lateReadsAfterHang
-}
-
-// waitWhileHung returns when the server reads on, and says whether it had to wait.
-func (s *server) waitWhileHung() (waited bool) {
-	for s.isBefore(&s.hungUntil) {
-		waited = true
-		time.Sleep(time.Millisecond)
-	}
-	return waited
-}
-
 // serve reads the commands of one connection.
 func (s *server) serve(conn net.Conn) {
 	defer conn.Close() //nolint:errcheck // the proxy may have closed it
-	in, out := bufio.NewReader(conn), &output{conn: conn}
+	in := bufio.NewReader(conn)
+	out := &lockedWriter{conn: conn}
 	for {
 		s.waitWhileHung()
 		if _, err := in.Peek(1); err != nil {
 			return
 		}
 		s.waitWhileHung()
-		held := s.readsLate()
-		first := s.h.Now() - sinceArrival(conn)
-		words, err := command(in)
+		late := s.readsLate()
+		firstByteAt := s.h.Now() - sinceArrival(conn)
+		words, err := readCommand(in)
 		if err != nil {
 			return
 		}
 		if words[0] != "REQ" || len(words) != 4 {
-			continue // STOP: what it stops is answered all the same, which crosses it
+			continue // STOP does not take effect: the answer and the STOP may always cross
 		}
-		c := s.record(words, first, held)
-		go s.answer(c, out)
+		call := s.record(words, firstByteAt, late)
+		go s.answer(call, out)
+	}
+}
+
+// sinceArrival is how long ago the last bytes of a connection arrived at this machine. They may be read later.
+func sinceArrival(conn net.Conn) (ago time.Duration) {
+	raw, err := conn.(*net.TCPConn).SyscallConn()
+	if err != nil {
+		return 0
 	}
+	raw.Control(func(fd uintptr) { //nolint:errcheck // the connection has ended: ago stays 0
+		info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
+		if err == nil {
+			ago = time.Duration(info.Last_data_recv) * time.Millisecond
+		}
+	})
+	return ago
 }
 
-// entry is the server's in the list.
+// setState sets the state in the endpoint list, and returns the entry there and when the server was restarted.
+func (s *server) setState(state string) (entry string, restartedAt time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.state = state
+	return s.entry(), s.restartedAt
+}
+
+// entry is the server's entry in the endpoint list. The caller holds mu, or the server is not shared yet.
 func (s *server) entry() string {
-	started := int64(0)
-	if !s.started.IsZero() {
-		started = s.started.UnixMilli()
+	startedMS := int64(0)
+	if !s.restartedAt.IsZero() {
+		startedMS = s.restartedAt.UnixMilli()
 	}
 	return fmt.Sprintf(`{"id":%q,"addr":%q,"zone":%q,"kind":%q,"cell":0,"state":%q,"weight":%v,"started_ms":%d}`,
-		s.id, s.listed(), s.zone, s.kind, s.state, float64(cacheWeight), started)
+		s.id, s.listedAddr(), s.zone, s.kind, s.state, cacheWeight, startedMS)
+}
+
+// listedAddr is where proxies reach the server.
+func (s *server) listedAddr() string {
+	if s.relayAddr != "" {
+		return s.relayAddr
+	}
+	return s.addr
 }
--- a/internal/soak/settings.go
+++ b/internal/soak/settings.go
@@ -1,22 +1,73 @@
 package soak
 
-// settingsFor are the settings of one proxy.
-func settingsFor(index, fleet int, secondCopies bool) map[string]any {
-	class := func(name, effect string, gain float64) map[string]any {
-		return map[string]any{"name": name, "semantics": effect, "promise-us": 500000, "deadline-us": 2000000, "gain": gain, "aim-stretch": 2.0}
+import "time"
+
+// The values that proxies are configured with and that the rules check.
+const (
+	proxyMemoryMB       = 64
+	proxyDescriptors    = 256
+	flowBytesPerSecond  = 200_000 // of one transfer: an object takes 50 ms
+	cacheWeight         = 3.0     // transfers that a cache's link carries at a time
+	deduplicationWindow = 400 * time.Millisecond
+	slowStartCapacity   = 0.1 // fraction of a server's capacity at its start
+	slowStartDuration   = 4 * time.Second
+	overloadMultiple    = 2 // of a server's capacity
+	overloadWindow      = time.Second
+	maxDeadline         = 3 * time.Second
+)
+
+// The grace periods after a notice, which the rules set.
+const (
+	drainGrace = 500 * time.Millisecond
+	purgeGrace = 300 * time.Millisecond
+)
+
+const kbPerMB = 1 << 10
+
+// fleetLimits are the limits of all proxies.
+func fleetLimits() Limits {
+	return Limits{
+		MemoryKB: proxyMemoryMB * kbPerMB, Descriptors: proxyDescriptors,
+		DrainGrace: drainGrace, PurgeGrace: purgeGrace,
+		OverloadMultiple: overloadMultiple, OverloadWindow: overloadWindow,
+		SlowStartCapacity: slowStartCapacity, SlowStartDuration: slowStartDuration,
+		LinkTransfers: cacheWeight, TransferTime: bodySize * time.Second / flowBytesPerSecond,
+		MaxDeadline: maxDeadline, DeduplicationWindow: deduplicationWindow,
 	}
-	keyed := class(classKeyed, "idempotency_key", 1)
-	keyed["key-scope"], keyed["window-us"] = "all", keyWindow.Microseconds()
+}
+
+// settingsFor are the settings in the configuration of one proxy of a fleet.
+func settingsFor(index, fleet int, hedging bool) map[string]any {
 	return map[string]any{
 		"areas": []string{"hub", "edge"}, "host-types": []string{"std", "parent", "origin"}, "zone": 1,
 		"group-size": fleet, "index": index, "weight-source": "nominal",
-		"classes": []any{class(classRead, "read_like", 2), class(classWrite, "non_idempotent", 3), keyed},
-		"domain": map[string]any{"direct": true, "root-kind": 2, "upper-kind": 1, "can-join": true, "pass-on": []bool{false, true, false},
-			"cleared-within-us": 6000000, "purge-slack-us": 300000, "peers-fill": "location", "one-flow-kb-per-s": flowBytes / 1000,
+		"classes": classSettings(),
+		"domain": map[string]any{
+			"direct": true, "root-kind": 2, "upper-kind": 1, "can-join": true, "pass-on": []bool{false, true, false},
+			"cleared-within-us": 6000000, "purge-slack-us": 300000, "peers-fill": "location", "one-flow-kb-per-s": flowBytesPerSecond / 1000,
 			"count-by-zone": []int{0, fleet}, "attached-to": []int{0, 0}, "pipe-kb-per-s": []float64{0, 4000},
-			"parent-floor": 0.5, "upper-cold-us": 1, "parent-limit-factor": 2},
-		"limits": map[string]any{"connect-timeout-us": 400000, "conn-idle-us": 15000000, "streams-per-conn": 32,
-			"max-attempts": 8, "may-cancel": true, "second-copies": secondCopies, "max-retry-after-us": 500000},
-		"rules": map[string]any{"start-capacity": 0.1, "warm-within-us": 4000000, "fall-multiple": 2, "fall-us": 1000000},
+			"parent-floor": 0.5, "upper-cold-us": 1, "parent-limit-factor": 2,
+		},
+		"limits": map[string]any{
+			"connect-timeout-us": 400000, "conn-idle-us": 15000000, "streams-per-conn": 32,
+			"max-attempts": 8, "may-cancel": true, "second-copies": hedging, "max-retry-after-us": 500000,
+		},
+		"rules": map[string]any{
+			"start-capacity": slowStartCapacity, "warm-within-us": slowStartDuration.Microseconds(),
+			"fall-multiple": overloadMultiple, "fall-us": overloadWindow.Microseconds(),
+		},
 	}
 }
+
+// classSettings are the settings of the classes of requests.
+func classSettings() []any {
+	class := func(name, semantics string, gain float64) map[string]any {
+		return map[string]any{
+			"name": name, "semantics": semantics, "promise-us": 500000, "deadline-us": 2000000, "gain": gain, "aim-stretch": 2.0,
+		}
+	}
+	keyed := class(classKeyed, "idempotency_key", 1)
+	keyed["key-scope"] = "all"
+	keyed["window-us"] = deduplicationWindow.Microseconds()
+	return []any{class(classRead, "read_like", 2), class(classWrite, "non_idempotent", 3), keyed}
+}
--- a/internal/soak/shrink.go
+++ b/internal/soak/shrink.go
@@ -7,28 +7,39 @@
 	"slices"
 )
 
-// shrink leaves out one trouble after another as long as the first rule that was broken is still broken, and keeps the least
-// schedule. Runs differ in their timing: what does not show again may all the same be needed.
+// shrink removes one fault after another from a schedule, as long as its first violated rule is still violated, and
+// writes the shortest schedule to the report directory. Timing differs between runs: a fault that is removed, or kept,
+// by chance is possible.
 func shrink(seed uint64, o Options, found Result) error {
-	least, rule := found.Schedule, found.Violations[0].Rule
-	o.Shrink = false
-	keep := o.ReportDir
+	reportDir := o.ReportDir
 	o.ReportDir = ""
-	for i := 0; i < len(least); {
-		without := slices.Delete(slices.Clone(least), i, i+1)
-		result, err := play(seed, o, without)
+	o.Shrink = false
+	rule := found.Violations[0].Rule
+	shortest := found.Schedule
+	for i := 0; i < len(shortest); {
+		shorter := slices.Delete(slices.Clone(shortest), i, i+1)
+		result, err := play(seed, o, shorter)
 		if err != nil {
 			return err
 		}
-		if slices.ContainsFunc(result.Violations, func(v Violation) bool { return v.Rule == rule }) {
-			least = without
+		if result.violates(rule) {
+			shortest = shorter
 		} else {
 			i++
 		}
 	}
-	if keep == "" {
+	if reportDir == "" {
 		return nil
 	}
-	path := filepath.Join(keep, fmt.Sprintf("seed-%d", seed), "least.txt")
-	return os.WriteFile(path, []byte(rule+"\n"+formatSchedule(least)), 0o644)
+	path := filepath.Join(seedDir(reportDir, seed), "least.txt")
+	return os.WriteFile(path, []byte(rule+"\n"+formatSchedule(shortest)), 0o644)
+}
+
+func (r Result) violates(rule string) bool {
+	return slices.ContainsFunc(r.Violations, func(v Violation) bool { return v.Rule == rule })
+}
+
+// seedDir is the directory of a seed's reports.
+func seedDir(reportDir string, seed uint64) string {
+	return filepath.Join(reportDir, fmt.Sprintf("seed-%d", seed))
 }
--- a/internal/soak/watchserver.go
+++ b/internal/soak/watchserver.go
@@ -4,126 +4,166 @@
 	"bufio"
 	"fmt"
 	"net"
+	"strconv"
 	"time"
 )
 
-// writePaced writes a line.
-func (p *watchServer) writePaced(conn net.Conn, line string, pace time.Duration) bool {
-	for len(line) > 0 {
-		size := len(line)
-		if pace > 0 {
-			size = 1
-			time.Sleep(pace)
-		}
-		if _, err := conn.Write([]byte(line[:size])); err != nil {
-			return false
-		}
-		line = line[size:]
-	}
-	return true
-}
-
 const (
+	// progressInterval is how often a stream without events brings the index of the last event.
 	progressInterval = time.Second
-	// slowLineTime is how long a slow coordinator takes over one line of its list, steadily: what is behind it comes within the 7 s
-	// after which it counts as told.
+	// eventPollInterval is how often a stream looks for the next event.
+	eventPollInterval = 2 * time.Millisecond
+	// slowLineTime is how long a slow stream takes for one line. With the line behind it, it stays within notifyWithin.
 	slowLineTime = 6 * time.Second
 )
 
-// watchServer is the coordinator's address for one proxy.
+// watchServer is the coordinator's side for one proxy.
 type watchServer struct {
-	c         *coordinator
-	proxy     int
+	c     *coordinator
+	proxy int
+
+	// Under the coordinator's mu:
 	addr      string
 	mode      coordinatorMode
-	modeSetAt time.Duration // when the mode was set
-	slowEvent int           // the event that is brought slowly, to every follower; 0: none yet
+	modeSetAt time.Duration
+	slowEvent int // index of the event that slow streams bring slowly; 0: none yet
 	listener  net.Listener
 	streams   map[net.Conn]bool
 }
 
-func (p *watchServer) listen() error {
-	ln, err := net.Listen("tcp", p.addr)
+// listen opens the address and serves streams until the listener is closed.
+func (ws *watchServer) listen() error {
+	listener, err := net.Listen("tcp", ws.addr)
 	if err != nil {
 		return err
 	}
-	p.c.mu.Lock()
-	p.listener, p.addr = ln, ln.Addr().String()
-	p.c.mu.Unlock()
+	ws.c.mu.Lock()
+	ws.listener = listener
+	ws.addr = listener.Addr().String()
+	ws.c.mu.Unlock()
 	go func() {
 		for {
-			conn, err := ln.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go p.serve(conn)
+			go ws.serve(conn)
 		}
 	}()
 	return nil
 }
 
-// serve brings the events to one follower.
-func (p *watchServer) serve(conn net.Conn) {
-	p.c.mu.Lock()
-	p.streams[conn] = true
-	p.c.mu.Unlock()
+// closeAll closes the listener and all streams. The caller holds the coordinator's mu.
+func (ws *watchServer) closeAll() {
+	ws.listener.Close() //nolint:errcheck // it is not used any more
+	for conn := range ws.streams {
+		conn.Close() //nolint:errcheck // the proxy may have closed it
+	}
+}
+
+func (ws *watchServer) addStream(conn net.Conn) {
+	ws.c.mu.Lock()
+	defer ws.c.mu.Unlock()
+	ws.streams[conn] = true
+}
+
+func (ws *watchServer) removeStream(conn net.Conn) {
+	ws.c.mu.Lock()
+	defer ws.c.mu.Unlock()
+	delete(ws.streams, conn)
+}
+
+func (ws *watchServer) isSilent() bool {
+	ws.c.mu.Lock()
+	defer ws.c.mu.Unlock()
+	return ws.mode == modeSilent
+}
+
+// serve reads which event a proxy follows from, and brings it the events after that until the connection ends.
+func (ws *watchServer) serve(conn net.Conn) {
+	ws.addStream(conn)
 	defer func() {
-		p.c.mu.Lock()
-		delete(p.streams, conn)
-		p.c.mu.Unlock()
-		conn.Close() //nolint:errcheck // it may have ended
+		ws.removeStream(conn)
+		conn.Close() //nolint:errcheck // the proxy may have closed it
 	}()
 	in := bufio.NewReader(conn)
 	line, err := in.ReadString('\n')
+	if err != nil {
+		return
+	}
 	var index int
-	if _, scan := fmt.Sscanf(line, "follow %d", &index); err != nil || scan != nil {
+	if _, err := fmt.Sscanf(line, "follow %d", &index); err != nil {
 		return
 	}
-	p.c.h.Note("coord", "proxy-%d follows from %d", p.proxy, index)
+	ws.c.h.Note("coord", "proxy-%d follows from %d", ws.proxy, index)
 	ended := make(chan struct{})
 	go func() {
-		in.ReadByte() //nolint:errcheck // nothing comes; its end does
+		in.ReadByte() //nolint:errcheck // the proxy sends nothing more: it returns when the connection ends
 		close(ended)
 	}()
-	for ticked := time.Now(); ; {
+	ws.bringEvents(conn, index, ended)
+}
+
+// bringEvents writes the events after an index, each as it is published, and the last index once progressInterval has
+// passed without one.
+func (ws *watchServer) bringEvents(conn net.Conn, index int, ended <-chan struct{}) {
+	lastProgress := time.Now()
+	for {
 		select {
 		case <-ended:
 			return
-		case <-time.After(2 * time.Millisecond):
+		case <-time.After(eventPollInterval):
 		}
-		if p.c.modeOf(p) == modeSilent {
-			continue
-		}
-		text, event, last := p.c.after(index)
-		if event == nil && time.Since(ticked) < progressInterval {
+		if ws.isSilent() {
 			continue
 		}
+		line, event, lastIndex := ws.c.after(index)
 		if event == nil {
-			ticked = time.Now()
-			text = fmt.Sprint(last)
+			if time.Since(lastProgress) < progressInterval {
+				continue
+			}
+			lastProgress = time.Now()
+			line = strconv.Itoa(lastIndex)
 		}
-		if !p.writePaced(conn, text+"\n", p.byteInterval(event, len(text))) {
+		if !writePaced(conn, line+"\n", ws.byteInterval(event, len(line))) {
 			return
 		}
 		if event != nil {
 			index++
-			p.c.h.locked(func() {
-				if _, told := event.DeliveredAt[p.proxy]; !told {
-					event.DeliveredAt[p.proxy] = p.c.h.Now()
-				}
-			})
-			p.c.h.Note("coord", "told proxy-%d event %d", p.proxy, event.Index)
+			ws.c.recordDelivery(event, ws.proxy)
 		}
 	}
 }
 
-// byteInterval is how long each byte of a line takes; 0: the line comes at once.
-func (p *watchServer) byteInterval(e *WatchEvent, size int) time.Duration {
-	p.c.mu.Lock()
-	defer p.c.mu.Unlock()
-	if e == nil || p.mode != modeSlow || len(e.Withdrawn)+len(e.Serving) == 0 || p.slowEvent != 0 && p.slowEvent != e.Index {
+// byteInterval is the time between two bytes of a line; 0: the line is written at once. A slow stream is slow for one
+// event of the endpoint list, the same for all streams of the proxy.
+func (ws *watchServer) byteInterval(e *WatchEvent, size int) time.Duration {
+	ws.c.mu.Lock()
+	defer ws.c.mu.Unlock()
+	if ws.mode != modeSlow || e == nil || !e.changesEndpoints() {
+		return 0
+	}
+	if ws.slowEvent != 0 && ws.slowEvent != e.Index {
 		return 0
 	}
-	p.slowEvent = e.Index
+	ws.slowEvent = e.Index
 	return slowLineTime / time.Duration(size)
 }
+
+// changesEndpoints reports whether an event is about the endpoint list.
+func (e *WatchEvent) changesEndpoints() bool { return len(e.Withdrawn)+len(e.Serving) > 0 }
+
+// writePaced writes a line, byte by byte where an interval is given. It reports false once the connection has ended.
+func writePaced(conn net.Conn, line string, byteInterval time.Duration) bool {
+	if byteInterval == 0 {
+		_, err := conn.Write([]byte(line))
+		return err == nil
+	}
+	for _, b := range []byte(line) {
+		time.Sleep(byteInterval)
+		if _, err := conn.Write([]byte{b}); err != nil {
+			return false
+		}
+	}
+	return true
+}
