--- a/cmd/edgeproxy/coordinator_test.go
+++ b/cmd/edgeproxy/coordinator_test.go
@@ -1,13 +1,10 @@
 package main
 
 import (
-	"bufio"
 	"encoding/json"
 	"fmt"
-	"net"
 	"strconv"
 	"strings"
-	"sync"
 	"testing"
 	"time"
 )
@@ -157,28 +154,6 @@
 	w.servedOnlyBy("second")
 }
 
-// awaitEventsTaken waits until all that was told has been taken.
-func (w *testEnv) awaitEventsTaken() {
-	w.t.Helper()
-	w.sendEvent("nonsense") // is answered by following anew
-	receive(w.t, w.followLines, "follow")
-}
-
-// servedOnlyBy checks that reads of all kinds of objects are answered with one body.
-func (w *testEnv) servedOnlyBy(body string) {
-	w.t.Helper()
-	c := w.dial()
-	for i := range 30 {
-		c.request(1, "artes", longTimeoutMS, i, "")
-		if a := receive(w.t, c.answers, "answer"); a.body != body {
-			w.t.Errorf("object %d: %+v", i, a)
-		}
-	}
-	if len(w.cache.calls) > 0 {
-		w.t.Errorf("%q was sent to a cache that drains", (<-w.cache.calls).words)
-	}
-}
-
 // A stream that goes on and on without ending a line is as good as silent.
 func TestEndlessLineIsGivenUp(t *testing.T) {
 	t.Parallel()
@@ -242,44 +217,6 @@
 	}
 }
 
-// slowCoordinator brings one line to each follower, as many bytes at a time as the test wants.
-type slowCoordinator struct {
-	net.Listener
-	line string
-	mu   sync.Mutex
-	sent map[net.Conn]int
-}
-
-func newSlowCoordinator(t *testing.T, line any, follows chan<- string) *slowCoordinator {
-	t.Helper()
-	text, err := json.Marshal(line)
-	if err != nil {
-		t.Fatal(err)
-	}
-	s := &slowCoordinator{Listener: listen(t), line: string(text) + "\n", sent: map[net.Conn]int{}}
-	go serveEach(s, func(conn net.Conn) {
-		in := bufio.NewScanner(conn)
-		for in.Scan() {
-			s.mu.Lock()
-			s.sent[conn] = 0
-			s.mu.Unlock()
-			follows <- in.Text()
-		}
-	})
-	return s
-}
-
-// writeNext writes the next bytes to each follower.
-func (s *slowCoordinator) writeNext(bytes int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for conn, sent := range s.sent {
-		next := min(sent+bytes, len(s.line))
-		fmt.Fprint(conn, s.line[sent:next]) //nolint:errcheck // a follower may have disconnected
-		s.sent[conn] = next
-	}
-}
-
 // A coordinator that brings an event slowly but steadily is heard: what has come of the line is not thrown away.
 func TestSlowLineIsHeard(t *testing.T) {
 	const inAll, step = 6 * time.Second, 100 * time.Millisecond
--- a/cmd/edgeproxy/world_test.go
+++ b/cmd/edgeproxy/env_test.go
@@ -1,10 +1,8 @@
 package main
 
 import (
-	"bufio"
 	"encoding/json"
 	"fmt"
-	"io"
 	"net"
 	"net/netip"
 	"os"
@@ -18,28 +16,6 @@
 	"time"
 )
 
-// The tests start this test binary as the real program.
-func TestMain(m *testing.M) {
-	if os.Getenv("CLOVERDOOR_TEST_PROGRAM") != "" {
-		serveByTestClock()
-		return
-	}
-	os.Exit(m.Run())
-}
-
-// testTimeout bounds every wait of a test; none of them depends on how long one really takes.
-const testTimeout = 20 * time.Second
-
-func receive[T any](t *testing.T, from <-chan T, what string) (v T) {
-	t.Helper()
-	select {
-	case v = <-from:
-	case <-time.After(testTimeout):
-		t.Fatalf("no %s", what)
-	}
-	return v
-}
-
 // testEnv is the program and all that it talks to.
 type testEnv struct {
 	t                         *testing.T
@@ -61,15 +37,6 @@
 	extraEnv                  []string     // of the program, besides the usual
 }
 
-// endpoint is an entry of the coordinator's list.
-func endpoint(id, kind, zone, state string, at net.Listener) map[string]any {
-	return map[string]any{"id": id, "addr": at.Addr().String(), "zone": zone, "kind": kind, "state": state, "weight": 10000}
-}
-
-func endpointEvent(index int, full bool, servers ...any) map[string]any {
-	return map[string]any{"index": index, "endpoints": map[string]any{"version": index, "full": full, "servers": servers}}
-}
-
 // startTestEnv starts the program with one cache and the origin known from the start, as event 1.
 func startTestEnv(t *testing.T) *testEnv {
 	t.Helper()
@@ -163,49 +130,6 @@
 	return old
 }
 
-// stopCoordinator ends the coordinator and its stream; its address refuses connections until resume.
-func (w *testEnv) stopCoordinator() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	closeOnce(w.t, w.coordinatorListener)
-	closeOnce(w.t, w.watchConn)
-}
-
-// resumeCoordinator opens the coordinator again at its address.
-func (w *testEnv) resumeCoordinator() {
-	w.t.Helper()
-	l, err := net.Listen("tcp", w.coordinatorListener.Addr().String())
-	if err != nil {
-		w.t.Fatal(err)
-	}
-	w.t.Cleanup(func() { closeOnce(w.t, l) })
-	w.serveCoordinator(l)
-}
-
-// startCoordinator starts a startCoordinator and returns its address.
-func (w *testEnv) startCoordinator() string {
-	l := listen(w.t)
-	w.serveCoordinator(l)
-	return l.Addr().String()
-}
-
-func (w *testEnv) serveCoordinator(l net.Listener) {
-	if w.coordinatorListener = l; w.coordinatorDown {
-		w.coordinatorDown = false
-		closeOnce(w.t, l)
-		return
-	}
-	go serveEach(l, func(conn net.Conn) {
-		w.mu.Lock()
-		w.watchConn = conn
-		w.mu.Unlock()
-		in := bufio.NewScanner(conn)
-		for in.Scan() {
-			w.followLines <- in.Text()
-		}
-	})
-}
-
 // programCommand returns a command that starts the programCommand, and the path of its configuration.
 func programCommand(t *testing.T, config any) (cmd *exec.Cmd, path string) {
 	t.Helper()
@@ -222,24 +146,6 @@
 	return cmd, path
 }
 
-// sendEvent sends a line to whoever follows the coordinator now.
-func (w *testEnv) sendEvent(line any) {
-	w.t.Helper()
-	text, ok := line.(string)
-	if !ok {
-		b, err := json.Marshal(line)
-		if err != nil {
-			w.t.Fatal(err)
-		}
-		text = string(b)
-	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if _, err := io.WriteString(w.watchConn, text+"\n"); err != nil {
-		w.t.Fatal(err)
-	}
-}
-
 // eventually tries until done.
 func (w *testEnv) eventually(what string, done func() bool) {
 	w.t.Helper()
@@ -287,3 +193,55 @@
 	}
 	return addr
 }
+
+// startWith starts the program with the cache and the origin at the given places.
+func (w *testEnv) startWith(cache, origin net.Listener) {
+	w.t.Helper()
+	w.start(endpointEvent(1, true, endpoint("c1", "std", "edge", "SERVING", cache), endpoint("o1", "origin", "hub", "SERVING", origin)))
+	w.awaitAlive("200")
+}
+
+func (w *testEnv) signal(signals ...os.Signal) {
+	w.t.Helper()
+	for _, s := range signals {
+		if err := w.cmd.Process.Signal(s); err != nil {
+			w.t.Fatal(err)
+		}
+	}
+}
+
+// awaitNotListening waits until the program has stopped listening: clients are sent away from then on.
+func (w *testEnv) awaitNotListening() {
+	w.t.Helper()
+	w.eventually("no more connections taken", func() bool {
+		conn, err := net.Dial("tcp", w.addr)
+		if err == nil {
+			closeOnce(w.t, conn)
+		}
+		return err != nil
+	})
+}
+
+// pause stops the program's process until thaw is called: what is sent meanwhile arrives in one piece.
+func (w *testEnv) pause() (thaw func()) {
+	w.t.Helper()
+	if err := w.cmd.Process.Signal(syscall.SIGSTOP); err != nil {
+		w.t.Fatal(err)
+	}
+	w.eventually("every thread has stopped", func() bool {
+		tasks, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/status", w.cmd.Process.Pid))
+		for _, task := range tasks {
+			status, err := os.ReadFile(task)
+			if err == nil && !strings.Contains(string(status), "State:\tT") {
+				return false
+			}
+		}
+		return err == nil
+	})
+	return func() {
+		w.t.Helper()
+		if err := w.cmd.Process.Signal(syscall.SIGCONT); err != nil {
+			w.t.Fatal(err)
+		}
+	}
+}
--- a/cmd/edgeproxy/fastcgi_client_test.go
+++ b/cmd/edgeproxy/fastcgi_client_test.go
@@ -110,3 +110,33 @@
 	b.Conn.Write(b.buffer) //nolint:errcheck // a lost connection shows in the answers
 	b.buffer = nil
 }
+
+// longTimeoutMS is how long a client waits, in milliseconds, where its time must not run out.
+const longTimeoutMS = 60_000
+
+func (c *client) closeWrite() { c.Conn.(*net.TCPConn).CloseWrite() } //nolint:errcheck // shows in the answers
+
+// newUnreadingClient returns a client that has left over 1 MB of answers unread, and of which one request, number 99, is out at
+// the cache.
+func newUnreadingClient(w *testEnv) (stuck net.Conn, out *receivedCall) {
+	w.t.Helper()
+	conn, err := net.Dial("tcp", w.addr)
+	if err != nil {
+		w.t.Fatal(err)
+	}
+	w.t.Cleanup(func() { closeOnce(w.t, conn) })
+	c := &client{Conn: conn}
+	c.request(99, "artes", longTimeoutMS, 99, "")
+	out = receive(w.t, w.cache.calls, "call")
+	for id := range uint16(31) { // 7.4 MB: over what the system takes for both ends
+		c.request(id+1, "artes", longTimeoutMS, int(id), "")
+	}
+	for range 31 {
+		receive(w.t, w.cache.calls, "call").answer("served", "-", strings.Repeat("x", 240_000))
+	}
+	w.eventually("all others are answered", func() bool { return w.metric("svc_open_requests") == 1 })
+	return conn, out
+}
+
+// overCancelGrace is more than the operators allow between a client's end and an attempt for it.
+const overCancelGrace = 150 * time.Millisecond
--- /dev/null
+++ b/cmd/edgeproxy/scriptplay_test.go
@@ -0,0 +1,114 @@
+package main
+
+import (
+	"net"
+	"os"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+)
+
+// playTime is how long the script is played, by the program's clock: seconds with the other tests, minutes where
+// FAULT_SOAK says so.
+func playTime(t *testing.T) time.Duration {
+	t.Helper()
+	text := os.Getenv("FAULT_SOAK")
+	if text == "" {
+		return 5 * time.Second
+	}
+	d, err := time.ParseDuration(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return d
+}
+
+// playScript plays one script on both sides of the program and its coordinator, with the same traffic, and returns the
+// outcomes that the program has counted and the faults that have fired. The program's time stands still while a request
+// is open, and moves on by a step between two: how long the machine takes for anything shows nowhere. Where slow is set,
+// some answers take longer than the program waits for one before it asks again.
+func playScript(t *testing.T, length time.Duration, slow bool) (figures, faults string) {
+	t.Helper()
+	w := newTestEnv(t)
+	w.clock = newManualClock(t)
+	calls := 0
+	go func() {
+		for got := range w.cache.calls {
+			if calls++; slow && calls%50 == 25 {
+				time.Sleep(300 * time.Millisecond) // not a race: the outcomes must not depend on it
+			}
+			got.answer("served", "made=1,note=TCP_HIT", strings.Repeat("c", 500))
+		}
+	}()
+	w.origin.answerAll("served", "made=1", strings.Repeat("o", 200))
+	cache := newFaultyAddr(t, w.cache.Addr().String(), "c down every 2 byte 7000 : reset", "c down byte 9100 : close",
+		"c down every 3 byte 5000 : garble 9", "c up : pieces 50", "c : delay 1ms", "c down every 5 byte 3000 : repeat 600")
+	origin := newFaultyAddr(t, w.origin.Addr().String(), "c down byte 1100 : reset", "c up every 5 byte 900 : reset",
+		"c down every 3 byte 700 : halfclose")
+	var feed *faultyAddr
+	w.coordinatorVia = func(addr string) string {
+		feed = newFaultyAddr(t, addr, "c down every 2 byte 400 : reset", "c down every 3 byte 300 : garble 3")
+		return feed.Addr().String()
+	}
+	w.startWith(cache, origin)
+	front := newFaultyAddr(t, w.addr, "c up every 3 byte 2500 : reset", "c down byte 14000 : close", "c : pieces 70")
+	requests := int(length / clockStep)
+	var c *client
+	lost := 0
+	for i := range requests {
+		w.clock.advance(clockStep)
+		if c == nil || i%40 == 0 {
+			conn, err := net.Dial("tcp", front.Addr().String())
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer closeOnce(t, conn)
+			c = newClient(conn)
+		}
+		class := "artes"
+		if i%3 == 0 {
+			class = "registro"
+		}
+		c.request(uint16(i%1000+1), class, 5000, i%17, "")
+		switch a := receive(t, c.answers, "outcome"); {
+		case a.id == 0: // its connection was broken: the request has no outcome at the client's end
+			lost++
+			c = nil
+		case int(a.id) != i%1000+1:
+			t.Fatalf("request %d: %+v", i, a)
+		}
+	}
+	w.eventually("nothing is open", func() bool { return w.metric("svc_open_requests") == 0 })
+	_, stats := w.adminCall("GET", "/ops/stats")
+	for _, line := range strings.Split(stats, "\n") {
+		if strings.HasPrefix(line, "svc_operations") {
+			figures += line + "\n"
+		}
+	}
+	t.Logf("%d requests, %d on broken connections\n%s", requests, lost, figures)
+	return figures, strings.Join([]string{cache.log(), origin.log(), front.log()}, "\n--\n")
+}
+
+// clockStep is how far the program's time moves on between two requests.
+const clockStep = 25 * time.Millisecond
+
+// Two runs of one script with one seed have the same faults and the same outcomes at the program, also when the machine
+// holds answers up in one of them.
+func TestSameScriptSameOutcomes(t *testing.T) {
+	t.Parallel()
+	length := playTime(t)
+	var figures, faults [2]string
+	var both sync.WaitGroup
+	for i := range figures {
+		both.Go(func() { figures[i], faults[i] = playScript(t, length, i == 1) })
+	}
+	both.Wait()
+	if figures[0] != figures[1] {
+		t.Errorf("outcomes differ:\n%s\nand\n%s", figures[0], figures[1])
+	}
+	if faults[0] != faults[1] || strings.Count(faults[0], "\n") < 10 {
+		t.Errorf("faults differ:\n%s\nand\n%s", faults[0], faults[1])
+	}
+	t.Logf("%d faults", strings.Count(faults[0], "line"))
+}
--- a/cmd/edgeproxy/shutdown_test.go
+++ b/cmd/edgeproxy/shutdown_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"net"
-	"os"
 	"syscall"
 	"testing"
 	"time"
@@ -63,27 +62,6 @@
 	}
 }
 
-func (w *testEnv) signal(signals ...os.Signal) {
-	w.t.Helper()
-	for _, s := range signals {
-		if err := w.cmd.Process.Signal(s); err != nil {
-			w.t.Fatal(err)
-		}
-	}
-}
-
-// awaitNotListening waits until the program has stopped listening: clients are sent away from then on.
-func (w *testEnv) awaitNotListening() {
-	w.t.Helper()
-	w.eventually("no more connections taken", func() bool {
-		conn, err := net.Dial("tcp", w.addr)
-		if err == nil {
-			closeOnce(w.t, conn)
-		}
-		return err != nil
-	})
-}
-
 // A request of which a few bytes have come when the program stops is waited for, and answered.
 func TestHalfARequestWhileStopping(t *testing.T) {
 	for _, part := range []int{3, 16, 60} { // of a header, just BEGIN_REQUEST, and in the parameters
