--- a/cmd/edgeproxy/adminenv_test.go
+++ b/cmd/edgeproxy/adminenv_test.go
@@ -11,59 +11,66 @@
 	"time"
 )
 
-// adminRaw sends raw bytes to the operators' address and returns the status and body of the answer.
-func (w *testEnv) adminRaw(raw string) (status int, body string) {
-	w.t.Helper()
-	conn, err := net.Dial("tcp", w.adminAddr)
+// adminRaw sends bytes to the admin address and returns the status and the body of the answer.
+func (env *testEnv) adminRaw(raw string) (status int, body string) {
+	env.t.Helper()
+	conn, err := net.Dial("tcp", env.adminAddr)
 	if err != nil {
-		w.t.Fatal(err)
+		env.t.Fatal(err)
 	}
-	defer closeOnce(w.t, conn)
+	defer closeOnce(env.t, conn)
 	conn.SetDeadline(time.Now().Add(testTimeout)) //nolint:errcheck // shows in the answer
 	io.WriteString(conn, raw)                     //nolint:errcheck // shows in the answer
 	answer, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
-		w.t.Fatalf("%.40q: %v", raw, err)
+		env.t.Fatalf("%.40q: %v", raw, err)
 	}
 	text, err := io.ReadAll(answer.Body)
 	if err != nil {
-		w.t.Fatal(err)
+		env.t.Fatal(err)
 	}
 	return answer.StatusCode, string(text)
 }
 
-// adminCall makes a well-formed call.
-func (w *testEnv) adminCall(method, path string) (status int, body string) {
-	w.t.Helper()
-	return w.adminRaw(method + " " + path + " HTTP/1.1\r\nHost: " + w.adminAddr + "\r\n\r\n")
+// adminCall makes a well-formed call to the admin address.
+func (env *testEnv) adminCall(method, path string) (status int, body string) {
+	env.t.Helper()
+	return env.adminRaw(method + " " + path + " HTTP/1.1\r\nHost: " + env.adminAddr + "\r\n\r\n")
 }
 
-func (w *testEnv) readiness() int {
-	w.t.Helper()
-	status, _ := w.adminCall("GET", "/ops/readiness")
+// readiness is the status of /ops/readiness.
+func (env *testEnv) readiness() int {
+	env.t.Helper()
+	status, _ := env.adminCall("GET", "/ops/readiness")
 	return status
 }
 
-// metric fetches one of the figures; -1: it is not there.
-func (w *testEnv) metric(name string) int {
-	w.t.Helper()
-	_, body := w.adminCall("GET", "/ops/stats")
-	if m := regexp.MustCompile(`(?m)^` + regexp.QuoteMeta(name) + ` (\d+)$`).FindStringSubmatch(body); m != nil {
-		n, _ := strconv.Atoi(m[1]) //nolint:errcheck // digits
-		return n
+// metric reads a metric of /ops/stats; -1: it is missing.
+func (env *testEnv) metric(name string) int {
+	env.t.Helper()
+	_, body := env.adminCall("GET", "/ops/stats")
+	line := regexp.MustCompile(`(?m)^` + regexp.QuoteMeta(name) + ` (\d+)$`).FindStringSubmatch(body)
+	if line == nil {
+		return -1
 	}
-	return -1
+	value, err := strconv.Atoi(line[1])
+	if err != nil {
+		env.t.Fatalf("%s: %v", name, err)
+	}
+	return value
 }
 
-func (w *testEnv) checkMetrics(want map[string]int) {
-	w.t.Helper()
-	for name, n := range want {
-		if got := w.metric(name); got != n {
-			w.t.Errorf("%s is %d, want %d", name, got, n)
+// checkMetrics checks the values of metrics by name.
+func (env *testEnv) checkMetrics(wants map[string]int) {
+	env.t.Helper()
+	for name, want := range wants {
+		if got := env.metric(name); got != want {
+			env.t.Errorf("%s is %d, want %d", name, got, want)
 		}
 	}
 }
 
-func operationsMetric(class, status string) string {
-	return fmt.Sprintf("svc_operations{priority=%q,status=%q}", class, status)
+// operationsMetric is the name of the counter of requests of a class with an outcome.
+func operationsMetric(class, outcome string) string {
+	return fmt.Sprintf("svc_operations{priority=%q,status=%q}", class, outcome)
 }
--- a/cmd/edgeproxy/cache_test.go
+++ b/cmd/edgeproxy/cache_test.go
@@ -9,11 +9,14 @@
 	"time"
 )
 
+// TestReadIsServedThroughTheCache checks what a read sends to the cache, and the answers for a full and for
+// an unchanged object.
 func TestReadIsServedThroughTheCache(t *testing.T) {
-	w, big := startTestEnv(t), strings.Repeat("0123456789", 24_000)
-	c := w.dial()
+	env := startTestEnv(t)
+	big := strings.Repeat("0123456789", 24_000)
+	c := env.dial()
 	c.request(7, "artes", longTimeoutMS, 0xabc, "", "HTTP_REQ_ID", "9b1f03aa5c7e2d41", "HTTP_X_VER", "4be0c1927d55a6f3")
-	got := receive(t, w.cache.calls, "call")
+	got := receive(t, env.cache.calls, "call")
 	for name, want := range map[string]string{"c": "artes", "k": "0000000000000abc", "p": "3", "src": "o1", "have": "4be0c1927d55a6f3"} {
 		if got.fields[name] != want {
 			t.Errorf("field %s is %q, want %q", name, got.fields[name], want)
@@ -28,19 +31,20 @@
 	}
 
 	c.request(7, "artes", longTimeoutMS, 0xabc, "", "HTTP_X_VER", "4be0c1927d55a6f4")
-	receive(t, w.cache.calls, "call").answer("still_good", "etag=4be0c1927d55a6f4,made=1,note=TCP_HIT", "")
+	receive(t, env.cache.calls, "call").answer("still_good", "etag=4be0c1927d55a6f4,made=1,note=TCP_HIT", "")
 	if a := receive(t, c.answers, "answer"); a.status != "200" || a.body != "" || !strings.Contains(a.headers, "X-Unchanged: 1") {
 		t.Errorf("%+v", a)
 	}
 }
 
+// TestAnswersComeInAnyOrder checks that answers are matched to requests by their ID, in any order.
 func TestAnswersComeInAnyOrder(t *testing.T) {
-	w := startTestEnv(t)
-	c := w.dial()
+	env := startTestEnv(t)
+	c := env.dial()
 	c.request(1, "artes", longTimeoutMS, 1, "")
-	first := receive(t, w.cache.calls, "call")
+	first := receive(t, env.cache.calls, "call")
 	c.request(2, "artes", longTimeoutMS, 2, "")
-	receive(t, w.cache.calls, "call").answer("served", "-", "two")
+	receive(t, env.cache.calls, "call").answer("served", "-", "two")
 	if a := receive(t, c.answers, "answer"); a.id != 2 || a.body != "two" {
 		t.Errorf("%+v", a)
 	}
@@ -50,12 +54,14 @@
 	}
 }
 
-// A write that may have run is failed, never sent again; one that surely did not run is refused.
+// TestWriteNeverRunsTwice checks that a write that may have been executed fails without a retry, and that one
+// that was not is rejected.
 func TestWriteNeverRunsTwice(t *testing.T) {
-	w := startTestEnv(t)
-	c, write := w.dial(), strings.Repeat("w", 48_000)
+	env := startTestEnv(t)
+	c := env.dial()
+	write := strings.Repeat("w", 48_000)
 	c.request(1, "registro", longTimeoutMS, 1, write)
-	got := receive(t, w.origin.calls, "call")
+	got := receive(t, env.origin.calls, "call")
 	if got.words[3] != write {
 		t.Errorf("body of %d bytes", len(got.words[3]))
 	}
@@ -63,43 +69,46 @@
 	if a := receive(t, c.answers, "answer"); a.status != "502" {
 		t.Errorf("after a reset: %+v", a)
 	}
-	closeOnce(t, w.origin) // connections are refused from now on
+	closeOnce(t, env.origin) // connects are refused from now on
 	c.request(2, "registro", longTimeoutMS, 1, write)
 	if a := receive(t, c.answers, "answer"); a.status != "503" || !strings.Contains(a.headers, "Srv-Wait-Ms: ") {
 		t.Errorf("after a refused connect: %+v", a)
 	}
-	if len(w.origin.calls) != 0 {
-		t.Error("it was sent again")
+	if len(env.origin.calls) != 0 {
+		t.Error("it was retried")
 	}
 }
 
-// A silent cache costs the request its time, not its answer; the call is given up.
+// TestAnswerBeforeTheDeadline checks that a request to a server that does not answer is answered before its
+// deadline, and its call stopped.
 func TestAnswerBeforeTheDeadline(t *testing.T) {
-	w := startTestEnv(t)
-	c, start := w.dial(), time.Now()
+	env := startTestEnv(t)
+	c := env.dial()
+	start := time.Now()
 	c.request(1, "registro", 1000, 1, "x")
-	receive(t, w.origin.calls, "call")
-	receive(t, w.origin.stops, "STOP")
+	receive(t, env.origin.calls, "call")
+	receive(t, env.origin.stops, "STOP")
 	if a := receive(t, c.answers, "answer"); a.status != "502" || time.Since(start) < 500*time.Millisecond {
 		t.Errorf("%+v after %v", a, time.Since(start))
 	}
 }
 
-// An answer that is none fails its attempt and drops the connection; the request moves on.
+// TestMalformedAnswerDropsTheConnection checks that a malformed answer fails its attempt and closes the
+// connection, and that the request is retried.
 func TestMalformedAnswerDropsTheConnection(t *testing.T) {
 	for _, bad := range []string{"hello\r\n", "*4\r\n$99999999\r\n", "still_good"} {
 		t.Run(bad, func(t *testing.T) {
-			w := startTestEnv(t)
-			c := w.dial()
+			env := startTestEnv(t)
+			c := env.dial()
 			c.request(1, "artes", longTimeoutMS, 1, "")
-			got := receive(t, w.cache.calls, "call")
-			if bad == "still_good" { // there is no copy that could be good
+			got := receive(t, env.cache.calls, "call")
+			if bad == "still_good" { // the client has no copy that could be confirmed
 				got.answer(bad, "-", "")
 			} else {
 				mustWrite(t, got.conn, bad)
 			}
-			w.origin.answerAll("served", "-", "again")
-			w.cache.answerAll("served", "-", "again")
+			env.origin.answerAll("served", "-", "again")
+			env.cache.answerAll("served", "-", "again")
 			if a := receive(t, c.answers, "answer"); a.body != "again" {
 				t.Errorf("%+v", a)
 			}
@@ -107,18 +116,19 @@
 	}
 }
 
-// One spoilt answer costs one request: writes that are open at the same server have connections of their own.
+// TestSpoiltAnswerCostsOneRequest checks that a malformed answer fails one write alone: writes in flight to
+// one server have a connection each.
 func TestSpoiltAnswerCostsOneRequest(t *testing.T) {
-	w := startTestEnv(t)
-	c := w.dial()
+	env := startTestEnv(t)
+	c := env.dial()
 	var calls []*receivedCall
 	for id := range uint16(10) {
 		c.request(id+1, "registro", longTimeoutMS, int(id), "x")
-		calls = append(calls, receive(t, w.origin.calls, "call"))
+		calls = append(calls, receive(t, env.origin.calls, "call"))
 	}
 	mustWrite(t, calls[0].conn, "noise\r\n")
 	if a := receive(t, c.answers, "answer"); a.id != 1 || a.status != "502" {
-		t.Errorf("spoilt: %+v", a)
+		t.Errorf("malformed answer: %+v", a)
 	}
 	for i, got := range calls[1:] {
 		got.answer("served", "-", "fine")
@@ -128,14 +138,16 @@
 	}
 }
 
-// Servers may close connections that were idle for a while without a word, and the next call finds out. After a
-// few of those such connections are left alone, above all by writes, which can't be sent again.
+// TestIdleConnectionsThatDieAreNotUsed checks that connections that a server closes when they are reused are
+// avoided after a few failures, above all by writes, which can't be retried.
 func TestIdleConnectionsThatDieAreNotUsed(t *testing.T) {
 	t.Parallel()
-	w := startTestEnv(t)
-	c, used, id := w.dial(), map[net.Conn]bool{}, uint16(0)
+	env := startTestEnv(t)
+	c := env.dial()
+	used := map[net.Conn]bool{}
+	id := uint16(0)
 	go func() {
-		for got := range w.origin.calls {
+		for got := range env.origin.calls {
 			if used[got.conn] {
 				closeOnce(t, got.conn)
 				continue
@@ -145,7 +157,7 @@
 		}
 	}()
 	in := 0
-	w.eventually("five writes in a row that were answered", func() bool {
+	env.eventually("five writes in a row that were answered", func() bool {
 		time.Sleep(100 * time.Millisecond)
 		id++
 		c.request(id, "registro", longTimeoutMS, 1, "x")
@@ -158,42 +170,44 @@
 	})
 }
 
-// A connection on which calls are out and nothing comes may be dead: new calls go to a new one.
+// TestQuietConnectionTakesNoNewCalls checks that a connection with calls in flight and no answers gets no new
+// calls, as it may be dead.
 func TestQuietConnectionTakesNoNewCalls(t *testing.T) {
 	t.Parallel()
-	w := startTestEnv(t)
-	c := w.dial()
+	env := startTestEnv(t)
+	c := env.dial()
 	c.request(1, "registro", longTimeoutMS, 1, "x")
-	silent, id := receive(t, w.origin.calls, "call").conn, uint16(1)
-	w.eventually("a call on another connection", func() bool {
+	silent := receive(t, env.origin.calls, "call").conn
+	id := uint16(1)
+	env.eventually("a call on another connection", func() bool {
 		id++
 		c.request(id, "registro", longTimeoutMS, 1, "x")
-		got := receive(t, w.origin.calls, "call")
+		got := receive(t, env.origin.calls, "call")
 		got.words[0] = "answered"
 		if got.conn != silent {
 			return true
 		}
-		c.writeRecord(2, id, "")
+		c.writeRecord(recordAbort, id, "")
 		time.Sleep(100 * time.Millisecond)
 		return false
 	})
 }
 
-// A client's copy is called current only when the server has named that very copy. An answer that names another is
-// one attempt's fault: its connection goes on.
+// TestOnlyTheClientsOwnCopyIsCurrent checks that a client's copy is confirmed only if the server names its
+// version. An answer that names another version fails its attempt, and its connection stays open.
 func TestOnlyTheClientsOwnCopyIsCurrent(t *testing.T) {
-	w := startTestEnv(t)
-	c := w.dial()
+	env := startTestEnv(t)
+	c := env.dial()
 	for i, fields := range []string{"etag=4be0c1927d55a6f4,made=1,note=TCP_HIT", "made=1,note=TCP_HIT", "-"} {
 		c.request(1, "artes", longTimeoutMS, i, "", "HTTP_X_VER", "4be0c1927d55a6f3")
-		first := receive(t, w.cache.calls, "call")
+		first := receive(t, env.cache.calls, "call")
 		first.answer("still_good", fields, "")
 		var again *receivedCall
 		select {
-		case again = <-w.cache.calls:
-		case again = <-w.origin.calls:
+		case again = <-env.cache.calls:
+		case again = <-env.origin.calls:
 		case <-time.After(testTimeout):
-			t.Fatalf("%s: not asked again", fields)
+			t.Fatalf("%s: not retried", fields)
 		}
 		again.answer("served", "etag=4be0c1927d55a6f5,made=1", "whole")
 		if a := receive(t, c.answers, "answer"); a.body != "whole" || strings.Contains(a.headers, "X-Unchanged") {
@@ -202,19 +216,20 @@
 	}
 }
 
-// An answer that stopped short stays on its connection: the next call there would be taken for the rest of it.
+// TestConnectionWithHalfAnAnswerIsNotUsedAgain checks that a connection with an incomplete answer gets no new
+// calls: their answers would be taken for the rest of it.
 func TestConnectionWithHalfAnAnswerIsNotUsedAgain(t *testing.T) {
-	w := startTestEnv(t)
-	c := w.dial()
+	env := startTestEnv(t)
+	c := env.dial()
 	c.request(1, "registro", longTimeoutMS, 1, "x")
-	first := receive(t, w.origin.calls, "call")
-	thaw := w.pause()
+	first := receive(t, env.origin.calls, "call")
+	resume := env.pause()
 	mustWrite(t, first.conn, fmt.Sprintf("*4\r\n$16\r\n%s\r\n$6\r\nserved\r\n$1\r\n-\r\n$900\r\nhalf", first.words[1]))
-	c.writeRecord(2, 1, "")
-	thaw()
+	c.writeRecord(recordAbort, 1, "")
+	resume()
 	receive(t, c.answers, "END_REQUEST")
 	c.request(2, "registro", longTimeoutMS, 2, "x")
-	second := receive(t, w.origin.calls, "call")
+	second := receive(t, env.origin.calls, "call")
 	if second.conn == first.conn {
 		t.Error("the connection with half an answer is used again")
 	}
@@ -224,15 +239,15 @@
 	}
 }
 
-// Second, late and wrongly named answers harm nobody: neither the request that they are for, nor the next one on their
-// connection.
+// TestSecondAndStrayAnswersAreIgnored checks that duplicate, late and unknown answers affect neither their
+// request nor the next one on the connection.
 func TestSecondAndStrayAnswersAreIgnored(t *testing.T) {
-	w := startTestEnv(t)
-	c := w.dial()
+	env := startTestEnv(t)
+	c := env.dial()
 	stray := &receivedCall{words: []string{"", "ffffffffffffffff"}}
 	for i := range 5 {
 		c.request(1, "artes", longTimeoutMS, i, "")
-		got := receive(t, w.cache.calls, "call")
+		got := receive(t, env.cache.calls, "call")
 		out := &bufferedConn{Conn: got.conn}
 		stray.conn = out
 		stray.answer("served", "-", "stray")
@@ -245,37 +260,37 @@
 			t.Errorf("%+v", a)
 		}
 		first.conn = got.conn
-		first.answer("served", "-", "late") // may cross the next call
+		first.answer("served", "-", "late") // may arrive after the next call was sent
 	}
-	if len(w.cache.calls)+len(w.origin.calls)+len(c.answers) != 0 {
-		t.Error("something was sent or answered again")
+	if len(env.cache.calls)+len(env.origin.calls)+len(c.answers) != 0 {
+		t.Error("something was sent or answered once more")
 	}
 }
 
-// Where no second copy may be out, a call that is given up so that another may follow is given up by the end of its
-// connection: a server that hangs reads no STOP.
+// TestGivenUpBeforeASecondCopy checks that with hedging off an attempt is canceled by closing its connection
+// before the next one begins, as a server that hangs does not read STOP.
 func TestGivenUpBeforeASecondCopy(t *testing.T) {
 	t.Parallel()
-	w := startTestEnv(t)
-	w.reload(`"second-copies":true`, `"second-copies":false`)
-	w.eventually("taken over", func() bool { return w.metric("svc_cfg_accepted") == 1 })
-	c := w.dial()
+	env := startTestEnv(t)
+	env.reload(`"second-copies":true`, `"second-copies":false`)
+	env.eventually("taken over", func() bool { return env.metric("svc_cfg_accepted") == 1 })
+	c := env.dial()
 	var silent, next *receivedCall
-	w.eventually("a call that is asked again", func() bool { // soon after an answer its server is not quiet yet
+	env.eventually("a call that is retried", func() bool { // the server counts as quiet only some time after its last answer
 		c.request(1, "artes", longTimeoutMS, 1, "")
-		receive(t, w.cache.calls, "call").answer("served", "made=1,note=TCP_HIT", "warm")
+		receive(t, env.cache.calls, "call").answer("served", "made=1,note=TCP_HIT", "warm")
 		receive(t, c.answers, "answer")
 		c.request(2, "artes", longTimeoutMS, 2, "")
-		silent = receive(t, w.cache.calls, "call")
+		silent = receive(t, env.cache.calls, "call")
 		select {
-		case next = <-w.cache.calls:
-		case next = <-w.origin.calls:
+		case next = <-env.cache.calls:
+		case next = <-env.origin.calls:
 		case <-time.After(testTimeout):
-			t.Fatal("not asked again")
+			t.Fatal("not retried")
 		}
 		return next.words[1] == silent.words[1]
 	})
-	w.eventually("the first connection has ended", func() bool {
+	env.eventually("the first connection has ended", func() bool {
 		_, err := silent.conn.Write([]byte("*4\r\n$16\r\nffffffffffffffff\r\n$6\r\nnobody\r\n$1\r\n-\r\n$0\r\n\r\n"))
 		return err != nil
 	})
@@ -285,23 +300,24 @@
 	}
 }
 
-// A client's idempotency key passes on unchanged, with every attempt: caches know a repeat by it.
+// TestIdempotencyKeyIsPassedOn checks that every attempt carries the client's idempotency key unchanged, and
+// that malformed keys are rejected.
 func TestIdempotencyKeyIsPassedOn(t *testing.T) {
-	w := startTestEnv(t)
-	c := w.dial()
+	env := startTestEnv(t)
+	c := env.dial()
 	c.request(1, "artes", longTimeoutMS, 1, "", "HTTP_REQ_TOKEN", "a-Key_7.x")
-	first := receive(t, w.cache.calls, "call")
+	first := receive(t, env.cache.calls, "call")
 	if first.fields["i"] != "a-Key_7.x" {
 		t.Errorf("%q", first.words)
 	}
 	first.answer("overload", "-", "")
 	select {
-	case again := <-w.cache.calls:
+	case again := <-env.cache.calls:
 		first = again
-	case again := <-w.origin.calls:
+	case again := <-env.origin.calls:
 		first = again
 	case <-time.After(testTimeout):
-		t.Fatal("not asked again")
+		t.Fatal("not retried")
 	}
 	if first.answer("served", "made=1", "fine"); first.fields["i"] != "a-Key_7.x" {
 		t.Errorf("%q", first.words)
--- a/cmd/edgeproxy/client_test.go
+++ b/cmd/edgeproxy/client_test.go
@@ -6,20 +6,28 @@
 	"time"
 )
 
+// TestMalformedClients checks that malformed records close the connection, and that malformed parameters get
+// status 400.
 func TestMalformedClients(t *testing.T) {
-	w := startTestEnv(t)
-	w.cache.answerAll("served", "-", "fine")
-	for _, bytes := range []string{"GET / HTTP/1.1\r\n\r\n", "\x01\x01\x00\x01\x00\x00\x00\x00", "\x01\x01\x00\x01\x00\x08\x00\x00\x00\x01\x01\x00\x00\x00\x00\x00" +
-		"\x01\x04\x00\x01\x00\x03\x00\x00\xff\xff\xff\x01\x04\x00\x01\x00\x00\x00\x00"} {
-		c := w.dial()
+	env := startTestEnv(t)
+	env.cache.answerAll("served", "-", "fine")
+	for _, bytes := range []string{
+		"GET / HTTP/1.1\r\n\r\n",
+		"\x01\x01\x00\x01\x00\x00\x00\x00",
+		"\x01\x01\x00\x01\x00\x08\x00\x00\x00\x01\x01\x00\x00\x00\x00\x00" +
+			"\x01\x04\x00\x01\x00\x03\x00\x00\xff\xff\xff\x01\x04\x00\x01\x00\x00\x00\x00",
+	} {
+		c := env.dial()
 		mustWrite(t, c, bytes)
 		if a := receive(t, c.answers, "close"); a.id != 0 {
 			t.Errorf("%q: %+v", bytes, a)
 		}
 	}
-	c := w.dial()
-	for i, extra := range [][]string{{"HTTP_REQ_ID", "a,b=c"}, {"HTTP_REQ_WAIT_MS", "soon"}, {"HTTP_X_PIECE", "-1"},
-		{"HTTP_X_LOT", "256"}, {"HTTP_REQ_KB", "large"}, {"HTTP_REQ_KB", "NaN"}, {"HTTP_REQ_KEY", ""}, {"SCRIPT_NAME", "/ops/none"}, {"SCRIPT_NAME", "/"}} {
+	c := env.dial()
+	for i, extra := range [][]string{
+		{"HTTP_REQ_ID", "a,b=c"}, {"HTTP_REQ_WAIT_MS", "soon"}, {"HTTP_X_PIECE", "-1"}, {"HTTP_X_LOT", "256"},
+		{"HTTP_REQ_KB", "large"}, {"HTTP_REQ_KB", "NaN"}, {"HTTP_REQ_KEY", ""}, {"SCRIPT_NAME", "/ops/none"}, {"SCRIPT_NAME", "/"},
+	} {
 		c.request(uint16(i+1), "artes", longTimeoutMS, 1, "", extra...)
 		if a := receive(t, c.answers, "answer"); a.status != "400" {
 			t.Errorf("%v: %+v", extra, a)
@@ -31,38 +39,40 @@
 	}
 }
 
-// What was read whole is owed its answer, whatever comes behind it on the same connection.
+// TestWholeRequestBeforeAMalformedRecord checks that a complete request is answered although a malformed
+// record follows on its connection.
 func TestWholeRequestBeforeAMalformedRecord(t *testing.T) {
-	w := startTestEnv(t)
+	env := startTestEnv(t)
 	for name, rest := range map[string]string{
 		"version":         "GET / HTTP/1.1\r\n\r\n",
 		"begun twice":     "\x01\x01\x00\x01\x00\x08\x00\x00\x00\x01\x01\x00\x00\x00\x00\x00",
 		"length of BEGIN": "\x01\x01\x00\x09\x00\x00\x00\x00",
 	} {
-		c := w.dial()
+		c := env.dial()
 		out := &bufferedConn{Conn: c.Conn}
 		(&client{Conn: out}).request(1, "registro", longTimeoutMS, 1, "x")
 		(&client{Conn: out}).request(2, "artes", longTimeoutMS, 1, "")
 		out.buffer = append(out.buffer, rest...)
-		(&client{Conn: out}).request(3, "artes", longTimeoutMS, 1, "") // is not read any more
+		(&client{Conn: out}).request(3, "artes", longTimeoutMS, 1, "") // behind the malformed record: is not read
 		out.flush()
-		receive(t, w.origin.calls, name+": call").answer("served", "-", "written")
-		receive(t, w.cache.calls, name+": call").answer("served", "-", "read")
+		receive(t, env.origin.calls, name+": call").answer("served", "-", "written")
+		receive(t, env.cache.calls, name+": call").answer("served", "-", "read")
 		answers := map[uint16]string{}
 		for range 3 {
 			a := receive(t, c.answers, name+": answer")
 			answers[a.id] = a.body
 		}
-		if answers[1] != "written" || answers[2] != "read" || len(answers) != 3 || len(w.cache.calls) != 0 {
+		if answers[1] != "written" || answers[2] != "read" || len(answers) != 3 || len(env.cache.calls) != 0 {
 			t.Errorf("%s: %v", name, answers)
 		}
 	}
 }
 
-// What a client asks while it leaves its answers unread is served once it reads on.
+// TestParkedRequestIsServed checks that a request that waits because its client reads no answers is served
+// once the client reads on.
 func TestParkedRequestIsServed(t *testing.T) {
-	w := startTestEnv(t)
-	conn, out := newUnreadingClient(w)
+	env := startTestEnv(t)
+	conn, out := newUnreadingClient(env)
 	c := &client{conn, make(chan answer, 1000)}
 	c.request(100, "artes", longTimeoutMS, 100, "")
 	out.answer("served", "-", "out")
@@ -72,34 +82,35 @@
 			t.Errorf("%+v", a)
 		}
 	}
-	receive(t, w.cache.calls, "call").answer("served", "-", "parked")
-	if a := receive(t, c.answers, "answer"); a.id != 100 || a.body != "parked" {
+	receive(t, env.cache.calls, "call").answer("served", "-", "delayed")
+	if a := receive(t, c.answers, "answer"); a.id != 100 || a.body != "delayed" {
 		t.Errorf("%+v", a)
 	}
 }
 
-// Where the settings allow no advice, a refusal gives none.
+// TestNoAdviceWhereNoneIsAllowed checks that rejections carry no Retry-After advice where the settings forbid
+// it.
 func TestNoAdviceWhereNoneIsAllowed(t *testing.T) {
-	w := startTestEnv(t)
-	w.reload(`"second-copies":true`, `"retry-after":false,"second-copies":true`)
-	w.eventually("taken over", func() bool { return w.metric("svc_cfg_accepted") == 1 })
-	closeOnce(t, w.origin)
-	c := w.dial()
+	env := startTestEnv(t)
+	env.reload(`"second-copies":true`, `"retry-after":false,"second-copies":true`)
+	env.eventually("taken over", func() bool { return env.metric("svc_cfg_accepted") == 1 })
+	closeOnce(t, env.origin)
+	c := env.dial()
 	c.request(1, "registro", longTimeoutMS, 1, "x")
 	if a := receive(t, c.answers, "answer"); a.status != "503" || strings.Contains(a.headers, "Srv-Wait-Ms") {
 		t.Errorf("%+v", a)
 	}
 }
 
-// A client that writes slowly is waited for as long as it goes on, and served.
+// TestSlowWriterIsServed checks that a client that writes slowly but steadily is served.
 func TestSlowWriterIsServed(t *testing.T) {
 	t.Parallel()
-	w := startTestEnv(t)
-	w.cache.answerAll("served", "-", "fine")
-	c := w.dial()
+	env := startTestEnv(t)
+	env.cache.answerAll("served", "-", "fine")
+	c := env.dial()
 	out := &bufferedConn{Conn: c.Conn}
 	(&client{Conn: out}).request(1, "artes", longTimeoutMS, 1, "")
-	for begin := time.Now(); len(out.buffer) > 0; time.Sleep(50 * time.Millisecond) { // its pace is what is tested
+	for begin := time.Now(); len(out.buffer) > 0; time.Sleep(50 * time.Millisecond) { // not a race: the client's pace
 		n := 1
 		if time.Since(begin) > 3*time.Second {
 			n = len(out.buffer)
--- a/cmd/edgeproxy/clientlimits_test.go
+++ b/cmd/edgeproxy/clientlimits_test.go
@@ -7,23 +7,24 @@
 	"testing"
 )
 
-// A request that breaks a limit of its own is refused; the connection and its other requests go on.
+// TestRequestOverItsOwnLimitIsRefused checks that a request over a limit is rejected while its connection and
+// the other requests on it go on.
 func TestRequestOverItsOwnLimitIsRefused(t *testing.T) {
-	w := startTestEnv(t)
-	w.cache.answerAll("served", "-", "fine")
+	env := startTestEnv(t)
+	env.cache.answerAll("served", "-", "fine")
 	for _, name := range []string{"body", "params"} {
-		c := w.dial()
-		c.writeRecord(1, 2, "\x00\x01\x01\x00\x00\x00\x00\x00")
+		c := env.dial()
+		c.writeRecord(recordBegin, 2, beginKeepConn)
 		if name == "body" {
-			c.writeRecord(5, 2, strings.Repeat("x", 40_000))
-			c.writeRecord(5, 2, strings.Repeat("x", 40_000))
+			c.writeRecord(recordStdin, 2, strings.Repeat("x", 40_000))
+			c.writeRecord(recordStdin, 2, strings.Repeat("x", 40_000))
 		} else {
-			c.writeRecord(4, 2, strings.Repeat("x", 20_000))
+			c.writeRecord(recordParams, 2, strings.Repeat("x", 20_000))
 		}
-		if a := receive(t, c.answers, name+": refusal"); a.id != 2 || a.status != "503" {
+		if a := receive(t, c.answers, name+": rejection"); a.id != 2 || a.status != "503" {
 			t.Errorf("%s: %+v", name, a)
 		}
-		c.writeRecord(5, 2, "") // the rest of it is passed over
+		c.writeRecord(recordStdin, 2, "") // the rest of it is skipped
 		c.request(3, "artes", longTimeoutMS, 1, "")
 		if a := receive(t, c.answers, name+": answer"); a.id != 3 || a.body != "fine" {
 			t.Errorf("%s: %+v", name, a)
@@ -31,22 +32,23 @@
 	}
 }
 
-// When memory runs out, what was read whole still gets its answer, and no connection is reset.
+// TestMemoryFullOfHalfRequests checks that complete requests are answered when incomplete ones have used up
+// the memory, and that no connection is closed without an answer.
 func TestMemoryFullOfHalfRequests(t *testing.T) {
 	const clients = 200
-	w := newTestEnv(t)
-	w.memoryMB = 16
-	w.start(endpointEvent(1, true, endpoint("c1", "std", "edge", "SERVING", w.cache), endpoint("o1", "origin", "hub", "SERVING", w.origin)))
-	w.awaitAlive("200")
+	env := newTestEnv(t)
+	env.memoryMB = 16
+	env.start(fullList(env.cache, env.origin))
+	env.awaitAlive("200")
 	var all []*client
 	for i := range clients {
-		c := w.dial()
+		c := env.dial()
 		c.request(1, "artes", longTimeoutMS, i, "")
-		c.writeRecord(1, 2, "\x00\x01\x01\x00\x00\x00\x00\x00")
-		c.writeRecord(5, 2, strings.Repeat("x", 60_000))
+		c.writeRecord(recordBegin, 2, beginKeepConn)
+		c.writeRecord(recordStdin, 2, strings.Repeat("x", 60_000))
 		all = append(all, c)
 	}
-	w.cache.answerAll("served", "-", "fine")
+	env.cache.answerAll("served", "-", "fine")
 	for i, c := range all {
 		for {
 			a := receive(t, c.answers, "answer")
@@ -60,30 +62,30 @@
 	}
 }
 
-// A client whose request is turned away in the middle, as others have filled the memory, may ask again on its connection: also
-// where the rest of it has yet to come.
+// TestConnectionGoesOnAfterMemoryWasFull checks that a connection whose request was rejected for lack of
+// memory, before all of it had come, serves the next request.
 func TestConnectionGoesOnAfterMemoryWasFull(t *testing.T) {
 	const clients = 200
-	w := newTestEnv(t)
-	w.memoryMB = 16
-	w.startWith(w.cache, w.origin)
-	w.cache.answerAll("served", "-", "fine")
+	env := newTestEnv(t)
+	env.memoryMB = 16
+	env.startWith(env.cache, env.origin)
+	env.cache.answerAll("served", "-", "fine")
 	var all []*client
 	const size, part = 60_000, 50_000
 	content := strings.Repeat("x", size)
 	for range clients {
-		c := w.dial()
-		c.writeRecord(1, 2, "\x00\x01\x01\x00\x00\x00\x00\x00")
-		c.writeRecord(5, 2, content[:size/2])
+		c := env.dial()
+		c.writeRecord(recordBegin, 2, beginKeepConn)
+		c.writeRecord(recordStdin, 2, content[:size/2])
 		out := &bufferedConn{Conn: c.Conn}
-		(&client{Conn: out}).writeRecord(5, 2, content)
+		(&client{Conn: out}).writeRecord(recordStdin, 2, content)
 		c.Write(out.buffer[:part]) //nolint:errcheck // a lost connection shows in the answers
 		all = append(all, c)
 	}
-	turnedAway := 0
+	rejected := 0
 	for i, c := range all {
 		out := &bufferedConn{Conn: c.Conn}
-		(&client{Conn: out}).writeRecord(5, 2, content)
+		(&client{Conn: out}).writeRecord(recordStdin, 2, content)
 		c.Write(out.buffer[part:]) //nolint:errcheck // as above
 		c.request(3, "artes", longTimeoutMS, i, "")
 		for id := uint16(0); id != 3; {
@@ -92,25 +94,26 @@
 				t.Fatalf("client %d: closed with no answer", i)
 			}
 			if a.protocol == 2 {
-				turnedAway++
+				rejected++
 			}
 		}
 	}
-	if turnedAway == 0 {
+	if rejected == 0 {
 		t.Error("the memory was never full")
 	}
 }
 
-// More answers than memory is meant for come in one turn, after a pause. No client that reads loses any.
+// TestBurstOfAnswersAfterAPause checks that no answer is lost when more of them than the memory limit allows
+// arrive in one turn of the event loop.
 func TestBurstOfAnswersAfterAPause(t *testing.T) {
 	const clients, each = 20, 4
-	w := newTestEnv(t)
-	w.memoryMB = 16
-	w.startWith(w.cache, w.origin)
+	env := newTestEnv(t)
+	env.memoryMB = 16
+	env.startWith(env.cache, env.origin)
 	big := strings.Repeat("x", 240_000)
 	var all []*client
 	for i := range clients {
-		c := w.dial()
+		c := env.dial()
 		for id := range uint16(each) {
 			c.request(id+1, "artes", longTimeoutMS, i*each+int(id), "")
 		}
@@ -118,15 +121,15 @@
 	}
 	var calls []*receivedCall
 	for range clients * each {
-		calls = append(calls, receive(t, w.cache.calls, "call"))
+		calls = append(calls, receive(t, env.cache.calls, "call"))
 	}
-	thaw := w.pause()
+	resume := env.pause()
 	var answered sync.WaitGroup
 	for _, got := range calls {
 		answered.Go(func() { got.answer("served", "-", big) })
 	}
-	answered.Wait() // what the program's system takes of each
-	thaw()
+	answered.Wait() // the sockets' buffers are full
+	resume()
 	for i, c := range all {
 		for range each {
 			if a := receive(t, c.answers, "answer"); a.body != big {
@@ -136,12 +139,13 @@
 	}
 }
 
-// A client that reads nothing neither holds up the others nor costs memory without bound.
+// TestClientThatDoesNotRead checks that clients that do not read hold up no others, and that the memory for
+// their answers is bounded.
 func TestClientThatDoesNotRead(t *testing.T) {
-	w := startTestEnv(t)
-	w.cache.answerAll("served", "-", strings.Repeat("x", 240_000))
+	env := startTestEnv(t)
+	env.cache.answerAll("served", "-", strings.Repeat("x", 240_000))
 	stick := func(requests uint16) {
-		stuck, err := net.Dial("tcp", w.addr)
+		stuck, err := net.Dial("tcp", env.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -151,31 +155,31 @@
 		}
 	}
 	stick(30)
-	c := w.dial()
+	c := env.dial()
 	for id := range uint16(20) {
 		c.request(id+1, "artes", longTimeoutMS, int(id), "")
 		if a := receive(t, c.answers, "answer"); a.status != "200" || len(a.body) != 240_000 {
 			t.Fatalf("%s, %d bytes", a.status, len(a.body))
 		}
 	}
-	for range 60 { // 460 MB of answers, were they all kept
+	for range 60 { // 460 MB of answers, if all were buffered
 		stick(32)
 	}
-	for id := range uint16(200) { // some are refused meanwhile
+	for id := range uint16(200) { // some are rejected meanwhile
 		c.request(id+1, "artes", longTimeoutMS, int(id), "")
 		if a := receive(t, c.answers, "answer"); a.id != id+1 {
 			t.Fatalf("%+v", a)
 		}
 	}
-	w.checkMemory()
+	env.checkMemory()
 }
 
-// Clients that connect and say nothing, or ask once and stay, keep out no other, whether it comes before or after
-// them, and end in a close.
+// TestSilentClientsMakeRoom checks that idle connections, incomplete requests included, are closed to make
+// descriptors available to other clients.
 func TestSilentClientsMakeRoom(t *testing.T) {
 	t.Parallel()
-	w := startTestEnv(t)
-	w.cache.answerAll("served", "-", "fine")
+	env := startTestEnv(t)
+	env.cache.answerAll("served", "-", "fine")
 	served := func(who string, c *client) {
 		t.Helper()
 		c.request(1, "artes", longTimeoutMS, 1, "")
@@ -183,33 +187,35 @@
 			t.Errorf("%s: %+v", who, a)
 		}
 	}
-	early := w.dial()
+	early := env.dial()
 	served("early", early)
 	var silent []*client
-	for range 600 { // two fifths of the descriptors are 409
-		silent = append(silent, w.dial())
+	for range 600 { // more than the two fifths of the descriptors that clients may use: 409
+		silent = append(silent, env.dial())
 	}
-	served("late", w.dial())
+	served("late", env.dial())
 	served("early", early)
-	half := w.dial()
-	half.writeRecord(1, 1, "\x00\x01\x01\x00\x00\x00\x00\x00")
+	half := env.dial()
+	half.writeRecord(recordBegin, 1, beginKeepConn)
 	for _, c := range append(silent, half) {
 		if a := receive(t, c.answers, "close"); a.id != 0 {
 			t.Errorf("%+v", a)
 		}
 	}
 	for range 600 {
-		served("once", w.dial())
+		served("once", env.dial())
 	}
 }
 
-// More bodies than the memory allows are refused while they last, and the process stays within its limit.
+// TestFloodIsRefused checks that requests over the memory limit are rejected, that the process stays within
+// its limit, and that it serves afterwards.
 func TestFloodIsRefused(t *testing.T) {
-	w := startTestEnv(t)
-	body, answers := strings.Repeat("b", 48_000), make(chan answer, 10_000)
+	env := startTestEnv(t)
+	body := strings.Repeat("b", 48_000)
+	answers := make(chan answer, 10_000)
 	var conns []*client
 	for range 60 {
-		c := w.dial()
+		c := env.dial()
 		conns = append(conns, c)
 		go func() {
 			for a := range c.answers {
@@ -217,43 +223,43 @@
 			}
 		}()
 		go func() {
-			for id := range uint16(32) { // 92 MB in all; the origin answers none of it
+			for id := range uint16(32) { // 92 MB in all; the origin answers none
 				c.request(id+1, "registro", longTimeoutMS, int(id), body)
 			}
 		}()
 	}
-	if a := receive(t, answers, "refusal"); a.protocol != 2 {
+	if a := receive(t, answers, "rejection"); a.protocol != 2 {
 		t.Errorf("%+v, want OVERLOADED", a)
 	}
 	for _, c := range conns {
 		closeOnce(t, c)
 	}
-	w.cache.answerAll("served", "-", "fine")
-	w.eventually("an answer after the flood", func() bool {
-		c := w.dial()
+	env.cache.answerAll("served", "-", "fine")
+	env.eventually("an answer after the flood", func() bool {
+		c := env.dial()
 		c.request(1, "artes", longTimeoutMS, 1, "")
 		return receive(t, c.answers, "answer").body == "fine"
 	})
-	w.checkMemory()
+	env.checkMemory()
 }
 
-// Clients that ask once and stay, with discovery down, keep out neither those that come after them nor the
-// coordinator when it is back.
+// TestCrowdKeepsNobodyOut checks that many idle clients, while the coordinator is down, keep out neither new
+// clients nor the coordinator's connection.
 func TestCrowdKeepsNobodyOut(t *testing.T) {
-	w := startTestEnv(t)
-	w.cache.answerAll("served", "-", "fine")
-	receive(t, w.followLines, "follow")
-	w.stopCoordinator()
-	for i := range 700 { // two fifths of the descriptors are 409
-		c := w.dial()
+	env := startTestEnv(t)
+	env.cache.answerAll("served", "-", "fine")
+	receive(t, env.followLines, "follow")
+	env.stopCoordinator()
+	for i := range 700 { // more than the two fifths of the descriptors that clients may use: 409
+		c := env.dial()
 		c.request(1, "artes", longTimeoutMS, i, "")
 		if a := receive(t, c.answers, "answer"); a.body != "fine" {
 			t.Fatalf("client %d: %+v", i, a)
 		}
 	}
-	w.awaitAlive("200")
-	w.resumeCoordinator()
-	if got := receive(t, w.followLines, "follow"); got != "follow 1" {
+	env.awaitAlive("200")
+	env.resumeCoordinator()
+	if got := receive(t, env.followLines, "follow"); got != "follow 1" {
 		t.Errorf("%q", got)
 	}
 }
--- a/cmd/edgeproxy/coordinatorenv_test.go
+++ b/cmd/edgeproxy/coordinatorenv_test.go
@@ -10,104 +10,115 @@
 	"testing"
 )
 
-// endpoint is an entry of the coordinator's list.
+// endpoint is an entry of the endpoint list.
 func endpoint(id, kind, zone, state string, at net.Listener) map[string]any {
 	return map[string]any{"id": id, "addr": at.Addr().String(), "zone": zone, "kind": kind, "state": state, "weight": 10000}
 }
 
+// fullList is event 1 with a full endpoint list: one cache and the origin.
+func fullList(cache, origin net.Listener) map[string]any {
+	return endpointEvent(1, true, endpoint("c1", "std", "edge", "SERVING", cache), endpoint("o1", "origin", "hub", "SERVING", origin))
+}
+
+// endpointEvent is an event with entries of the endpoint list, which it replaces if it is full.
 func endpointEvent(index int, full bool, servers ...any) map[string]any {
 	return map[string]any{"index": index, "endpoints": map[string]any{"version": index, "full": full, "servers": servers}}
 }
 
-// startCoordinator starts a startCoordinator and returns its address.
-func (w *testEnv) startCoordinator() string {
-	l := listen(w.t)
-	w.serveCoordinator(l)
+// startCoordinator starts a coordinator and returns its address.
+func (env *testEnv) startCoordinator() string {
+	l := listen(env.t)
+	env.serveCoordinator(l)
 	return l.Addr().String()
 }
 
-func (w *testEnv) serveCoordinator(l net.Listener) {
-	if w.coordinatorListener = l; w.coordinatorDown {
-		w.coordinatorDown = false
-		closeOnce(w.t, l)
+// serveCoordinator serves the coordinator on a listener, or closes it if the coordinator is down at the
+// start.
+func (env *testEnv) serveCoordinator(l net.Listener) {
+	env.coordinatorListener = l
+	if env.coordinatorDown {
+		env.coordinatorDown = false
+		closeOnce(env.t, l)
 		return
 	}
 	go serveEach(l, func(conn net.Conn) {
-		w.mu.Lock()
-		w.watchConn = conn
-		w.mu.Unlock()
+		env.mu.Lock()
+		env.watchConn = conn
+		env.mu.Unlock()
 		in := bufio.NewScanner(conn)
 		for in.Scan() {
-			w.followLines <- in.Text()
+			env.followLines <- in.Text()
 		}
 	})
 }
 
-// stopCoordinator ends the coordinator and its stream; its address refuses connections until resume.
-func (w *testEnv) stopCoordinator() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	closeOnce(w.t, w.coordinatorListener)
-	closeOnce(w.t, w.watchConn)
+// stopCoordinator closes the coordinator and its stream. Its address refuses connections until
+// resumeCoordinator.
+func (env *testEnv) stopCoordinator() {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	closeOnce(env.t, env.coordinatorListener)
+	closeOnce(env.t, env.watchConn)
 }
 
 // resumeCoordinator opens the coordinator again at its address.
-func (w *testEnv) resumeCoordinator() {
-	w.t.Helper()
-	l, err := net.Listen("tcp", w.coordinatorListener.Addr().String())
+func (env *testEnv) resumeCoordinator() {
+	env.t.Helper()
+	l, err := net.Listen("tcp", env.coordinatorListener.Addr().String())
 	if err != nil {
-		w.t.Fatal(err)
+		env.t.Fatal(err)
 	}
-	w.t.Cleanup(func() { closeOnce(w.t, l) })
-	w.serveCoordinator(l)
+	env.t.Cleanup(func() { closeOnce(env.t, l) })
+	env.serveCoordinator(l)
 }
 
-// sendEvent sends a line to whoever follows the coordinator now.
-func (w *testEnv) sendEvent(line any) {
-	w.t.Helper()
+// sendEvent sends a line on the present stream: a string as it is, anything else as JSON.
+func (env *testEnv) sendEvent(line any) {
+	env.t.Helper()
 	text, ok := line.(string)
 	if !ok {
 		b, err := json.Marshal(line)
 		if err != nil {
-			w.t.Fatal(err)
+			env.t.Fatal(err)
 		}
 		text = string(b)
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if _, err := io.WriteString(w.watchConn, text+"\n"); err != nil {
-		w.t.Fatal(err)
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	if _, err := io.WriteString(env.watchConn, text+"\n"); err != nil {
+		env.t.Fatal(err)
 	}
 }
 
-// awaitEventsTaken waits until all that was told has been taken.
-func (w *testEnv) awaitEventsTaken() {
-	w.t.Helper()
-	w.sendEvent("nonsense") // is answered by following anew
-	receive(w.t, w.followLines, "follow")
+// awaitEventsTaken waits until the program has taken all events sent so far: it reconnects at a malformed
+// line behind them.
+func (env *testEnv) awaitEventsTaken() {
+	env.t.Helper()
+	env.sendEvent("nonsense")
+	receive(env.t, env.followLines, "follow")
 }
 
-// servedOnlyBy checks that reads of all kinds of objects are answered with one body.
-func (w *testEnv) servedOnlyBy(body string) {
-	w.t.Helper()
-	c := w.dial()
+// servedOnlyBy checks that reads of 30 objects are all answered with one body.
+func (env *testEnv) servedOnlyBy(body string) {
+	env.t.Helper()
+	c := env.dial()
 	for i := range 30 {
 		c.request(1, "artes", longTimeoutMS, i, "")
-		if a := receive(w.t, c.answers, "answer"); a.body != body {
-			w.t.Errorf("object %d: %+v", i, a)
+		if a := receive(env.t, c.answers, "answer"); a.body != body {
+			env.t.Errorf("object %d: %+v", i, a)
 		}
 	}
-	if len(w.cache.calls) > 0 {
-		w.t.Errorf("%q was sent to a cache that drains", (<-w.cache.calls).words)
+	if len(env.cache.calls) > 0 {
+		env.t.Errorf("%q was sent to a cache that drains", (<-env.cache.calls).words)
 	}
 }
 
-// slowCoordinator brings one line to each follower, as many bytes at a time as the test wants.
+// slowCoordinator sends one line on each stream, as many bytes at a time as the test says.
 type slowCoordinator struct {
 	net.Listener
 	line string
 	mu   sync.Mutex
-	sent map[net.Conn]int
+	sent map[net.Conn]int // bytes of the line
 }
 
 func newSlowCoordinator(t *testing.T, line any, follows chan<- string) *slowCoordinator {
@@ -129,7 +140,7 @@
 	return s
 }
 
-// writeNext writes the next bytes to each follower.
+// writeNext writes the next bytes on each stream.
 func (s *slowCoordinator) writeNext(bytes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/cmd/edgeproxy/disconnect_test.go
+++ b/cmd/edgeproxy/disconnect_test.go
@@ -7,13 +7,14 @@
 	"time"
 )
 
+// TestAbortStopsTheCall checks that an abort and a disconnect stop the calls of their requests.
 func TestAbortStopsTheCall(t *testing.T) {
-	w := startTestEnv(t)
-	c := w.dial()
+	env := startTestEnv(t)
+	c := env.dial()
 	c.request(1, "artes", longTimeoutMS, 1, "")
-	got := receive(t, w.cache.calls, "call")
-	c.writeRecord(2, 1, "")
-	if stop := receive(t, w.cache.stops, "STOP"); stop.words[1] != got.words[1] {
+	got := receive(t, env.cache.calls, "call")
+	c.writeRecord(recordAbort, 1, "")
+	if stop := receive(t, env.cache.stops, "STOP"); stop.words[1] != got.words[1] {
 		t.Errorf("%q", stop.words)
 	}
 	if a := receive(t, c.answers, "END_REQUEST"); a.id != 1 || a.status != "" {
@@ -21,52 +22,53 @@
 	}
 	got.answer("served", "-", "too late")
 	c.request(1, "artes", longTimeoutMS, 2, "")
-	receive(t, w.cache.calls, "call").answer("served", "-", "new")
+	receive(t, env.cache.calls, "call").answer("served", "-", "new")
 	if a := receive(t, c.answers, "answer"); a.body != "new" {
 		t.Errorf("%+v", a)
 	}
 	c.request(2, "artes", longTimeoutMS, 3, "")
-	receive(t, w.cache.calls, "call")
-	closeOnce(t, c) // leaves everything
-	receive(t, w.cache.stops, "STOP")
+	receive(t, env.cache.calls, "call")
+	closeOnce(t, c) // with a request in flight
+	receive(t, env.cache.stops, "STOP")
 }
 
-// Requests that are taken back in the turn they came in are not counted as under way at a cache for good: were
-// they, its link would look full, and those that come later would be refused.
+// TestTakenBackAtOnceIsForgotten checks that requests that are aborted in the turn in which they came do not
+// stay counted as in flight: the link would look full, and later requests would be rejected.
 func TestTakenBackAtOnceIsForgotten(t *testing.T) {
-	w := newTestEnv(t)
-	small := endpoint("c1", "std", "edge", "SERVING", w.cache)
+	env := newTestEnv(t)
+	small := endpoint("c1", "std", "edge", "SERVING", env.cache)
 	small["weight"] = 1
-	w.start(endpointEvent(1, true, small, endpoint("o1", "origin", "hub", "SERVING", w.origin)))
-	w.awaitAlive("200")
-	c := w.dial()
+	env.start(endpointEvent(1, true, small, endpoint("o1", "origin", "hub", "SERVING", env.origin)))
+	env.awaitAlive("200")
+	c := env.dial()
 	together := &bufferedConn{Conn: c.Conn}
 	for id := range uint16(30) {
 		r := &client{Conn: together}
 		r.request(id+1, "artes", longTimeoutMS, int(id), "")
-		r.writeRecord(2, id+1, "")
+		r.writeRecord(recordAbort, id+1, "")
 	}
 	together.flush()
 	for range 30 {
 		receive(t, c.answers, "END_REQUEST")
 	}
-	w.cache.answerAll("served", "-", "fine")
+	env.cache.answerAll("served", "-", "fine")
 	c.request(1, "artes", longTimeoutMS, 1, "")
 	if a := receive(t, c.answers, "answer"); a.body != "fine" {
 		t.Errorf("%+v", a)
 	}
 }
 
-// What a client sent in one piece with its end is not begun when it is read long after: it has left by then.
+// TestNothingBeginsForAClientThatHasLeft checks that no call begins for a request whose client had
+// disconnected or aborted it before it was read.
 func TestNothingBeginsForAClientThatHasLeft(t *testing.T) {
 	for _, how := range []string{"half-close", "close", "abort"} {
 		t.Run(how, func(t *testing.T) {
-			w := startTestEnv(t)
-			c := w.dial()
+			env := startTestEnv(t)
+			c := env.dial()
 			c.request(1, "artes", longTimeoutMS, 1, "")
-			receive(t, w.cache.calls, "call").answer("served", "-", "one")
+			receive(t, env.cache.calls, "call").answer("served", "-", "one")
 			receive(t, c.answers, "answer")
-			thaw := w.pause()
+			resume := env.pause()
 			c.request(2, "artes", longTimeoutMS, 2, "")
 			c.request(3, "registro", longTimeoutMS, 3, strings.Repeat("x", 40_000))
 			switch how {
@@ -75,23 +77,23 @@
 			case "close":
 				closeOnce(t, c)
 			case "abort":
-				c.writeRecord(2, 2, "")
-				c.writeRecord(2, 3, "")
+				c.writeRecord(recordAbort, 2, "")
+				c.writeRecord(recordAbort, 3, "")
 			}
-			time.Sleep(overCancelGrace) // not a race: it is by this that the client left before
-			thaw()
-			if how == "half-close" { // it is told that nothing was done
+			time.Sleep(overCancelGrace) // not a race: the disconnect is older than the grace period
+			resume()
+			if how == "half-close" { // it is told that nothing was executed
 				for range 2 {
-					if a := receive(t, c.answers, "refusal"); a.status != "503" {
+					if a := receive(t, c.answers, "rejection"); a.status != "503" {
 						t.Errorf("%+v", a)
 					}
 				}
 			}
-			other := w.dial()
+			other := env.dial()
 			other.request(1, "artes", longTimeoutMS, 77, "")
-			got := receive(t, w.cache.calls, "call")
-			if got.fields["k"] != fmt.Sprintf("%016x", 77) || len(w.origin.calls) > 0 {
-				t.Errorf("%q was sent for a client that has left", got.words)
+			got := receive(t, env.cache.calls, "call")
+			if got.fields["k"] != fmt.Sprintf("%016x", 77) || len(env.origin.calls) > 0 {
+				t.Errorf("%q was sent for a client that had disconnected", got.words)
 			}
 			got.answer("served", "-", "")
 			receive(t, other.answers, "answer")
@@ -99,11 +101,12 @@
 	}
 }
 
-// A client that ends only its own side, right after it asked, gets what can be had at once.
+// TestHalfClosedClientGetsItsAnswer checks that a client that closes its sending direction right after a
+// request gets one answer: served or rejected.
 func TestHalfClosedClientGetsItsAnswer(t *testing.T) {
-	w := startTestEnv(t)
-	w.cache.answerAll("served", "-", "one")
-	c := w.dial()
+	env := startTestEnv(t)
+	env.cache.answerAll("served", "-", "one")
+	c := env.dial()
 	c.request(1, "artes", longTimeoutMS, 1, "")
 	c.closeWrite()
 	if a := receive(t, c.answers, "answer"); a.id != 1 || a.status != "200" && a.status != "503" {
@@ -114,39 +117,39 @@
 	}
 }
 
-// A client that leaves its answers unread is heard all the same, when it leaves and when it takes a request back:
-// else a retry for it might begin at any time.
+// TestUnreadingClientIsHeard checks that a disconnect or an abort takes effect although the client does not
+// read: a retry could begin afterwards otherwise.
 func TestUnreadingClientIsHeard(t *testing.T) {
 	for _, how := range []string{"half-close", "abort"} {
 		t.Run(how, func(t *testing.T) {
-			w := startTestEnv(t)
-			conn, out := newUnreadingClient(w)
+			env := startTestEnv(t)
+			conn, out := newUnreadingClient(env)
 			c := &client{Conn: conn}
-			c.request(100, "artes", longTimeoutMS, 100, "") // waits, as its client reads nothing
+			c.request(100, "artes", longTimeoutMS, 100, "") // is delayed, as its client reads nothing
 			if how == "abort" {
-				c.writeRecord(2, 99, "")
-				c.writeRecord(2, 100, "")
+				c.writeRecord(recordAbort, 99, "")
+				c.writeRecord(recordAbort, 100, "")
 			} else {
 				c.closeWrite()
 			}
-			if stop := receive(t, w.cache.stops, "STOP"); stop.words[1] != out.words[1] {
+			if stop := receive(t, env.cache.stops, "STOP"); stop.words[1] != out.words[1] {
 				t.Errorf("%q", stop.words)
 			}
-			if len(w.cache.calls) > 0 {
-				t.Errorf("%q was sent for it", (<-w.cache.calls).words)
+			if len(env.cache.calls) > 0 {
+				t.Errorf("%q was sent for it", (<-env.cache.calls).words)
 			}
 		})
 	}
 }
 
-// A client that reads slowly and has ended its own side gets all answers that were given before, and one final answer
-// to what was still open.
+// TestHalfClosedSlowReader checks that a slow client that has closed its sending direction gets all earlier
+// answers, and one final answer to the request in flight.
 func TestHalfClosedSlowReader(t *testing.T) {
-	w := startTestEnv(t)
-	conn, _ := newUnreadingClient(w)
+	env := startTestEnv(t)
+	conn, _ := newUnreadingClient(env)
 	c := &client{conn, make(chan answer, 1000)}
 	c.closeWrite()
-	receive(t, w.cache.stops, "STOP")
+	receive(t, env.cache.stops, "STOP")
 	go c.readAnswers()
 	for range 31 {
 		if a := receive(t, c.answers, "answer"); a.status != "200" || len(a.body) != 240_000 {
@@ -161,19 +164,20 @@
 	}
 }
 
-// A client that asks for its connection to be closed, and closes its own side first, still gets what it has not read.
+// TestClosedOnBothSidesWithAnswersUnread checks that a client gets its unread answers although both sides
+// have closed their sending direction.
 func TestClosedOnBothSidesWithAnswersUnread(t *testing.T) {
-	w := startTestEnv(t)
-	conn, _ := newUnreadingClient(w)
+	env := startTestEnv(t)
+	conn, _ := newUnreadingClient(env)
 	c := &client{conn, make(chan answer, 1000)}
-	c.writeRecord(1, 100, "\x00\x01\x00\x00\x00\x00\x00\x00") // without KEEP_CONN
-	c.writeRecord(4, 100, "\x0b\x06SCRIPT_NAME/alive")
-	c.writeRecord(4, 100, "")
-	c.writeRecord(5, 100, "")
-	c.writeRecord(2, 99, "")
-	receive(t, w.cache.stops, "STOP") // nothing is open any more: the program closes
+	c.writeRecord(recordBegin, 100, "\x00\x01\x00\x00\x00\x00\x00\x00") // without KEEP_CONN
+	c.writeRecord(recordParams, 100, "\x0b\x06SCRIPT_NAME/alive")
+	c.writeRecord(recordParams, 100, "")
+	c.writeRecord(recordStdin, 100, "")
+	c.writeRecord(recordAbort, 99, "")
+	receive(t, env.cache.stops, "STOP") // no request is open: the program closes the connection
 	c.closeWrite()
-	w.awaitAlive("200") // by now it has seen that
+	env.awaitAlive("200") // a turn of the event loop later: it has done so
 	go c.readAnswers()
 	for range 31 {
 		if a := receive(t, c.answers, "answer"); a.status != "200" || len(a.body) != 240_000 {
@@ -182,21 +186,24 @@
 	}
 }
 
-// A client that vanished without a word must not keep a descriptor: not when idle, not in mid-request.
+// TestVanishedClientsAreClosed checks that connections are closed when they are idle for too long, between
+// requests or within one, unless an answer is owed.
 func TestVanishedClientsAreClosed(t *testing.T) {
 	t.Parallel()
-	w := startTestEnv(t)
-	idle, half, waiting := w.dial(), w.dial(), w.dial()
+	env := startTestEnv(t)
+	idle := env.dial()
+	half := env.dial()
+	waiting := env.dial()
 	idle.writeRequest(1, map[string]string{"SCRIPT_NAME": "/alive"}, "")
 	receive(t, idle.answers, "answer")
-	half.writeRecord(1, 1, "\x00\x01\x01\x00\x00\x00\x00\x00")
+	half.writeRecord(recordBegin, 1, beginKeepConn)
 	waiting.request(1, "artes", longTimeoutMS, 1, "")
 	for _, c := range []*client{idle, half} {
 		if a := receive(t, c.answers, "close"); a.id != 0 {
 			t.Errorf("%+v", a)
 		}
 	}
-	receive(t, w.cache.calls, "call").answer("served", "-", "late")
+	receive(t, env.cache.calls, "call").answer("served", "-", "late")
 	if a := receive(t, waiting.answers, "answer"); a.body != "late" {
 		t.Errorf("one that is owed an answer: %+v", a)
 	}
--- a/cmd/edgeproxy/fastcgi_client_test.go
+++ b/cmd/edgeproxy/fastcgi_client_test.go
@@ -10,36 +10,52 @@
 	"time"
 )
 
-// client is one FastCGI connection.
+// The record types of FastCGI.
+const (
+	recordBegin  = 1
+	recordAbort  = 2
+	recordEnd    = 3
+	recordParams = 4
+	recordStdin  = 5
+	recordStdout = 6
+)
+
+// beginKeepConn is the content of BEGIN_REQUEST: role responder, and keep the connection.
+const beginKeepConn = "\x00\x01\x01\x00\x00\x00\x00\x00"
+
+// client is a FastCGI connection to the program.
 type client struct {
 	net.Conn
 	answers chan answer
 }
 
-// answer is a whole answer, or the end of the connection when id is 0.
+// answer is a complete answer, or the end of the connection if id is 0.
 type answer struct {
 	id           uint16
 	status, body string
 	headers      string
-	protocol     byte // the protocol's status
+	protocol     byte // the protocol status of END_REQUEST
 }
 
-func (w *testEnv) dial() *client {
-	w.t.Helper()
-	conn, err := net.Dial("tcp", w.addr)
+// dial connects to the program.
+func (env *testEnv) dial() *client {
+	env.t.Helper()
+	conn, err := net.Dial("tcp", env.addr)
 	if err != nil {
-		w.t.Fatal(err)
+		env.t.Fatal(err)
 	}
-	w.t.Cleanup(func() { closeOnce(w.t, conn) })
+	env.t.Cleanup(func() { closeOnce(env.t, conn) })
 	return newClient(conn)
 }
 
+// newClient reads the answers of a connection.
 func newClient(conn net.Conn) *client {
 	c := &client{conn, make(chan answer, 1000)}
 	go c.readAnswers()
 	return c
 }
 
+// readAnswers passes answers on until the connection ends.
 func (c *client) readAnswers() {
 	defer func() { c.answers <- answer{} }()
 	texts := map[uint16]string{}
@@ -48,14 +64,17 @@
 		if _, err := io.ReadFull(c, head[:]); err != nil {
 			return
 		}
-		id, content := binary.BigEndian.Uint16(head[2:]), make([]byte, binary.BigEndian.Uint16(head[4:])+uint16(head[6]))
+		id := binary.BigEndian.Uint16(head[2:])
+		contentLength := binary.BigEndian.Uint16(head[4:])
+		paddingLength := uint16(head[6])
+		content := make([]byte, contentLength+paddingLength)
 		if _, err := io.ReadFull(c, content); err != nil {
 			return
 		}
-		if head[1] == 6 {
+		if head[1] == recordStdout {
 			texts[id] += string(content)
 		}
-		if head[1] == 3 {
+		if head[1] == recordEnd {
 			top, body, _ := strings.Cut(texts[id], "\r\n\r\n")
 			status, headers, _ := strings.Cut(strings.TrimPrefix(top, "Status: "), "\r\n")
 			c.answers <- answer{id: id, status: status, headers: headers, body: body, protocol: content[4]}
@@ -64,30 +83,34 @@
 	}
 }
 
+// writeRecord writes one record.
 func (c *client) writeRecord(kind byte, id uint16, content string) {
 	head := []byte{1, kind, byte(id >> 8), byte(id), byte(len(content) >> 8), byte(len(content)), 0, 0}
 	c.Write(append(head, content...)) //nolint:errcheck // a lost connection shows in the answers
 }
 
+// writeRequest writes all records of a request.
 func (c *client) writeRequest(id uint16, params map[string]string, body string) {
-	c.writeRecord(1, id, "\x00\x01\x01\x00\x00\x00\x00\x00")
+	c.writeRecord(recordBegin, id, beginKeepConn)
 	var pairs []byte
 	for name, value := range params {
-		pairs = append(append(append(pairs, byte(len(name)), byte(len(value))), name...), value...)
+		pairs = append(pairs, byte(len(name)), byte(len(value)))
+		pairs = append(pairs, name...)
+		pairs = append(pairs, value...)
 	}
-	c.writeRecord(4, id, string(pairs))
-	c.writeRecord(4, id, "")
+	c.writeRecord(recordParams, id, string(pairs))
+	c.writeRecord(recordParams, id, "")
 	if body != "" {
-		c.writeRecord(5, id, body)
+		c.writeRecord(recordStdin, id, body)
 	}
-	c.writeRecord(5, id, "")
+	c.writeRecord(recordStdin, id, "")
 }
 
-// request sends a request for an object that is named by number; extra fields come in pairs.
-func (c *client) request(id uint16, class string, wait int, object int, body string, extra ...string) {
+// request makes a request for an object with a numbered key. Extra parameters are pairs of names and values.
+func (c *client) request(id uint16, class string, timeoutMS int, object int, body string, extra ...string) {
 	params := map[string]string{
-		"SCRIPT_NAME": "/ops/" + class, "HTTP_REQ_ID": fmt.Sprintf("%016x", time.Now().UnixNano()), "HTTP_REQ_WAIT_MS": strconv.Itoa(wait),
-		"HTTP_REQ_KEY": fmt.Sprintf("%016x", object), "HTTP_X_PIECE": "3", "HTTP_X_LOT": "17",
+		"SCRIPT_NAME": "/ops/" + class, "HTTP_REQ_ID": fmt.Sprintf("%016x", time.Now().UnixNano()),
+		"HTTP_REQ_WAIT_MS": strconv.Itoa(timeoutMS), "HTTP_REQ_KEY": fmt.Sprintf("%016x", object), "HTTP_X_PIECE": "3", "HTTP_X_LOT": "17",
 	}
 	for i := 0; i < len(extra); i += 2 {
 		params[extra[i]] = extra[i+1]
@@ -95,7 +118,7 @@
 	c.writeRequest(id, params, body)
 }
 
-// bufferedConn is a connection whose output goes out in one write.
+// bufferedConn is a connection whose output is written at once by flush.
 type bufferedConn struct {
 	net.Conn
 	buffer []byte
@@ -111,32 +134,33 @@
 	b.buffer = nil
 }
 
-// longTimeoutMS is how long a client waits, in milliseconds, where its time must not run out.
+// longTimeoutMS is a client's timeout in milliseconds that no test reaches.
 const longTimeoutMS = 60_000
 
+// closeWrite closes the sending direction.
 func (c *client) closeWrite() { c.Conn.(*net.TCPConn).CloseWrite() } //nolint:errcheck // shows in the answers
 
-// newUnreadingClient returns a client that has left over 1 MB of answers unread, and of which one request, number 99, is out at
-// the cache.
-func newUnreadingClient(w *testEnv) (stuck net.Conn, out *receivedCall) {
-	w.t.Helper()
-	conn, err := net.Dial("tcp", w.addr)
+// newUnreadingClient returns a connection with more than 1 MB of unread answers, and the call of its request
+// 99, which is in flight at the cache.
+func newUnreadingClient(env *testEnv) (stuck net.Conn, out *receivedCall) {
+	env.t.Helper()
+	conn, err := net.Dial("tcp", env.addr)
 	if err != nil {
-		w.t.Fatal(err)
+		env.t.Fatal(err)
 	}
-	w.t.Cleanup(func() { closeOnce(w.t, conn) })
+	env.t.Cleanup(func() { closeOnce(env.t, conn) })
 	c := &client{Conn: conn}
 	c.request(99, "artes", longTimeoutMS, 99, "")
-	out = receive(w.t, w.cache.calls, "call")
-	for id := range uint16(31) { // 7.4 MB: over what the system takes for both ends
+	out = receive(env.t, env.cache.calls, "call")
+	for id := range uint16(31) { // 7.4 MB: more than both sockets buffer
 		c.request(id+1, "artes", longTimeoutMS, int(id), "")
 	}
 	for range 31 {
-		receive(w.t, w.cache.calls, "call").answer("served", "-", strings.Repeat("x", 240_000))
+		receive(env.t, env.cache.calls, "call").answer("served", "-", strings.Repeat("x", 240_000))
 	}
-	w.eventually("all others are answered", func() bool { return w.metric("svc_open_requests") == 1 })
+	env.eventually("all others are answered", func() bool { return env.metric("svc_open_requests") == 1 })
 	return conn, out
 }
 
-// overCancelGrace is more than the operators allow between a client's end and an attempt for it.
+// overCancelGrace is longer than the time after a disconnect in which an attempt may begin.
 const overCancelGrace = 150 * time.Millisecond
--- a/cmd/edgeproxy/fault_test.go
+++ b/cmd/edgeproxy/fault_test.go
@@ -9,40 +9,44 @@
 	"testing"
 )
 
-// A write whose connection is reset, whenever that is, runs once at most and has one outcome.
+// TestResetAroundAWrite checks that a write whose connection is reset is executed at most once and gets one
+// answer, wherever the reset comes.
 func TestResetAroundAWrite(t *testing.T) {
 	const either = -1
 	for rule, runs := range map[string]int{
-		"c up byte 0 : reset":              either, // as it comes up: if nothing was written yet, it is sent again
+		"c up byte 0 : reset":              either, // when it is established: if nothing was written yet, the call is retried
 		"c up byte 60 : reset":             0,      // in the middle of the call
 		`c up match "the end\r\n" : reset`: 1,      // just after it
 		`c down match "*4\r\n" : reset`:    1,      // as the answer begins
 		`c down match "wri" : reset`:       1,      // in the middle of it
 		`c down match "wri" : halfclose`:   1,
 	} {
-		w := newTestEnv(t)
-		origin := newFaultyAddr(t, w.origin.Addr().String(), strings.Replace(rule, "c ", "c conn 1 ", 1))
-		w.startWith(w.cache, origin)
+		env := newTestEnv(t)
+		origin := newFaultyAddr(t, env.origin.Addr().String(), strings.Replace(rule, "c ", "c conn 1 ", 1))
+		env.startWith(env.cache, origin)
 		var ran []*receivedCall
 		var mu sync.Mutex
 		go func() {
-			for got := range w.origin.calls {
+			for got := range env.origin.calls {
 				mu.Lock()
 				ran = append(ran, got)
 				mu.Unlock()
 				got.answer("served", "-", "written")
 			}
 		}()
-		c := w.dial()
+		c := env.dial()
 		c.request(1, "registro", 2000, 1, "a body up to the end")
 		a := receive(t, c.answers, "outcome")
 		if a.id != 1 || a.status == "200" && runs != either {
 			t.Errorf("%s: %+v", rule, a)
 		}
-		if runs == either { // it ran once just where it was answered so
-			runs = map[string]int{"200": 1}[a.status]
+		if runs == either { // it was executed once if it was answered as served
+			runs = 0
+			if a.status == "200" {
+				runs = 1
+			}
 		}
-		c.request(2, "registro", longTimeoutMS, 2, "x") // comes to the origin over a sound connection, after all of the first
+		c.request(2, "registro", longTimeoutMS, 2, "x") // reaches the origin on another connection, after all calls of the first
 		if a := receive(t, c.answers, "answer"); a.id != 2 || a.status != "200" {
 			t.Errorf("%s, then: %+v", rule, a)
 		}
@@ -54,61 +58,63 @@
 	}
 }
 
-// A coordinator that falls silent in the middle of the line that tells of a drain: once told again, the drain is kept.
+// TestCoordinatorSilentInADrain checks that a drain takes effect after a reconnect when the stream fell
+// silent within its line.
 func TestCoordinatorSilentInADrain(t *testing.T) {
 	t.Parallel()
-	w := newTestEnv(t)
-	w.coordinatorVia = func(addr string) string {
+	env := newTestEnv(t)
+	env.coordinatorVia = func(addr string) string {
 		return newFaultyAddr(t, addr, `c down conn 1 match "DRAIN" : silence`).Addr().String()
 	}
 	second := newStandIn(t)
 	second.answerAll("served", "-", "second")
-	w.start(endpointEvent(1, true, endpoint("c1", "std", "edge", "SERVING", w.cache), endpoint("c2", "std", "edge", "SERVING", second),
-		endpoint("o1", "origin", "hub", "SERVING", w.origin)))
-	receive(t, w.followLines, "follow")
-	drain := endpointEvent(2, false, endpoint("c1", "std", "edge", "DRAINING", w.cache))
-	w.sendEvent(drain)
-	if got := receive(t, w.followLines, "follow anew"); got != "follow 1" {
+	env.start(endpointEvent(1, true, endpoint("c1", "std", "edge", "SERVING", env.cache), endpoint("c2", "std", "edge", "SERVING", second),
+		endpoint("o1", "origin", "hub", "SERVING", env.origin)))
+	receive(t, env.followLines, "follow")
+	drain := endpointEvent(2, false, endpoint("c1", "std", "edge", "DRAINING", env.cache))
+	env.sendEvent(drain)
+	if got := receive(t, env.followLines, "follow again"); got != "follow 1" {
 		t.Errorf("%q", got)
 	}
-	w.sendEvent(drain)
-	w.awaitEventsTaken()
-	w.servedOnlyBy("second")
+	env.sendEvent(drain)
+	env.awaitEventsTaken()
+	env.servedOnlyBy("second")
 }
 
-// A client that is gone with the last byte of its request: whatever had begun is stopped, and nothing follows.
+// TestClientGoneWithItsRequest checks that the calls of a request are stopped, and no others begin, when its
+// connection is reset with its last byte.
 func TestClientGoneWithItsRequest(t *testing.T) {
-	w := startTestEnv(t)
-	front := newFaultyAddr(t, w.addr, `c up conn 1 match "\x01\x05\x00\x01\x00\x00\x00\x00" : reset`)
+	env := startTestEnv(t)
+	front := newFaultyAddr(t, env.addr, `c up conn 1 match "\x01\x05\x00\x01\x00\x00\x00\x00" : reset`)
 	conn, err := net.Dial("tcp", front.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer closeOnce(t, conn)
 	newClient(conn).request(1, "artes", longTimeoutMS, 1, "")
-	w.eventually("the reset", func() bool { return front.log() != "" })
-	other := w.dial()
+	env.eventually("the reset", func() bool { return front.log() != "" })
+	other := env.dial()
 	other.request(1, "artes", longTimeoutMS, 77, "")
 	for {
-		got := receive(t, w.cache.calls, "call")
+		got := receive(t, env.cache.calls, "call")
 		if got.fields["k"] == fmt.Sprintf("%016x", 77) {
 			got.answer("served", "-", "")
 			break
 		}
-		receive(t, w.cache.stops, "STOP")
-		got.answer("overload", "-", "") // nobody asks again
+		receive(t, env.cache.stops, "STOP")
+		got.answer("overload", "-", "") // there is no retry
 	}
 	receive(t, other.answers, "answer")
-	if len(w.cache.calls)+len(w.origin.calls) > 0 {
-		t.Error("something was sent for a client that is gone")
+	if len(env.cache.calls)+len(env.origin.calls) > 0 {
+		t.Error("something was sent for a client that had disconnected")
 	}
 }
 
-// Answers that are half written when the program is told to stop arrive whole.
+// TestStopWithAnswersHalfWritten checks that answers that are partly written at SIGTERM arrive completely.
 func TestStopWithAnswersHalfWritten(t *testing.T) {
 	t.Parallel()
-	w := startTestEnv(t)
-	front := newFaultyAddr(t, w.addr, "c down byte 300000 : silence 1500ms")
+	env := startTestEnv(t)
+	front := newFaultyAddr(t, env.addr, "c down byte 300000 : silence 1500ms")
 	conn, err := net.Dial("tcp", front.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -119,37 +125,38 @@
 		c.request(id+1, "artes", longTimeoutMS, int(id), "")
 	}
 	for range 20 {
-		receive(t, w.cache.calls, "call").answer("served", "-", strings.Repeat("x", 240_000))
+		receive(t, env.cache.calls, "call").answer("served", "-", strings.Repeat("x", 240_000))
 	}
-	w.eventually("the silence", func() bool { return front.log() != "" })
-	w.signal(syscall.SIGTERM)
+	env.eventually("the silence", func() bool { return front.log() != "" })
+	env.signal(syscall.SIGTERM)
 	for range 20 {
 		if a := receive(t, c.answers, "answer"); a.status != "200" || len(a.body) != 240_000 {
 			t.Errorf("%d: %s, %d bytes", a.id, a.status, len(a.body))
 		}
 	}
-	if err := receive(t, w.exited, "exit"); err != nil {
+	if err := receive(t, env.exited, "exit"); err != nil {
 		t.Error(err)
 	}
 }
 
-// Answers that end early, come twice or under another name cost their own attempt alone: each request has one outcome.
+// TestSpoiltAnswersThroughTheRelay checks that truncated, duplicate and corrupted answers fail their own
+// attempt alone, and that each request gets one answer.
 func TestSpoiltAnswersThroughTheRelay(t *testing.T) {
 	for rule, want := range map[string]string{
-		"c down conn 1 byte 40 : close":      "200", // asked again
+		"c down conn 1 byte 40 : close":      "200", // retried
 		"c down conn 1 byte 40 : reset":      "200",
 		"c down conn 1 byte 40 : halfclose":  "200",
-		"c down conn 1 byte 0 : repeat 66":   "200", // the whole answer twice
-		"c down conn 1 byte 12 : garble 4":   "",    // nobody's answer: the time runs out
+		"c down conn 1 byte 0 : repeat 66":   "200", // the complete answer twice
+		"c down conn 1 byte 12 : garble 4":   "",    // an answer to an unknown call: the request times out
 		"c down conn 1 byte 0 : garble 20":   "200",
 		"c down conn 1 byte 45 : drop 5":     "",
 		"c down conn 1 byte 30 : silence 1s": "200",
 	} {
-		w := newTestEnv(t)
-		w.startWith(newFaultyAddr(t, w.cache.Addr().String(), rule), w.origin)
-		w.cache.answerAll("served", "made=1,note=TCP_HIT", "whole")
-		w.origin.answerAll("served", "made=1", "whole")
-		c := w.dial()
+		env := newTestEnv(t)
+		env.startWith(newFaultyAddr(t, env.cache.Addr().String(), rule), env.origin)
+		env.cache.answerAll("served", "made=1,note=TCP_HIT", "whole")
+		env.origin.answerAll("served", "made=1", "whole")
+		c := env.dial()
 		c.request(1, "artes", 2500, 1, "")
 		if a := receive(t, c.answers, "outcome"); a.id != 1 || want != "" && a.status != want || a.status == "200" && a.body != "whole" {
 			t.Errorf("%s: %+v", rule, a)
--- a/cmd/edgeproxy/faultyaddr_test.go
+++ b/cmd/edgeproxy/faultyaddr_test.go
@@ -11,14 +11,16 @@
 	"testing"
 )
 
-// faultyAddr is a relay before an address. It stands in for a listener wherever only its address is asked for.
+// faultyAddr is a relay before an address. It is a listener as far as its address goes: nothing else of it is
+// used.
 type faultyAddr struct {
 	net.Listener
 	relay *relay.Relay
 	mu    sync.Mutex
-	fired []string
+	fired []string // under mu
 }
 
+// Addr is the address of the relay.
 func (b *faultyAddr) Addr() net.Addr { return b.relay.Addr("c") }
 
 // log returns the faults that have fired, by connection and direction.
@@ -30,7 +32,7 @@
 	return strings.Join(list, "\n")
 }
 
-// newFaultyAddr starts a relay to an address that breaks traffic by rules, each for the link c.
+// newFaultyAddr starts a relay to an address with rules for the link c.
 func newFaultyAddr(t *testing.T, target string, rules ...string) *faultyAddr {
 	t.Helper()
 	script, err := fault.Parse(fmt.Sprintf("seed 3\nlink c listen 127.0.0.1:0 to %s\n%s", target, strings.Join(rules, "\n")))
@@ -38,10 +40,10 @@
 		t.Fatal(err)
 	}
 	b := &faultyAddr{}
-	if b.relay, err = relay.Start(script, func(e fault.Firing) {
+	if b.relay, err = relay.Start(script, func(f fault.Firing) {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		b.fired = append(b.fired, e.String())
+		b.fired = append(b.fired, f.String())
 	}); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/edgeproxy/main_test.go
+++ b/cmd/edgeproxy/main_test.go
@@ -6,18 +6,19 @@
 	"time"
 )
 
-// The tests start this test binary as the real program.
+// TestMain serves as the program if a test has started this binary as one.
 func TestMain(m *testing.M) {
-	if os.Getenv("CLOVERDOOR_TEST_PROGRAM") != "" {
+	if os.Getenv(programEnv) != "" {
 		serveByTestClock()
 		return
 	}
 	os.Exit(m.Run())
 }
 
-// testTimeout bounds every wait of a test; none of them depends on how long one really takes.
+// testTimeout limits every wait of a test. No test depends on how long a wait takes.
 const testTimeout = 20 * time.Second
 
+// receive returns the next value of a channel, and fails the test without one.
 func receive[T any](t *testing.T, from <-chan T, what string) (v T) {
 	t.Helper()
 	select {
--- a/cmd/edgeproxy/scriptplay_test.go
+++ b/cmd/edgeproxy/scriptplay_test.go
@@ -9,13 +9,21 @@
 	"time"
 )
 
-// playTime is how long the script is played, by the program's clock: seconds with the other tests, minutes where
-// FAULT_SOAK says so.
+const (
+	defaultPlayTime = 5 * time.Second
+	// slowAnswer is longer than the program waits for an answer before it retries.
+	slowAnswer = 300 * time.Millisecond
+	// clockStep is the time between two requests, by the program's clock.
+	clockStep = 25 * time.Millisecond
+)
+
+// playTime is how long the script is played, by the program's clock. The environment variable FAULT_SOAK sets
+// another duration than the default.
 func playTime(t *testing.T) time.Duration {
 	t.Helper()
 	text := os.Getenv("FAULT_SOAK")
 	if text == "" {
-		return 5 * time.Second
+		return defaultPlayTime
 	}
 	d, err := time.ParseDuration(text)
 	if err != nil {
@@ -24,40 +32,40 @@
 	return d
 }
 
-// playScript plays one script on both sides of the program and its coordinator, with the same traffic, and returns the
-// outcomes that the program has counted and the faults that have fired. The program's time stands still while a request
-// is open, and moves on by a step between two: how long the machine takes for anything shows nowhere. Where slow is set,
-// some answers take longer than the program waits for one before it asks again.
+// playScript plays a script of faults on the connections of clients, servers and the coordinator, always with
+// the same traffic, and returns the outcomes that the program has counted and the faults that have fired. The
+// program's clock advances between two requests alone, so that the speed of the machine has no effect. If
+// slow, some answers take longer than the program waits for one before it retries.
 func playScript(t *testing.T, length time.Duration, slow bool) (figures, faults string) {
 	t.Helper()
-	w := newTestEnv(t)
-	w.clock = newManualClock(t)
+	env := newTestEnv(t)
+	env.clock = newManualClock(t)
 	calls := 0
 	go func() {
-		for got := range w.cache.calls {
-			if calls++; slow && calls%50 == 25 {
-				time.Sleep(300 * time.Millisecond) // not a race: the outcomes must not depend on it
+		for got := range env.cache.calls {
+			calls++
+			if slow && calls%50 == 25 {
+				time.Sleep(slowAnswer) // not a race: the outcomes must not depend on it
 			}
 			got.answer("served", "made=1,note=TCP_HIT", strings.Repeat("c", 500))
 		}
 	}()
-	w.origin.answerAll("served", "made=1", strings.Repeat("o", 200))
-	cache := newFaultyAddr(t, w.cache.Addr().String(), "c down every 2 byte 7000 : reset", "c down byte 9100 : close",
+	env.origin.answerAll("served", "made=1", strings.Repeat("o", 200))
+	cache := newFaultyAddr(t, env.cache.Addr().String(), "c down every 2 byte 7000 : reset", "c down byte 9100 : close",
 		"c down every 3 byte 5000 : garble 9", "c up : pieces 50", "c : delay 1ms", "c down every 5 byte 3000 : repeat 600")
-	origin := newFaultyAddr(t, w.origin.Addr().String(), "c down byte 1100 : reset", "c up every 5 byte 900 : reset",
+	origin := newFaultyAddr(t, env.origin.Addr().String(), "c down byte 1100 : reset", "c up every 5 byte 900 : reset",
 		"c down every 3 byte 700 : halfclose")
-	var feed *faultyAddr
-	w.coordinatorVia = func(addr string) string {
-		feed = newFaultyAddr(t, addr, "c down every 2 byte 400 : reset", "c down every 3 byte 300 : garble 3")
-		return feed.Addr().String()
+	env.coordinatorVia = func(addr string) string {
+		watch := newFaultyAddr(t, addr, "c down every 2 byte 400 : reset", "c down every 3 byte 300 : garble 3")
+		return watch.Addr().String()
 	}
-	w.startWith(cache, origin)
-	front := newFaultyAddr(t, w.addr, "c up every 3 byte 2500 : reset", "c down byte 14000 : close", "c : pieces 70")
+	env.startWith(cache, origin)
+	front := newFaultyAddr(t, env.addr, "c up every 3 byte 2500 : reset", "c down byte 14000 : close", "c : pieces 70")
 	requests := int(length / clockStep)
 	var c *client
 	lost := 0
 	for i := range requests {
-		w.clock.advance(clockStep)
+		env.clock.advance(clockStep)
 		if c == nil || i%40 == 0 {
 			conn, err := net.Dial("tcp", front.Addr().String())
 			if err != nil {
@@ -71,16 +79,17 @@
 			class = "registro"
 		}
 		c.request(uint16(i%1000+1), class, 5000, i%17, "")
-		switch a := receive(t, c.answers, "outcome"); {
-		case a.id == 0: // its connection was broken: the request has no outcome at the client's end
+		a := receive(t, c.answers, "outcome")
+		switch {
+		case a.id == 0: // its connection has ended: the client gets no answer
 			lost++
 			c = nil
 		case int(a.id) != i%1000+1:
 			t.Fatalf("request %d: %+v", i, a)
 		}
 	}
-	w.eventually("nothing is open", func() bool { return w.metric("svc_open_requests") == 0 })
-	_, stats := w.adminCall("GET", "/ops/stats")
+	env.eventually("nothing is open", func() bool { return env.metric("svc_open_requests") == 0 })
+	_, stats := env.adminCall("GET", "/ops/stats")
 	for _, line := range strings.Split(stats, "\n") {
 		if strings.HasPrefix(line, "svc_operations") {
 			figures += line + "\n"
@@ -90,11 +99,8 @@
 	return figures, strings.Join([]string{cache.log(), origin.log(), front.log()}, "\n--\n")
 }
 
-// clockStep is how far the program's time moves on between two requests.
-const clockStep = 25 * time.Millisecond
-
-// Two runs of one script with one seed have the same faults and the same outcomes at the program, also when the machine
-// holds answers up in one of them.
+// TestSameScriptSameOutcomes checks that two runs of one fault script with one seed have the same faults and
+// the same outcomes, also when the answers of one run are delayed.
 func TestSameScriptSameOutcomes(t *testing.T) {
 	t.Parallel()
 	length := playTime(t)
--- a/cmd/edgeproxy/shutdown_test.go
+++ b/cmd/edgeproxy/shutdown_test.go
@@ -7,21 +7,22 @@
 	"time"
 )
 
-// At an ordered stop everything that still comes is answered, and the program ends by itself.
+// TestTermAnswersEverything checks that all requests during a graceful shutdown are answered, and that the
+// program exits by itself.
 func TestTermAnswersEverything(t *testing.T) {
-	w := startTestEnv(t)
-	c := w.dial()
+	env := startTestEnv(t)
+	c := env.dial()
 	c.request(1, "artes", longTimeoutMS, 1, "")
-	first := receive(t, w.cache.calls, "call")
-	if err := w.cmd.Process.Signal(syscall.SIGTERM); err != nil {
+	first := receive(t, env.cache.calls, "call")
+	if err := env.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	w.awaitAlive("503")
-	late := w.dial()
+	env.awaitAlive("503")
+	late := env.dial()
 	late.request(1, "artes", longTimeoutMS, 2, "")
-	second := receive(t, w.cache.calls, "call")
-	w.eventually("no more connections taken", func() bool {
-		conn, err := net.Dial("tcp", w.addr)
+	second := receive(t, env.cache.calls, "call")
+	env.eventually("no more connections accepted", func() bool {
+		conn, err := net.Dial("tcp", env.addr)
 		if err == nil {
 			closeOnce(t, conn)
 		}
@@ -35,39 +36,41 @@
 	if a := receive(t, late.answers, "answer"); a.body != "two" {
 		t.Errorf("%+v", a)
 	}
-	if err := receive(t, w.exited, "exit"); err != nil {
+	if err := receive(t, env.exited, "exit"); err != nil {
 		t.Error(err)
 	}
 }
 
-// What is taken while the program stops is answered before it may be killed, however long its client would wait.
+// TestTermEndsInTime checks that a request that arrives during the shutdown is answered before the process
+// may be killed, however long its deadline.
 func TestTermEndsInTime(t *testing.T) {
 	t.Parallel()
-	w := startTestEnv(t)
-	c := w.dial()
+	env := startTestEnv(t)
+	c := env.dial()
 	c.request(1, "artes", longTimeoutMS, 1, "")
-	receive(t, w.cache.calls, "call").answer("served", "-", "one")
+	receive(t, env.cache.calls, "call").answer("served", "-", "one")
 	receive(t, c.answers, "answer")
-	if err := w.cmd.Process.Signal(syscall.SIGTERM); err != nil {
+	if err := env.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	w.awaitAlive("503")
+	env.awaitAlive("503")
 	c.request(2, "registro", longTimeoutMS, 2, "")
-	receive(t, w.origin.calls, "call")
+	receive(t, env.origin.calls, "call")
 	if a := receive(t, c.answers, "answer"); a.id != 2 || a.status != "502" {
 		t.Errorf("%+v", a)
 	}
-	if err := receive(t, w.exited, "exit"); err != nil {
+	if err := receive(t, env.exited, "exit"); err != nil {
 		t.Error(err)
 	}
 }
 
-// A request of which a few bytes have come when the program stops is waited for, and answered.
+// TestHalfARequestWhileStopping checks that a request of which only some bytes have arrived at SIGTERM is
+// awaited and answered.
 func TestHalfARequestWhileStopping(t *testing.T) {
 	for _, part := range []int{3, 16, 60} { // of a header, just BEGIN_REQUEST, and in the parameters
-		w := startTestEnv(t)
-		w.cache.answerAll("served", "-", "fine")
-		c := w.dial()
+		env := startTestEnv(t)
+		env.cache.answerAll("served", "-", "fine")
+		c := env.dial()
 		c.request(1, "artes", longTimeoutMS, 1, "")
 		receive(t, c.answers, "answer")
 		out := &bufferedConn{Conn: c.Conn}
@@ -75,96 +78,99 @@
 		rest := out.buffer[part:]
 		out.buffer = out.buffer[:part]
 		out.flush()
-		w.signal(syscall.SIGTERM)
-		w.awaitAlive("503")
-		w.awaitNotListening()
+		env.signal(syscall.SIGTERM)
+		env.awaitAlive("503")
+		env.awaitNotListening()
 		c.Write(rest) //nolint:errcheck // shows in the answers
 		if a := receive(t, c.answers, "answer"); a.id != 2 || a.body != "fine" && a.status != "503" {
 			t.Errorf("%d bytes before the stop: %+v", part, a)
 		}
-		if err := receive(t, w.exited, "exit"); err != nil {
+		if err := receive(t, env.exited, "exit"); err != nil {
 			t.Error(err)
 		}
 	}
 }
 
-// What waits to be accepted when the program stops listening is still taken.
+// TestWaitingConnectionWhileStopping checks that connections in the queue are accepted when the program stops
+// listening.
 func TestWaitingConnectionWhileStopping(t *testing.T) {
-	w := startTestEnv(t)
-	w.cache.answerAll("served", "-", "fine")
-	w.signal(syscall.SIGTERM)
-	w.awaitAlive("503")
-	thaw := w.pause()
-	c := w.dial()
+	env := startTestEnv(t)
+	env.cache.answerAll("served", "-", "fine")
+	env.signal(syscall.SIGTERM)
+	env.awaitAlive("503")
+	resume := env.pause()
+	c := env.dial()
 	c.request(1, "artes", longTimeoutMS, 1, "")
 	time.Sleep(time.Second) // not a race: by the time it goes on, it listens no longer
-	thaw()
+	resume()
 	if a := receive(t, c.answers, "answer"); a.body != "fine" {
 		t.Errorf("%+v", a)
 	}
 }
 
-// A client that reads slowly gets all that it is owed when the program stops.
+// TestSlowReaderWhileStopping checks that a client that reads slowly gets all its answers during the
+// shutdown.
 func TestSlowReaderWhileStopping(t *testing.T) {
-	w := startTestEnv(t)
-	conn, out := newUnreadingClient(w)
+	env := startTestEnv(t)
+	conn, out := newUnreadingClient(env)
 	out.answer("served", "-", "last")
-	w.signal(syscall.SIGTERM)
-	w.awaitAlive("503")
-	w.awaitNotListening()
+	env.signal(syscall.SIGTERM)
+	env.awaitAlive("503")
+	env.awaitNotListening()
 	c := newClient(conn)
 	for range 32 {
 		if a := receive(t, c.answers, "answer"); a.status != "200" || a.id != 99 && len(a.body) != 240_000 {
 			t.Errorf("%d: %s, %d bytes", a.id, a.status, len(a.body))
 		}
 	}
-	if err := receive(t, w.exited, "exit"); err != nil {
+	if err := receive(t, env.exited, "exit"); err != nil {
 		t.Error(err)
 	}
 }
 
-// New settings and the order to stop, both at once: what is open is answered, and the program ends in good order.
+// TestReloadThenStop checks that requests in flight are answered and the program exits without an error when
+// SIGHUP and SIGTERM arrive together.
 func TestReloadThenStop(t *testing.T) {
-	w := startTestEnv(t)
-	receive(t, w.followLines, "follow")
-	c := w.dial()
+	env := startTestEnv(t)
+	receive(t, env.followLines, "follow")
+	c := env.dial()
 	c.request(1, "artes", longTimeoutMS, 1, "")
-	open := receive(t, w.cache.calls, "call")
-	thaw := w.pause()
-	w.reload(`"max-attempts":8`, `"max-attempts":7`)
-	w.signal(syscall.SIGTERM)
+	open := receive(t, env.cache.calls, "call")
+	resume := env.pause()
+	env.reload(`"max-attempts":8`, `"max-attempts":7`)
+	env.signal(syscall.SIGTERM)
 	c.request(2, "artes", longTimeoutMS, 2, "")
-	thaw()
-	receive(t, w.cache.calls, "call").answer("served", "-", "two")
+	resume()
+	receive(t, env.cache.calls, "call").answer("served", "-", "two")
 	open.answer("served", "-", "one")
 	for range 2 {
 		if a := receive(t, c.answers, "answer"); a.status != "200" {
 			t.Errorf("%+v", a)
 		}
 	}
-	if err := receive(t, w.exited, "exit"); err != nil {
+	if err := receive(t, env.exited, "exit"); err != nil {
 		t.Error(err)
 	}
 }
 
-// What was taken before the order to stop is answered before the platform may kill the process, whatever its own deadline and
-// though its cache hangs.
+// TestTermAnswersWhatWasOpen checks that requests in flight at SIGTERM are answered before the process may be
+// killed, whatever their deadline, while their server hangs.
 func TestTermAnswersWhatWasOpen(t *testing.T) {
 	const untilKill, step = 3700 * time.Millisecond, 50 * time.Millisecond
-	w := newTestEnv(t)
-	w.clock = newManualClock(t)
-	w.startWith(w.cache, w.origin)
-	c := w.dial()
+	env := newTestEnv(t)
+	env.clock = newManualClock(t)
+	env.startWith(env.cache, env.origin)
+	c := env.dial()
 	c.request(1, "artes", longTimeoutMS, 1, "")
-	receive(t, w.cache.calls, "call")
+	receive(t, env.cache.calls, "call")
 	c.request(2, "registro", longTimeoutMS, 2, "")
-	receive(t, w.origin.calls, "call")
-	if err := w.cmd.Process.Signal(syscall.SIGTERM); err != nil {
+	receive(t, env.origin.calls, "call")
+	if err := env.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	w.awaitAlive("503")
+	env.awaitAlive("503")
 	for range untilKill/step - 1 {
-		w.clock.advance(step)
+		env.clock.advance(step)
 	}
 	statuses := map[uint16]string{}
 	for range 2 {
@@ -179,41 +185,42 @@
 	}
 }
 
-// A connection that waits to be accepted while descriptors are missing is let in after SIGTERM too, as soon as there are some.
+// TestWaitingConnectionThoughAcceptFails checks that a connection in the queue is accepted after SIGTERM once
+// descriptors are available again.
 func TestWaitingConnectionThoughAcceptFails(t *testing.T) {
 	t.Parallel()
-	w := newTestEnv(t)
-	w.cache.answerAll("served", "-", "fine")
-	w.extraEnv = []string{syscallFaultsEnv + "=accept:ENFILE:2-60"} // one every 20 ms: longer than the socket stays open for others
-	w.startWith(w.cache, w.origin)
-	if err := w.cmd.Process.Signal(syscall.SIGTERM); err != nil {
+	env := newTestEnv(t)
+	env.cache.answerAll("served", "-", "fine")
+	env.extraEnv = []string{syscallFaultsEnv + "=accept:ENFILE:2-60"} // one every 20 ms: longer than the socket stays open for others
+	env.startWith(env.cache, env.origin)
+	if err := env.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	c := w.dial()
+	c := env.dial()
 	c.request(1, "artes", longTimeoutMS, 1, "")
 	if a := receive(t, c.answers, "answer"); a.body != "fine" {
 		t.Errorf("%+v", a)
 	}
-	if err := receive(t, w.exited, "exit"); err != nil {
+	if err := receive(t, env.exited, "exit"); err != nil {
 		t.Error(err)
 	}
 }
 
-// A process that has no list yet ends in good order too.
+// TestTermWhileStarting checks that a process without an endpoint list exits without an error at SIGTERM.
 func TestTermWhileStarting(t *testing.T) {
 	t.Parallel()
-	w := newTestEnv(t)
-	w.start()
-	w.awaitAlive("503")
-	c := w.dial()
+	env := newTestEnv(t)
+	env.start()
+	env.awaitAlive("503")
+	c := env.dial()
 	c.request(1, "artes", longTimeoutMS, 1, "")
 	if a := receive(t, c.answers, "answer"); a.status != "503" {
 		t.Errorf("%+v", a)
 	}
-	if err := w.cmd.Process.Signal(syscall.SIGTERM); err != nil {
+	if err := env.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	if err := receive(t, w.exited, "exit"); err != nil {
+	if err := receive(t, env.exited, "exit"); err != nil {
 		t.Error(err)
 	}
 }
--- a/cmd/edgeproxy/soak_test.go
+++ b/cmd/edgeproxy/soak_test.go
@@ -26,15 +26,17 @@
 	return n
 }
 
-// TestSoak runs fleets of real processes under faults that seeds draw, and checks the rules. CI runs two short seeds, `make
-// soak` more: the environment says which and how long.
+// TestSoak runs fleets of real processes under faults that seeds draw, and checks the rules. CI runs two
+// short seeds, `make soak` more: the environment says which and how long.
 func TestSoak(t *testing.T) {
-	first, seeds := envInt(t, "SEED", 1), envInt(t, "SEEDS", 2)
-	fleet, seconds := envInt(t, "FLEET", 10), envInt(t, "SECONDS", 8)
+	first := envInt(t, "SEED", 1)
+	seeds := envInt(t, "SEEDS", 2)
+	fleet := envInt(t, "FLEET", 10)
+	seconds := envInt(t, "SECONDS", 8)
 	violations := 0
 	for seed := first; seed < first+seeds; seed++ {
 		result, err := soak.Run(uint64(seed), soak.Options{
-			Program: os.Args[0], Environment: []string{"CLOVERDOOR_TEST_PROGRAM=1"}, ClockOffset: clockOffset, FailingCalls: randomFailures,
+			Program: os.Args[0], Environment: []string{programEnv + "=1"}, ClockOffset: clockOffset, FailingCalls: randomFailures,
 			Host: loopback, Fleet: fleet, Duration: time.Duration(seconds) * time.Second, ConfigDir: t.TempDir(),
 			ReportDir: filepath.Join("..", "..", "found", "soak"), Kinds: strings.Fields(os.Getenv("KINDS")), Shrink: os.Getenv("SHRINK") != "",
 		})
--- a/cmd/edgeproxy/standin_test.go
+++ b/cmd/edgeproxy/standin_test.go
@@ -11,13 +11,14 @@
 	"testing"
 )
 
-// receivedCall is a command that reached a server, on its connection.
+// receivedCall is a command that a server has read.
 type receivedCall struct {
 	conn   net.Conn
-	words  []string
-	fields map[string]string
+	words  []string          // of the command
+	fields map[string]string // of a REQ
 }
 
+// answer writes an answer to the call.
 func (c *receivedCall) answer(word, fields, body string) {
 	text := fmt.Sprintf("*4\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n",
 		len(c.words[1]), c.words[1], len(word), word, len(fields), fields, len(body), body)
@@ -31,6 +32,7 @@
 	stops chan *receivedCall // STOP
 }
 
+// newStandIn starts a server that answers nothing by itself.
 func newStandIn(t *testing.T) *standIn {
 	t.Helper()
 	s := &standIn{listen(t), make(chan *receivedCall, 1000), make(chan *receivedCall, 1000)}
@@ -56,7 +58,7 @@
 	return s
 }
 
-// answerAll answers every call alike from now on.
+// answerAll answers every call in the same way from now on.
 func (s *standIn) answerAll(word, fields, body string) {
 	go func() {
 		for c := range s.calls {
@@ -65,6 +67,7 @@
 	}()
 }
 
+// listen opens a listener until the end of the test.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", loopback(1))
@@ -75,17 +78,18 @@
 	return l
 }
 
-// loopback is a port 0 of an address of this test process's own: connections go out from 127.0.0.1, and may there take
-// the port that the program, or a coordinator that comes back, is about to open.
+// loopback is a host on loopback that this process alone uses, with port 0. Ports of 127.0.0.1 are no use: an
+// outgoing connection may take one that a test has chosen before the program, or a coordinator that returns,
+// listens on it.
 func loopback(host int) string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d:0", 1+pid>>8&0x7f, pid&0xff, host)
 }
 
-// handedOutAddrs are the addresses that freeAddr has handed out.
+// handedOutAddrs are the addresses that freeAddr has returned.
 var handedOutAddrs sync.Map
 
-// freeAddr returns an address for the program to listen on.
+// freeAddr returns an address for the program to listen on, and no address twice.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	for {
@@ -100,6 +104,7 @@
 	}
 }
 
+// serveEach serves each connection of a listener in a goroutine of its own.
 func serveEach(l net.Listener, serve func(net.Conn)) {
 	for {
 		conn, err := l.Accept()
@@ -110,6 +115,7 @@
 	}
 }
 
+// readCommand reads a RESP array of bulk strings.
 func readCommand(in *bufio.Reader) (words []string, err error) {
 	var n, size int
 	if _, err := fmt.Fscanf(in, "*%d\r\n", &n); err != nil {
--- a/cmd/edgeproxy/syscallfaults_test.go
+++ b/cmd/edgeproxy/syscallfaults_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"cloverdoor/internal/eventloop"
 	"errors"
 	"fmt"
 	"math/rand/v2"
@@ -11,99 +10,132 @@
 	"strings"
 
 	"golang.org/x/sys/unix"
+
+	"cloverdoor/internal/eventloop"
 )
 
-// syscallFaultsEnv is the environment variable that tells a program under test which system calls fail: words of the form
-// CALL:ERRNO:FROM-TO, where FROM and TO count the calls, or halfwrite:TEXT for writes that stop for good behind TEXT.
+// syscallFaultsEnv is the environment variable that says which system calls of a program fail. Its words have
+// the form CALL:ERRNO:FROM-TO, where FROM and TO are numbers of calls, or halfwrite:TEXT for writes that
+// block forever after TEXT.
 const syscallFaultsEnv = "CLOVERDOOR_TEST_FAULTS"
 
-// randomFailures is the environment variable that has system calls fail by a seed, now and then.
+// randomFailures is the environment variable with the seed by which system calls fail at random.
 const randomFailures = "CLOVERDOOR_TEST_RANDOM_FAULTS"
 
 const (
-	failureChance = 0.01
-	shortChance   = 0.05 // of a read or write that does only a part
+	failureChance    = 0.01
+	disconnectChance = failureChance / 4 // that a connection that the program has opened fails
+	shortChance      = 0.05              // that a read or write transfers only a part
+	// failureStream is the stream of a seed's random numbers that draws the failures.
+	failureStream = 5
+	// maxErrno is above all error numbers.
+	maxErrno = 200
 )
 
-// injectRandomSyscallFaults has every call of the table fail now and then, in the ways that its manual page lists. What ends a connection
-// for good happens only on those that the program has made itself: a client's is whole, and its requests are owed an answer.
+// randomSyscalls makes the calls of a table fail at random, in the ways that their manual pages list. Only
+// connections that the program has opened fail for good: a client's stays sound, as its requests are owed an
+// answer.
+type randomSyscalls struct {
+	rng    *rand.Rand
+	system eventloop.SystemCalls // the table without failures
+	opened map[int]bool          // descriptors that the program has opened
+}
+
+// injectRandomSyscallFaults makes system calls fail at random if the environment holds a seed.
 func injectRandomSyscallFaults() {
 	seed, err := strconv.ParseUint(os.Getenv(randomFailures), 10, 64)
 	if err != nil {
 		return
 	}
-	rng, system, own := rand.New(rand.NewPCG(seed, 5)), eventloop.System, map[int]bool{}
-	fails := func(codes ...unix.Errno) error {
-		if rng.Float64() < failureChance {
-			return codes[rng.IntN(len(codes))]
-		}
-		return nil
+	r := &randomSyscalls{rng: rand.New(rand.NewPCG(seed, failureStream)), system: eventloop.System, opened: map[int]bool{}}
+	eventloop.System.Socket = r.socket
+	eventloop.System.Connect = r.connect
+	eventloop.System.Accept = r.accept
+	eventloop.System.Read = r.transfer(r.system.Read, unix.ECONNRESET, unix.ETIMEDOUT, unix.EHOSTUNREACH)
+	eventloop.System.Write = r.transfer(r.system.Write, unix.EPIPE, unix.ECONNRESET, unix.ETIMEDOUT, unix.EHOSTUNREACH)
+	eventloop.System.SetOption = r.setOption
+	eventloop.System.Control = r.control
+	eventloop.System.Wait = r.wait
+}
+
+// failure draws whether a call fails, and with which of the codes; nil: it does not.
+func (r *randomSyscalls) failure(codes ...unix.Errno) error {
+	if r.rng.Float64() < failureChance {
+		return codes[r.rng.IntN(len(codes))]
 	}
-	eventloop.System.Socket = func(family, kind, protocol int) (int, error) {
-		if err := fails(unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM); err != nil {
-			return -1, err
-		}
-		fd, err := system.Socket(family, kind, protocol)
-		own[fd] = err == nil
-		return fd, err
+	return nil
+}
+
+func (r *randomSyscalls) socket(family, kind, protocol int) (int, error) {
+	if err := r.failure(unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM); err != nil {
+		return -1, err
 	}
-	eventloop.System.Connect = func(fd int, addr unix.Sockaddr) error {
-		if err := fails(unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.EAGAIN); err != nil {
-			return err
-		}
-		err := system.Connect(fd, addr)
-		if errors.Is(err, unix.EINPROGRESS) && rng.Float64() < failureChance {
-			return unix.EINTR
-		}
+	fd, err := r.system.Socket(family, kind, protocol)
+	r.opened[fd] = err == nil
+	return fd, err
+}
+
+func (r *randomSyscalls) connect(fd int, addr unix.Sockaddr) error {
+	if err := r.failure(unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.EAGAIN); err != nil {
 		return err
 	}
-	eventloop.System.Accept = func(fd, flags int) (int, error) {
-		err := fails(unix.ECONNABORTED, unix.EINTR, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EPROTO, unix.EPERM,
-			unix.ENETDOWN, unix.EHOSTUNREACH)
-		if err != nil {
+	err := r.system.Connect(fd, addr)
+	if errors.Is(err, unix.EINPROGRESS) && r.rng.Float64() < failureChance {
+		return unix.EINTR
+	}
+	return err
+}
+
+func (r *randomSyscalls) accept(fd, flags int) (int, error) {
+	err := r.failure(unix.ECONNABORTED, unix.EINTR, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EPROTO, unix.EPERM,
+		unix.ENETDOWN, unix.EHOSTUNREACH)
+	if err != nil {
+		return -1, err
+	}
+	accepted, err := r.system.Accept(fd, flags)
+	r.opened[accepted] = false
+	return accepted, err
+}
+
+// transfer wraps a read or a write, which fails, transfers only a part, or ends the connection with one of
+// the codes.
+func (r *randomSyscalls) transfer(call func(int, []byte) (int, error), ends ...unix.Errno) func(int, []byte) (int, error) {
+	return func(fd int, data []byte) (int, error) {
+		if err := r.failure(unix.EINTR, unix.EINTR, unix.ENOBUFS, unix.ENOMEM); err != nil {
 			return -1, err
 		}
-		accepted, err := system.Accept(fd, flags)
-		own[accepted] = false
-		return accepted, err
-	}
-	transfer := func(call func(int, []byte) (int, error), ends ...unix.Errno) func(int, []byte) (int, error) {
-		return func(fd int, data []byte) (int, error) {
-			if err := fails(unix.EINTR, unix.EINTR, unix.ENOBUFS, unix.ENOMEM); err != nil {
-				return -1, err
-			}
-			if own[fd] && rng.Float64() < failureChance/4 {
-				return -1, ends[rng.IntN(len(ends))]
-			}
-			if len(data) > 1 && rng.Float64() < shortChance {
-				data = data[:1+rng.IntN(len(data)-1)]
-			}
-			return call(fd, data)
+		if r.opened[fd] && r.rng.Float64() < disconnectChance {
+			return -1, ends[r.rng.IntN(len(ends))]
 		}
-	}
-	eventloop.System.Read = transfer(system.Read, unix.ECONNRESET, unix.ETIMEDOUT, unix.EHOSTUNREACH)
-	eventloop.System.Write = transfer(system.Write, unix.EPIPE, unix.ECONNRESET, unix.ETIMEDOUT, unix.EHOSTUNREACH)
-	eventloop.System.SetOption = func(fd, level, option, value int) error {
-		if err := fails(unix.ENOBUFS, unix.ENOMEM); err != nil {
-			return err
+		if len(data) > 1 && r.rng.Float64() < shortChance {
+			data = data[:1+r.rng.IntN(len(data)-1)]
 		}
-		return system.SetOption(fd, level, option, value)
+		return call(fd, data)
 	}
-	eventloop.System.Control = func(epoll, operation, fd int, event *unix.EpollEvent) error {
-		if err := fails(unix.ENOMEM, unix.ENOSPC); err != nil {
-			return err
-		}
-		return system.Control(epoll, operation, fd, event)
+}
+
+func (r *randomSyscalls) setOption(fd, level, option, value int) error {
+	if err := r.failure(unix.ENOBUFS, unix.ENOMEM); err != nil {
+		return err
 	}
-	eventloop.System.Wait = func(epoll int, events []unix.EpollEvent, millis int) (int, error) {
-		if err := fails(unix.EINTR); err != nil {
-			return -1, err
-		}
-		return system.Wait(epoll, events, millis)
+	return r.system.SetOption(fd, level, option, value)
+}
+
+func (r *randomSyscalls) control(epoll, operation, fd int, event *unix.EpollEvent) error {
+	if err := r.failure(unix.ENOMEM, unix.ENOSPC); err != nil {
+		return err
+	}
+	return r.system.Control(epoll, operation, fd, event)
+}
+
+func (r *randomSyscalls) wait(epoll int, events []unix.EpollEvent, timeoutMS int) (int, error) {
+	if err := r.failure(unix.EINTR); err != nil {
+		return -1, err
 	}
+	return r.system.Wait(epoll, events, timeoutMS)
 }
 
-// injectSyscallFaults puts the failing calls into the program's table.
+// injectSyscallFaults makes the system calls fail that the environment names.
 func injectSyscallFaults() {
 	injectRandomSyscallFaults()
 	for _, word := range strings.Fields(os.Getenv(syscallFaultsEnv)) {
@@ -121,8 +153,9 @@
 	}
 }
 
+// errno is the error number with a name.
 func errno(name string) unix.Errno {
-	for code := unix.Errno(1); code < 200; code++ {
+	for code := unix.Errno(1); code < maxErrno; code++ {
 		if unix.ErrnoName(code) == name {
 			return code
 		}
@@ -130,14 +163,15 @@
 	panic(name)
 }
 
-// failCall lets one call fail from its nth time to another.
+// failCall makes one system call fail from one time to another, counted from 1.
 func failCall(call string, code unix.Errno, from, to int) {
 	count := 0
 	fails := func() bool {
 		count++
 		return count >= from && count <= to
 	}
-	switch system := eventloop.System; call {
+	system := eventloop.System
+	switch call {
 	case "connect":
 		eventloop.System.Connect = func(fd int, addr unix.Sockaddr) error {
 			if fails() {
@@ -164,24 +198,30 @@
 	}
 }
 
-// blockWritesAfter lets the first output that holds a text stop behind it: its peer takes no more. Other connections are
-// sound, also one that gets the same descriptor later.
+// blockWritesAfter blocks the writes of the first connection that writes a text, right after the text. Other
+// connections are not affected, nor is one that gets the same descriptor later.
 func blockWritesAfter(text []byte) {
-	const none, over = -1, -2
-	write, stuck, socket := eventloop.System.Write, none, eventloop.System.Socket
+	const (
+		notYet = -1
+		closed = -2
+	)
+	write := eventloop.System.Write
+	socket := eventloop.System.Socket
+	blocked := notYet // descriptor
 	eventloop.System.Socket = func(family, kind, protocol int) (int, error) {
 		fd, err := socket(family, kind, protocol)
-		if fd == stuck {
-			stuck = over
+		if fd == blocked {
+			blocked = closed
 		}
 		return fd, err
 	}
 	eventloop.System.Write = func(fd int, data []byte) (int, error) {
-		if fd == stuck {
+		if fd == blocked {
 			return -1, unix.EAGAIN
 		}
-		if at := bytes.Index(data, text); at >= 0 && stuck == none {
-			stuck = fd
+		at := bytes.Index(data, text)
+		if at >= 0 && blocked == notYet {
+			blocked = fd
 			return write(fd, data[:at+len(text)])
 		}
 		return write(fd, data)
--- a/cmd/faultproxy/compare.go
+++ b/cmd/faultproxy/compare.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// compareLogs returns an error unless two logs hold the same faults. The order of connections differs between runs, as
-// they run side by side; the order within a connection and direction is the plan's and is compared.
+// compareLogs returns an error unless two logs hold the same faults. The order of connections differs between
+// runs, as they run side by side; the order within a connection and direction is the plan's and is compared.
 func compareLogs(pathA, pathB string, out io.Writer) error {
 	a, err := readSorted(pathA)
 	if err != nil {
--- a/cmd/faultproxy/main.go
+++ b/cmd/faultproxy/main.go
@@ -1,5 +1,5 @@
-// Command faultproxy relays TCP connections on loopback and breaks their traffic as a script and its seed say.
-// docs/faultproxy.md is its page for operators.
+// Command faultproxy relays TCP connections on loopback and breaks their traffic as a script and its seed
+// say. docs/faultproxy.md is its page for operators.
 package main
 
 import (
@@ -101,8 +101,8 @@
 	return carryOut(script, o.duration, out)
 }
 
-// carryOut relays until SIGINT or SIGTERM, or for a duration that is not 0, and logs each fault that fires. It returns
-// the last error of a write to the log.
+// carryOut relays until SIGINT or SIGTERM, or for a duration that is not 0, and logs each fault that fires.
+// It returns the last error of a write to the log.
 func carryOut(script *fault.Script, duration time.Duration, log io.Writer) error {
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGINT, syscall.SIGTERM)
--- a/cmd/faultproxy/main_test.go
+++ b/cmd/faultproxy/main_test.go
@@ -74,7 +74,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr, log := free.Addr().String(), filepath.Join(t.TempDir(), "log")
+	addr := free.Addr().String()
+	log := filepath.Join(t.TempDir(), "log")
 	closeOnce(t, free)
 	script := writeFile(t, "link a listen "+addr+" to "+target.Addr().String()+"\na up byte 3 : close\n")
 	ended := make(chan error, 1)
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -94,7 +94,8 @@
 	}
 }
 
-// sendEvents sends a follower event 1, the full endpoint list, unless it has it, and then the event's index every second.
+// sendEvents sends a follower event 1, the full endpoint list, unless it has it, and then the event's index
+// every second.
 func sendEvents(conn net.Conn) error {
 	var lastIndex int
 	if _, err := fmt.Fscanf(conn, "follow %d\n", &lastIndex); err != nil {
@@ -117,8 +118,8 @@
 	}
 }
 
-// serveObjects answers every request with an object generated from its key. An object counts as cached from its second
-// request on the connection.
+// serveObjects answers every request with an object generated from its key. An object counts as cached from
+// its second request on the connection.
 func serveObjects(conn net.Conn, name string) error {
 	in := bufio.NewReader(conn)
 	cached := map[string]bool{}
--- a/internal/fault/conflict.go
+++ b/internal/fault/conflict.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// conflictGroup sorts kinds by what they act on: two rules of one group can't both be carried out at one point.
+// conflictGroup sorts kinds by what they act on: two rules of one group can't both be carried out at one
+// point.
 type conflictGroup int
 
 const (
@@ -47,8 +48,8 @@
 	return nil
 }
 
-// conflictsWith reports whether two rules act on the same thing at the same point. Rules that select connections by
-// chance count as selecting all.
+// conflictsWith reports whether two rules act on the same thing at the same point. Rules that select
+// connections by chance count as selecting all.
 func (r Rule) conflictsWith(other Rule) bool {
 	return r.Link == other.Link &&
 		r.Kind.conflictGroup() == other.Kind.conflictGroup() &&
@@ -69,7 +70,8 @@
 	return isMultiple(r.ConnNumber, other.EveryNth) && isMultiple(other.ConnNumber, r.EveryNth)
 }
 
-// isMultiple reports whether a connection's number is a multiple of n. Where either is 0, it does not restrict the rule.
+// isMultiple reports whether a connection's number is a multiple of n. Where either is 0, it does not
+// restrict the rule.
 func isMultiple(connNumber, n int) bool {
 	return connNumber == 0 || n == 0 || connNumber%n == 0
 }
--- a/internal/fault/fault_test.go
+++ b/internal/fault/fault_test.go
@@ -82,7 +82,8 @@
 	return out, end
 }
 
-// TestFaultsDoNotDependOnReads checks that the same bytes meet the same faults, however they are cut into reads.
+// TestFaultsDoNotDependOnReads checks that the same bytes meet the same faults, however they are cut into
+// reads.
 func TestFaultsDoNotDependOnReads(t *testing.T) {
 	script := mustParse(t, `seed 9
 c up match "REQ" nth 3 : garble 5
@@ -104,7 +105,9 @@
 			out, end := play(c.Stream(Up), data, size)
 			events := fmt.Sprint(c.TakeFirings())
 			if size == 1<<20 {
-				want, wantEnd, log = out, end, events
+				want = out
+				wantEnd = end
+				log = events
 			} else if !bytes.Equal(out, want) || end != wantEnd || events != log {
 				t.Fatalf("connection %d in reads of %d: %s, and %s in one", number, size, events, log)
 			}
@@ -150,7 +153,8 @@
 	due := func(rule string, now time.Duration) (times []time.Duration, sizes []int) {
 		s := mustParse(t, rule).PlanConn("c", 1, 0).Stream(Up)
 		for _, op := range s.Feed(make([]byte, 100), now) {
-			times, sizes = append(times, op.Due), append(sizes, len(op.Data))
+			times = append(times, op.Due)
+			sizes = append(sizes, len(op.Data))
 		}
 		return times, sizes
 	}
--- a/internal/fault/parse.go
+++ b/internal/fault/parse.go
@@ -109,7 +109,8 @@
 	return nil
 }
 
-// parseLoopback reads an address. Only loopback is accepted, so that faulty traffic can't reach another machine.
+// parseLoopback reads an address. Only loopback is accepted, so that faulty traffic can't reach another
+// machine.
 func parseLoopback(field, text string) (netip.AddrPort, error) {
 	addr, err := netip.ParseAddrPort(text)
 	if err != nil {
--- a/internal/fault/parserule.go
+++ b/internal/fault/parserule.go
@@ -94,7 +94,8 @@
 	}
 }
 
-// fieldReader reads the fields of a rule one by one. It keeps the first error; after that it reads nothing more.
+// fieldReader reads the fields of a rule one by one. It keeps the first error; after that it reads nothing
+// more.
 type fieldReader struct {
 	fields []string // not read yet
 	err    error
--- a/internal/fault/plan.go
+++ b/internal/fault/plan.go
@@ -86,7 +86,8 @@
 	return firings
 }
 
-// isSelected reports whether a rule applies to this connection. A draw depends on seed, line and number alone.
+// isSelected reports whether a rule applies to this connection. A draw depends on seed, line and number
+// alone.
 func (c *ConnPlan) isSelected(r *Rule) bool {
 	switch {
 	case r.ConnNumber > 0:
@@ -100,8 +101,8 @@
 	}
 }
 
-// draw returns a number that depends on the seed, the connection, a rule and an offset, and on nothing that happened
-// before.
+// draw returns a number that depends on the seed, the connection, a rule and an offset, and on nothing that
+// happened before.
 func (c *ConnPlan) draw(scriptLine int, offset int64) uint64 {
 	const increment = 0x9e3779b97f4a7c15 // of splitmix64
 	x := c.script.Seed
--- a/internal/fault/rule.go
+++ b/internal/fault/rule.go
@@ -1,6 +1,6 @@
-// Package fault plans faults on streams of bytes. A script says which faults, a seed decides what is left to chance, and
-// the same bytes always meet the same faults, however they are cut into reads. The package uses no socket and no clock:
-// callers pass bytes and times in and carry out the output that comes back.
+// Package fault plans faults on streams of bytes. A script says which faults, a seed decides what is left to
+// chance, and the same bytes always meet the same faults, however they are cut into reads. The package uses
+// no socket and no clock: callers pass bytes and times in and carry out the output that comes back.
 //
 // This file holds a script as data: links, rules and what rules may say.
 package fault
@@ -14,7 +14,8 @@
 // Direction is a direction of a relayed connection.
 type Direction int
 
-// The directions. Up is from the client to the target, Down the way back; Both in a rule stands for each of them.
+// The directions. Up is from the client to the target, Down the way back; Both in a rule stands for each of
+// them.
 const (
 	Up Direction = iota
 	Down
@@ -93,8 +94,8 @@
 	Listen, Target netip.AddrPort
 }
 
-// Trigger says when a rule fires: at a time, after a number of bytes, or after the nth match of a pattern. A trigger
-// with none of the three fires when its connection begins.
+// Trigger says when a rule fires: at a time, after a number of bytes, or after the nth match of a pattern. A
+// trigger with none of the three fires when its connection begins.
 type Trigger struct {
 	Time     time.Duration // since the start; -1: not by time
 	Byte     int64         // bytes of the stream; -1: not by bytes
--- a/internal/fault/stream.go
+++ b/internal/fault/stream.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// StreamPlan plans one direction of a connection: Feed and CloseInput take what was read, and all three of Feed, Advance
-// and CloseInput return what is to be written, each piece with its time. Times never decrease.
+// StreamPlan plans one direction of a connection: Feed and CloseInput take what was read, and all three of
+// Feed, Advance and CloseInput return what is to be written, each piece with its time. Times never decrease.
 type StreamPlan struct {
 	conn      *ConnPlan
 	direction Direction
@@ -79,7 +79,8 @@
 	return times
 }
 
-// Advance fires the rules by time that are due. It also returns what rules brought that fired as the connection began.
+// Advance fires the rules by time that are due. It also returns what rules brought that fired as the
+// connection began.
 func (s *StreamPlan) Advance(now time.Duration) (output []Output) {
 	output = s.initial
 	s.initial = nil
@@ -102,8 +103,8 @@
 	s.pending = slices.DeleteFunc(s.pending, func(other *pendingRule) bool { return other == p })
 }
 
-// Feed takes bytes that were read and returns what becomes of them. A rule takes effect right after the byte that
-// triggers it.
+// Feed takes bytes that were read and returns what becomes of them. A rule takes effect right after the byte
+// that triggers it.
 func (s *StreamPlan) Feed(data []byte, now time.Duration) (output []Output) {
 	output = s.Advance(now)
 	var edited []byte
--- a/internal/fault/timing.go
+++ b/internal/fault/timing.go
@@ -29,8 +29,8 @@
 	return output
 }
 
-// dueTime returns when the next bytes are due: the latest time that a rule in force gives. It never decreases, so that
-// bytes keep their order.
+// dueTime returns when the next bytes are due: the latest time that a rule in force gives. It never
+// decreases, so that bytes keep their order.
 func (s *StreamPlan) dueTime(now time.Duration, size int) time.Duration {
 	due := now
 	for _, a := range s.active {
--- a/internal/fault/trigger.go
+++ b/internal/fault/trigger.go
@@ -8,7 +8,8 @@
 	matches      int   // of the whole pattern so far
 }
 
-// failureTable returns for each prefix of a pattern the length of the longest proper prefix that is also its suffix.
+// failureTable returns for each prefix of a pattern the length of the longest proper prefix that is also its
+// suffix.
 func failureTable(pattern string) []int {
 	table := make([]int, len(pattern))
 	length := 0
--- a/internal/fault/validate.go
+++ b/internal/fault/validate.go
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// fitsConnects reports whether a rule can act on connections that are yet to be accepted: they have neither bytes nor a
-// direction, and the rule must know which one comes next.
+// fitsConnects reports whether a rule can act on connections that are yet to be accepted: they have neither
+// bytes nor a direction, and the rule must know which one comes next.
 func (r *Rule) fitsConnects() bool {
 	byBytes := r.Trigger.Byte >= 0 || r.Trigger.Pattern != ""
 	return !byBytes && r.Direction == Both && r.EveryNth == 0 && r.Probability == 0
--- a/internal/relay/conn.go
+++ b/internal/relay/conn.go
@@ -29,8 +29,8 @@
 	closeOnce sync.Once
 }
 
-// relayConn relays one accepted connection until both directions have ended. Where the target refuses, the client gets
-// a reset: its connection has been established already.
+// relayConn relays one accepted connection until both directions have ended. Where the target refuses, the
+// client gets a reset: its connection has been established already.
 func (r *Relay) relayConn(link fault.Link, number int, client *net.TCPConn) {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	target, err := dialer.DialContext(r.ctx, "tcp", link.Target.String())
@@ -73,7 +73,8 @@
 	return s.PendingTimes()
 }
 
-// fireDue fires the rules by time that are due. It applies their endings itself: the reader may be blocked in a read.
+// fireDue fires the rules by time that are due. It applies their endings itself: the reader may be blocked in
+// a read.
 func (c *relayedConn) fireDue(s *fault.StreamPlan, to *net.TCPConn) {
 	c.planMu.Lock()
 	outputs := s.Advance(c.relay.now())
--- a/internal/relay/listener.go
+++ b/internal/relay/listener.go
@@ -18,14 +18,16 @@
 	maxFillers = 4
 	// fillerTimeout is after how long a connect counts as not accepted: the queue is full.
 	fillerTimeout = 50 * time.Millisecond
-	// reopenInterval is the time between two attempts to listen again on an address that another socket has taken.
+	// reopenInterval is the time between two attempts to listen again on an address that another socket has
+	// taken.
 	reopenInterval = 10 * time.Millisecond
-	// changePollInterval is how often the accepting goroutine looks for a new listener that it was not notified of.
+	// changePollInterval is how often the accepting goroutine looks for a new listener that it was not
+	// notified of.
 	changePollInterval = 20 * time.Millisecond
 )
 
-// linkListener is the listening side of a link. While a Refuse rule is in force it does not listen; while a Stall rule
-// is, its queue is full, and further connects time out.
+// linkListener is the listening side of a link. While a Refuse rule is in force it does not listen; while a
+// Stall rule is, its queue is full, and further connects time out.
 type linkListener struct {
 	relay    *Relay
 	link     fault.Link
@@ -98,7 +100,8 @@
 	}
 }
 
-// reopen listens on the address again. Where another socket has taken it, reopen tries until the relay is closed.
+// reopen listens on the address again. Where another socket has taken it, reopen tries until the relay is
+// closed.
 func (l *linkListener) reopen() {
 	for !l.tryReopen() {
 		if !l.relay.sleepUntil(l.relay.ctx, l.relay.now()+reopenInterval) {
@@ -122,8 +125,8 @@
 	return true
 }
 
-// setQueueSize sets how many connections may wait to be accepted; the system takes a new value for a listening socket.
-// The caller holds mu.
+// setQueueSize sets how many connections may wait to be accepted; the system takes a new value for a
+// listening socket. The caller holds mu.
 func (l *linkListener) setQueueSize(size int) error {
 	raw, err := l.listener.SyscallConn()
 	if err != nil {
@@ -197,7 +200,8 @@
 	}
 }
 
-// awaitChange waits until the listener has changed, or may have: a change can come before the failed accept returns.
+// awaitChange waits until the listener has changed, or may have: a change can come before the failed accept
+// returns.
 func (l *linkListener) awaitChange(changed <-chan struct{}) {
 	select {
 	case <-changed:
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,9 +1,9 @@
 // Package relay carries out a script of faults on TCP connections on loopback.
 //
-// One goroutine accepts the connections of a link. For each connection one goroutine a direction reads, and another one
-// writes; the channel between them is bounded, so that a slow receiver holds up its own connection alone. Both ends of a
-// connection belong to its relayedConn, which closes them once; a listener and the connections that fill its queue
-// belong to its linkListener. Close waits for all goroutines.
+// One goroutine accepts the connections of a link. For each connection one goroutine a direction reads, and
+// another one writes; the channel between them is bounded, so that a slow receiver holds up its own
+// connection alone. Both ends of a connection belong to its relayedConn, which closes them once; a listener
+// and the connections that fill its queue belong to its linkListener. Close waits for all goroutines.
 package relay
 
 import (
@@ -28,8 +28,8 @@
 	recordMu   sync.Mutex // calls of record come one at a time
 }
 
-// Start listens on every link of a script. It calls record for each fault that fires, one call at a time. When it fails,
-// it leaves nothing open.
+// Start listens on every link of a script. It calls record for each fault that fires, one call at a time.
+// When it fails, it leaves nothing open.
 func Start(script *fault.Script, record func(fault.Firing)) (*Relay, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &Relay{script: script, record: record, start: time.Now(), ctx: ctx, cancel: cancel}
@@ -47,8 +47,8 @@
 	return r, nil
 }
 
-// Addr is the address that a link listens on, with the port that the system chose where the script says 0. It is nil
-// for an unknown link.
+// Addr is the address that a link listens on, with the port that the system chose where the script says 0. It
+// is nil for an unknown link.
 func (r *Relay) Addr(link string) net.Addr {
 	for _, l := range r.listeners {
 		if l.link.Name == link {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -123,8 +123,8 @@
 	}
 }
 
-// TestFaultsByTimeAndBeforeConnections checks that a rule by time fires on an idle connection, that connects are refused,
-// and that they succeed after a stall.
+// TestFaultsByTimeAndBeforeConnections checks that a rule by time fires on an idle connection, that connects
+// are refused, and that they succeed after a stall.
 func TestFaultsByTimeAndBeforeConnections(t *testing.T) {
 	r := newTestRelay(t, "c conn 1 time 300ms : reset\nc conn 2 : refuse 500ms\nc conn 3 : stall 1500ms")
 	first := r.dial()
@@ -168,8 +168,8 @@
 	}
 }
 
-// TestStalledReaderHoldsUpItself checks that a receiver that does not read holds up its own connection alone, and that
-// what the relay buffers for it is bounded.
+// TestStalledReaderHoldsUpItself checks that a receiver that does not read holds up its own connection alone,
+// and that what the relay buffers for it is bounded.
 func TestStalledReaderHoldsUpItself(t *testing.T) {
 	r := newTestRelay(t, "")
 	stuck := r.dial()
--- a/internal/soak/admin.go
+++ b/internal/soak/admin.go
@@ -58,8 +58,8 @@
 	})
 }
 
-// peakMemoryKB reads the peak of the resident memory from a /proc status file; 0: the file has none, as the process has
-// exited.
+// peakMemoryKB reads the peak of the resident memory from a /proc status file; 0: the file has none, as the
+// process has exited.
 func peakMemoryKB(status string) int {
 	_, peak, _ := strings.Cut(status, "VmHWM:")
 	fields := strings.Fields(peak)
--- a/internal/soak/answers.go
+++ b/internal/soak/answers.go
@@ -103,8 +103,8 @@
 	s.waitWhileHung()
 }
 
-// copyFor finds the copy that answers a call, or fills it from the source that the call names. It returns the note by
-// which the answer tells where the copy came from.
+// copyFor finds the copy that answers a call, or fills it from the source that the call names. It returns the
+// note by which the answer tells where the copy came from.
 func (s *server) copyFor(call *Call) (madeAt time.Time, note string, found bool) {
 	s.mu.Lock()
 	madeAt, cached := s.copies[call.Object]
@@ -143,8 +143,8 @@
 	}
 }
 
-// malform makes an answer unreadable, cuts it off or doubles it, or leaves it as it is, by a draw from [0, 1). It
-// reports whether the connection is to be closed after it.
+// malform makes an answer unreadable, cuts it off or doubles it, or leaves it as it is, by a draw from [0,
+// 1). It reports whether the connection is to be closed after it.
 func malform(text []byte, draw float64) (malformed []byte, closes bool) {
 	half := text[:len(text)/2]
 	switch {
--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -82,9 +82,9 @@
 	c.violations = append(c.violations, Violation{Rule: rule, At: at, Text: fmt.Sprintf(format, args...), Words: words})
 }
 
-// notifiedAt is when an event counts as known to the process of a request: when its line was written, or notifyWithin
-// after its publication. Time in which the coordinator sent the process nothing, or it was paused, does not count. What
-// the configuration of the process holds is known from its start.
+// notifiedAt is when an event counts as known to the process of a request: when its line was written, or
+// notifyWithin after its publication. Time in which the coordinator sent the process nothing, or it was
+// paused, does not count. What the configuration of the process holds is known from its start.
 func (c *invariantChecker) notifiedAt(e *WatchEvent, q *Request) time.Duration {
 	incarnation := c.h.incarnation(q.Proxy, q.Incarnation)
 	unreachable := c.h.Withheld[q.Proxy]
--- a/internal/soak/checker_test.go
+++ b/internal/soak/checker_test.go
@@ -8,10 +8,14 @@
 
 // soundHistory is a history without violations: one process, one read and one write.
 func soundHistory() *History {
-	h := NewHistory(Limits{MemoryKB: 1000, Descriptors: 100, DrainGrace: 500 * time.Millisecond, PurgeGrace: 300 * time.Millisecond,
-		OverloadMultiple: 2, SlowStartCapacity: 0.1, LinkTransfers: 3, TransferTime: 50 * time.Millisecond, OverloadWindow: time.Second, SlowStartDuration: 4 * time.Second,
-		MaxDeadline: 3 * time.Second})
-	h.Incarnations = []*Incarnation{{Proxy: 1, Number: 1, StartedAt: 1, ReadyAt: time.Second, SigtermAt: 30 * time.Second, ExitedAt: 31 * time.Second}}
+	h := NewHistory(Limits{
+		MemoryKB: 1000, Descriptors: 100, DrainGrace: 500 * time.Millisecond, PurgeGrace: 300 * time.Millisecond,
+		OverloadMultiple: 2, OverloadWindow: time.Second, SlowStartCapacity: 0.1, SlowStartDuration: 4 * time.Second,
+		LinkTransfers: 3, TransferTime: 50 * time.Millisecond, MaxDeadline: 3 * time.Second,
+	})
+	h.Incarnations = []*Incarnation{{
+		Proxy: 1, Number: 1, StartedAt: 1, ReadyAt: time.Second, SigtermAt: 30 * time.Second, ExitedAt: 31 * time.Second,
+	}}
 	h.Requests = []*Request{
 		{ID: "read", Class: classRead, Object: "x", Group: 3, Proxy: 1, Incarnation: 1, SentAt: 10 * time.Second, Timeout: time.Second,
 			Answers: []FinalAnswer{{At: 10100 * time.Millisecond, Status: "200", Body: "1 x"}}},
@@ -27,11 +31,14 @@
 	return h
 }
 
-// TestInvariantChecker breaks each rule in a history that is otherwise sound, and checks that it alone is reported.
+// TestInvariantChecker breaks each rule in a history that is otherwise sound, and checks that it alone is
+// reported.
 func TestInvariantChecker(t *testing.T) {
 	delivered := func(e WatchEvent) func(*History) {
 		return func(h *History) {
-			e.Index, e.PublishedAt, e.DeliveredAt = 2, 8*time.Second, map[int]time.Duration{1: 9 * time.Second}
+			e.Index = 2
+			e.PublishedAt = 8 * time.Second
+			e.DeliveredAt = map[int]time.Duration{1: 9 * time.Second}
 			h.Events = append(h.Events, &e)
 		}
 	}
@@ -43,9 +50,18 @@
 		{"nothing", func(*History) {}, ""},
 		{"two answers", func(h *History) { h.Requests[0].Answers = append(h.Requests[0].Answers, FinalAnswer{Status: "503"}) }, "second answer"},
 		{"no answer", func(h *History) { h.Requests[0].Answers = nil }, "lost"},
-		{"no answer from a process that was killed", func(h *History) { h.Requests[0].Answers, h.Incarnations[0].KilledAt = nil, 10*time.Second }, ""},
-		{"aborted", func(h *History) { h.Requests[0].Answers, h.Requests[0].CanceledAt = nil, 10*time.Second }, ""},
-		{"closed", func(h *History) { h.Requests[0].Answers, h.Requests[0].DisconnectedAt = nil, 11*time.Second }, "lost"},
+		{"no answer from a process that was killed", func(h *History) {
+			h.Requests[0].Answers = nil
+			h.Incarnations[0].KilledAt = 10 * time.Second
+		}, ""},
+		{"aborted", func(h *History) {
+			h.Requests[0].Answers = nil
+			h.Requests[0].CanceledAt = 10 * time.Second
+		}, ""},
+		{"closed", func(h *History) {
+			h.Requests[0].Answers = nil
+			h.Requests[0].DisconnectedAt = 11 * time.Second
+		}, "lost"},
 		{"late answer", func(h *History) { h.Requests[0].Answers[0].At = 12 * time.Second }, "late answer"},
 		{"late while stopped", func(h *History) {
 			h.Requests[0].Answers[0].At = 12 * time.Second
@@ -66,7 +82,8 @@
 		{"a deadline that is too late", func(h *History) { h.Calls[0].Timeout = 1400 * time.Millisecond }, "deadline"},
 		{"to a server that drains", delivered(WatchEvent{PurgedGroup: -1, Withdrawn: []string{"cache"}}), "drain"},
 		{"a drain that was not delivered", undeliveredDrain(), "drain"},
-		{"a drain while the coordinator sent nothing", undeliveredDrain(Span{3 * time.Second, 6 * time.Second}, Span{5 * time.Second, 10 * time.Second}), ""},
+		{"a drain while the coordinator sent nothing", undeliveredDrain(
+			Span{3 * time.Second, 6 * time.Second}, Span{5 * time.Second, 10 * time.Second}), ""},
 		{"a source that is removed", delivered(WatchEvent{PurgedGroup: -1, Withdrawn: []string{"parent"}}), "drain"},
 		{"another one drains", delivered(WatchEvent{PurgedGroup: -1, Withdrawn: []string{"other"}}), ""},
 		{"an older copy than a purge", func(h *History) {
@@ -79,7 +96,10 @@
 			delivered(WatchEvent{PurgedObject: "x", PurgedGroup: -1, PurgedBefore: h.start.Add(-time.Second)})(h)
 		}, ""},
 		{"never ready", func(h *History) { h.Incarnations[0].ReadyAt = 20 * time.Second }, "not ready"},
-		{"exits without an order", func(h *History) { h.Incarnations[0].SigtermAt, h.Incarnations[0].ExitedAt = 0, 20*time.Second }, "crash"},
+		{"exits without an order", func(h *History) {
+			h.Incarnations[0].SigtermAt = 0
+			h.Incarnations[0].ExitedAt = 20 * time.Second
+		}, "crash"},
 		{"ends with an error", func(h *History) { h.Incarnations[0].ExitError = "exit status 2" }, "bad end"},
 		{"has to be killed", func(h *History) { h.Incarnations[0].KilledAt = 35 * time.Second }, "late end"},
 		{"takes too much memory", func(h *History) { h.Incarnations[0].PeakMemoryKB = 1001 }, "memory"},
@@ -99,8 +119,8 @@
 	}
 }
 
-// undeliveredDrain publishes a drain of the cache 8 s before it gets a call, and never delivers it. In the given spans the
-// coordinator sends nothing.
+// undeliveredDrain publishes a drain of the cache 8 s before it gets a call, and never delivers it. In the
+// given spans the coordinator sends nothing.
 func undeliveredDrain(withheld ...Span) func(*History) {
 	return func(h *History) {
 		h.Events = append(h.Events, &WatchEvent{Index: 2, PublishedAt: 2 * time.Second, PurgedGroup: -1, Withdrawn: []string{"cache"}})
@@ -114,13 +134,15 @@
 		h.Limits.DeduplicationWindow = 400 * time.Millisecond
 		h.Requests[0].Class = classKeyed
 		again := *h.Calls[0]
-		again.Serial, again.FirstByteAt, again.Timeout = 3, again.FirstByteAt+after, 0
+		again.Serial = 3
+		again.FirstByteAt += after
+		again.Timeout = 0
 		h.Calls = append(h.Calls, &again)
 	}
 }
 
-// slowStartBurst sends calls at once to a server that has started, 0.3 s after its proxy was notified. The settings allow
-// 25.5 calls by then, without the margin.
+// slowStartBurst sends calls at once to a server that has started, 0.3 s after its proxy was notified. The
+// settings allow 25.5 calls by then, without the margin.
 func slowStartBurst(h *History, count int) {
 	h.Starts = []ServerStart{{Server: "starting", At: 13 * time.Second, EventIndex: 5}}
 	h.Events = append(h.Events, &WatchEvent{Index: 5, PublishedAt: 13 * time.Second, PurgedGroup: -1, Serving: []string{"starting"},
--- a/internal/soak/clientconn.go
+++ b/internal/soak/clientconn.go
@@ -8,7 +8,8 @@
 )
 
 const (
-	// idleCloseRace is how short before the end of an idle connection a request may be sent whose proxy has not read it.
+	// idleCloseRace is how short before the end of an idle connection a request may be sent whose proxy has
+	// not read it.
 	idleCloseRace = 60 * time.Millisecond
 	// keptBodyBytes is how much of an answer's body is recorded.
 	keptBodyBytes = 64
@@ -19,7 +20,8 @@
 	maxRequestID = 60000
 )
 
-// clientConn is a client's connection to a proxy. Its goroutine, readAnswers, closes it when the proxy ends it.
+// clientConn is a client's connection to a proxy. Its goroutine, readAnswers, closes it when the proxy ends
+// it.
 type clientConn struct {
 	clients     *proxyClients
 	h           *History
@@ -165,8 +167,9 @@
 	return q
 }
 
-// closed records which requests were open as the connection ended. A single request that was sent just before, on a
-// connection that had been used, may have met the proxy's close of an idle connection: no answer is owed to it.
+// closed records which requests were open as the connection ended. A single request that was sent just
+// before, on a connection that had been used, may have met the proxy's close of an idle connection: no answer
+// is owed to it.
 func (c *clientConn) closed() {
 	c.conn.Close() //nolint:errcheck // the proxy has closed it
 	now := c.h.Now()
--- a/internal/soak/coordinator.go
+++ b/internal/soak/coordinator.go
@@ -23,8 +23,8 @@
 	modeSlow                    // streams bring one event of the endpoint list a byte at a time
 )
 
-// coordinator stands in for the coordinator. It serves each proxy at an address of its own, so that it knows which proxy
-// has been sent which event.
+// coordinator stands in for the coordinator. It serves each proxy at an address of its own, so that it knows
+// which proxy has been sent which event.
 type coordinator struct {
 	h *History
 
@@ -54,7 +54,8 @@
 	return c.watchServers[proxy].addr
 }
 
-// setMode changes how the coordinator behaves to a proxy. When it returns from modeDown, the address is open again.
+// setMode changes how the coordinator behaves to a proxy. When it returns from modeDown, the address is open
+// again.
 func (c *coordinator) setMode(proxy int, m coordinatorMode) {
 	c.mu.Lock()
 	ws := c.watchServers[proxy]
@@ -91,8 +92,8 @@
 	c.h.Note("coord", "event %s", line)
 }
 
-// knownEvents returns the index of the last event, and the list of those that are well formed as a configuration holds
-// it.
+// knownEvents returns the index of the last event, and the list of those that are well formed as a
+// configuration holds it.
 func (c *coordinator) knownEvents() (lastIndex int, updates string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -101,8 +102,8 @@
 	return len(c.lines), "[" + strings.Join(wellFormed, ",") + "]"
 }
 
-// after returns the event that follows an index, with its line, and the index of the last event. The event is nil if
-// none follows.
+// after returns the event that follows an index, with its line, and the index of the last event. The event is
+// nil if none follows.
 func (c *coordinator) after(index int) (line string, e *WatchEvent, lastIndex int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -77,8 +77,8 @@
 	r.coordinator.publish(e, `{"index":%d,"endpoints":{"version":1,"full":true,"servers":[`+strings.Join(entries, ",")+`]}}`)
 }
 
-// startProxy starts one proxy of the fleet. Every second one listens on a socket that the soak holds, so that its
-// process can be replaced without a pause.
+// startProxy starts one proxy of the fleet. Every second one listens on a socket that the soak holds, so that
+// its process can be replaced without a pause.
 func (r *run) startProxy(number int) error {
 	if err := r.coordinator.serveProxy(number, r.options.Host(coordinatorHost)); err != nil {
 		return err
@@ -104,11 +104,12 @@
 // servers are the caches, the parent and the origin. They may be nil where start has failed.
 func (r *run) servers() []*server { return append(slices.Clone(r.caches), r.parent, r.origin) }
 
-// handedOut are the addresses that freeAddr has returned: the system may offer one again before a program opens it.
+// handedOut are the addresses that freeAddr has returned: the system may offer one again before a program
+// opens it.
 var handedOut sync.Map
 
-// freeAddr returns an address of a host on which nothing listens, and that it has not returned before; empty: the host
-// can't be listened on.
+// freeAddr returns an address of a host on which nothing listens, and that it has not returned before; empty:
+// the host can't be listened on.
 func freeAddr(host string) string {
 	for {
 		listener, err := net.Listen("tcp", host)
--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -1,6 +1,6 @@
-// Package soak runs a fleet of edge proxies on loopback under faults that a seed draws, and checks the rules by what
-// clients, servers and the coordinator observed, never by what a proxy says of itself. It starts the proxy as a program:
-// a test binary that can also make system calls fail.
+// Package soak runs a fleet of edge proxies on loopback under faults that a seed draws, and checks the rules
+// by what clients, servers and the coordinator observed, never by what a proxy says of itself. It starts the
+// proxy as a program: a test binary that can also make system calls fail.
 package soak
 
 import (
@@ -42,7 +42,8 @@
 	minLag      = 20 * time.Millisecond
 )
 
-// watchLag records until over is closed when this process was not scheduled in time: what it observes then is late.
+// watchLag records until over is closed when this process was not scheduled in time: what it observes then is
+// late.
 func (h *History) watchLag(over <-chan struct{}) {
 	for range lagWatchers {
 		go func() {
@@ -62,8 +63,8 @@
 	}
 }
 
-// slack is the delay that observations between two moments may have: a fixed part, and all lags between them. The caller
-// holds mu.
+// slack is the delay that observations between two moments may have: a fixed part, and all lags between them.
+// The caller holds mu.
 func (h *History) slack(from, to time.Duration) time.Duration {
 	sum := machineSlack
 	for _, lag := range h.lags {
@@ -91,8 +92,8 @@
 // faultSource is who the timeline names for a fault.
 const faultSource = "fault"
 
-// TimelineAround returns the lines of the timeline within a distance of a moment that contain one of the given words,
-// and all faults.
+// TimelineAround returns the lines of the timeline within a distance of a moment that contain one of the
+// given words, and all faults.
 func (h *History) TimelineAround(at, distance time.Duration, words ...string) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -9,7 +9,8 @@
 
 const (
 	reloadSignal = syscall.SIGHUP
-	// retiredFor is how much longer than its duration a "retire" fault drains a cache: longer than notifyWithin.
+	// retiredFor is how much longer than its duration a "retire" fault drains a cache: longer than
+	// notifyWithin.
 	retiredFor = 9 * time.Second
 	// resetFraction is the fraction of a server's connections that a "reset" fault resets.
 	resetFraction = 0.5
@@ -33,8 +34,8 @@
 	r.h.Note(faultSource, "over: %s %d", f.Kind, f.Target)
 }
 
-// injectProcessFault carries out a fault of a proxy. Faults of one proxy follow each other, except for idle clients;
-// those of different proxies overlap.
+// injectProcessFault carries out a fault of a proxy. Faults of one proxy follow each other, except for idle
+// clients; those of different proxies overlap.
 func (r *run) injectProcessFault(f Fault) {
 	p := r.fleet[f.Target]
 	if f.Kind == "crowd" {
@@ -114,8 +115,8 @@
 	}
 }
 
-// restartCache withdraws a cache and announces it again: with a drain before or without, removed or not, and with a
-// restart of the server or without.
+// restartCache withdraws a cache and announces it again: with a drain before or without, removed or not, and
+// with a restart of the server or without.
 func (r *run) restartCache(s *server, f Fault) {
 	if f.Kind != "crash" {
 		r.announceState(s, "DRAINING")
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -18,7 +18,8 @@
 const firstExtraFile = 3
 
 const (
-	// runsAfter is how long after its start a program listens for signals for certain: an earlier one would end it.
+	// runsAfter is how long after its start a program listens for signals for certain: an earlier one would
+	// end it.
 	runsAfter = 500 * time.Millisecond
 	// settledAfter is how long after a start a proxy may be ordered to read its configuration again.
 	settledAfter = time.Second
@@ -206,7 +207,8 @@
 	}
 }
 
-// awaitState waits until the present incarnation has reached a state, or has exited. The condition gets its age.
+// awaitState waits until the present incarnation has reached a state, or has exited. The condition gets its
+// age.
 func (p *process) awaitState(reached func(i *Incarnation, age time.Duration) bool) {
 	for done := false; !done; time.Sleep(statePollInterval) {
 		p.mu.Lock()
@@ -281,8 +283,8 @@
 	return errors.Join(err, listener.Close())
 }
 
-// replace starts the next incarnation beside the present one on the same socket, and ends the old one when the new one
-// is ready.
+// replace starts the next incarnation beside the present one on the same socket, and ends the old one when
+// the new one is ready.
 func (p *process) replace() error {
 	p.mu.Lock()
 	old := p.incarnation
--- a/internal/soak/processfaults.go
+++ b/internal/soak/processfaults.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// connectIdleClients keeps as many idle connections open as half of the proxy's descriptors for a length of time: more
-// than it keeps for clients. Each that the proxy closes is opened again.
+// connectIdleClients keeps as many idle connections open as half of the proxy's descriptors for a length of
+// time: more than it keeps for clients. Each that the proxy closes is opened again.
 func (p *process) connectIdleClients(length time.Duration) {
 	var clients sync.WaitGroup
 	end := time.Now().Add(length)
--- a/internal/soak/processlog.go
+++ b/internal/soak/processlog.go
@@ -15,7 +15,8 @@
 	maxLogLine = 1 << 20
 )
 
-// logPipe opens a pipe for a program's log. One that is full from the start blocks every write until it is read.
+// logPipe opens a pipe for a program's log. One that is full from the start blocks every write until it is
+// read.
 func logPipe(full bool) (read, write *os.File, err error) {
 	var ends [2]int
 	if err := syscall.Pipe2(ends[:], syscall.O_CLOEXEC); err != nil {
--- a/internal/soak/purges.go
+++ b/internal/soak/purges.go
@@ -10,7 +10,8 @@
 const (
 	// purgeDelay is the time from a purge to its publication.
 	purgeDelay = 40 * time.Millisecond
-	// meanPurgeInterval is the mean time between two purges of the background load, which is exponentially distributed.
+	// meanPurgeInterval is the mean time between two purges of the background load, which is exponentially
+	// distributed.
 	meanPurgeInterval = 400 * time.Millisecond
 	// purgeStream is the stream of a seed's random numbers that draws the background load of purges.
 	purgeStream = 13
--- a/internal/soak/records.go
+++ b/internal/soak/records.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// All times of type time.Duration in records count from the start of the run, unless the comment says otherwise; 0 says
-// that it did not happen.
+// All times of type time.Duration in records count from the start of the run, unless the comment says
+// otherwise; 0 says that it did not happen.
 
 // Record is one line of the timeline.
 type Record struct {
--- a/internal/soak/rule_answers.go
+++ b/internal/soak/rule_answers.go
@@ -36,8 +36,8 @@
 	c.report("lost", due, words, "%s was sent at %.3f, and never answered", who, q.SentAt.Seconds())
 }
 
-// answerDue returns when the answer to a request is due at the latest. None is owed where the request was not sent in
-// full, was canceled, came too long after SIGTERM, or its process was killed before.
+// answerDue returns when the answer to a request is due at the latest. None is owed where the request was not
+// sent in full, was canceled, came too long after SIGTERM, or its process was killed before.
 func (c *invariantChecker) answerDue(q *Request) (due time.Duration, owed bool) {
 	incarnation := c.h.incarnation(q.Proxy, q.Incarnation)
 	if q.SentAt == 0 || q.CanceledAt != 0 || q.NoAnswerOwed || incarnation == nil {
--- a/internal/soak/rule_calls.go
+++ b/internal/soak/rule_calls.go
@@ -12,8 +12,8 @@
 	deadlineSlack = 150 * time.Millisecond
 )
 
-// checkCall checks the rules on when and where a call may be sent. They do not apply to a call that its server read
-// late, as the time of its sending is unknown.
+// checkCall checks the rules on when and where a call may be sent. They do not apply to a call that its
+// server read late, as the time of its sending is unknown.
 func (c *invariantChecker) checkCall(call *Call) {
 	q := c.requests[call.ID]
 	if q == nil {
@@ -51,8 +51,8 @@
 	}
 }
 
-// checkDrain checks that a call neither goes to nor names a server for longer than the grace period after its proxy was
-// notified that the server is draining or removed.
+// checkDrain checks that a call neither goes to nor names a server for longer than the grace period after its
+// proxy was notified that the server is draining or removed.
 func (c *invariantChecker) checkDrain(q *Request, call *Call, server string, words []string) {
 	since, withdrawn := c.withdrawnSince(server, q, call.FirstByteAt)
 	if !withdrawn {
@@ -65,8 +65,8 @@
 	}
 }
 
-// withdrawnSince returns since when, at a moment, the process of a request counts as notified that a server is draining
-// or removed.
+// withdrawnSince returns since when, at a moment, the process of a request counts as notified that a server
+// is draining or removed.
 func (c *invariantChecker) withdrawnSince(server string, q *Request, at time.Duration) (since time.Duration, withdrawn bool) {
 	if server == "" {
 		return 0, false
--- a/internal/soak/rule_executions.go
+++ b/internal/soak/rule_executions.go
@@ -1,7 +1,7 @@
 package soak
 
-// checkExecutions checks that a write is executed at most once, that it was executed if it is answered as served, and
-// that it was not if it is rejected.
+// checkExecutions checks that a write is executed at most once, that it was executed if it is answered as
+// served, and that it was not if it is rejected.
 func (c *invariantChecker) checkExecutions(q *Request) {
 	if q.Class != classWrite {
 		return
@@ -21,8 +21,8 @@
 	}
 }
 
-// checkRepeats checks that a request with an idempotency key is repeated only while servers know its key: within the
-// deduplication window after the first call that may have been executed.
+// checkRepeats checks that a request with an idempotency key is repeated only while servers know its key:
+// within the deduplication window after the first call that may have been executed.
 func (c *invariantChecker) checkRepeats(q *Request) {
 	if q.Class != classKeyed {
 		return
--- a/internal/soak/rule_incarnations.go
+++ b/internal/soak/rule_incarnations.go
@@ -34,7 +34,8 @@
 	}
 }
 
-// checkExit checks that a process exits only when it is ordered to, after SIGTERM without an error, and in time.
+// checkExit checks that a process exits only when it is ordered to, after SIGTERM without an error, and in
+// time.
 func (c *invariantChecker) checkExit(i *Incarnation, words []string) {
 	beforeSigterm := i.SigtermAt == 0 || i.ExitedAt < i.SigtermAt
 	if i.ExitedAt != 0 && beforeSigterm && i.KilledAt == 0 {
--- a/internal/soak/rule_purges.go
+++ b/internal/soak/rule_purges.go
@@ -2,8 +2,8 @@
 
 import "strings"
 
-// checkPurges checks that no request is served from a copy that a purge covers, if its call was sent more than the grace
-// period after the proxy was notified of the purge.
+// checkPurges checks that no request is served from a copy that a purge covers, if its call was sent more
+// than the grace period after the proxy was notified of the purge.
 func (c *invariantChecker) checkPurges(q *Request) {
 	for _, a := range q.Answers {
 		call := c.callOf(q, a)
--- a/internal/soak/rule_slowstart.go
+++ b/internal/soak/rule_slowstart.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// checkSlowStart checks that a server that has started gets no more calls in any window than its capacity at that time
-// allows. The capacity grows linearly from SlowStartCapacity to 1 in SlowStartDuration. The rule applies where at least
-// two thirds of the calls come from notified proxies: the others can't know that the server has started. It reports the
-// first violation alone.
+// checkSlowStart checks that a server that has started gets no more calls in any window than its capacity at
+// that time allows. The capacity grows linearly from SlowStartCapacity to 1 in SlowStartDuration. The rule
+// applies where at least two thirds of the calls come from notified proxies: the others can't know that the
+// server has started. It reports the first violation alone.
 func (c *invariantChecker) checkSlowStart(s ServerStart) {
 	calls := c.callsDuringSlowStart(s)
 	for i, last := range calls {
@@ -26,7 +26,8 @@
 	}
 }
 
-// callsDuringSlowStart are the calls that a server read during its slow start, in the order of their first bytes.
+// callsDuringSlowStart are the calls that a server read during its slow start, in the order of their first
+// bytes.
 func (c *invariantChecker) callsDuringSlowStart(s ServerStart) (calls []*Call) {
 	for _, call := range c.h.Calls {
 		inSlowStart := call.FirstByteAt >= s.At && call.FirstByteAt < s.At+c.h.Limits.SlowStartDuration
@@ -38,8 +39,8 @@
 	return calls
 }
 
-// countInWindow counts the calls in the window that ends with the last one, and those of them whose proxy was notified
-// of the server's start.
+// countInWindow counts the calls in the window that ends with the last one, and those of them whose proxy was
+// notified of the server's start.
 func (c *invariantChecker) countInWindow(s ServerStart, calls []*Call) (count, notified int) {
 	windowStart := calls[len(calls)-1].FirstByteAt - c.h.Limits.OverloadWindow
 	for _, call := range calls {
@@ -54,9 +55,9 @@
 	return count, notified
 }
 
-// slowStartAllowance is how many calls in a window a server may get when it has run for some time. Proxies share the
-// capacity without knowing of each other's calls, so a margin for the variance of the count is added: a multiple of its
-// square root.
+// slowStartAllowance is how many calls in a window a server may get when it has run for some time. Proxies
+// share the capacity without knowing of each other's calls, so a margin for the variance of the count is
+// added: a multiple of its square root.
 func (c *invariantChecker) slowStartAllowance(running time.Duration) float64 {
 	const fewCalls = 30
 	l := c.h.Limits
@@ -68,7 +69,8 @@
 	return calls + 2*math.Sqrt(calls) + 2
 }
 
-// knewOfStart reports whether the proxy of a call had been notified of a server's start when it sent the call.
+// knewOfStart reports whether the proxy of a call had been notified of a server's start when it sent the
+// call.
 func (c *invariantChecker) knewOfStart(s ServerStart, call *Call) bool {
 	q := c.requests[call.ID]
 	if q == nil {
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -103,7 +103,8 @@
 	return result
 }
 
-// playSchedule carries out a schedule beside the clients' load, waits for the last answers and stops the proxies.
+// playSchedule carries out a schedule beside the clients' load, waits for the last answers and stops the
+// proxies.
 func (r *run) playSchedule(schedule []Fault) {
 	var clients, background sync.WaitGroup
 	quiet := make(chan struct{})
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -22,8 +22,8 @@
 	serverStream = 7
 )
 
-// server stands in for a cache, a parent or the origin. It caches objects, drops purged copies some time after the
-// purge, and records the calls that it reads.
+// server stands in for a cache, a parent or the origin. It caches objects, drops purged copies some time
+// after the purge, and records the calls that it reads.
 type server struct {
 	h              *History
 	id, kind, zone string
@@ -205,7 +205,8 @@
 	}
 }
 
-// sinceArrival is how long ago the last bytes of a connection arrived at this machine. They may be read later.
+// sinceArrival is how long ago the last bytes of a connection arrived at this machine. They may be read
+// later.
 func sinceArrival(conn net.Conn) (ago time.Duration) {
 	raw, err := conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -220,7 +221,8 @@
 	return ago
 }
 
-// setState sets the state in the endpoint list, and returns the entry there and when the server was restarted.
+// setState sets the state in the endpoint list, and returns the entry there and when the server was
+// restarted.
 func (s *server) setState(state string) (entry string, restartedAt time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/soak/shrink.go
+++ b/internal/soak/shrink.go
@@ -7,9 +7,9 @@
 	"slices"
 )
 
-// shrink removes one fault after another from a schedule, as long as its first violated rule is still violated, and
-// writes the shortest schedule to the report directory. Timing differs between runs: a fault that is removed, or kept,
-// by chance is possible.
+// shrink removes one fault after another from a schedule, as long as its first violated rule is still
+// violated, and writes the shortest schedule to the report directory. Timing differs between runs: a fault
+// that is removed, or kept, by chance is possible.
 func shrink(seed uint64, o Options, found Result) error {
 	reportDir := o.ReportDir
 	o.ReportDir = ""
--- a/internal/soak/spans.go
+++ b/internal/soak/spans.go
@@ -14,8 +14,8 @@
 // overlaps reports whether a part of the span lies between two moments.
 func (s Span) overlaps(from, to time.Duration) bool { return s.To > from && s.From < to }
 
-// afterExcluding returns when a length of time has passed after a moment, where the time in the given spans does not
-// count.
+// afterExcluding returns when a length of time has passed after a moment, where the time in the given spans
+// does not count.
 func afterExcluding(spans []Span, from, length time.Duration) time.Duration {
 	sorted := slices.SortedFunc(slices.Values(spans), func(a, b Span) int { return cmp.Compare(a.From, b.From) })
 	end := from + length
--- a/internal/soak/watchserver.go
+++ b/internal/soak/watchserver.go
@@ -13,7 +13,8 @@
 	progressInterval = time.Second
 	// eventPollInterval is how often a stream looks for the next event.
 	eventPollInterval = 2 * time.Millisecond
-	// slowLineTime is how long a slow stream takes for one line. With the line behind it, it stays within notifyWithin.
+	// slowLineTime is how long a slow stream takes for one line. With the line behind it, it stays within
+	// notifyWithin.
 	slowLineTime = 6 * time.Second
 )
 
@@ -79,7 +80,8 @@
 	return ws.mode == modeSilent
 }
 
-// serve reads which event a proxy follows from, and brings it the events after that until the connection ends.
+// serve reads which event a proxy follows from, and brings it the events after that until the connection
+// ends.
 func (ws *watchServer) serve(conn net.Conn) {
 	ws.addStream(conn)
 	defer func() {
@@ -104,8 +106,8 @@
 	ws.bringEvents(conn, index, ended)
 }
 
-// bringEvents writes the events after an index, each as it is published, and the last index once progressInterval has
-// passed without one.
+// bringEvents writes the events after an index, each as it is published, and the last index once
+// progressInterval has passed without one.
 func (ws *watchServer) bringEvents(conn net.Conn, index int, ended <-chan struct{}) {
 	lastProgress := time.Now()
 	for {
@@ -135,8 +137,8 @@
 	}
 }
 
-// byteInterval is the time between two bytes of a line; 0: the line is written at once. A slow stream is slow for one
-// event of the endpoint list, the same for all streams of the proxy.
+// byteInterval is the time between two bytes of a line; 0: the line is written at once. A slow stream is slow
+// for one event of the endpoint list, the same for all streams of the proxy.
 func (ws *watchServer) byteInterval(e *WatchEvent, size int) time.Duration {
 	ws.c.mu.Lock()
 	defer ws.c.mu.Unlock()
@@ -153,7 +155,8 @@
 // changesEndpoints reports whether an event is about the endpoint list.
 func (e *WatchEvent) changesEndpoints() bool { return len(e.Withdrawn)+len(e.Serving) > 0 }
 
-// writePaced writes a line, byte by byte where an interval is given. It reports false once the connection has ended.
+// writePaced writes a line, byte by byte where an interval is given. It reports false once the connection has
+// ended.
 func writePaced(conn net.Conn, line string, byteInterval time.Duration) bool {
 	if byteInterval == 0 {
 		_, err := conn.Write([]byte(line))
