--- a/internal/soak/answers.go
+++ b/internal/soak/answers.go
@@ -41,7 +41,7 @@
 		}
 	}
 	s.h.locked(func() { s.h.Calls = append(s.h.Calls, call) })
-	s.h.Note(s.id, "call %s %s k=%s src=%s w=%v maxage=%v held=%v serial=%d",
+	s.h.Note(s.id, "call %s %s k=%s src=%s w=%v maxage=%v read-late=%v serial=%d",
 		call.ID, call.Class, call.Object, call.Source, call.Timeout, call.MaxAge, late, call.Serial)
 	return call
 }
--- a/internal/soak/clientconn.go
+++ b/internal/soak/clientconn.go
@@ -74,7 +74,7 @@
 	if c.write(append(encodeRequest(id, q), more...)) == nil {
 		c.h.locked(func() { q.SentAt = c.h.Now() })
 	}
-	c.h.Note("client", "asks proxy-%d %s %s k=%s on connection %d", q.Proxy, q.Class, q.ID, q.Object, c.number)
+	c.h.Note("client", "requests from proxy-%d %s %s k=%s on connection %d", q.Proxy, q.Class, q.ID, q.Object, c.number)
 	return id
 }
 
@@ -91,7 +91,7 @@
 		}
 	}
 	c.h.locked(func() { q.SentAt = c.h.Now() })
-	c.h.Note("client", "has asked proxy-%d %s %s slowly on connection %d", q.Proxy, q.Class, q.ID, c.number)
+	c.h.Note("client", "has requested slowly from proxy-%d %s %s on connection %d", q.Proxy, q.Class, q.ID, c.number)
 }
 
 func (c *clientConn) write(data []byte) error {
@@ -185,6 +185,6 @@
 			raced = q.SentAt != 0 && !q.FirstOnConnection && now-q.SentAt < idleCloseRace && len(open) == 1
 			q.NoAnswerOwed = q.NoAnswerOwed || raced
 		})
-		c.h.Note("client", "connection %d to proxy-%d ended under %s (crossed %v)", c.number, c.clients.p.number, q.ID, raced)
+		c.h.Note("client", "connection %d to proxy-%d ended with %s open (idle close raced: %v)", c.number, c.clients.p.number, q.ID, raced)
 	}
 }
--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -22,14 +22,14 @@
 	dialTimeout    = time.Second
 	idleCloseAfter = 3500 * time.Millisecond // after which a client closes an idle connection
 
-	burstRequests   = 8
-	maxAbortDelay   = 30 * time.Millisecond // from a request to its abort
-	maxDisconnect   = 60 * time.Millisecond // from requests to the end of their connection
-	slowPieceBytes  = 40
-	slowPieceGap    = 2 * time.Millisecond
-	idleConnections = 10
-	idleFor         = time.Second
-	reuseFraction   = 0.85 // of the requests that go over an open connection
+	burstRequests      = 8
+	maxAbortDelay      = 30 * time.Millisecond // from a request to its abort
+	maxDisconnectDelay = 60 * time.Millisecond // from requests to the end of their connection
+	slowPieceBytes     = 40
+	slowPieceGap       = 2 * time.Millisecond
+	idleConnections    = 10
+	idleFor            = time.Second
+	reuseFraction      = 0.85 // of the requests that go over an open connection
 )
 
 // proxyClients are the clients of one proxy. Their fields belong to the goroutine of run.
@@ -132,7 +132,7 @@
 	incarnation := pc.p.admission().incarnation
 	conn, err := net.DialTimeout("tcp", pc.p.addr, dialTimeout)
 	if err != nil {
-		pc.h.Note("client", "proxy-%d lets nobody in: %v", pc.p.number, err)
+		pc.h.Note("client", "proxy-%d refuses a connection: %v", pc.p.number, err)
 		return nil
 	}
 	pc.dialed++
@@ -184,8 +184,8 @@
 		c.send(q, nil)
 	}
 	way := pc.rng.IntN(waysToDisconnect)
-	time.AfterFunc(pc.drawMillis(maxDisconnect), func() {
-		pc.h.Note("client", "leaves with %s and %s", requests[0].ID, requests[1].ID)
+	time.AfterFunc(pc.drawMillis(maxDisconnectDelay), func() {
+		pc.h.Note("client", "disconnects with %s and %s open", requests[0].ID, requests[1].ID)
 		c.disconnect(way)
 		pc.h.locked(func() {
 			for _, q := range requests {
--- a/internal/soak/coordinator.go
+++ b/internal/soak/coordinator.go
@@ -121,7 +121,7 @@
 			e.DeliveredAt[proxy] = c.h.Now()
 		}
 	})
-	c.h.Note("coord", "told proxy-%d event %d", proxy, e.Index)
+	c.h.Note("coord", "delivered event %d to proxy-%d", e.Index, proxy)
 }
 
 // stop closes all addresses.
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -98,7 +98,7 @@
 		return err
 	}
 	p.r.h.locked(func() { p.r.h.Incarnations = append(p.r.h.Incarnations, incarnation) })
-	p.r.h.Note(p.name(), "life %d begins, knows %d events, %v", number, knownEvents, p.environment)
+	p.r.h.Note(p.name(), "incarnation %d starts, knows %d events, environment %v", number, knownEvents, p.environment)
 	logRead := make(chan struct{})
 	go func() {
 		defer close(logRead)
@@ -145,7 +145,7 @@
 	})
 	close(exited)
 	<-logRead
-	p.r.h.Note(p.name(), "life %d ended: %v", incarnation.Number, state)
+	p.r.h.Note(p.name(), "incarnation %d exited: %v", incarnation.Number, state)
 	p.stopConns(incarnation)
 	p.stopRequests(incarnation)
 }
@@ -164,7 +164,7 @@
 		}
 	}
 	p.r.h.locked(func() { incarnation.ReadyAt = p.r.h.Now() })
-	p.r.h.Note(p.name(), "life %d is ready", incarnation.Number)
+	p.r.h.Note(p.name(), "incarnation %d is ready", incarnation.Number)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.incarnation == incarnation && incarnation.SigtermAt == 0 {
--- a/internal/soak/rule_calls.go
+++ b/internal/soak/rule_calls.go
@@ -38,7 +38,7 @@
 	last := q.CanceledAt + cancelGrace + c.h.slack(q.CanceledAt, call.FirstByteAt)
 	if call.FirstByteAt > last {
 		since := call.FirstByteAt - q.CanceledAt
-		c.report("begun after left", call.FirstByteAt, words, "request %s began at %s %.3f after its client had left",
+		c.report("begun after left", call.FirstByteAt, words, "request %s began at %s %.3f after its client had canceled it",
 			call.ID, call.Server, since.Seconds())
 	}
 }
@@ -47,7 +47,8 @@
 func (c *invariantChecker) checkDeadline(q *Request, call *Call, words []string) {
 	remaining := q.SentAt + q.Timeout - call.CompleteAt
 	if q.SentAt != 0 && call.Timeout > remaining+deadlineSlack+c.h.slack(q.SentAt, call.CompleteAt) {
-		c.report("deadline", call.CompleteAt, words, "request %s passes on %v when its client has %v left", call.ID, call.Timeout, remaining)
+		c.report("deadline", call.CompleteAt, words,
+			"request %s gives its server %v when its client has %v left", call.ID, call.Timeout, remaining)
 	}
 }
 
@@ -60,7 +61,7 @@
 	}
 	last := since + c.h.Limits.DrainGrace + socketSlack + c.h.slack(since, call.FirstByteAt)
 	if call.FirstByteAt > last {
-		c.report("drain", call.FirstByteAt, words, "request %s went to or named %s %.3f after its proxy was told that it leaves",
+		c.report("drain", call.FirstByteAt, words, "request %s went to or named %s %.3f after its proxy was notified of its drain or removal",
 			call.ID, server, (call.FirstByteAt - since).Seconds())
 	}
 }
--- a/internal/soak/rule_executions.go
+++ b/internal/soak/rule_executions.go
@@ -9,14 +9,14 @@
 	executions := c.executions[q.ID]
 	words := []string{q.ID}
 	if executions > 1 {
-		c.report("ran twice", q.SentAt, words, "request %s ran %d times", q.ID, executions)
+		c.report("ran twice", q.SentAt, words, "request %s was executed %d times", q.ID, executions)
 	}
 	for _, a := range q.Answers {
 		if a.Status == "200" && executions == 0 {
-			c.report("served unrun", a.At, words, "request %s was answered as served and never ran", q.ID)
+			c.report("served unrun", a.At, words, "request %s was answered as served and never executed", q.ID)
 		}
 		if a.Rejected() && executions > 0 {
-			c.report("refused after run", a.At, words, "request %s was refused and ran", q.ID)
+			c.report("refused after run", a.At, words, "request %s was rejected and executed", q.ID)
 		}
 	}
 }
@@ -39,7 +39,7 @@
 		if call.FirstByteAt > last {
 			since := call.FirstByteAt - first.FirstByteAt
 			c.report("repeat after window", call.FirstByteAt, []string{q.ID, proxyName(q.Proxy)},
-				"request %s was repeated %.3f after a call that may have run", q.ID, since.Seconds())
+				"request %s was repeated %.3f after a call that may have been executed", q.ID, since.Seconds())
 		}
 	}
 }
--- a/internal/soak/rule_incarnations.go
+++ b/internal/soak/rule_incarnations.go
@@ -13,7 +13,9 @@
 )
 
 // String names the process in violations.
-func (i *Incarnation) String() string { return fmt.Sprintf("proxy %d, life %d", i.Proxy, i.Number) }
+func (i *Incarnation) String() string {
+	return fmt.Sprintf("proxy %d, incarnation %d", i.Proxy, i.Number)
+}
 
 // checkIncarnation checks the rules on one process: its start, its exit and its limits.
 func (c *invariantChecker) checkIncarnation(i *Incarnation) {
@@ -39,10 +41,10 @@
 func (c *invariantChecker) checkExit(i *Incarnation, words []string) {
 	beforeSigterm := i.SigtermAt == 0 || i.ExitedAt < i.SigtermAt
 	if i.ExitedAt != 0 && beforeSigterm && i.KilledAt == 0 {
-		c.report("crash", i.ExitedAt, words, "%v ended by itself: %s", i, i.ExitError)
+		c.report("crash", i.ExitedAt, words, "%v exited by itself: %s", i, i.ExitError)
 	}
 	if i.SigtermAt != 0 && i.KilledAt == 0 && i.ExitedAt > i.SigtermAt && i.ExitError != "" {
-		c.report("bad end", i.SigtermAt, words, "%v ended with %q after SIGTERM", i, i.ExitError)
+		c.report("bad end", i.SigtermAt, words, "%v exited with %q after SIGTERM", i, i.ExitError)
 	}
 	if i.SigtermAt != 0 && i.KilledAt > i.SigtermAt {
 		c.report("late end", i.KilledAt, words, "%v had to be killed %.3f after SIGTERM", i, (i.KilledAt - i.SigtermAt).Seconds())
@@ -52,9 +54,9 @@
 // checkResources checks that a process stays within its memory and descriptors.
 func (c *invariantChecker) checkResources(i *Incarnation, words []string) {
 	if i.PeakMemoryKB > c.h.Limits.MemoryKB {
-		c.report("memory", i.ExitedAt, words, "%v held %d KB", i, i.PeakMemoryKB)
+		c.report("memory", i.ExitedAt, words, "%v used %d KB", i, i.PeakMemoryKB)
 	}
 	if i.PeakDescriptors > c.h.Limits.Descriptors {
-		c.report("descriptors", i.ExitedAt, words, "%v held %d descriptors", i, i.PeakDescriptors)
+		c.report("descriptors", i.ExitedAt, words, "%v used %d descriptors", i, i.PeakDescriptors)
 	}
 }
--- a/internal/soak/rule_purges.go
+++ b/internal/soak/rule_purges.go
@@ -45,6 +45,7 @@
 	}
 	since := call.FirstByteAt - notified
 	words := []string{q.ID, call.Server, q.Object, proxyName(q.Proxy)}
-	c.report("purged copy", call.FirstByteAt, words, "request %s was sent %.3f after it was told of a purge, and served from a copy %v older",
+	c.report("purged copy", call.FirstByteAt, words,
+		"request %s was sent %.3f after its proxy was notified of a purge, and served from a copy %v older",
 		q.ID, since.Seconds(), e.PurgedBefore.Sub(call.CopyMadeAt))
 }
--- a/internal/soak/rule_slowstart.go
+++ b/internal/soak/rule_slowstart.go
@@ -19,7 +19,7 @@
 		enoughNotified := float64(notified) >= 2*float64(count)/3
 		if float64(count) > allowed && enoughNotified {
 			c.report("cold start", last.FirstByteAt, []string{s.Server},
-				"%s got %d calls within %v, %.1f allowed, %d from proxies that knew of its start",
+				"%s got %d calls within %v, %.1f allowed, %d from proxies that were notified of its start",
 				s.Server, count, c.h.Limits.OverloadWindow, allowed, notified)
 			return
 		}
