--- a/cmd/edgeproxy/admin_test.go
+++ b/cmd/edgeproxy/admin_test.go
@@ -73,7 +73,8 @@
 		"nonsense\r\n\r\n":                                                 400,
 		"GET /ops/stats HTTP/1.1\r\nA: " + strings.Repeat("a", 9000) + "x": 431,
 	} {
-		if got, _ := env.adminRaw(raw); got != want {
+		got, _ := env.adminRaw(raw)
+		if got != want {
 			t.Errorf("%.40q: %d, want %d", raw, got, want)
 		}
 	}
@@ -108,28 +109,34 @@
 	receive(t, idle.answers, "answer")
 	busy.request(1, "registro", longTimeoutMS, 1, "") // a read would be hedged
 	open := receive(t, env.origin.calls, "call")
-	if status, _ := env.adminCall("PUT", "/ops/drain/start"); status != 200 || env.readiness() != 503 {
+	status, _ := env.adminCall("PUT", "/ops/drain/start")
+	if status != 200 || env.readiness() != 503 {
 		t.Error("not draining")
 	}
 	env.awaitAlive("503")
-	if a := receive(t, idle.answers, "close"); a.id != 0 {
+	a := receive(t, idle.answers, "close")
+	if a.id != 0 {
 		t.Errorf("%+v", a)
 	}
 	env.requestUntilRejected(busy, 2)
 	open.answer("served", "-", "fine")
-	if a := receive(t, busy.answers, "answer"); a.id != 1 || a.body != "fine" {
+	a = receive(t, busy.answers, "answer")
+	if a.id != 1 || a.body != "fine" {
 		t.Errorf("%+v", a)
 	}
-	if a := receive(t, busy.answers, "close"); a.id != 0 {
+	a = receive(t, busy.answers, "close")
+	if a.id != 0 {
 		t.Errorf("%+v", a)
 	}
-	if status, _ := env.adminCall("PUT", "/ops/drain/stop"); status != 200 || env.readiness() != 200 {
+	status, _ = env.adminCall("PUT", "/ops/drain/stop")
+	if status != 200 || env.readiness() != 200 {
 		t.Error("still draining")
 	}
 	c := env.dial()
 	c.request(1, "artes", longTimeoutMS, 1, "")
 	receive(t, env.cache.calls, "call").answer("served", "-", "back")
-	if a := receive(t, c.answers, "answer"); a.body != "back" {
+	a = receive(t, c.answers, "answer")
+	if a.body != "back" {
 		t.Errorf("%+v", a)
 	}
 }
@@ -156,11 +163,13 @@
 	slowClient.request(100, "artes", longTimeoutMS, 100, "")
 	c := newClient(conn)
 	for range 33 {
-		if a := receive(t, c.answers, "answer"); len(a.body) != 240_000 && a.id != 100 || a.id == 0 {
+		a := receive(t, c.answers, "answer")
+		if len(a.body) != 240_000 && a.id != 100 || a.id == 0 {
 			t.Fatalf("%d %s: %d bytes", a.id, a.status, len(a.body))
 		}
 	}
-	if a := receive(t, c.answers, "close"); a.id != 0 {
+	a := receive(t, c.answers, "close")
+	if a.id != 0 {
 		t.Errorf("%+v", a)
 	}
 }
--- a/cmd/edgeproxy/adminenv_test.go
+++ b/cmd/edgeproxy/adminenv_test.go
@@ -64,7 +64,8 @@
 func (env *testEnv) checkMetrics(wants map[string]int) {
 	env.t.Helper()
 	for name, want := range wants {
-		if got := env.metric(name); got != want {
+		got := env.metric(name)
+		if got != want {
 			env.t.Errorf("%s is %d, want %d", name, got, want)
 		}
 	}
--- a/cmd/edgeproxy/cache_test.go
+++ b/cmd/edgeproxy/cache_test.go
@@ -22,17 +22,20 @@
 			t.Errorf("field %s is %q, want %q", name, got.fields[name], want)
 		}
 	}
-	if n, err := strconv.Atoi(got.fields["w"]); err != nil || n <= 0 || n > longTimeoutMS || got.words[1] != "9b1f03aa5c7e2d41" {
+	n, err := strconv.Atoi(got.fields["w"])
+	if err != nil || n <= 0 || n > longTimeoutMS || got.words[1] != "9b1f03aa5c7e2d41" {
 		t.Errorf("%q", got.words)
 	}
 	got.answer("served", "etag=4be0c1927d55a6f4,made=1,note=TCP_MISS,ttfb=3", big)
-	if a := receive(t, c.answers, "answer"); a.id != 7 || a.status != "200" || a.body != big {
+	a := receive(t, c.answers, "answer")
+	if a.id != 7 || a.status != "200" || a.body != big {
 		t.Errorf("%d %s %d bytes", a.id, a.status, len(a.body))
 	}
 
 	c.request(7, "artes", longTimeoutMS, 0xabc, "", "HTTP_X_VER", "4be0c1927d55a6f4")
 	receive(t, env.cache.calls, "call").answer("still_good", "etag=4be0c1927d55a6f4,made=1,note=TCP_HIT", "")
-	if a := receive(t, c.answers, "answer"); a.status != "200" || a.body != "" || !strings.Contains(a.headers, "X-Unchanged: 1") {
+	a = receive(t, c.answers, "answer")
+	if a.status != "200" || a.body != "" || !strings.Contains(a.headers, "X-Unchanged: 1") {
 		t.Errorf("%+v", a)
 	}
 }
@@ -45,11 +48,13 @@
 	first := receive(t, env.cache.calls, "call")
 	c.request(2, "artes", longTimeoutMS, 2, "")
 	receive(t, env.cache.calls, "call").answer("served", "-", "two")
-	if a := receive(t, c.answers, "answer"); a.id != 2 || a.body != "two" {
+	a := receive(t, c.answers, "answer")
+	if a.id != 2 || a.body != "two" {
 		t.Errorf("%+v", a)
 	}
 	first.answer("served", "-", "one")
-	if a := receive(t, c.answers, "answer"); a.id != 1 || a.body != "one" {
+	a = receive(t, c.answers, "answer")
+	if a.id != 1 || a.body != "one" {
 		t.Errorf("%+v", a)
 	}
 }
@@ -66,12 +71,14 @@
 		t.Errorf("body of %d bytes", len(got.words[3]))
 	}
 	closeOnce(t, got.conn)
-	if a := receive(t, c.answers, "answer"); a.status != "502" {
+	a := receive(t, c.answers, "answer")
+	if a.status != "502" {
 		t.Errorf("after a reset: %+v", a)
 	}
 	closeOnce(t, env.origin) // connects are refused from now on
 	c.request(2, "registro", longTimeoutMS, 1, write)
-	if a := receive(t, c.answers, "answer"); a.status != "503" || !strings.Contains(a.headers, "Srv-Wait-Ms: ") {
+	a = receive(t, c.answers, "answer")
+	if a.status != "503" || !strings.Contains(a.headers, "Srv-Wait-Ms: ") {
 		t.Errorf("after a refused connect: %+v", a)
 	}
 	if len(env.origin.calls) != 0 {
@@ -88,7 +95,8 @@
 	c.request(1, "registro", 1000, 1, "x")
 	receive(t, env.origin.calls, "call")
 	receive(t, env.origin.stops, "STOP")
-	if a := receive(t, c.answers, "answer"); a.status != "502" || time.Since(start) < 500*time.Millisecond {
+	a := receive(t, c.answers, "answer")
+	if a.status != "502" || time.Since(start) < 500*time.Millisecond {
 		t.Errorf("%+v after %v", a, time.Since(start))
 	}
 }
@@ -109,7 +117,8 @@
 			}
 			env.origin.answerAll("served", "-", "again")
 			env.cache.answerAll("served", "-", "again")
-			if a := receive(t, c.answers, "answer"); a.body != "again" {
+			a := receive(t, c.answers, "answer")
+			if a.body != "again" {
 				t.Errorf("%+v", a)
 			}
 		})
@@ -127,7 +136,8 @@
 		calls = append(calls, receive(t, env.origin.calls, "call"))
 	}
 	mustWrite(t, calls[0].conn, "noise\r\n")
-	if a := receive(t, c.answers, "answer"); a.id != 1 || a.status != "502" {
+	a := receive(t, c.answers, "answer")
+	if a.id != 1 || a.status != "502" {
 		t.Errorf("malformed answer: %+v", a)
 	}
 	for i, got := range calls[1:] {
@@ -210,7 +220,8 @@
 			t.Fatalf("%s: not retried", fields)
 		}
 		again.answer("served", "etag=4be0c1927d55a6f5,made=1", "whole")
-		if a := receive(t, c.answers, "answer"); a.body != "whole" || strings.Contains(a.headers, "X-Unchanged") {
+		a := receive(t, c.answers, "answer")
+		if a.body != "whole" || strings.Contains(a.headers, "X-Unchanged") {
 			t.Errorf("%s: %+v", fields, a)
 		}
 	}
@@ -234,7 +245,8 @@
 		t.Error("the connection with half an answer is used again")
 	}
 	second.answer("served", "-", "fine")
-	if a := receive(t, c.answers, "answer"); a.id != 2 || a.body != "fine" {
+	a := receive(t, c.answers, "answer")
+	if a.id != 2 || a.body != "fine" {
 		t.Errorf("%+v", a)
 	}
 }
@@ -256,7 +268,8 @@
 		first.answer("served", "-", "second")
 		first.answer("crashed", "-", "")
 		out.flush()
-		if a := receive(t, c.answers, "answer"); a.body != "first" {
+		a := receive(t, c.answers, "answer")
+		if a.body != "first" {
 			t.Errorf("%+v", a)
 		}
 		first.conn = got.conn
@@ -295,7 +308,8 @@
 		return err != nil
 	})
 	next.answer("served", "made=1", "again")
-	if a := receive(t, c.answers, "answer"); a.id != 2 || a.body != "again" {
+	a := receive(t, c.answers, "answer")
+	if a.id != 2 || a.body != "again" {
 		t.Errorf("%+v", a)
 	}
 }
@@ -322,7 +336,8 @@
 	if first.answer("served", "made=1", "fine"); first.fields["i"] != "a-Key_7.x" {
 		t.Errorf("%q", first.words)
 	}
-	if a := receive(t, c.answers, "answer"); a.body != "fine" {
+	a := receive(t, c.answers, "answer")
+	if a.body != "fine" {
 		t.Errorf("%+v", a)
 	}
 	for _, bad := range []string{"a,b", "a=b", "a b", strings.Repeat("x", 65)} {
--- a/cmd/edgeproxy/client_test.go
+++ b/cmd/edgeproxy/client_test.go
@@ -19,7 +19,8 @@
 	} {
 		c := env.dial()
 		mustWrite(t, c, bytes)
-		if a := receive(t, c.answers, "close"); a.id != 0 {
+		a := receive(t, c.answers, "close")
+		if a.id != 0 {
 			t.Errorf("%q: %+v", bytes, a)
 		}
 	}
@@ -29,12 +30,14 @@
 		{"HTTP_REQ_KB", "large"}, {"HTTP_REQ_KB", "NaN"}, {"HTTP_REQ_KEY", ""}, {"SCRIPT_NAME", "/ops/none"}, {"SCRIPT_NAME", "/"},
 	} {
 		c.request(uint16(i+1), "artes", longTimeoutMS, 1, "", extra...)
-		if a := receive(t, c.answers, "answer"); a.status != "400" {
+		a := receive(t, c.answers, "answer")
+		if a.status != "400" {
 			t.Errorf("%v: %+v", extra, a)
 		}
 	}
 	c.request(1, "artes", longTimeoutMS, 1, "")
-	if a := receive(t, c.answers, "answer"); a.body != "fine" {
+	a := receive(t, c.answers, "answer")
+	if a.body != "fine" {
 		t.Errorf("%+v", a)
 	}
 }
@@ -78,12 +81,14 @@
 	out.answer("served", "-", "out")
 	go c.readAnswers()
 	for range 32 {
-		if a := receive(t, c.answers, "answer"); a.status != "200" {
+		a := receive(t, c.answers, "answer")
+		if a.status != "200" {
 			t.Errorf("%+v", a)
 		}
 	}
 	receive(t, env.cache.calls, "call").answer("served", "-", "delayed")
-	if a := receive(t, c.answers, "answer"); a.id != 100 || a.body != "delayed" {
+	a := receive(t, c.answers, "answer")
+	if a.id != 100 || a.body != "delayed" {
 		t.Errorf("%+v", a)
 	}
 }
@@ -97,7 +102,8 @@
 	closeOnce(t, env.origin)
 	c := env.dial()
 	c.request(1, "registro", longTimeoutMS, 1, "x")
-	if a := receive(t, c.answers, "answer"); a.status != "503" || strings.Contains(a.headers, "Srv-Wait-Ms") {
+	a := receive(t, c.answers, "answer")
+	if a.status != "503" || strings.Contains(a.headers, "Srv-Wait-Ms") {
 		t.Errorf("%+v", a)
 	}
 }
@@ -118,7 +124,8 @@
 		c.Write(out.buffer[:n]) //nolint:errcheck // shows in the answers
 		out.buffer = out.buffer[n:]
 	}
-	if a := receive(t, c.answers, "answer"); a.body != "fine" {
+	a := receive(t, c.answers, "answer")
+	if a.body != "fine" {
 		t.Errorf("%+v", a)
 	}
 }
--- a/cmd/edgeproxy/clientlimits_test.go
+++ b/cmd/edgeproxy/clientlimits_test.go
@@ -21,12 +21,14 @@
 		} else {
 			c.writeRecord(recordParams, 2, strings.Repeat("x", 20_000))
 		}
-		if a := receive(t, c.answers, name+": rejection"); a.id != 2 || a.status != "503" {
+		a := receive(t, c.answers, name+": rejection")
+		if a.id != 2 || a.status != "503" {
 			t.Errorf("%s: %+v", name, a)
 		}
 		c.writeRecord(recordStdin, 2, "") // the rest of it is skipped
 		c.request(3, "artes", longTimeoutMS, 1, "")
-		if a := receive(t, c.answers, name+": answer"); a.id != 3 || a.body != "fine" {
+		a = receive(t, c.answers, name+": answer")
+		if a.id != 3 || a.body != "fine" {
 			t.Errorf("%s: %+v", name, a)
 		}
 	}
@@ -132,7 +134,8 @@
 	resume()
 	for i, c := range all {
 		for range each {
-			if a := receive(t, c.answers, "answer"); a.body != big {
+			a := receive(t, c.answers, "answer")
+			if a.body != big {
 				t.Fatalf("client %d: answer %d has status %q and %d bytes", i, a.id, a.status, len(a.body))
 			}
 		}
@@ -158,7 +161,8 @@
 	c := env.dial()
 	for id := range uint16(20) {
 		c.request(id+1, "artes", longTimeoutMS, int(id), "")
-		if a := receive(t, c.answers, "answer"); a.status != "200" || len(a.body) != 240_000 {
+		a := receive(t, c.answers, "answer")
+		if a.status != "200" || len(a.body) != 240_000 {
 			t.Fatalf("%s, %d bytes", a.status, len(a.body))
 		}
 	}
@@ -167,7 +171,8 @@
 	}
 	for id := range uint16(200) { // some are rejected meanwhile
 		c.request(id+1, "artes", longTimeoutMS, int(id), "")
-		if a := receive(t, c.answers, "answer"); a.id != id+1 {
+		a := receive(t, c.answers, "answer")
+		if a.id != id+1 {
 			t.Fatalf("%+v", a)
 		}
 	}
@@ -183,7 +188,8 @@
 	served := func(who string, c *client) {
 		t.Helper()
 		c.request(1, "artes", longTimeoutMS, 1, "")
-		if a := receive(t, c.answers, "answer"); a.body != "fine" {
+		a := receive(t, c.answers, "answer")
+		if a.body != "fine" {
 			t.Errorf("%s: %+v", who, a)
 		}
 	}
@@ -198,7 +204,8 @@
 	half := env.dial()
 	half.writeRecord(recordBegin, 1, beginKeepConn)
 	for _, c := range append(silent, half) {
-		if a := receive(t, c.answers, "close"); a.id != 0 {
+		a := receive(t, c.answers, "close")
+		if a.id != 0 {
 			t.Errorf("%+v", a)
 		}
 	}
@@ -228,7 +235,8 @@
 			}
 		}()
 	}
-	if a := receive(t, answers, "rejection"); a.protocol != 2 {
+	a := receive(t, answers, "rejection")
+	if a.protocol != 2 {
 		t.Errorf("%+v, want OVERLOADED", a)
 	}
 	for _, c := range conns {
@@ -253,13 +261,15 @@
 	for i := range 700 { // more than the two fifths of the descriptors that clients may use: 409
 		c := env.dial()
 		c.request(1, "artes", longTimeoutMS, i, "")
-		if a := receive(t, c.answers, "answer"); a.body != "fine" {
+		a := receive(t, c.answers, "answer")
+		if a.body != "fine" {
 			t.Fatalf("client %d: %+v", i, a)
 		}
 	}
 	env.awaitAlive("200")
 	env.resumeCoordinator()
-	if got := receive(t, env.followLines, "follow"); got != "follow 1" {
+	got := receive(t, env.followLines, "follow")
+	if got != "follow 1" {
 		t.Errorf("%q", got)
 	}
 }
--- a/cmd/edgeproxy/clock_test.go
+++ b/cmd/edgeproxy/clock_test.go
@@ -65,7 +65,8 @@
 	if _, err := io.ReadFull(m.acks, ack[:]); err != nil {
 		m.t.Fatalf("the program has not carried out a step: %v", err)
 	}
-	if got := time.Duration(binary.BigEndian.Uint64(ack[:])); got != m.now {
+	got := time.Duration(binary.BigEndian.Uint64(ack[:]))
+	if got != m.now {
 		m.t.Fatalf("the program is at %v, want %v", got, m.now)
 	}
 }
@@ -92,7 +93,8 @@
 		binary.BigEndian.PutUint64(step[:], uint64(c.now))
 		syscall.Write(c.acks, step[:]) //nolint:errcheck // a test that has ended reads no acknowledgment
 	}
-	if n, err := syscall.Read(c.in, step[:]); err == nil && n == clockMessageSize {
+	n, err := syscall.Read(c.in, step[:])
+	if err == nil && n == clockMessageSize {
 		c.now = time.Duration(binary.BigEndian.Uint64(step[:]))
 		c.pending = true
 	}
@@ -145,13 +147,15 @@
 		c.request(1, "artes", longTimeoutMS, 1, "")
 		got := receive(t, env.cache.calls, "call")
 		age, _ := strconv.ParseInt(got.fields["maxage"], 10, 64)
-		if maxAge := time.Since(moment).Milliseconds(); age <= 0 || age > maxAge {
+		maxAge := time.Since(moment).Milliseconds()
+		if age <= 0 || age > maxAge {
 			t.Errorf("%s: maxage is %d when the purge was %d ms ago", by, age, maxAge)
 		}
 		got.answer("served", fmt.Sprintf("etag=a,note=TCP_JOIN,made=%d", moment.UnixMilli()-1000), "from before the purge")
 		got = receive(t, env.cache.calls, by+": further call")
 		got.answer("served", fmt.Sprintf("etag=b,note=TCP_MISS,made=%d", time.Now().UnixMilli()), "from after the purge")
-		if a := receive(t, c.answers, "answer"); a.status != "200" || a.body != "from after the purge" {
+		a := receive(t, c.answers, "answer")
+		if a.status != "200" || a.body != "from after the purge" {
 			t.Errorf("%s: %+v", by, a)
 		}
 	}
--- a/cmd/edgeproxy/config_test.go
+++ b/cmd/edgeproxy/config_test.go
@@ -59,7 +59,8 @@
 	}
 	c := env.dial()
 	c.request(1, "artes", longTimeoutMS, 1, "")
-	if a := receive(t, c.answers, "answer"); a.body != "fine" {
+	a := receive(t, c.answers, "answer")
+	if a.body != "fine" {
 		t.Errorf("%+v", a)
 	}
 	env.checkMetrics(map[string]int{operationsMetric("artes", "fulfilled"): 1})
@@ -88,7 +89,8 @@
 	}
 	c := env.dial()
 	c.request(1, "artes", longTimeoutMS, 1, "")
-	if a := receive(t, c.answers, "answer"); a.body != "fine" {
+	a := receive(t, c.answers, "answer")
+	if a.body != "fine" {
 		t.Errorf("%+v", a)
 	}
 	if _, err := file.WriteString(env.initialConfig); err != nil {
@@ -112,11 +114,13 @@
 
 	old := env.watchConn
 	env.reload(old.LocalAddr().String(), env.startCoordinator())
-	if got := receive(t, env.followLines, "follow"); got != "follow 2" || env.watchConn.LocalAddr().String() == old.LocalAddr().String() {
+	got := receive(t, env.followLines, "follow")
+	if got != "follow 2" || env.watchConn.LocalAddr().String() == old.LocalAddr().String() {
 		t.Errorf("%q at %v", got, env.watchConn.LocalAddr())
 	}
 	open.answer("served", "-", "fine")
-	if a := receive(t, c.answers, "answer"); a.body != "fine" {
+	a := receive(t, c.answers, "answer")
+	if a.body != "fine" {
 		t.Errorf("%+v", a)
 	}
 }
@@ -142,7 +146,8 @@
 	}
 	c.request(2, "artes", longTimeoutMS, 2, "")
 	receive(t, env.cache.calls, "call").answer("served", "-", "as before")
-	if a := receive(t, c.answers, "answer"); a.body != "as before" || len(env.followLines) != 0 {
+	a := receive(t, c.answers, "answer")
+	if a.body != "as before" || len(env.followLines) != 0 {
 		t.Errorf("%+v, or another coordinator was followed", a)
 	}
 	// registro, which is not idempotent, takes the place of artes in the list; a new class takes its place.
@@ -152,20 +157,24 @@
 	env.eventually("applied", func() bool { return env.metric("svc_cfg_accepted") == 1 })
 	c.request(3, "registro", longTimeoutMS, 3, "x")
 	receive(t, env.origin.calls, "call").answer("crashed", "-", "")
-	if a := receive(t, c.answers, "answer"); a.status != "502" {
+	a = receive(t, c.answers, "answer")
+	if a.status != "502" {
 		t.Errorf("a write that may have run: %+v", a)
 	}
 	c.request(4, "nuevos", longTimeoutMS, 4, "")
 	receive(t, env.cache.calls, "call").answer("served", "-", "new")
-	if a := receive(t, c.answers, "answer"); a.body != "new" {
+	a = receive(t, c.answers, "answer")
+	if a.body != "new" {
 		t.Errorf("%+v", a)
 	}
 	c.request(5, "artes", longTimeoutMS, 5, "")
-	if a := receive(t, c.answers, "answer"); a.status != "400" {
+	a = receive(t, c.answers, "answer")
+	if a.status != "400" {
 		t.Errorf("a class that was removed: %+v", a)
 	}
 	open.answer("served", "-", "fine")
-	if a := receive(t, c.answers, "answer"); a.id != 1 || a.body != "fine" {
+	a = receive(t, c.answers, "answer")
+	if a.id != 1 || a.body != "fine" {
 		t.Errorf("%+v", a)
 	}
 	env.checkMetrics(map[string]int{operationsMetric("artes", "fulfilled"): 2, operationsMetric("nuevos", "fulfilled"): 1, "svc_cfg_invalid": 9})
--- a/cmd/edgeproxy/coordinator_test.go
+++ b/cmd/edgeproxy/coordinator_test.go
@@ -26,7 +26,8 @@
 	env.sendEvent(endpointEvent(2, false, endpoint("c1", "std", "edge", "DRAINING", env.cache), endpoint("c2", "std", "edge", "SERVING", second)))
 	env.eventually("the event was taken", func() bool { return served(1) == "second" })
 	for object := range 20 {
-		if got := served(object); got != "second" {
+		got := served(object)
+		if got != "second" {
 			t.Errorf("object %d from %q", object, got)
 		}
 	}
@@ -50,7 +51,8 @@
 		return got.conn != old.conn
 	})
 	old.answer("served", "-", "old") // the call in flight may still be answered
-	if a := receive(t, c.answers, "answer"); a.id != 1 || a.body != "old" {
+	a := receive(t, c.answers, "answer")
+	if a.id != 1 || a.body != "old" {
 		t.Errorf("%+v", a)
 	}
 }
@@ -89,7 +91,8 @@
 			t.Errorf("%q: may join the same fill again", got.words[2])
 		}
 		got.answer("served", fmt.Sprintf("etag=b,note=TCP_MISS,made=%d", moment.UnixMilli()+100), "from after the purge")
-		if a := receive(t, c.answers, "answer"); a.id != 1000 || a.status != "200" || a.body != "from after the purge" {
+		a := receive(t, c.answers, "answer")
+		if a.id != 1000 || a.status != "200" || a.body != "from after the purge" {
 			t.Errorf("%+v", a)
 		}
 	}
@@ -103,7 +106,8 @@
 	env := startTestEnv(t)
 	follow := func(what, want string) {
 		t.Helper()
-		if got := receive(t, env.followLines, "follow "+what); got != want {
+		got := receive(t, env.followLines, "follow "+what)
+		if got != want {
 			t.Errorf("%s: %q, want %q", what, got, want)
 		}
 	}
@@ -128,12 +132,14 @@
 	env := newTestEnv(t)
 	env.start()
 	env.awaitAlive("503")
-	if got := receive(t, env.followLines, "follow"); got != "follow 0" {
+	got := receive(t, env.followLines, "follow")
+	if got != "follow 0" {
 		t.Errorf("%q", got)
 	}
 	c := env.dial()
 	c.request(1, "artes", longTimeoutMS, 1, "")
-	if a := receive(t, c.answers, "answer"); a.status != "503" {
+	a := receive(t, c.answers, "answer")
+	if a.status != "503" {
 		t.Errorf("without a list: %+v", a)
 	}
 	env.sendEvent(fullList(env.cache, env.origin))
@@ -154,7 +160,8 @@
 	mustWrite(t, env.watchConn, drain[:len(drain)/2])
 	closeOnce(t, env.watchConn)
 	env.mu.Unlock()
-	if got := receive(t, env.followLines, "follow"); got != "follow 2" {
+	got := receive(t, env.followLines, "follow")
+	if got != "follow 2" {
 		t.Errorf("%q", got)
 	}
 	env.sendEvent(drain)
@@ -175,7 +182,8 @@
 			time.Sleep(50 * time.Millisecond)
 		}
 	}()
-	if got := receive(t, env.followLines, "follow again"); got != "follow 1" {
+	got := receive(t, env.followLines, "follow again")
+	if got != "follow 1" {
 		t.Errorf("%q", got)
 	}
 }
@@ -219,11 +227,13 @@
 	env.awaitAlive("200")
 	c := env.dial()
 	c.request(1, "artes", longTimeoutMS, 1, "")
-	if a := receive(t, c.answers, "answer"); a.body != "fine" {
+	a := receive(t, c.answers, "answer")
+	if a.body != "fine" {
 		t.Errorf("%+v", a)
 	}
 	env.resumeCoordinator()
-	if got := receive(t, env.followLines, "follow"); got != "follow 1" {
+	got := receive(t, env.followLines, "follow")
+	if got != "follow 1" {
 		t.Errorf("%q", got)
 	}
 }
@@ -277,7 +287,8 @@
 	env := startTestEnv(t)
 	receive(t, env.followLines, "follow")
 	env.sendEvent("{broken")
-	if got := receive(t, env.followLines, "follow again"); got != "follow 1" {
+	got := receive(t, env.followLines, "follow again")
+	if got != "follow 1" {
 		t.Errorf("%q", got)
 	}
 	env.sendEvent("{broken")
@@ -307,13 +318,15 @@
 	receive(t, env.followLines, "follow")
 	behind := endpointEvent(4, false, endpoint("c2", "std", "edge", "SERVING", env.cache))
 	env.sendEvent(behind)
-	if got := receive(t, env.followLines, "follow again"); got != "follow 1" {
+	got := receive(t, env.followLines, "follow again")
+	if got != "follow 1" {
 		t.Errorf("%q", got)
 	}
 	env.sendEvent(behind)
 	env.eventually("the event behind the gap is taken", func() bool { return env.metric("svc_registry_entries") == 3 })
 	env.sendEvent("6") // shows that events are missing
-	if got := receive(t, env.followLines, "follow again"); got != "follow 4" {
+	got = receive(t, env.followLines, "follow again")
+	if got != "follow 4" {
 		t.Errorf("%q", got)
 	}
 	env.sendEvent("6")
@@ -342,7 +355,8 @@
 	}
 	resume()
 	for range 30 {
-		if a := receive(t, c.answers, "answer"); a.body != "second" {
+		a := receive(t, c.answers, "answer")
+		if a.body != "second" {
 			t.Errorf("%+v", a)
 		}
 	}
--- a/cmd/edgeproxy/coordinatorenv_test.go
+++ b/cmd/edgeproxy/coordinatorenv_test.go
@@ -104,7 +104,8 @@
 	c := env.dial()
 	for i := range 30 {
 		c.request(1, "artes", longTimeoutMS, i, "")
-		if a := receive(env.t, c.answers, "answer"); a.body != body {
+		a := receive(env.t, c.answers, "answer")
+		if a.body != body {
 			env.t.Errorf("object %d: %+v", i, a)
 		}
 	}
--- a/cmd/edgeproxy/disconnect_test.go
+++ b/cmd/edgeproxy/disconnect_test.go
@@ -14,16 +14,19 @@
 	c.request(1, "artes", longTimeoutMS, 1, "")
 	got := receive(t, env.cache.calls, "call")
 	c.writeRecord(recordAbort, 1, "")
-	if stop := receive(t, env.cache.stops, "STOP"); stop.words[1] != got.words[1] {
+	stop := receive(t, env.cache.stops, "STOP")
+	if stop.words[1] != got.words[1] {
 		t.Errorf("%q", stop.words)
 	}
-	if a := receive(t, c.answers, "END_REQUEST"); a.id != 1 || a.status != "" {
+	a := receive(t, c.answers, "END_REQUEST")
+	if a.id != 1 || a.status != "" {
 		t.Errorf("%+v", a)
 	}
 	got.answer("served", "-", "too late")
 	c.request(1, "artes", longTimeoutMS, 2, "")
 	receive(t, env.cache.calls, "call").answer("served", "-", "new")
-	if a := receive(t, c.answers, "answer"); a.body != "new" {
+	a = receive(t, c.answers, "answer")
+	if a.body != "new" {
 		t.Errorf("%+v", a)
 	}
 	c.request(2, "artes", longTimeoutMS, 3, "")
@@ -53,7 +56,8 @@
 	}
 	env.cache.answerAll("served", "-", "fine")
 	c.request(1, "artes", longTimeoutMS, 1, "")
-	if a := receive(t, c.answers, "answer"); a.body != "fine" {
+	a := receive(t, c.answers, "answer")
+	if a.body != "fine" {
 		t.Errorf("%+v", a)
 	}
 }
@@ -84,7 +88,8 @@
 			resume()
 			if how == "half-close" { // it is told that nothing was executed
 				for range 2 {
-					if a := receive(t, c.answers, "rejection"); a.status != "503" {
+					a := receive(t, c.answers, "rejection")
+					if a.status != "503" {
 						t.Errorf("%+v", a)
 					}
 				}
@@ -109,10 +114,12 @@
 	c := env.dial()
 	c.request(1, "artes", longTimeoutMS, 1, "")
 	c.closeWrite()
-	if a := receive(t, c.answers, "answer"); a.id != 1 || a.status != "200" && a.status != "503" {
+	a := receive(t, c.answers, "answer")
+	if a.id != 1 || a.status != "200" && a.status != "503" {
 		t.Errorf("%+v", a)
 	}
-	if a := receive(t, c.answers, "close"); a.id != 0 {
+	a = receive(t, c.answers, "close")
+	if a.id != 0 {
 		t.Errorf("%+v", a)
 	}
 }
@@ -132,7 +139,8 @@
 			} else {
 				c.closeWrite()
 			}
-			if stop := receive(t, env.cache.stops, "STOP"); stop.words[1] != out.words[1] {
+			stop := receive(t, env.cache.stops, "STOP")
+			if stop.words[1] != out.words[1] {
 				t.Errorf("%q", stop.words)
 			}
 			if len(env.cache.calls) > 0 {
@@ -152,14 +160,17 @@
 	receive(t, env.cache.stops, "STOP")
 	go c.readAnswers()
 	for range 31 {
-		if a := receive(t, c.answers, "answer"); a.status != "200" || len(a.body) != 240_000 {
+		a := receive(t, c.answers, "answer")
+		if a.status != "200" || len(a.body) != 240_000 {
 			t.Errorf("%+v", a)
 		}
 	}
-	if a := receive(t, c.answers, "answer"); a.id != 99 || a.status != "503" {
+	a := receive(t, c.answers, "answer")
+	if a.id != 99 || a.status != "503" {
 		t.Errorf("%+v", a)
 	}
-	if a := receive(t, c.answers, "close"); a.id != 0 {
+	a = receive(t, c.answers, "close")
+	if a.id != 0 {
 		t.Errorf("%+v", a)
 	}
 }
@@ -180,7 +191,8 @@
 	env.awaitAlive("200") // a turn of the event loop later: it has done so
 	go c.readAnswers()
 	for range 31 {
-		if a := receive(t, c.answers, "answer"); a.status != "200" || len(a.body) != 240_000 {
+		a := receive(t, c.answers, "answer")
+		if a.status != "200" || len(a.body) != 240_000 {
 			t.Fatalf("%d %s %d bytes", a.id, a.status, len(a.body))
 		}
 	}
@@ -199,12 +211,14 @@
 	half.writeRecord(recordBegin, 1, beginKeepConn)
 	waiting.request(1, "artes", longTimeoutMS, 1, "")
 	for _, c := range []*client{idle, half} {
-		if a := receive(t, c.answers, "close"); a.id != 0 {
+		a := receive(t, c.answers, "close")
+		if a.id != 0 {
 			t.Errorf("%+v", a)
 		}
 	}
 	receive(t, env.cache.calls, "call").answer("served", "-", "late")
-	if a := receive(t, waiting.answers, "answer"); a.body != "late" {
+	a := receive(t, waiting.answers, "answer")
+	if a.body != "late" {
 		t.Errorf("one that is owed an answer: %+v", a)
 	}
 }
--- a/cmd/edgeproxy/fault_test.go
+++ b/cmd/edgeproxy/fault_test.go
@@ -47,7 +47,8 @@
 			}
 		}
 		c.request(2, "registro", longTimeoutMS, 2, "x") // reaches the origin on another connection, after all calls of the first
-		if a := receive(t, c.answers, "answer"); a.id != 2 || a.status != "200" {
+		a = receive(t, c.answers, "answer")
+		if a.id != 2 || a.status != "200" {
 			t.Errorf("%s, then: %+v", rule, a)
 		}
 		mu.Lock()
@@ -73,7 +74,8 @@
 	receive(t, env.followLines, "follow")
 	drain := endpointEvent(2, false, endpoint("c1", "std", "edge", "DRAINING", env.cache))
 	env.sendEvent(drain)
-	if got := receive(t, env.followLines, "follow again"); got != "follow 1" {
+	got := receive(t, env.followLines, "follow again")
+	if got != "follow 1" {
 		t.Errorf("%q", got)
 	}
 	env.sendEvent(drain)
@@ -130,7 +132,8 @@
 	env.eventually("the silence", func() bool { return front.log() != "" })
 	env.signal(syscall.SIGTERM)
 	for range 20 {
-		if a := receive(t, c.answers, "answer"); a.status != "200" || len(a.body) != 240_000 {
+		a := receive(t, c.answers, "answer")
+		if a.status != "200" || len(a.body) != 240_000 {
 			t.Errorf("%d: %s, %d bytes", a.id, a.status, len(a.body))
 		}
 	}
@@ -158,7 +161,8 @@
 		env.origin.answerAll("served", "made=1", "whole")
 		c := env.dial()
 		c.request(1, "artes", 2500, 1, "")
-		if a := receive(t, c.answers, "outcome"); a.id != 1 || want != "" && a.status != want || a.status == "200" && a.body != "whole" {
+		a := receive(t, c.answers, "outcome")
+		if a.id != 1 || want != "" && a.status != want || a.status == "200" && a.body != "whole" {
 			t.Errorf("%s: %+v", rule, a)
 		}
 		for id := range uint16(3) {
--- a/cmd/edgeproxy/lateread_test.go
+++ b/cmd/edgeproxy/lateread_test.go
@@ -20,10 +20,12 @@
 	c.request(3, "artes", longTimeoutMS, 3, "")
 	time.Sleep(600 * time.Millisecond) // not a race: the first one's deadline has passed
 	resume()
-	if a := receive(t, c.answers, "rejection"); a.id != 2 || a.status != "503" {
+	a := receive(t, c.answers, "rejection")
+	if a.id != 2 || a.status != "503" {
 		t.Errorf("%+v", a)
 	}
-	if got := receive(t, env.cache.calls, "call"); got.fields["k"] != fmt.Sprintf("%016x", 3) {
+	got := receive(t, env.cache.calls, "call")
+	if got.fields["k"] != fmt.Sprintf("%016x", 3) {
 		t.Errorf("%q was forwarded after its deadline", got.words)
 	}
 }
@@ -52,7 +54,8 @@
 	}
 	time.Sleep(600 * time.Millisecond) // not a race: its deadline has passed
 	resume()
-	if a := receive(t, c.answers, "rejection"); a.id != 2 || a.status != "503" {
+	a := receive(t, c.answers, "rejection")
+	if a.id != 2 || a.status != "503" {
 		t.Errorf("%+v", a)
 	}
 }
@@ -70,13 +73,16 @@
 	time.Sleep(600 * time.Millisecond) // not a race: the first one's deadline has passed
 	late.request(4, "artes", longTimeoutMS, 4, "")
 	resume()
-	if a := receive(t, late.answers, "rejection"); a.id != 2 || a.status != "503" {
+	a := receive(t, late.answers, "rejection")
+	if a.id != 2 || a.status != "503" {
 		t.Errorf("%+v", a)
 	}
-	if a := receive(t, late.answers, "answer"); a.id != 4 || a.body != "fine" {
+	a = receive(t, late.answers, "answer")
+	if a.id != 4 || a.body != "fine" {
 		t.Errorf("%+v", a)
 	}
-	if a := receive(t, inTime.answers, "answer"); a.id != 3 || a.body != "fine" {
+	a = receive(t, inTime.answers, "answer")
+	if a.id != 3 || a.body != "fine" {
 		t.Errorf("%+v", a)
 	}
 }
@@ -99,15 +105,18 @@
 	early.request(2, "artes", longTimeoutMS, 2, "")
 	resume()
 	receive(t, env.cache.calls, "call").answer("served", "-", "early")
-	if a := receive(t, early.answers, "answer"); a.body != "early" {
+	a := receive(t, early.answers, "answer")
+	if a.body != "early" {
 		t.Errorf("%+v", a)
 	}
-	if a := receive(t, after.answers, "close"); a.id != 0 {
+	a = receive(t, after.answers, "close")
+	if a.id != 0 {
 		t.Errorf("%+v", a)
 	}
 	after.request(2, "artes", longTimeoutMS, 3, "")
 	early.request(3, "artes", longTimeoutMS, 4, "")
-	if got := receive(t, env.cache.calls, "call"); got.fields["k"] != fmt.Sprintf("%016x", 4) {
+	got := receive(t, env.cache.calls, "call")
+	if got.fields["k"] != fmt.Sprintf("%016x", 4) {
 		t.Errorf("%q was forwarded after the close", got.words)
 	}
 }
--- a/cmd/edgeproxy/replace_test.go
+++ b/cmd/edgeproxy/replace_test.go
@@ -42,15 +42,18 @@
 		c := env.dial()
 		c.request(id+1, "artes", longTimeoutMS, int(id), "")
 		receive(t, env.cache.calls, "call").answer("served", "-", "new")
-		if a := receive(t, c.answers, "answer"); a.body != "new" {
+		a := receive(t, c.answers, "answer")
+		if a.body != "new" {
 			t.Fatalf("%+v", a)
 		}
 	}
 	open.answer("served", "-", "fine")
-	if a := receive(t, oldClient.answers, "answer"); a.body != "fine" {
+	a := receive(t, oldClient.answers, "answer")
+	if a.body != "fine" {
 		t.Errorf("%+v", a)
 	}
-	if a := receive(t, oldClient.answers, "close"); a.id != 0 {
+	a = receive(t, oldClient.answers, "close")
+	if a.id != 0 {
 		t.Errorf("%+v", a)
 	}
 	if err := receive(t, env.exited, "exit"); err != nil {
@@ -81,10 +84,12 @@
 	inTime.request(2, "artes", longTimeoutMS, 2, "")
 	time.Sleep(600 * time.Millisecond) // not a race: the first one's deadline has passed
 	env.start(fullList(env.cache, env.origin))
-	if a := receive(t, late.answers, "rejection"); a.status != "503" {
+	a := receive(t, late.answers, "rejection")
+	if a.status != "503" {
 		t.Errorf("%+v", a)
 	}
-	if a := receive(t, inTime.answers, "answer"); a.body != "fine" {
+	a = receive(t, inTime.answers, "answer")
+	if a.body != "fine" {
 		t.Errorf("%+v", a)
 	}
 }
--- a/cmd/edgeproxy/shutdown_test.go
+++ b/cmd/edgeproxy/shutdown_test.go
@@ -30,10 +30,12 @@
 	})
 	first.answer("served", "-", "one")
 	second.answer("served", "-", "two")
-	if a := receive(t, c.answers, "answer"); a.body != "one" {
+	a := receive(t, c.answers, "answer")
+	if a.body != "one" {
 		t.Errorf("%+v", a)
 	}
-	if a := receive(t, late.answers, "answer"); a.body != "two" {
+	a = receive(t, late.answers, "answer")
+	if a.body != "two" {
 		t.Errorf("%+v", a)
 	}
 	if err := receive(t, env.exited, "exit"); err != nil {
@@ -56,7 +58,8 @@
 	env.awaitAlive("503")
 	c.request(2, "registro", longTimeoutMS, 2, "")
 	receive(t, env.origin.calls, "call")
-	if a := receive(t, c.answers, "answer"); a.id != 2 || a.status != "502" {
+	a := receive(t, c.answers, "answer")
+	if a.id != 2 || a.status != "502" {
 		t.Errorf("%+v", a)
 	}
 	if err := receive(t, env.exited, "exit"); err != nil {
@@ -82,7 +85,8 @@
 		env.awaitAlive("503")
 		env.awaitNotListening()
 		c.Write(rest) //nolint:errcheck // shows in the answers
-		if a := receive(t, c.answers, "answer"); a.id != 2 || a.body != "fine" && a.status != "503" {
+		a := receive(t, c.answers, "answer")
+		if a.id != 2 || a.body != "fine" && a.status != "503" {
 			t.Errorf("%d bytes before the stop: %+v", part, a)
 		}
 		if err := receive(t, env.exited, "exit"); err != nil {
@@ -103,7 +107,8 @@
 	c.request(1, "artes", longTimeoutMS, 1, "")
 	time.Sleep(time.Second) // not a race: by the time it goes on, it listens no longer
 	resume()
-	if a := receive(t, c.answers, "answer"); a.body != "fine" {
+	a := receive(t, c.answers, "answer")
+	if a.body != "fine" {
 		t.Errorf("%+v", a)
 	}
 }
@@ -119,7 +124,8 @@
 	env.awaitNotListening()
 	c := newClient(conn)
 	for range 32 {
-		if a := receive(t, c.answers, "answer"); a.status != "200" || a.id != 99 && len(a.body) != 240_000 {
+		a := receive(t, c.answers, "answer")
+		if a.status != "200" || a.id != 99 && len(a.body) != 240_000 {
 			t.Errorf("%d: %s, %d bytes", a.id, a.status, len(a.body))
 		}
 	}
@@ -144,7 +150,8 @@
 	receive(t, env.cache.calls, "call").answer("served", "-", "two")
 	open.answer("served", "-", "one")
 	for range 2 {
-		if a := receive(t, c.answers, "answer"); a.status != "200" {
+		a := receive(t, c.answers, "answer")
+		if a.status != "200" {
 			t.Errorf("%+v", a)
 		}
 	}
@@ -198,7 +205,8 @@
 	}
 	c := env.dial()
 	c.request(1, "artes", longTimeoutMS, 1, "")
-	if a := receive(t, c.answers, "answer"); a.body != "fine" {
+	a := receive(t, c.answers, "answer")
+	if a.body != "fine" {
 		t.Errorf("%+v", a)
 	}
 	if err := receive(t, env.exited, "exit"); err != nil {
@@ -214,7 +222,8 @@
 	env.awaitAlive("503")
 	c := env.dial()
 	c.request(1, "artes", longTimeoutMS, 1, "")
-	if a := receive(t, c.answers, "answer"); a.status != "503" {
+	a := receive(t, c.answers, "answer")
+	if a.status != "503" {
 		t.Errorf("%+v", a)
 	}
 	if err := env.cmd.Process.Signal(syscall.SIGTERM); err != nil {
--- a/cmd/edgeproxy/standin_test.go
+++ b/cmd/edgeproxy/standin_test.go
@@ -98,7 +98,8 @@
 			t.Fatal(err)
 		}
 		closeOnce(t, l)
-		if _, taken := handedOutAddrs.LoadOrStore(l.Addr().String(), true); !taken {
+		_, taken := handedOutAddrs.LoadOrStore(l.Addr().String(), true)
+		if !taken {
 			return l.Addr().String()
 		}
 	}
--- a/cmd/edgeproxy/system_test.go
+++ b/cmd/edgeproxy/system_test.go
@@ -14,7 +14,8 @@
 	c := env.dial()
 	c.request(1, "registro", 2000, 1, "x")
 	receive(t, env.origin.calls, "complete call").answer("served", "-", "written")
-	if a := receive(t, c.answers, "answer"); a.body != "written" {
+	a := receive(t, c.answers, "answer")
+	if a.body != "written" {
 		t.Errorf("%+v", a)
 	}
 	if len(env.origin.calls) != 0 {
@@ -32,10 +33,12 @@
 		receive(t, env.followLines, "follow")
 		c := env.dial()
 		c.request(1, "artes", longTimeoutMS, 1, "")
-		if a := receive(t, c.answers, "rejection"); a.status != "503" {
+		a := receive(t, c.answers, "rejection")
+		if a.status != "503" {
 			t.Errorf("%s: %+v", failure, a)
 		}
-		if n := env.metric("svc_out_of_rotation"); n != 0 {
+		n := env.metric("svc_out_of_rotation")
+		if n != 0 {
 			t.Errorf("%s: %d servers are ejected", failure, n)
 		}
 		env.cmd.Process.Signal(syscall.SIGKILL) //nolint:errcheck // the next one is another program
--- a/cmd/faultproxy/main_test.go
+++ b/cmd/faultproxy/main_test.go
@@ -93,7 +93,8 @@
 		t.Fatal(err)
 	}
 	defer closeOnce(t, got)
-	if text, _ := io.ReadAll(got); string(text) != "abc" { // a reset may follow the close
+	text, _ := io.ReadAll(got)
+	if string(text) != "abc" { // a reset may follow the close
 		t.Errorf("%q", text)
 	}
 	if err := syscall.Kill(syscall.Getpid(), syscall.SIGTERM); err != nil {
@@ -102,7 +103,8 @@
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
-	if text, err := os.ReadFile(log); err != nil || string(text) != "a#1 up 3 line 2 close\n" {
+	text, err = os.ReadFile(log)
+	if err != nil || string(text) != "a#1 up 3 line 2 close\n" {
 		t.Errorf("%q %v", text, err)
 	}
 }
--- a/internal/fault/fault_test.go
+++ b/internal/fault/fault_test.go
@@ -141,7 +141,8 @@
 	}
 	out, _ := play(mustParse(t, "c byte 2 : garble 3").PlanConn("c", 1, 0).Stream(Up), []byte(data), 4)
 	for i, b := range out {
-		if changed := b != data[i]; changed != (i >= 2 && i < 5) {
+		changed := b != data[i]
+		if changed != (i >= 2 && i < 5) {
 			t.Errorf("garbled: %q", out)
 		}
 	}
@@ -172,7 +173,8 @@
 		{"c time 1s : silence 3s", 2 * time.Second, "[5s] [100]"},
 	} {
 		times, sizes := due(tt.rule, tt.now)
-		if got := fmt.Sprint(times, sizes); got != tt.want {
+		got := fmt.Sprint(times, sizes)
+		if got != tt.want {
 			t.Errorf("%s at %v: %s, want %s", tt.rule, tt.now, got, tt.want)
 		}
 	}
--- a/internal/fault/parse.go
+++ b/internal/fault/parse.go
@@ -69,7 +69,8 @@
 		}
 		return quoted, nil
 	}
-	if end := strings.IndexAny(line, blanks); end >= 0 {
+	end := strings.IndexAny(line, blanks)
+	if end >= 0 {
 		return line[:end], nil
 	}
 	return line, nil
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -102,13 +102,15 @@
 		"c up : delay 30ms":         "abcdefghij",
 		"c down byte 5 : close":     "abcde",
 	} {
-		if got, err := newTestRelay(t, rule).exchange("abcdefghij"); got != want || err != nil {
+		got, err := newTestRelay(t, rule).exchange("abcdefghij")
+		if got != want || err != nil {
 			t.Errorf("%s: %q %v, want %q", rule, got, err, want)
 		}
 	}
 	for _, rule := range []string{"c up byte 5 : reset", `c down match "cd" : reset`} {
 		r := newTestRelay(t, rule)
-		if got, err := r.exchange("abcdefghij"); !errors.Is(err, syscall.ECONNRESET) || len(got) > 4 {
+		got, err := r.exchange("abcdefghij")
+		if !errors.Is(err, syscall.ECONNRESET) || len(got) > 4 {
 			t.Errorf("%s: %q %v", rule, got, err)
 		}
 	}
@@ -147,7 +149,8 @@
 		closeOnce(t, c)
 		t.Error("came up while stalled")
 	}
-	if got, err := r.exchange("again"); got != "again" || err != nil {
+	got, err := r.exchange("again")
+	if got != "again" || err != nil {
 		t.Errorf("after the stall: %q %v", got, err)
 	}
 }
@@ -184,7 +187,8 @@
 			t.Fatal("the relay takes all there is")
 		}
 	}
-	if got, err := r.exchange("other"); got != "other" || err != nil {
+	got, err := r.exchange("other")
+	if got != "other" || err != nil {
 		t.Errorf("%q %v", got, err)
 	}
 }
@@ -220,7 +224,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r, err := Start(script, func(fault.Firing) {}); err == nil || !strings.Contains(err.Error(), "link b") {
+	r, err := Start(script, func(fault.Firing) {})
+	if err == nil || !strings.Contains(err.Error(), "link b") {
 		t.Errorf("%v %v", r, err)
 	}
 }
--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -92,7 +92,8 @@
 		unreachable = slices.Concat(unreachable, incarnation.Paused)
 	}
 	at := afterExcluding(unreachable, e.PublishedAt, notifyWithin)
-	if delivered, ok := e.DeliveredAt[q.Proxy]; ok {
+	delivered, ok := e.DeliveredAt[q.Proxy]
+	if ok {
 		at = min(at, delivered)
 	}
 	if incarnation != nil && e.Index <= incarnation.KnownEvents {
--- a/internal/soak/coordinator.go
+++ b/internal/soak/coordinator.go
@@ -117,7 +117,8 @@
 // recordDelivery records that an event's line has been written to a proxy. The first delivery counts.
 func (c *coordinator) recordDelivery(e *WatchEvent, proxy int) {
 	c.h.locked(func() {
-		if _, delivered := e.DeliveredAt[proxy]; !delivered {
+		_, delivered := e.DeliveredAt[proxy]
+		if !delivered {
 			e.DeliveredAt[proxy] = c.h.Now()
 		}
 	})
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -118,7 +118,8 @@
 		}
 		listener.Close() //nolint:errcheck // it is not used any more
 		addr := listener.Addr().String()
-		if _, taken := handedOut.LoadOrStore(addr, true); !taken {
+		_, taken := handedOut.LoadOrStore(addr, true)
+		if !taken {
 			return addr
 		}
 	}
--- a/internal/soak/processfaults.go
+++ b/internal/soak/processfaults.go
@@ -38,7 +38,8 @@
 
 // drain orders the proxy to drain for a length of time. Clients stop connecting and follow its closes.
 func (p *process) drain(length time.Duration) {
-	if status, err := p.callAdmin("PUT", "/ops/drain/start"); err != nil || status != statusOK {
+	status, err := p.callAdmin("PUT", "/ops/drain/start")
+	if err != nil || status != statusOK {
 		p.r.h.Note(p.name(), "does not drain: %d %v", status, err)
 		return
 	}
@@ -48,7 +49,8 @@
 	time.Sleep(drainNotice)
 	p.stopConns(incarnation)
 	time.Sleep(length)
-	if status, err := p.callAdmin("PUT", "/ops/drain/stop"); err != nil || status != statusOK {
+	status, err = p.callAdmin("PUT", "/ops/drain/stop")
+	if err != nil || status != statusOK {
 		p.r.h.Note(p.name(), "does not serve again: %d %v", status, err)
 		return
 	}
--- a/internal/soak/rule_answers.go
+++ b/internal/soak/rule_answers.go
@@ -24,7 +24,8 @@
 		return
 	}
 	if len(q.Answers) > 0 {
-		if late := q.Answers[0].At - due; late > 0 {
+		late := q.Answers[0].At - due
+		if late > 0 {
 			c.report("late answer", q.Answers[0].At, words, "%s was due %.3f before", who, late.Seconds())
 		}
 		return
