--- /dev/null
+++ b/cmd/edgeproxy/clientlimits_test.go
@@ -0,0 +1,275 @@
+package main
+
+import (
+	"net"
+	"strings"
+	"sync"
+	"testing"
+)
+
+// TestRequestOverItsOwnLimitIsRefused checks that a request over a limit is rejected while its connection and
+// the other requests on it go on.
+func TestRequestOverItsOwnLimitIsRefused(t *testing.T) {
+	env := startTestEnv(t)
+	env.cache.answerAll("served", "-", "fine")
+	for _, name := range []string{"body", "params"} {
+		c := env.dial()
+		c.writeRecord(recordBegin, 2, beginKeepConn)
+		if name == "body" {
+			c.writeRecord(recordStdin, 2, strings.Repeat("x", 40_000))
+			c.writeRecord(recordStdin, 2, strings.Repeat("x", 40_000))
+		} else {
+			c.writeRecord(recordParams, 2, strings.Repeat("x", 20_000))
+		}
+		a := receive(t, c.answers, name+": rejection")
+		if a.id != 2 || a.status != "503" {
+			t.Errorf("%s: %+v", name, a)
+		}
+		c.writeRecord(recordStdin, 2, "") // the rest of it is skipped
+		c.request(3, "artes", longTimeoutMS, 1, "")
+		a = receive(t, c.answers, name+": answer")
+		if a.id != 3 || a.body != "fine" {
+			t.Errorf("%s: %+v", name, a)
+		}
+	}
+}
+
+// TestMemoryFullOfHalfRequests checks that complete requests are answered when incomplete ones have used up
+// the memory, and that no connection is closed without an answer.
+func TestMemoryFullOfHalfRequests(t *testing.T) {
+	const clients = 200
+	env := newTestEnv(t)
+	env.memoryMB = 16
+	env.start(fullList(env.cache, env.origin))
+	env.awaitAlive("200")
+	var all []*client
+	for i := range clients {
+		c := env.dial()
+		c.request(1, "artes", longTimeoutMS, i, "")
+		c.writeRecord(recordBegin, 2, beginKeepConn)
+		c.writeRecord(recordStdin, 2, strings.Repeat("x", 60_000))
+		all = append(all, c)
+	}
+	env.cache.answerAll("served", "-", "fine")
+	for i, c := range all {
+		for {
+			a := receive(t, c.answers, "answer")
+			if a.id == 0 {
+				t.Fatalf("client %d: closed with no answer", i)
+			}
+			if a.id == 1 {
+				break
+			}
+		}
+	}
+}
+
+// TestConnectionGoesOnAfterMemoryWasFull checks that a connection whose request was rejected for lack of
+// memory, before all of it had come, serves the next request.
+func TestConnectionGoesOnAfterMemoryWasFull(t *testing.T) {
+	const clients = 200
+	env := newTestEnv(t)
+	env.memoryMB = 16
+	env.startWith(env.cache, env.origin)
+	env.cache.answerAll("served", "-", "fine")
+	var all []*client
+	const size, part = 60_000, 50_000
+	content := strings.Repeat("x", size)
+	for range clients {
+		c := env.dial()
+		c.writeRecord(recordBegin, 2, beginKeepConn)
+		c.writeRecord(recordStdin, 2, content[:size/2])
+		out := &bufferedConn{Conn: c.Conn}
+		(&client{Conn: out}).writeRecord(recordStdin, 2, content)
+		c.Write(out.buffer[:part]) //nolint:errcheck // a lost connection shows in the answers
+		all = append(all, c)
+	}
+	rejected := 0
+	for i, c := range all {
+		out := &bufferedConn{Conn: c.Conn}
+		(&client{Conn: out}).writeRecord(recordStdin, 2, content)
+		c.Write(out.buffer[part:]) //nolint:errcheck // as above
+		c.request(3, "artes", longTimeoutMS, i, "")
+		for id := uint16(0); id != 3; {
+			a := receive(t, c.answers, "answer")
+			if id = a.id; id == 0 {
+				t.Fatalf("client %d: closed with no answer", i)
+			}
+			if a.protocol == 2 {
+				rejected++
+			}
+		}
+	}
+	if rejected == 0 {
+		t.Error("the memory was never full")
+	}
+}
+
+// TestBurstOfAnswersAfterAPause checks that no answer is lost when more of them than the memory limit allows
+// arrive in one turn of the event loop.
+func TestBurstOfAnswersAfterAPause(t *testing.T) {
+	const clients, each = 20, 4
+	env := newTestEnv(t)
+	env.memoryMB = 16
+	env.startWith(env.cache, env.origin)
+	big := strings.Repeat("x", 240_000)
+	var all []*client
+	for i := range clients {
+		c := env.dial()
+		for id := range uint16(each) {
+			c.request(id+1, "artes", longTimeoutMS, i*each+int(id), "")
+		}
+		all = append(all, c)
+	}
+	var calls []*receivedCall
+	for range clients * each {
+		calls = append(calls, receive(t, env.cache.calls, "call"))
+	}
+	resume := env.pause()
+	var answered sync.WaitGroup
+	for _, got := range calls {
+		answered.Go(func() { got.answer("served", "-", big) })
+	}
+	answered.Wait() // the sockets' buffers are full
+	resume()
+	for i, c := range all {
+		for range each {
+			a := receive(t, c.answers, "answer")
+			if a.body != big {
+				t.Fatalf("client %d: answer %d has status %q and %d bytes", i, a.id, a.status, len(a.body))
+			}
+		}
+	}
+}
+
+// TestClientThatDoesNotRead checks that clients that do not read hold up no others, and that the memory for
+// their answers is bounded.
+func TestClientThatDoesNotRead(t *testing.T) {
+	env := startTestEnv(t)
+	env.cache.answerAll("served", "-", strings.Repeat("x", 240_000))
+	stick := func(requests uint16) {
+		stuck, err := net.Dial("tcp", env.addr)
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { closeOnce(t, stuck) })
+		for id := range requests {
+			(&client{Conn: stuck}).request(id+1, "artes", longTimeoutMS, int(id), "")
+		}
+	}
+	stick(30)
+	c := env.dial()
+	for id := range uint16(20) {
+		c.request(id+1, "artes", longTimeoutMS, int(id), "")
+		a := receive(t, c.answers, "answer")
+		if a.status != "200" || len(a.body) != 240_000 {
+			t.Fatalf("%s, %d bytes", a.status, len(a.body))
+		}
+	}
+	for range 60 { // 460 MB of answers, if all were buffered
+		stick(32)
+	}
+	for id := range uint16(200) { // some are rejected meanwhile
+		c.request(id+1, "artes", longTimeoutMS, int(id), "")
+		a := receive(t, c.answers, "answer")
+		if a.id != id+1 {
+			t.Fatalf("%+v", a)
+		}
+	}
+	env.checkMemory()
+}
+
+// TestSilentClientsMakeRoom checks that idle connections, incomplete requests included, are closed to make
+// descriptors available to other clients.
+func TestSilentClientsMakeRoom(t *testing.T) {
+	t.Parallel()
+	env := startTestEnv(t)
+	env.cache.answerAll("served", "-", "fine")
+	served := func(who string, c *client) {
+		t.Helper()
+		c.request(1, "artes", longTimeoutMS, 1, "")
+		a := receive(t, c.answers, "answer")
+		if a.body != "fine" {
+			t.Errorf("%s: %+v", who, a)
+		}
+	}
+	early := env.dial()
+	served("early", early)
+	var silent []*client
+	for range 600 { // more than the two fifths of the descriptors that clients may use: 409
+		silent = append(silent, env.dial())
+	}
+	served("late", env.dial())
+	served("early", early)
+	half := env.dial()
+	half.writeRecord(recordBegin, 1, beginKeepConn)
+	for _, c := range append(silent, half) {
+		a := receive(t, c.answers, "close")
+		if a.id != 0 {
+			t.Errorf("%+v", a)
+		}
+	}
+	for range 600 {
+		served("once", env.dial())
+	}
+}
+
+// TestFloodIsRefused checks that requests over the memory limit are rejected, that the process stays within
+// its limit, and that it serves afterwards.
+func TestFloodIsRefused(t *testing.T) {
+	env := startTestEnv(t)
+	body := strings.Repeat("b", 48_000)
+	answers := make(chan answer, 10_000)
+	var conns []*client
+	for range 60 {
+		c := env.dial()
+		conns = append(conns, c)
+		go func() {
+			for a := range c.answers {
+				answers <- a
+			}
+		}()
+		go func() {
+			for id := range uint16(32) { // 92 MB in all; the origin answers none
+				c.request(id+1, "registro", longTimeoutMS, int(id), body)
+			}
+		}()
+	}
+	a := receive(t, answers, "rejection")
+	if a.protocol != 2 {
+		t.Errorf("%+v, want OVERLOADED", a)
+	}
+	for _, c := range conns {
+		closeOnce(t, c)
+	}
+	env.cache.answerAll("served", "-", "fine")
+	env.eventually("an answer after the flood", func() bool {
+		c := env.dial()
+		c.request(1, "artes", longTimeoutMS, 1, "")
+		return receive(t, c.answers, "answer").body == "fine"
+	})
+	env.checkMemory()
+}
+
+// TestCrowdKeepsNobodyOut checks that many idle clients, while the coordinator is down, keep out neither new
+// clients nor the coordinator's connection.
+func TestCrowdKeepsNobodyOut(t *testing.T) {
+	env := startTestEnv(t)
+	env.cache.answerAll("served", "-", "fine")
+	receive(t, env.followLines, "follow")
+	env.stopCoordinator()
+	for i := range 700 { // more than the two fifths of the descriptors that clients may use: 409
+		c := env.dial()
+		c.request(1, "artes", longTimeoutMS, i, "")
+		a := receive(t, c.answers, "answer")
+		if a.body != "fine" {
+			t.Fatalf("client %d: %+v", i, a)
+		}
+	}
+	env.awaitAlive("200")
+	env.resumeCoordinator()
+	got := receive(t, env.followLines, "follow")
+	if got != "follow 1" {
+		t.Errorf("%q", got)
+	}
+}
--- /dev/null
+++ b/cmd/edgeproxy/disconnect_test.go
@@ -0,0 +1,224 @@
+package main
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+)
+
+// TestAbortStopsTheCall checks that an abort and a disconnect stop the calls of their requests.
+func TestAbortStopsTheCall(t *testing.T) {
+	env := startTestEnv(t)
+	c := env.dial()
+	c.request(1, "artes", longTimeoutMS, 1, "")
+	got := receive(t, env.cache.calls, "call")
+	c.writeRecord(recordAbort, 1, "")
+	stop := receive(t, env.cache.stops, "STOP")
+	if stop.words[1] != got.words[1] {
+		t.Errorf("%q", stop.words)
+	}
+	a := receive(t, c.answers, "END_REQUEST")
+	if a.id != 1 || a.status != "" {
+		t.Errorf("%+v", a)
+	}
+	got.answer("served", "-", "too late")
+	c.request(1, "artes", longTimeoutMS, 2, "")
+	receive(t, env.cache.calls, "call").answer("served", "-", "new")
+	a = receive(t, c.answers, "answer")
+	if a.body != "new" {
+		t.Errorf("%+v", a)
+	}
+	c.request(2, "artes", longTimeoutMS, 3, "")
+	receive(t, env.cache.calls, "call")
+	closeOnce(t, c) // with a request in flight
+	receive(t, env.cache.stops, "STOP")
+}
+
+// TestTakenBackAtOnceIsForgotten checks that requests that are aborted in the turn in which they came do not
+// stay counted as in flight: the link would look full, and later requests would be rejected.
+func TestTakenBackAtOnceIsForgotten(t *testing.T) {
+	env := newTestEnv(t)
+	small := endpoint("c1", "std", "edge", "SERVING", env.cache)
+	small["weight"] = 1
+	env.start(endpointEvent(1, true, small, endpoint("o1", "origin", "hub", "SERVING", env.origin)))
+	env.awaitAlive("200")
+	c := env.dial()
+	together := &bufferedConn{Conn: c.Conn}
+	for id := range uint16(30) {
+		r := &client{Conn: together}
+		r.request(id+1, "artes", longTimeoutMS, int(id), "")
+		r.writeRecord(recordAbort, id+1, "")
+	}
+	together.flush()
+	for range 30 {
+		receive(t, c.answers, "END_REQUEST")
+	}
+	env.cache.answerAll("served", "-", "fine")
+	c.request(1, "artes", longTimeoutMS, 1, "")
+	a := receive(t, c.answers, "answer")
+	if a.body != "fine" {
+		t.Errorf("%+v", a)
+	}
+}
+
+// TestNothingBeginsForAClientThatHasLeft checks that no call begins for a request whose client had
+// disconnected or aborted it before it was read.
+func TestNothingBeginsForAClientThatHasLeft(t *testing.T) {
+	for _, how := range []string{"half-close", "close", "abort"} {
+		t.Run(how, func(t *testing.T) {
+			env := startTestEnv(t)
+			c := env.dial()
+			c.request(1, "artes", longTimeoutMS, 1, "")
+			receive(t, env.cache.calls, "call").answer("served", "-", "one")
+			receive(t, c.answers, "answer")
+			resume := env.pause()
+			c.request(2, "artes", longTimeoutMS, 2, "")
+			c.request(3, "registro", longTimeoutMS, 3, strings.Repeat("x", 40_000))
+			switch how {
+			case "half-close":
+				c.closeWrite()
+			case "close":
+				closeOnce(t, c)
+			case "abort":
+				c.writeRecord(recordAbort, 2, "")
+				c.writeRecord(recordAbort, 3, "")
+			}
+			time.Sleep(overCancelGrace) // not a race: the disconnect is older than the grace period
+			resume()
+			if how == "half-close" { // it is told that nothing was executed
+				for range 2 {
+					a := receive(t, c.answers, "rejection")
+					if a.status != "503" {
+						t.Errorf("%+v", a)
+					}
+				}
+			}
+			other := env.dial()
+			other.request(1, "artes", longTimeoutMS, 77, "")
+			got := receive(t, env.cache.calls, "call")
+			if got.fields["k"] != fmt.Sprintf("%016x", 77) || len(env.origin.calls) > 0 {
+				t.Errorf("%q was sent for a client that had disconnected", got.words)
+			}
+			got.answer("served", "-", "")
+			receive(t, other.answers, "answer")
+		})
+	}
+}
+
+// TestHalfClosedClientGetsItsAnswer checks that a client that closes its sending direction right after a
+// request gets one answer: served or rejected.
+func TestHalfClosedClientGetsItsAnswer(t *testing.T) {
+	env := startTestEnv(t)
+	env.cache.answerAll("served", "-", "one")
+	c := env.dial()
+	c.request(1, "artes", longTimeoutMS, 1, "")
+	c.closeWrite()
+	a := receive(t, c.answers, "answer")
+	if a.id != 1 || a.status != "200" && a.status != "503" {
+		t.Errorf("%+v", a)
+	}
+	a = receive(t, c.answers, "close")
+	if a.id != 0 {
+		t.Errorf("%+v", a)
+	}
+}
+
+// TestUnreadingClientIsHeard checks that a disconnect or an abort takes effect although the client does not
+// read: a retry could begin afterwards otherwise.
+func TestUnreadingClientIsHeard(t *testing.T) {
+	for _, how := range []string{"half-close", "abort"} {
+		t.Run(how, func(t *testing.T) {
+			env := startTestEnv(t)
+			conn, out := newUnreadingClient(env)
+			c := &client{Conn: conn}
+			c.request(100, "artes", longTimeoutMS, 100, "") // is delayed, as its client reads nothing
+			if how == "abort" {
+				c.writeRecord(recordAbort, 99, "")
+				c.writeRecord(recordAbort, 100, "")
+			} else {
+				c.closeWrite()
+			}
+			stop := receive(t, env.cache.stops, "STOP")
+			if stop.words[1] != out.words[1] {
+				t.Errorf("%q", stop.words)
+			}
+			if len(env.cache.calls) > 0 {
+				t.Errorf("%q was sent for it", (<-env.cache.calls).words)
+			}
+		})
+	}
+}
+
+// TestHalfClosedSlowReader checks that a slow client that has closed its sending direction gets all earlier
+// answers, and one final answer to the request in flight.
+func TestHalfClosedSlowReader(t *testing.T) {
+	env := startTestEnv(t)
+	conn, _ := newUnreadingClient(env)
+	c := &client{conn, make(chan answer, 1000)}
+	c.closeWrite()
+	receive(t, env.cache.stops, "STOP")
+	go c.readAnswers()
+	for range 31 {
+		a := receive(t, c.answers, "answer")
+		if a.status != "200" || len(a.body) != 240_000 {
+			t.Errorf("%+v", a)
+		}
+	}
+	a := receive(t, c.answers, "answer")
+	if a.id != 99 || a.status != "503" {
+		t.Errorf("%+v", a)
+	}
+	a = receive(t, c.answers, "close")
+	if a.id != 0 {
+		t.Errorf("%+v", a)
+	}
+}
+
+// TestClosedOnBothSidesWithAnswersUnread checks that a client gets its unread answers although both sides
+// have closed their sending direction.
+func TestClosedOnBothSidesWithAnswersUnread(t *testing.T) {
+	env := startTestEnv(t)
+	conn, _ := newUnreadingClient(env)
+	c := &client{conn, make(chan answer, 1000)}
+	c.writeRecord(recordBegin, 100, "\x00\x01\x00\x00\x00\x00\x00\x00") // without KEEP_CONN
+	c.writeRecord(recordParams, 100, "\x0b\x06SCRIPT_NAME/alive")
+	c.writeRecord(recordParams, 100, "")
+	c.writeRecord(recordStdin, 100, "")
+	c.writeRecord(recordAbort, 99, "")
+	receive(t, env.cache.stops, "STOP") // no request is open: the program closes the connection
+	c.closeWrite()
+	env.awaitAlive("200") // a turn of the event loop later: it has done so
+	go c.readAnswers()
+	for range 31 {
+		a := receive(t, c.answers, "answer")
+		if a.status != "200" || len(a.body) != 240_000 {
+			t.Fatalf("%d %s %d bytes", a.id, a.status, len(a.body))
+		}
+	}
+}
+
+// TestVanishedClientsAreClosed checks that connections are closed when they are idle for too long, between
+// requests or within one, unless an answer is owed.
+func TestVanishedClientsAreClosed(t *testing.T) {
+	t.Parallel()
+	env := startTestEnv(t)
+	idle := env.dial()
+	half := env.dial()
+	waiting := env.dial()
+	idle.writeRequest(1, map[string]string{"SCRIPT_NAME": "/alive"}, "")
+	receive(t, idle.answers, "answer")
+	half.writeRecord(recordBegin, 1, beginKeepConn)
+	waiting.request(1, "artes", longTimeoutMS, 1, "")
+	for _, c := range []*client{idle, half} {
+		a := receive(t, c.answers, "close")
+		if a.id != 0 {
+			t.Errorf("%+v", a)
+		}
+	}
+	receive(t, env.cache.calls, "call").answer("served", "-", "late")
+	a := receive(t, waiting.answers, "answer")
+	if a.body != "late" {
+		t.Errorf("one that is owed an answer: %+v", a)
+	}
+}
--- /dev/null
+++ b/cmd/edgeproxy/env_test.go
@@ -0,0 +1,282 @@
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+	"net"
+	"net/netip"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// programEnv is the environment variable by which this test binary serves as the program.
+const programEnv = "CLOVERDOOR_TEST_PROGRAM"
+
+const (
+	// defaultMemoryMB is the memory limit of the program where a test sets none.
+	defaultMemoryMB = 192
+	// retryInterval is how often eventually looks for what it waits for.
+	retryInterval = 5 * time.Millisecond
+)
+
+// testEnv is a program under test with all its peers.
+type testEnv struct {
+	t             *testing.T
+	cmd           *exec.Cmd
+	configPath    string
+	initialConfig string     // the text of the configuration at the start
+	addr          string     // for clients
+	adminAddr     string     // for operators
+	exited        chan error // the result of each program that has exited
+	cache, origin *standIn
+
+	followLines         chan string              // what the program sends to the coordinator
+	coordinatorListener net.Listener             // may be closed
+	coordinatorDown     bool                     // the coordinator refuses connections at the start
+	coordinatorVia      func(addr string) string // returns where the program reaches the coordinator; nil: at its address
+	mu                  sync.Mutex
+	watchConn           net.Conn // the present stream from the coordinator, under mu
+
+	// Set by a test before the start:
+	stderr     *os.File     // of the program
+	heldSocket *os.File     // for clients, as the platform hands it over; nil: the program listens by itself
+	clock      *manualClock // of the program; nil: the system's
+	memoryMB   int          // limit of the program
+	extraEnv   []string     // environment variables of the program
+}
+
+// startTestEnv starts a program whose configuration holds event 1: one cache and the origin.
+func startTestEnv(t *testing.T) *testEnv {
+	t.Helper()
+	env := newTestEnv(t)
+	env.start(fullList(env.cache, env.origin))
+	env.awaitAlive("200")
+	return env
+}
+
+// newTestEnv starts the peers of a program that is yet to be started.
+func newTestEnv(t *testing.T) *testEnv {
+	t.Helper()
+	return &testEnv{
+		t: t, followLines: make(chan string, 100), cache: newStandIn(t), origin: newStandIn(t), exited: make(chan error, 1),
+		stderr: os.Stderr, memoryMB: defaultMemoryMB,
+	}
+}
+
+// start starts the program with the given events in its configuration.
+func (env *testEnv) start(known ...any) {
+	env.addr = freeAddr(env.t)
+	env.adminAddr = freeAddr(env.t)
+	coordinator := env.startCoordinator()
+	if env.coordinatorVia != nil {
+		coordinator = env.coordinatorVia(coordinator)
+	}
+	class := func(name, semantics string) map[string]any {
+		return map[string]any{"name": name, "semantics": semantics, "promise-us": 500000, "gain": 1}
+	}
+	env.cmd, env.configPath = programCommand(env.t, map[string]any{
+		"name": "n1", "listen": env.addr, "admin_addr": env.adminAddr, "seed": "8c1f30d27a5be964", "coordinator": coordinator,
+		"limits": map[string]any{"cores": 1, "memory_mb": env.memoryMB, "sockets": 1024},
+		"known":  map[string]any{"index": len(known), "updates": known},
+		"settings": map[string]any{
+			"areas": []string{"hub", "edge"}, "host-types": []string{"std", "parent", "origin"}, "zone": 1, "group-size": 1,
+			"weight-source": "nominal",
+			"classes":       []any{class("artes", "read_like"), class("registro", "non_idempotent")},
+			"domain": map[string]any{"direct": true, "root-kind": 2, "upper-kind": 1, "can-join": true, "pass-on": []bool{false, true},
+				"cleared-within-us": 6000000, "purge-slack-us": 300000, "peers-fill": "location"},
+			"limits": map[string]any{"connect-timeout-us": 400000, "conn-idle-us": 15000000, "streams-per-conn": 32,
+				"max-attempts": 8, "may-cancel": true, "second-copies": true, "max-retry-after-us": 500000},
+			"rules": map[string]any{"start-capacity": 1, "warm-within-us": 1, "fall-multiple": 2, "fall-us": 1000000},
+		},
+	})
+	text, err := os.ReadFile(env.configPath)
+	if err != nil {
+		env.t.Fatal(err)
+	}
+	env.initialConfig = string(text)
+	env.startProgram()
+}
+
+// startProgram starts cmd, with what the test has set.
+func (env *testEnv) startProgram() {
+	env.cmd.Stderr = env.stderr
+	env.cmd.Env = append(env.cmd.Env, env.extraEnv...)
+	if env.heldSocket != nil {
+		env.cmd.ExtraFiles = []*os.File{env.heldSocket}
+		env.cmd.Env = append(env.cmd.Env, "BALANCER_LISTEN_FD=3")
+	}
+	if env.clock != nil {
+		env.clock.attach(env.cmd)
+	}
+	if err := env.cmd.Start(); err != nil {
+		env.t.Fatal(err)
+	}
+	cmd := env.cmd
+	go func() { env.exited <- cmd.Wait() }()
+	env.t.Cleanup(func() { cmd.Process.Kill() }) //nolint:errcheck // it may have exited
+}
+
+// reload orders the program to read a changed configuration. The changes are pairs of texts: the first one
+// occurs in the initial configuration and is replaced by the second. Where the first one is empty, the second
+// is the new configuration.
+func (env *testEnv) reload(changes ...string) {
+	env.t.Helper()
+	text := env.initialConfig
+	for i := 0; i < len(changes); i += 2 {
+		before := changes[i]
+		after := changes[i+1]
+		if before == "" {
+			text = after
+			continue
+		}
+		text = strings.Replace(text, before, after, 1)
+		if !strings.Contains(text, after) {
+			env.t.Fatalf("%q is not in the configuration", before)
+		}
+	}
+	if err := os.WriteFile(env.configPath, []byte(text), 0o600); err != nil {
+		env.t.Fatal(err)
+	}
+	if err := env.cmd.Process.Signal(syscall.SIGHUP); err != nil {
+		env.t.Fatal(err)
+	}
+}
+
+// startReplacement starts the program once more beside the running one, with an admin address of its own, and
+// returns the running one.
+func (env *testEnv) startReplacement() (old *exec.Cmd) {
+	old = env.cmd
+	env.adminAddr = freeAddr(env.t)
+	env.cmd = exec.Command(os.Args[0])
+	env.cmd.Env = append(os.Environ(), programEnv+"=1", "BALANCER_CONFIG="+env.configPath, "BALANCER_ADMIN_ADDR="+env.adminAddr)
+	env.startProgram()
+	return old
+}
+
+// programCommand returns a command that starts the program, and the path of its configuration.
+func programCommand(t *testing.T, config any) (cmd *exec.Cmd, path string) {
+	t.Helper()
+	text, err := json.Marshal(config)
+	if err != nil {
+		t.Fatal(err)
+	}
+	path = filepath.Join(t.TempDir(), "config.json")
+	if err := os.WriteFile(path, text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	cmd = exec.Command(os.Args[0])
+	cmd.Env = append(os.Environ(), programEnv+"=1", "BALANCER_CONFIG="+path)
+	return cmd, path
+}
+
+// eventually waits until a condition holds.
+func (env *testEnv) eventually(what string, holds func() bool) {
+	env.t.Helper()
+	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(retryInterval) {
+		if time.Now().After(end) {
+			env.t.Fatalf("never happened: %s", what)
+		}
+	}
+}
+
+// awaitAlive waits until the program answers /alive with a status.
+func (env *testEnv) awaitAlive(status string) {
+	env.t.Helper()
+	env.eventually("/alive "+status, func() bool {
+		conn, err := net.Dial("tcp", env.addr)
+		if err != nil {
+			return false
+		}
+		c := newClient(conn)
+		defer closeOnce(env.t, conn)
+		c.writeRequest(1, map[string]string{"SCRIPT_NAME": "/alive"}, "")
+		got := receive(env.t, c.answers, "answer to /alive")
+		return got.status == status
+	})
+}
+
+// checkMemory checks the program's peak of resident memory against the default limit.
+func (env *testEnv) checkMemory() {
+	env.t.Helper()
+	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", env.cmd.Process.Pid))
+	if err != nil {
+		env.t.Fatal(err)
+	}
+	_, peak, _ := strings.Cut(string(status), "VmHWM:")
+	const limitKB = defaultMemoryMB << 10
+	kb, err := strconv.Atoi(strings.Fields(peak)[0])
+	env.t.Logf("%d KB at the peak", kb)
+	if err != nil || kb > limitKB {
+		env.t.Errorf("%d KB at the peak, %v", kb, err)
+	}
+}
+
+// mustAddr parses an address.
+func mustAddr(t *testing.T, s string) netip.AddrPort {
+	t.Helper()
+	addr, err := netip.ParseAddrPort(s)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return addr
+}
+
+// startWith starts the program with the cache and the origin at the given addresses.
+func (env *testEnv) startWith(cache, origin net.Listener) {
+	env.t.Helper()
+	env.start(fullList(cache, origin))
+	env.awaitAlive("200")
+}
+
+// signal sends signals to the program.
+func (env *testEnv) signal(signals ...os.Signal) {
+	env.t.Helper()
+	for _, s := range signals {
+		if err := env.cmd.Process.Signal(s); err != nil {
+			env.t.Fatal(err)
+		}
+	}
+}
+
+// awaitNotListening waits until the program does not listen for clients any more.
+func (env *testEnv) awaitNotListening() {
+	env.t.Helper()
+	env.eventually("no more connections taken", func() bool {
+		conn, err := net.Dial("tcp", env.addr)
+		if err == nil {
+			closeOnce(env.t, conn)
+		}
+		return err != nil
+	})
+}
+
+// pause stops all threads of the program until resume is called: what is sent meanwhile arrives at once.
+func (env *testEnv) pause() (resume func()) {
+	env.t.Helper()
+	if err := env.cmd.Process.Signal(syscall.SIGSTOP); err != nil {
+		env.t.Fatal(err)
+	}
+	env.eventually("every thread has stopped", func() bool {
+		tasks, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/status", env.cmd.Process.Pid))
+		for _, task := range tasks {
+			status, err := os.ReadFile(task)
+			if err == nil && !strings.Contains(string(status), "State:\tT") {
+				return false
+			}
+		}
+		return err == nil
+	})
+	return func() {
+		env.t.Helper()
+		if err := env.cmd.Process.Signal(syscall.SIGCONT); err != nil {
+			env.t.Fatal(err)
+		}
+	}
+}
--- /dev/null
+++ b/cmd/edgeproxy/lateread_test.go
@@ -0,0 +1,122 @@
+package main
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+)
+
+// TestRequestReadTooLateIsRefused checks that a request that is read after its deadline is rejected at once
+// and not forwarded.
+func TestRequestReadTooLateIsRefused(t *testing.T) {
+	env := startTestEnv(t)
+	c := env.dial()
+	c.request(1, "artes", longTimeoutMS, 1, "")
+	receive(t, env.cache.calls, "call").answer("served", "-", "fine")
+	receive(t, c.answers, "answer")
+	resume := env.pause()
+	c.request(2, "artes", 500, 2, "")
+	c.request(3, "artes", longTimeoutMS, 3, "")
+	time.Sleep(600 * time.Millisecond) // not a race: the first one's deadline has passed
+	resume()
+	a := receive(t, c.answers, "rejection")
+	if a.id != 2 || a.status != "503" {
+		t.Errorf("%+v", a)
+	}
+	got := receive(t, env.cache.calls, "call")
+	if got.fields["k"] != fmt.Sprintf("%016x", 3) {
+		t.Errorf("%q was forwarded after its deadline", got.words)
+	}
+}
+
+// TestRequestBehindMuchInputTooLateIsRefused checks the same for a request behind more input than one turn of
+// the event loop reads from a connection.
+func TestRequestBehindMuchInputTooLateIsRefused(t *testing.T) {
+	env := startTestEnv(t)
+	env.cache.answerAll("served", "-", "fine")
+	c := env.dial()
+	c.request(1, "artes", longTimeoutMS, 1, "")
+	receive(t, c.answers, "answer")
+	resume := env.pause()
+	written := make(chan error, 1)
+	go func() {
+		out := &bufferedConn{Conn: c.Conn}
+		for range 40 { // 2.4 MB of a request that is not open: skipped
+			(&client{Conn: out}).writeRecord(recordStdin, 9, strings.Repeat("x", 60_000))
+		}
+		(&client{Conn: out}).request(2, "artes", 500, 2, "")
+		_, err := c.Write(out.buffer)
+		written <- err
+	}()
+	if err := receive(t, written, "end of the write"); err != nil {
+		t.Fatal(err)
+	}
+	time.Sleep(600 * time.Millisecond) // not a race: its deadline has passed
+	resume()
+	a := receive(t, c.answers, "rejection")
+	if a.id != 2 || a.status != "503" {
+		t.Errorf("%+v", a)
+	}
+}
+
+// TestRequestInTheQueueTooLateIsRefused checks the same for requests on connections that wait to be accepted:
+// the time in the queue counts.
+func TestRequestInTheQueueTooLateIsRefused(t *testing.T) {
+	env := startTestEnv(t)
+	env.cache.answerAll("served", "-", "fine")
+	resume := env.pause()
+	late := env.dial()
+	inTime := env.dial()
+	late.request(2, "artes", 500, 2, "")
+	inTime.request(3, "artes", longTimeoutMS, 3, "")
+	time.Sleep(600 * time.Millisecond) // not a race: the first one's deadline has passed
+	late.request(4, "artes", longTimeoutMS, 4, "")
+	resume()
+	a := receive(t, late.answers, "rejection")
+	if a.id != 2 || a.status != "503" {
+		t.Errorf("%+v", a)
+	}
+	a = receive(t, late.answers, "answer")
+	if a.id != 4 || a.body != "fine" {
+		t.Errorf("%+v", a)
+	}
+	a = receive(t, inTime.answers, "answer")
+	if a.id != 3 || a.body != "fine" {
+		t.Errorf("%+v", a)
+	}
+}
+
+// TestRequestsAroundAnIdleClose checks that a request that arrived while the process was paused is served
+// although its connection has been idle for too long, and that one that arrives after the close is not
+// forwarded.
+func TestRequestsAroundAnIdleClose(t *testing.T) {
+	t.Parallel()
+	env := startTestEnv(t)
+	early := env.dial()
+	after := env.dial()
+	for _, c := range []*client{early, after} {
+		c.request(1, "artes", longTimeoutMS, 1, "")
+		receive(t, env.cache.calls, "call").answer("served", "-", "fine")
+		receive(t, c.answers, "answer")
+	}
+	resume := env.pause()
+	time.Sleep(5500 * time.Millisecond) // not a race: both connections have been idle for too long
+	early.request(2, "artes", longTimeoutMS, 2, "")
+	resume()
+	receive(t, env.cache.calls, "call").answer("served", "-", "early")
+	a := receive(t, early.answers, "answer")
+	if a.body != "early" {
+		t.Errorf("%+v", a)
+	}
+	a = receive(t, after.answers, "close")
+	if a.id != 0 {
+		t.Errorf("%+v", a)
+	}
+	after.request(2, "artes", longTimeoutMS, 3, "")
+	early.request(3, "artes", longTimeoutMS, 4, "")
+	got := receive(t, env.cache.calls, "call")
+	if got.fields["k"] != fmt.Sprintf("%016x", 4) {
+		t.Errorf("%q was forwarded after the close", got.words)
+	}
+}
--- a/cmd/faultproxy/main_test.go
+++ b/cmd/faultproxy/main_test.go
@@ -74,7 +74,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr, log := free.Addr().String(), filepath.Join(t.TempDir(), "log")
+	addr := free.Addr().String()
+	log := filepath.Join(t.TempDir(), "log")
 	closeOnce(t, free)
 	script := writeFile(t, "link a listen "+addr+" to "+target.Addr().String()+"\na up byte 3 : close\n")
 	ended := make(chan error, 1)
@@ -92,7 +93,8 @@
 		t.Fatal(err)
 	}
 	defer closeOnce(t, got)
-	if text, _ := io.ReadAll(got); string(text) != "abc" { // a reset may follow the close
+	text, _ := io.ReadAll(got)
+	if string(text) != "abc" { // a reset may follow the close
 		t.Errorf("%q", text)
 	}
 	if err := syscall.Kill(syscall.Getpid(), syscall.SIGTERM); err != nil {
@@ -101,7 +103,8 @@
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
-	if text, err := os.ReadFile(log); err != nil || string(text) != "a#1 up 3 line 2 close\n" {
+	text, err = os.ReadFile(log)
+	if err != nil || string(text) != "a#1 up 3 line 2 close\n" {
 		t.Errorf("%q %v", text, err)
 	}
 }
--- a/internal/fault/parse.go
+++ b/internal/fault/parse.go
@@ -69,7 +69,8 @@
 		}
 		return quoted, nil
 	}
-	if end := strings.IndexAny(line, blanks); end >= 0 {
+	end := strings.IndexAny(line, blanks)
+	if end >= 0 {
 		return line[:end], nil
 	}
 	return line, nil
@@ -109,7 +110,8 @@
 	return nil
 }
 
-// parseLoopback reads an address. Only loopback is accepted, so that faulty traffic can't reach another machine.
+// parseLoopback reads an address. Only loopback is accepted, so that faulty traffic can't reach another
+// machine.
 func parseLoopback(field, text string) (netip.AddrPort, error) {
 	addr, err := netip.ParseAddrPort(text)
 	if err != nil {
--- /dev/null
+++ b/internal/soak/answers.go
@@ -0,0 +1,174 @@
+package soak
+
+import (
+	"fmt"
+	"net"
+	"strconv"
+	"strings"
+	"sync"
+	"time"
+)
+
+const (
+	bodySize      = 10 << 10 // bytes of an object
+	fillTime      = 8 * time.Millisecond
+	maxAnswerTime = 25 * time.Millisecond // of a server that is not slow
+	maxWriteTime  = 2 * maxAnswerTime
+	slowFactor    = 20 // by which a slow server takes longer
+
+	overloadChance = 0.5 // that a call is rejected during an "overload" fault
+	crashedChance  = 0.02
+	joinChance     = 0.03 // that a call joins a fill that had begun before it
+	maxJoinedAge   = time.Second
+)
+
+// record adds a call to the history.
+func (s *server) record(words []string, firstByteAt time.Duration, late bool) *Call {
+	call := &Call{Server: s.id, ID: words[1], FirstByteAt: firstByteAt, CompleteAt: s.h.Now(), ReadLate: late, Serial: s.serials.next()}
+	for _, field := range strings.Split(words[2], ",") {
+		name, value, _ := strings.Cut(field, "=")
+		switch name {
+		case "c":
+			call.Class = value
+		case "k":
+			call.Object = value
+		case "src":
+			call.Source = value
+		case "w":
+			call.Timeout = parseMillis(value)
+		case "maxage":
+			call.MaxAge = parseMillis(value)
+		}
+	}
+	s.h.locked(func() { s.h.Calls = append(s.h.Calls, call) })
+	s.h.Note(s.id, "call %s %s k=%s src=%s w=%v maxage=%v read-late=%v serial=%d",
+		call.ID, call.Class, call.Object, call.Source, call.Timeout, call.MaxAge, late, call.Serial)
+	return call
+}
+
+// parseMillis reads a number of milliseconds; 0: it is none.
+func parseMillis(text string) time.Duration {
+	millis, err := strconv.Atoi(text)
+	if err != nil {
+		return 0
+	}
+	return time.Duration(millis) * time.Millisecond
+}
+
+// answer answers one call.
+func (s *server) answer(call *Call, out *lockedWriter) {
+	if s.isBefore(&s.overloadUntil) && s.draw() < overloadChance {
+		s.writeAnswer(call, out, "overload", "-", "")
+		return
+	}
+	if call.Class == classWrite {
+		s.execute(call, out)
+		return
+	}
+	s.work(maxAnswerTime)
+	madeAt, note, found := s.copyFor(call)
+	if !found {
+		s.writeAnswer(call, out, "not_here", "note=PEER_MISS", "")
+		return
+	}
+	s.h.locked(func() { call.CopyMadeAt = madeAt })
+	body := fmt.Sprintf("%d %s ", call.Serial, call.Object)
+	body += strings.Repeat("x", bodySize-len(body))
+	fields := fmt.Sprintf("etag=%016x,made=%d,note=%s,ttfb=3", madeAt.UnixMilli(), madeAt.UnixMilli(), note)
+	s.writeAnswer(call, out, "served", fields, body)
+}
+
+// execute executes a write, which the origin alone does.
+func (s *server) execute(call *Call, out *lockedWriter) {
+	if s.kind != "origin" {
+		s.writeAnswer(call, out, "not_here", "-", "")
+		return
+	}
+	s.h.locked(func() { call.Ran = true })
+	s.work(maxWriteTime)
+	result := "served"
+	if s.draw() < crashedChance {
+		result = "crashed"
+	}
+	s.writeAnswer(call, out, result, "-", fmt.Sprintf("%d written", call.Serial))
+}
+
+// work takes a time that it draws, and longer while the server is slow or hangs.
+func (s *server) work(maxTime time.Duration) {
+	length := time.Duration(s.draw() * float64(maxTime))
+	if s.isBefore(&s.slowUntil) {
+		length *= slowFactor
+	}
+	time.Sleep(length)
+	s.waitWhileHung()
+}
+
+// copyFor finds the copy that answers a call, or fills it from the source that the call names. It returns the
+// note by which the answer tells where the copy came from.
+func (s *server) copyFor(call *Call) (madeAt time.Time, note string, found bool) {
+	s.mu.Lock()
+	madeAt, cached := s.copies[call.Object]
+	s.mu.Unlock()
+	if cached && (call.MaxAge == 0 || time.Since(madeAt) <= call.MaxAge) {
+		return madeAt, "TCP_HIT", true
+	}
+	if call.Source == "" && s.kind != "origin" {
+		return madeAt, "", false
+	}
+	if s.draw() < joinChance {
+		age := time.Duration(s.draw() * float64(maxJoinedAge))
+		return time.Now().Add(-age), "TCP_JOIN", true
+	}
+	madeAt = time.Now()
+	time.Sleep(fillTime)
+	s.mu.Lock()
+	s.copies[call.Object] = madeAt
+	s.mu.Unlock()
+	return madeAt, "TCP_MISS", true
+}
+
+// writeAnswer writes an answer, which a fault may malform.
+func (s *server) writeAnswer(call *Call, out *lockedWriter, result, fields, body string) {
+	s.waitWhileHung()
+	s.h.locked(func() { call.Result = result })
+	text := encodeBulks(call.ID, result, fields, body)
+	closes := false
+	if s.isBefore(&s.malformUntil) {
+		text, closes = malform(text, s.draw())
+	}
+	out.write(text)
+	s.h.Note(s.id, "answered %s %s serial=%d", call.ID, result, call.Serial)
+	if closes {
+		out.conn.Close() //nolint:errcheck // the proxy may have closed it
+	}
+}
+
+// malform makes an answer unreadable, cuts it off or doubles it, or leaves it as it is, by a draw from [0,
+// 1). It reports whether the connection is to be closed after it.
+func malform(text []byte, draw float64) (malformed []byte, closes bool) {
+	half := text[:len(text)/2]
+	switch {
+	case draw < 0.1:
+		return []byte("?nonsense\r\n"), false
+	case draw < 0.2:
+		return half, true
+	case draw < 0.25:
+		return half, false
+	case draw < 0.35:
+		return append(text, text...), false
+	default:
+		return text, false
+	}
+}
+
+// lockedWriter is the writing side of a connection, which several answers share.
+type lockedWriter struct {
+	mu   sync.Mutex
+	conn net.Conn
+}
+
+func (w *lockedWriter) write(text []byte) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.conn.Write(text) //nolint:errcheck // a lost connection shows at the proxy
+}
--- /dev/null
+++ b/internal/soak/checker.go
@@ -0,0 +1,106 @@
+package soak
+
+import (
+	"fmt"
+	"slices"
+	"strconv"
+	"time"
+)
+
+// Tolerances that several rules share.
+const (
+	// notifyWithin is how long after its publication an event counts as known to a proxy, delivered or not.
+	notifyWithin = 7 * time.Second
+	// socketSlack is added to the time limits of rules where they are checked on sockets.
+	socketSlack = 50 * time.Millisecond
+	// machineSlack is how late clients and servers of this package may observe something on a busy machine.
+	machineSlack = 150 * time.Millisecond
+)
+
+// Violation is a rule that was broken.
+type Violation struct {
+	Rule  string
+	At    time.Duration // since the start of the run
+	Text  string
+	Words []string // that find its request, servers and proxy in the timeline
+}
+
+// String is the violation in one line.
+func (v Violation) String() string {
+	return fmt.Sprintf("%s at %.3f: %s", v.Rule, v.At.Seconds(), v.Text)
+}
+
+// Check returns all violations in the history of a run that has ended.
+func Check(h *History) []Violation {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	c := newInvariantChecker(h)
+	for _, q := range h.Requests {
+		c.checkFinalAnswers(q)
+		c.checkExecutions(q)
+		c.checkRepeats(q)
+		c.checkPurges(q)
+	}
+	for _, call := range h.Calls {
+		c.checkCall(call)
+	}
+	for _, s := range h.Starts {
+		c.checkSlowStart(s)
+	}
+	for _, i := range h.Incarnations {
+		c.checkIncarnation(i)
+	}
+	return c.violations
+}
+
+// invariantChecker checks a history. Its maps are indexes of the history.
+type invariantChecker struct {
+	h             *History
+	requests      map[string]*Request // by ID
+	executions    map[string]int      // by the request's ID
+	callsBySerial map[string]*Call
+	violations    []Violation
+}
+
+func newInvariantChecker(h *History) *invariantChecker {
+	c := &invariantChecker{
+		h: h, requests: map[string]*Request{}, executions: map[string]int{}, callsBySerial: map[string]*Call{},
+	}
+	for _, q := range h.Requests {
+		c.requests[q.ID] = q
+	}
+	for _, call := range h.Calls {
+		c.callsBySerial[strconv.Itoa(call.Serial)] = call
+		if call.Ran {
+			c.executions[call.ID]++
+		}
+	}
+	return c
+}
+
+func (c *invariantChecker) report(rule string, at time.Duration, words []string, format string, args ...any) {
+	c.violations = append(c.violations, Violation{Rule: rule, At: at, Text: fmt.Sprintf(format, args...), Words: words})
+}
+
+// notifiedAt is when an event counts as known to the process of a request: when its line was written, or
+// notifyWithin after its publication. Time in which the coordinator sent the process nothing, or it was
+// paused, does not count. What the configuration of the process holds is known from its start.
+func (c *invariantChecker) notifiedAt(e *WatchEvent, q *Request) time.Duration {
+	incarnation := c.h.incarnation(q.Proxy, q.Incarnation)
+	unreachable := c.h.Withheld[q.Proxy]
+	if incarnation != nil {
+		unreachable = slices.Concat(unreachable, incarnation.Paused)
+	}
+	at := afterExcluding(unreachable, e.PublishedAt, notifyWithin)
+	delivered, ok := e.DeliveredAt[q.Proxy]
+	if ok {
+		at = min(at, delivered)
+	}
+	if incarnation != nil && e.Index <= incarnation.KnownEvents {
+		at = min(at, incarnation.StartedAt)
+	}
+	return at
+}
+
+// proxyName is a proxy's name in the timeline.
+func proxyName(number int) string { return fmt.Sprintf("proxy-%d", number) }
--- /dev/null
+++ b/internal/soak/clientconn.go
@@ -0,0 +1,190 @@
+package soak
+
+import (
+	"net"
+	"strings"
+	"sync"
+	"time"
+)
+
+const (
+	// idleCloseRace is how short before the end of an idle connection a request may be sent whose proxy has
+	// not read it.
+	idleCloseRace = 60 * time.Millisecond
+	// keptBodyBytes is how much of an answer's body is recorded.
+	keptBodyBytes = 64
+	// notedBodyBytes is how much of it the timeline shows.
+	notedBodyBytes = 20
+	writeTimeout   = 5 * time.Second
+	// maxRequestID is the highest ID of a request on a connection.
+	maxRequestID = 60000
+)
+
+// clientConn is a client's connection to a proxy. Its goroutine, readAnswers, closes it when the proxy ends
+// it.
+type clientConn struct {
+	clients     *proxyClients
+	h           *History
+	conn        net.Conn
+	number      int               // among the connections to the proxy, from 1
+	incarnation int               // of the proxy
+	texts       map[uint16][]byte // output so far, of readAnswers alone
+
+	mu       sync.Mutex // of the fields below
+	lastID   uint16
+	open     map[uint16]*Request
+	answered map[uint16]*Request
+	requests int
+	lastUsed time.Duration
+	ended    bool
+}
+
+func newClientConn(pc *proxyClients, conn net.Conn, incarnation int) *clientConn {
+	return &clientConn{
+		clients: pc, h: pc.h, conn: conn, number: pc.dialed, incarnation: incarnation,
+		open: map[uint16]*Request{}, answered: map[uint16]*Request{}, texts: map[uint16][]byte{}, lastUsed: pc.h.Now(),
+	}
+}
+
+// state reports whether the connection has been idle for idleCloseAfter, and whether it has ended.
+func (c *clientConn) state() (idle, ended bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	idle = len(c.open) == 0 && c.h.Now()-c.lastUsed > idleCloseAfter
+	return idle, c.ended
+}
+
+// register gives a request its ID on the connection and adds it to the history.
+func (c *clientConn) register(q *Request) (id uint16) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.lastID = c.lastID%maxRequestID + 1
+	c.open[c.lastID] = q
+	q.Incarnation = c.incarnation
+	q.FirstOnConnection = c.requests == 0
+	c.requests++
+	c.lastUsed = c.h.Now()
+	c.h.locked(func() { c.h.Requests = append(c.h.Requests, q) })
+	return c.lastID
+}
+
+// send sends a request, and more bytes behind it in the same write.
+func (c *clientConn) send(q *Request, more []byte) (id uint16) {
+	id = c.register(q)
+	if c.write(append(encodeRequest(id, q), more...)) == nil {
+		c.h.locked(func() { q.SentAt = c.h.Now() })
+	}
+	c.h.Note("client", "requests from proxy-%d %s %s k=%s on connection %d", q.Proxy, q.Class, q.ID, q.Object, c.number)
+	return id
+}
+
+// writeSlowly sends a request in small pieces.
+func (c *clientConn) writeSlowly(q *Request, records []byte) {
+	for len(records) > 0 {
+		size := min(len(records), slowPieceBytes)
+		if c.write(records[:size]) != nil {
+			return
+		}
+		records = records[size:]
+		if len(records) > 0 {
+			time.Sleep(slowPieceGap)
+		}
+	}
+	c.h.locked(func() { q.SentAt = c.h.Now() })
+	c.h.Note("client", "has requested slowly from proxy-%d %s %s on connection %d", q.Proxy, q.Class, q.ID, c.number)
+}
+
+func (c *clientConn) write(data []byte) error {
+	c.conn.SetWriteDeadline(time.Now().Add(writeTimeout)) //nolint:errcheck // it fails as the write does
+	_, err := c.conn.Write(data)
+	return err
+}
+
+// disconnect ends the connection.
+func (c *clientConn) disconnect(way int) {
+	tcp := c.conn.(*net.TCPConn)
+	switch way {
+	case byHalfClose:
+		tcp.CloseWrite() //nolint:errcheck // the proxy may have closed it
+	case byReset:
+		tcp.SetLinger(0) //nolint:errcheck // as above
+		tcp.Close()      //nolint:errcheck // as above
+	case byClose:
+		tcp.Close() //nolint:errcheck // as above
+	}
+}
+
+// readAnswers reads until the connection ends.
+func (c *clientConn) readAnswers() {
+	defer c.closed()
+	for {
+		kind, id, content, err := readRecord(c.conn)
+		if err != nil {
+			return
+		}
+		switch kind {
+		case fcgiStdout:
+			c.texts[id] = append(c.texts[id], content...)
+		case fcgiEndRequest:
+			c.takeAnswer(id, content)
+		}
+	}
+}
+
+// takeAnswer records the answer that an END_REQUEST completes.
+func (c *clientConn) takeAnswer(id uint16, endRequest []byte) {
+	q := c.finish(id)
+	text := string(c.texts[id])
+	delete(c.texts, id)
+	if q == nil {
+		return
+	}
+	header, body, _ := strings.Cut(text, "\r\n\r\n")
+	status, _, _ := strings.Cut(strings.TrimPrefix(header, "Status: "), "\r\n")
+	hasStatus := len(endRequest) > fcgiProtocolStatus
+	a := FinalAnswer{
+		At: c.h.Now(), Status: status, ProtocolOverloaded: hasStatus && endRequest[fcgiProtocolStatus] == fcgiOverloaded,
+		Body: body[:min(len(body), keptBodyBytes)],
+	}
+	confirmsAbort := hasStatus && text == "" && !a.ProtocolOverloaded
+	if !confirmsAbort {
+		c.h.locked(func() { q.Answers = append(q.Answers, a) })
+	}
+	c.h.Note("client", "%s answered %s %q", q.ID, status, a.Body[:min(len(a.Body), notedBodyBytes)])
+}
+
+// finish returns the request of an answer, also of a second one; nil: the ID is unknown.
+func (c *clientConn) finish(id uint16) *Request {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	q := c.open[id]
+	if q == nil {
+		q = c.answered[id]
+	}
+	delete(c.open, id)
+	c.answered[id] = q
+	c.lastUsed = c.h.Now()
+	return q
+}
+
+// closed records which requests were open as the connection ended. A single request that was sent just
+// before, on a connection that had been used, may have met the proxy's close of an idle connection: no answer
+// is owed to it.
+func (c *clientConn) closed() {
+	c.conn.Close() //nolint:errcheck // the proxy has closed it
+	now := c.h.Now()
+	c.mu.Lock()
+	c.ended = true
+	open := c.open
+	c.open = map[uint16]*Request{}
+	c.mu.Unlock()
+	for _, q := range open {
+		raced := false
+		c.h.locked(func() {
+			q.DisconnectedAt = now
+			raced = q.SentAt != 0 && !q.FirstOnConnection && now-q.SentAt < idleCloseRace && len(open) == 1
+			q.NoAnswerOwed = q.NoAnswerOwed || raced
+		})
+		c.h.Note("client", "connection %d to proxy-%d ended with %s open (idle close raced: %v)", c.number, c.clients.p.number, q.ID, raced)
+	}
+}
--- /dev/null
+++ b/internal/soak/clients.go
@@ -0,0 +1,231 @@
+package soak
+
+import (
+	"math/rand/v2"
+	"net"
+	"strings"
+	"time"
+)
+
+// The classes of requests.
+const (
+	classRead  = "artes"    // idempotent
+	classWrite = "registro" // must be executed at most once
+	classKeyed = "sellos"   // has an idempotency key, which servers know for a while
+)
+
+const (
+	objects        = 60 // keys
+	groupsInUse    = 8
+	requestTimeout = 1500 * time.Millisecond
+	shortTimeout   = 30 * time.Millisecond
+	dialTimeout    = time.Second
+	idleCloseAfter = 3500 * time.Millisecond // after which a client closes an idle connection
+
+	burstRequests      = 8
+	maxAbortDelay      = 30 * time.Millisecond // from a request to its abort
+	maxDisconnectDelay = 60 * time.Millisecond // from requests to the end of their connection
+	slowPieceBytes     = 40
+	slowPieceGap       = 2 * time.Millisecond
+	idleConnections    = 10
+	idleFor            = time.Second
+	reuseFraction      = 0.85 // of the requests that go over an open connection
+)
+
+// proxyClients are the clients of one proxy. Their fields belong to the goroutine of run.
+type proxyClients struct {
+	p            *process
+	h            *History
+	rng          *rand.Rand
+	conns        []*clientConn
+	dialed       int           // connections so far
+	meanInterval time.Duration // between two requests
+}
+
+func newProxyClients(p *process, seed uint64, meanInterval time.Duration) *proxyClients {
+	return &proxyClients{
+		p: p, h: p.r.h, rng: rand.New(rand.NewPCG(seed, uint64(p.number))), meanInterval: meanInterval,
+	}
+}
+
+// run makes requests until over is closed.
+func (pc *proxyClients) run(over <-chan struct{}) {
+	for {
+		select {
+		case <-over:
+			return
+		case <-time.After(time.Duration(pc.rng.ExpFloat64() * float64(pc.meanInterval))):
+		}
+		pc.step()
+	}
+}
+
+// step does one of the things that clients do, which it draws.
+func (pc *proxyClients) step() {
+	pc.closeIdle()
+	state := pc.p.admission()
+	if !state.acceptsRequests {
+		return
+	}
+	c := pc.pickConn(state.acceptsConns)
+	if c == nil {
+		return
+	}
+	switch draw := pc.rng.Float64(); {
+	case draw < 0.60:
+		c.send(pc.newRequest(classRead, requestTimeout), nil)
+	case draw < 0.70:
+		c.send(pc.newRequest(classKeyed, requestTimeout), nil)
+	case draw < 0.82:
+		c.send(pc.newRequest(classWrite, requestTimeout), nil)
+	case draw < 0.85:
+		c.send(pc.newRequest(classRead, shortTimeout), nil)
+	case draw < 0.88:
+		pc.abortRequest(c)
+	case draw < 0.91:
+		pc.disconnect()
+	case draw < 0.94:
+		pc.sendMalformed()
+	case draw < 0.96:
+		pc.writeSlowly()
+	case draw < 0.98:
+		for range burstRequests {
+			c.send(pc.newRequest(classRead, requestTimeout), nil)
+		}
+	default:
+		pc.connectIdle()
+	}
+}
+
+// pickConn returns an open connection or a new one; nil: there is none.
+func (pc *proxyClients) pickConn(mayConnect bool) *clientConn {
+	if len(pc.conns) > 0 && (!mayConnect || pc.rng.Float64() < reuseFraction) {
+		return pc.conns[pc.rng.IntN(len(pc.conns))]
+	}
+	if !mayConnect {
+		return nil
+	}
+	c := pc.dial()
+	if c != nil {
+		pc.conns = append(pc.conns, c)
+	}
+	return c
+}
+
+// closeIdle closes connections that have been idle for idleCloseAfter, and forgets those that have ended.
+func (pc *proxyClients) closeIdle() {
+	open := pc.conns[:0]
+	for _, c := range pc.conns {
+		idle, ended := c.state()
+		if idle {
+			c.conn.Close() //nolint:errcheck // the proxy may have closed it
+		}
+		if !ended && !idle {
+			open = append(open, c)
+		}
+	}
+	pc.conns = open
+}
+
+// dial connects to the proxy; nil: the proxy does not accept the connection.
+func (pc *proxyClients) dial() *clientConn {
+	incarnation := pc.p.admission().incarnation
+	conn, err := net.DialTimeout("tcp", pc.p.addr, dialTimeout)
+	if err != nil {
+		pc.h.Note("client", "proxy-%d refuses a connection: %v", pc.p.number, err)
+		return nil
+	}
+	pc.dialed++
+	c := newClientConn(pc, conn, incarnation)
+	go c.readAnswers()
+	return c
+}
+
+// newRequest draws a request.
+func (pc *proxyClients) newRequest(class string, timeout time.Duration) *Request {
+	number := pc.rng.IntN(objects)
+	return &Request{
+		ID: requestID(pc.rng.Uint64()), Class: class, Object: objectName(number), Group: number % groupsInUse,
+		Proxy: pc.p.number, Timeout: timeout,
+	}
+}
+
+// abortRequest aborts a request soon after it was sent.
+func (pc *proxyClients) abortRequest(c *clientConn) {
+	q := pc.newRequest(classRead, requestTimeout)
+	id := c.send(q, nil)
+	time.AfterFunc(pc.drawMillis(maxAbortDelay), func() {
+		c.write(encodeRecord(fcgiAbortRequest, id, "")) //nolint:errcheck // a lost connection shows in the answers
+		pc.h.locked(func() { q.CanceledAt = pc.h.Now() })
+	})
+}
+
+// drawMillis draws a number of whole milliseconds under a limit.
+func (pc *proxyClients) drawMillis(limit time.Duration) time.Duration {
+	return time.Duration(pc.rng.IntN(int(limit.Milliseconds()))) * time.Millisecond
+}
+
+// The ways in which a client ends its connection.
+const (
+	byHalfClose = iota
+	byReset
+	byClose
+	waysToDisconnect
+)
+
+// disconnect makes a read and a write on a new connection, and ends the connection soon after.
+func (pc *proxyClients) disconnect() {
+	c := pc.dial()
+	if c == nil {
+		return
+	}
+	requests := []*Request{pc.newRequest(classRead, requestTimeout), pc.newRequest(classWrite, requestTimeout)}
+	for _, q := range requests {
+		c.send(q, nil)
+	}
+	way := pc.rng.IntN(waysToDisconnect)
+	time.AfterFunc(pc.drawMillis(maxDisconnectDelay), func() {
+		pc.h.Note("client", "disconnects with %s and %s open", requests[0].ID, requests[1].ID)
+		c.disconnect(way)
+		pc.h.locked(func() {
+			for _, q := range requests {
+				q.CanceledAt = pc.h.Now()
+			}
+		})
+	})
+}
+
+// sendMalformed makes a request with a malformed record right behind it.
+func (pc *proxyClients) sendMalformed() {
+	c := pc.dial()
+	if c == nil {
+		return
+	}
+	q := pc.newRequest(classRead, requestTimeout)
+	malformed := []string{"GET / HTTP/1.1\r\n\r\n", "\x01\x01\x00\x09\x00\x00\x00\x00", strings.Repeat("\xff", 4000)}
+	c.send(q, []byte(malformed[pc.rng.IntN(len(malformed))]))
+}
+
+// writeSlowly sends a request in small pieces.
+func (pc *proxyClients) writeSlowly() {
+	c := pc.dial()
+	if c == nil {
+		return
+	}
+	q := pc.newRequest(classRead, requestTimeout)
+	id := c.register(q)
+	go c.writeSlowly(q, encodeRequest(id, q))
+}
+
+// connectIdle connects and sends nothing.
+func (pc *proxyClients) connectIdle() {
+	for range idleConnections {
+		c := pc.dial()
+		if c == nil {
+			return
+		}
+		time.AfterFunc(idleFor, func() {
+			c.conn.Close() //nolint:errcheck // the proxy may have closed it
+		})
+	}
+}
--- /dev/null
+++ b/internal/soak/inject.go
@@ -0,0 +1,210 @@
+package soak
+
+import (
+	"fmt"
+	"slices"
+	"syscall"
+	"time"
+)
+
+const (
+	reloadSignal = syscall.SIGHUP
+	// retiredFor is how much longer than its duration a "retire" fault drains a cache: longer than
+	// notifyWithin.
+	retiredFor = 9 * time.Second
+	// resetFraction is the fraction of a server's connections that a "reset" fault resets.
+	resetFraction = 0.5
+	// stormPurges is how many objects a "purge-storm" fault purges.
+	stormPurges = 10
+)
+
+// inject carries out one fault, and ends it after its duration.
+func (r *run) inject(f Fault) {
+	r.h.Note(faultSource, "%v", f)
+	switch {
+	case slices.Contains(processFaults, f.Kind):
+		r.injectProcessFault(f)
+	case slices.Contains(cacheFaults, f.Kind):
+		r.injectCacheFault(f)
+	case slices.Contains(coordinatorFaults, f.Kind):
+		r.injectCoordinatorFault(f)
+	default:
+		r.injectOtherFault(f)
+	}
+	r.h.Note(faultSource, "over: %s %d", f.Kind, f.Target)
+}
+
+// injectProcessFault carries out a fault of a proxy. Faults of one proxy follow each other, except for idle
+// clients; those of different proxies overlap.
+func (r *run) injectProcessFault(f Fault) {
+	p := r.fleet[f.Target]
+	if f.Kind == "crowd" {
+		p.connectIdleClients(f.Duration)
+		return
+	}
+	p.faultMu.Lock()
+	defer p.faultMu.Unlock()
+	switch f.Kind {
+	case "freeze":
+		p.pause(f.Duration)
+	case "drain-order":
+		p.drain(f.Duration)
+	case "reload", "broken-reload":
+		p.awaitSettled()
+		r.recordFailure(r.rewriteConfig(p, f))
+		p.signal(reloadSignal)
+	case "hand-over":
+		if p.socket != nil {
+			p.environment = nil
+			r.recordFailure(p.replace())
+		}
+	default:
+		r.restartProcess(p, f)
+	}
+}
+
+// rewriteConfig writes a configuration with hedging on or off, or truncates the present one.
+func (r *run) rewriteConfig(p *process, f Fault) error {
+	if f.Kind == "broken-reload" {
+		return p.truncateConfig()
+	}
+	hedging := f.At%2 == 0
+	p.settings = settingsFor(p.number, r.options.Fleet, hedging)
+	_, err := p.writeConfig()
+	return err
+}
+
+// restartProcess ends a proxy's process and starts the next one, which may run under a fault.
+func (r *run) restartProcess(p *process, f Fault) {
+	if f.Kind == "kill" {
+		p.kill()
+	} else {
+		p.term()
+	}
+	p.environment = nil
+	switch f.Kind {
+	case "deaf-log":
+		p.logUnread = true
+	case "wrong-clock":
+		offsets := []string{"1h", "-1h", "3s", "-3s"}
+		p.environment = []string{r.options.ClockOffset + "=" + offsets[int(f.Duration)%len(offsets)]}
+	case "failing-calls":
+		p.environment = []string{fmt.Sprintf("%s=%d", r.options.FailingCalls, f.At)}
+	}
+	r.recordFailure(p.start())
+}
+
+func (r *run) injectCacheFault(f Fault) {
+	s := r.caches[f.Target]
+	end := r.h.Now() + f.Duration
+	switch f.Kind {
+	case "hang":
+		s.extend(&s.hungUntil, end)
+	case "slow":
+		s.extend(&s.slowUntil, end)
+	case "spoil":
+		s.extend(&s.malformUntil, end)
+	case "overload":
+		s.extend(&s.overloadUntil, end)
+	case "reset":
+		s.resetConns(resetFraction)
+	default:
+		s.faultMu.Lock()
+		defer s.faultMu.Unlock()
+		r.restartCache(s, f)
+	}
+}
+
+// restartCache withdraws a cache and announces it again: with a drain before or without, removed or not, and
+// with a restart of the server or without.
+func (r *run) restartCache(s *server, f Fault) {
+	if f.Kind != "crash" {
+		r.announceState(s, "DRAINING")
+		time.Sleep(f.Duration)
+	}
+	if f.Kind == "retire" {
+		time.Sleep(retiredFor)
+	}
+	if f.Kind == "leave" || f.Kind == "replace" {
+		r.announceState(s, "DELETED")
+		time.Sleep(f.Duration / 2)
+	}
+	if f.Kind == "crash" || f.Kind == "replace" {
+		s.crash()
+		time.Sleep(f.Duration / 2)
+		r.recordFailure(s.restart())
+	}
+	r.announceState(s, "SERVING")
+}
+
+func (r *run) injectCoordinatorFault(f Fault) {
+	switch f.Kind {
+	case "unknown-state":
+		s := r.caches[f.Target%len(r.caches)]
+		s.faultMu.Lock()
+		defer s.faultMu.Unlock()
+		r.announceState(s, "RESTING")
+		time.Sleep(f.Duration)
+		r.announceState(s, "SERVING")
+	case "unreadable-line":
+		r.coordinator.publish(&WatchEvent{PurgedGroup: noGroup}, "{event %d that nobody can read")
+	case "unreadable-purge":
+		r.coordinator.publish(&WatchEvent{PurgedGroup: noGroup}, `{"index":%d,"evict":{"everything":true}}`)
+	case "unknown-event":
+		r.coordinator.publish(&WatchEvent{PurgedGroup: noGroup}, `{"index":%d,"quota":{"share":0.5}}`)
+	case "down":
+		r.injectCoordinatorMode(f, modeDown, 2*f.Duration)
+	case "silent":
+		r.injectCoordinatorMode(f, modeSilent, 2*f.Duration)
+	case "slow-lines":
+		r.injectCoordinatorMode(f, modeSlow, 2*f.Duration+slowLineTime)
+	}
+}
+
+// injectCoordinatorMode has the coordinator behave badly for some time to every second proxy.
+func (r *run) injectCoordinatorMode(f Fault, m coordinatorMode, length time.Duration) {
+	r.setCoordinatorMode(f, m)
+	time.Sleep(length)
+	r.setCoordinatorMode(f, modeHealthy)
+}
+
+func (r *run) setCoordinatorMode(f Fault, m coordinatorMode) {
+	for i := range r.fleet {
+		if i%2 == f.Target%2 {
+			r.coordinator.setMode(i, m)
+		}
+	}
+}
+
+func (r *run) injectOtherFault(f Fault) {
+	switch f.Kind {
+	case "purge-group":
+		r.purgeGroup(f.Target % groupsInUse)
+	case "purge-storm":
+		for i := range stormPurges {
+			r.purgeObject(objectName((f.Target + i) % objects))
+			time.Sleep(f.Duration / stormPurges)
+		}
+	case "origin-hang":
+		r.origin.extend(&r.origin.hungUntil, r.h.Now()+f.Duration/2)
+	case "origin-reset":
+		r.origin.resetConns(resetFraction)
+	}
+}
+
+// announceState publishes the state of a server, and records its start if it has been restarted.
+func (r *run) announceState(s *server, state string) {
+	entry, restartedAt := s.setState(state)
+	e := &WatchEvent{PurgedGroup: noGroup}
+	if state == "SERVING" {
+		e.Serving = []string{s.id}
+	} else {
+		e.Withdrawn = []string{s.id}
+	}
+	r.coordinator.publish(e, `{"index":%d,"endpoints":{"version":1,"full":false,"servers":[`+entry+`]}}`)
+	if state == "SERVING" && !restartedAt.IsZero() {
+		r.h.locked(func() {
+			r.h.Starts = append(r.h.Starts, ServerStart{Server: s.id, At: restartedAt.Sub(r.h.start), EventIndex: e.Index})
+		})
+	}
+}
--- /dev/null
+++ b/internal/soak/rule_calls.go
@@ -0,0 +1,87 @@
+package soak
+
+import (
+	"slices"
+	"time"
+)
+
+const (
+	// cancelGrace is how long after its client has canceled a request a call of it may begin.
+	cancelGrace = 100 * time.Millisecond
+	// deadlineSlack is how much later than the client's the deadline of a call may be.
+	deadlineSlack = 150 * time.Millisecond
+)
+
+// checkCall checks the rules on when and where a call may be sent. They do not apply to a call that its
+// server read late, as the time of its sending is unknown.
+func (c *invariantChecker) checkCall(call *Call) {
+	q := c.requests[call.ID]
+	if q == nil {
+		c.report("unknown call", call.FirstByteAt, []string{call.ID}, "%s got a call that no client sent", call.Server)
+		return
+	}
+	if call.ReadLate {
+		return
+	}
+	words := []string{call.ID, call.Server, proxyName(q.Proxy)}
+	c.checkCanceled(q, call, words)
+	c.checkDeadline(q, call, words)
+	c.checkDrain(q, call, call.Server, words)
+	c.checkDrain(q, call, call.Source, words)
+}
+
+// checkCanceled checks that no call begins more than cancelGrace after its client canceled the request.
+func (c *invariantChecker) checkCanceled(q *Request, call *Call, words []string) {
+	if q.CanceledAt == 0 {
+		return
+	}
+	last := q.CanceledAt + cancelGrace + c.h.slack(q.CanceledAt, call.FirstByteAt)
+	if call.FirstByteAt > last {
+		since := call.FirstByteAt - q.CanceledAt
+		c.report("begun after left", call.FirstByteAt, words, "request %s began at %s %.3f after its client had canceled it",
+			call.ID, call.Server, since.Seconds())
+	}
+}
+
+// checkDeadline checks that a call gives its server no more time than its client has left.
+func (c *invariantChecker) checkDeadline(q *Request, call *Call, words []string) {
+	remaining := q.SentAt + q.Timeout - call.CompleteAt
+	if q.SentAt != 0 && call.Timeout > remaining+deadlineSlack+c.h.slack(q.SentAt, call.CompleteAt) {
+		c.report("deadline", call.CompleteAt, words,
+			"request %s gives its server %v when its client has %v left", call.ID, call.Timeout, remaining)
+	}
+}
+
+// checkDrain checks that a call neither goes to nor names a server for longer than the grace period after its
+// proxy was notified that the server is draining or removed.
+func (c *invariantChecker) checkDrain(q *Request, call *Call, server string, words []string) {
+	since, withdrawn := c.withdrawnSince(server, q, call.FirstByteAt)
+	if !withdrawn {
+		return
+	}
+	last := since + c.h.Limits.DrainGrace + socketSlack + c.h.slack(since, call.FirstByteAt)
+	if call.FirstByteAt > last {
+		c.report("drain", call.FirstByteAt, words, "request %s went to or named %s %.3f after its proxy was notified of its drain or removal",
+			call.ID, server, (call.FirstByteAt - since).Seconds())
+	}
+}
+
+// withdrawnSince returns since when, at a moment, the process of a request counts as notified that a server
+// is draining or removed.
+func (c *invariantChecker) withdrawnSince(server string, q *Request, at time.Duration) (since time.Duration, withdrawn bool) {
+	if server == "" {
+		return 0, false
+	}
+	for _, e := range c.h.Events {
+		if e.PublishedAt > at {
+			continue
+		}
+		if slices.Contains(e.Serving, server) {
+			withdrawn = false
+		} else if slices.Contains(e.Withdrawn, server) && !withdrawn {
+			since = c.notifiedAt(e, q)
+			withdrawn = true
+		}
+	}
+	return since, withdrawn
+}
--- /dev/null
+++ b/internal/soak/rule_executions.go
@@ -0,0 +1,63 @@
+package soak
+
+// checkExecutions checks that a write is executed at most once, that it was executed if it is answered as
+// served, and that it was not if it is rejected.
+func (c *invariantChecker) checkExecutions(q *Request) {
+	if q.Class != classWrite {
+		return
+	}
+	executions := c.executions[q.ID]
+	words := []string{q.ID}
+	if executions > 1 {
+		c.report("ran twice", q.SentAt, words, "request %s was executed %d times", q.ID, executions)
+	}
+	for _, a := range q.Answers {
+		if a.Status == "200" && executions == 0 {
+			c.report("served unrun", a.At, words, "request %s was answered as served and never executed", q.ID)
+		}
+		if a.Rejected() && executions > 0 {
+			c.report("refused after run", a.At, words, "request %s was rejected and executed", q.ID)
+		}
+	}
+}
+
+// checkRepeats checks that a request with an idempotency key is repeated only while servers know its key:
+// within the deduplication window after the first call that may have been executed.
+func (c *invariantChecker) checkRepeats(q *Request) {
+	if q.Class != classKeyed {
+		return
+	}
+	first := c.firstPossibleExecution(q)
+	if first == nil {
+		return
+	}
+	for _, call := range c.h.Calls {
+		if call.ID != q.ID || call.ReadLate {
+			continue
+		}
+		last := first.FirstByteAt + c.h.Limits.DeduplicationWindow + socketSlack + c.h.slack(first.FirstByteAt, call.FirstByteAt)
+		if call.FirstByteAt > last {
+			since := call.FirstByteAt - first.FirstByteAt
+			c.report("repeat after window", call.FirstByteAt, []string{q.ID, proxyName(q.Proxy)},
+				"request %s was repeated %.3f after a call that may have been executed", q.ID, since.Seconds())
+		}
+	}
+}
+
+// firstPossibleExecution is the first call of a request that may have been executed; nil: there is none.
+func (c *invariantChecker) firstPossibleExecution(q *Request) (first *Call) {
+	for _, call := range c.h.Calls {
+		if call.ID != q.ID || call.ReadLate || provesNotRun(call.Result) {
+			continue
+		}
+		if first == nil || call.FirstByteAt < first.FirstByteAt {
+			first = call
+		}
+	}
+	return first
+}
+
+// provesNotRun reports whether a result proves that its call was not executed.
+func provesNotRun(result string) bool {
+	return result == "overload" || result == "not_here" || result == "nobody"
+}
