--- a/cmd/edgeproxy/cache_test.go
+++ b/cmd/edgeproxy/cache_test.go
@@ -333,7 +333,8 @@
 	case <-time.After(testTimeout):
 		t.Fatal("not retried")
 	}
-	if first.answer("served", "made=1", "fine"); first.fields["i"] != "a-Key_7.x" {
+	first.answer("served", "made=1", "fine")
+	if first.fields["i"] != "a-Key_7.x" {
 		t.Errorf("%q", first.words)
 	}
 	a := receive(t, c.answers, "answer")
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -180,7 +180,8 @@
 	stuck.SetWriteDeadline(time.Now().Add(500 * time.Millisecond)) //nolint:errcheck // shows in the writes
 	for block := make([]byte, 64<<10); ; {
 		n, err := stuck.Write(block)
-		if sent += int64(n); err != nil {
+		sent += int64(n)
+		if err != nil {
 			break
 		}
 		if sent > 256<<20 {
@@ -208,7 +209,9 @@
 		slices.Sort(list)
 		return strings.Join(list, "\n")
 	}
-	if a, b := sorted(run()), sorted(run()); a != b || len(a) < 100 {
+	a := sorted(run())
+	b := sorted(run())
+	if a != b || len(a) < 100 {
 		t.Errorf("%s\n\nand\n\n%s", a, b)
 	}
 }
