--- a/Makefile
+++ b/Makefile
@@ -31,7 +31,7 @@
 toy:
 	go run ./example/toy serve
 
-# Fleets of real processes under troubles drawn by seed; what breaks a rule is kept in found/soak.
+# Fleets of real processes under faults drawn by seed; what breaks a rule is kept in found/soak.
 SEEDS ?= 20
 SEED ?= 1
 FLEET ?= 10
