--- a/internal/proxy/call.go
+++ b/internal/proxy/call.go
@@ -86,7 +86,7 @@
 		return policy.Fetch{}, false
 	}
 	fetch, verdict := a.p.router.MaySend(now, policy.SendInfo{
-		ID:                 a.req.moduleID,
+		ID:                 a.req.number,
 		Attempt:            a.number,
 		Remaining:          a.req.deadline - now,
 		ClientDisconnected: disconnected,
@@ -97,7 +97,7 @@
 	a.p.log.Info("attempt not sent", "request", a.req.ID, "attempt", a.number, "server", a.target,
 		"rule", verdict.Rule, "reason", verdict.Reason)
 	if verdict.Rule == policy.RuleClientDisconnected {
-		a.p.CancelAfterDisconnect(a.req.moduleID)
+		a.p.CancelAfterDisconnect(a.req.number)
 	}
 	return policy.Fetch{}, false
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -36,8 +36,8 @@
 	invariants *invariantChecker
 
 	inbox             []policy.Event     // events that the decision module has not seen yet
-	requests          map[int64]*request // by moduleID
-	lastModuleID      int64
+	requests          map[int64]*request // by number
+	lastRequestNumber int64
 	openRequests      int // admitted and not yet answered or given up by their clients
 	maxUpstreamConns  int
 	countDroppedLines func() int64 // log lines dropped so far; nil: unknown
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -29,7 +29,7 @@
 // request is one client request, from its admission until it is finished and its last attempt has ended.
 type request struct {
 	Request
-	moduleID     int64 // identifies the request in the decision module's events and actions
+	number       int64 // identifies the request in the decision module's events and actions
 	responder    Responder
 	idempotency  policy.Idempotency
 	deadline     eventloop.Timestamp // the final answer must have been written by then
@@ -56,7 +56,7 @@
 	}
 	q := p.admit(in, responder)
 	p.notify(policy.Request{
-		ID:        q.moduleID,
+		ID:        q.number,
 		Object:    in.Object,
 		Part:      in.Part,
 		Group:     in.Group,
@@ -64,7 +64,7 @@
 		SizeKB:    in.SizeKB,
 		Remaining: q.deadline - p.loop.Now(),
 	})
-	return q.moduleID
+	return q.number
 }
 
 // mayAdmit asks the guard whether a request may be admitted.
@@ -73,7 +73,7 @@
 		ClientDisconnected: responder.ClientDisconnected().GraceOver,
 		RejectingNew:       p.lifecycle.rejecting(),
 		Remaining:          in.Timeout,
-		OpenRequests:       len(p.requests),
+		UnreleasedRequests: len(p.requests),
 		MaxOpenRequests:    p.config.openRequestLimit(),
 		MemoryFull:         p.memory.full(),
 	})
@@ -90,15 +90,15 @@
 
 // admit opens a request and starts its timer.
 func (p *Proxy) admit(in Request, responder Responder) *request {
-	p.lastModuleID++
+	p.lastRequestNumber++
 	q := &request{
 		Request:     in,
-		moduleID:    p.lastModuleID,
+		number:      p.lastRequestNumber,
 		responder:   responder,
 		idempotency: p.config.Policy.Classes[in.Class].Idempotency,
 		deadline:    p.answerDeadline(in.Timeout),
 	}
-	p.requests[q.moduleID] = q
+	p.requests[q.number] = q
 	p.openRequests++
 	p.memory.requestBodies += len(q.Body)
 	q.timer = p.loop.At(q.deadline, func() { p.expire(q) })
@@ -157,7 +157,7 @@
 func (p *Proxy) expire(q *request) {
 	if q.openAttempts == 0 {
 		p.answer(q, Answer{Status: Failed})
-		p.notify(policy.ClientDisconnected{ID: q.moduleID})
+		p.notify(policy.RequestEnded{ID: q.number})
 		return
 	}
 	q.timer = p.loop.At(p.loop.Now()+expiryRecheckTime, func() { p.expire(q) })
@@ -178,30 +178,30 @@
 
 // HandleDisconnect gives up a request whose client aborted it or is disconnected. The request gets no answer,
 // and counts as faulted.
-func (p *Proxy) HandleDisconnect(moduleID int64) {
-	q := p.requests[moduleID]
+func (p *Proxy) HandleDisconnect(number int64) {
+	q := p.requests[number]
 	if q == nil || q.finished {
 		return
 	}
 	p.finish(q)
 	p.counters.count(q.ClassName, outcomeFailed)
-	p.notify(policy.ClientDisconnected{ID: moduleID})
+	p.notify(policy.RequestEnded{ID: number})
 }
 
 // handleConnectionClosed gives up an open request whose client connection has closed. evicted says that it
 // was closed for another client.
-func (p *Proxy) handleConnectionClosed(moduleID int64, evicted bool) {
-	if q := p.requests[moduleID]; q != nil {
+func (p *Proxy) handleConnectionClosed(number int64, evicted bool) {
+	if q := p.requests[number]; q != nil {
 		p.invariants.checkConnectionClosed(q, evicted)
 	}
-	p.HandleDisconnect(moduleID)
+	p.HandleDisconnect(number)
 }
 
 // CancelAfterDisconnect answers a request whose client has probably disconnected, and cancels its attempts. A
 // client that has only closed its sending side learns from the answer whether the request may have been
 // executed.
-func (p *Proxy) CancelAfterDisconnect(moduleID int64) {
-	q := p.requests[moduleID]
+func (p *Proxy) CancelAfterDisconnect(number int64) {
+	q := p.requests[number]
 	if q == nil || q.finished {
 		return
 	}
@@ -210,7 +210,7 @@
 		status = Failed
 	}
 	p.answer(q, Answer{Status: status})
-	p.notify(policy.ClientDisconnected{ID: moduleID})
+	p.notify(policy.RequestEnded{ID: number})
 }
 
 // hasStartedNonIdempotentCall reports whether the request is not idempotent and the first byte of a call
@@ -239,10 +239,10 @@
 // which it was received stays until the decision module has processed it: the module's first attempt would
 // otherwise never be reported as ended, and its place on the link would stay occupied.
 func (p *Proxy) releaseIfDone(q *request) {
-	if !q.routed || !q.finished || q.openAttempts > 0 || p.requests[q.moduleID] != q {
+	if !q.routed || !q.finished || q.openAttempts > 0 || p.requests[q.number] != q {
 		return
 	}
 	p.loop.Stop(q.timer)
 	p.memory.requestBodies -= len(q.Body)
-	delete(p.requests, q.moduleID)
+	delete(p.requests, q.number)
 }
--- a/internal/proxy/result.go
+++ b/internal/proxy/result.go
@@ -145,7 +145,7 @@
 	a.result = result
 	p.invariants.observeEnd(a, result)
 	p.notify(policy.Outcome{
-		ID:              a.req.moduleID,
+		ID:              a.req.number,
 		Attempt:         a.number,
 		Result:          result,
 		CacheStatus:     policy.CacheStatus(ans.CacheStatus),
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -94,7 +94,7 @@
 	if errors.Is(err, resp.ErrMalformed) && !errors.Is(err, eventloop.ErrNotConnected) {
 		u.p.log.Warn("upstream connection closed after a malformed answer", "server", u.conn.EndpointID(), "error", err)
 	}
-	byAdmission := func(a, b *attempt) int { return cmp.Compare(a.req.moduleID, b.req.moduleID) }
+	byAdmission := func(a, b *attempt) int { return cmp.Compare(a.req.number, b.req.number) }
 	for _, a := range slices.SortedFunc(maps.Values(u.calls), byAdmission) {
 		u.p.endAttempt(a, resp.Answer{}, resultOfClose(err))
 	}
--- a/internal/proxy/watch.go
+++ b/internal/proxy/watch.go
@@ -73,10 +73,10 @@
 	reconnectTimer      *eventloop.Timer
 	backoff             time.Duration // before the next reconnect
 
-	lastIndex      int64               // index of the last event that was passed on
-	lastLineAt     eventloop.Timestamp // when the last complete line arrived on any stream, or the watch began
-	lastUnreadable unreadableLine
-	lastGap        eventGap
+	lastIndex          int64               // index of the last event that was passed on
+	lastReadableLineAt eventloop.Timestamp // when the last complete line arrived on any stream, or the watch began
+	lastUnreadable     unreadableLine
+	lastGap            eventGap
 }
 
 // eventGap is a place at which events are missing: those between the two indices.
@@ -90,7 +90,7 @@
 
 // start opens the first stream.
 func (w *coordinatorWatch) start() {
-	w.lastLineAt = w.loop.Now()
+	w.lastReadableLineAt = w.loop.Now()
 	w.backoff = minReconnectBackoff
 	w.openStream()
 	w.checkStreams()
@@ -119,17 +119,17 @@
 	if w == nil {
 		return 0
 	}
-	return int((w.loop.Now() - w.lastLineAt).Milliseconds())
+	return int((w.loop.Now() - w.lastReadableLineAt).Milliseconds())
 }
 
 // openStream opens one more stream.
 func (w *coordinatorWatch) openStream() {
 	factor := time.Duration(1) << min(w.consecutiveFailures, maxTimeoutDoublings)
 	s := &watchStream{
-		owner:          w,
-		lastLineAt:     w.loop.Now(),
-		silenceTimeout: silenceTimeout * factor,
-		lineTimeout:    lineTimeout * factor,
+		owner:              w,
+		lastReadableLineAt: w.loop.Now(),
+		silenceTimeout:     silenceTimeout * factor,
+		lineTimeout:        lineTimeout * factor,
 	}
 	conn, err := w.loop.Dial(w.addr, min(watchConnectTimeout*factor, silenceTimeout), s)
 	if err != nil {
@@ -155,7 +155,7 @@
 	if len(w.streams) < maxWatchStreams {
 		w.log.Warn("coordinator watch stalled, opening a second stream", "event", w.lastIndex)
 	} else {
-		byLastLine := func(a, b *watchStream) int { return int(a.lastLineAt - b.lastLineAt) }
+		byLastLine := func(a, b *watchStream) int { return int(a.lastReadableLineAt - b.lastReadableLineAt) }
 		w.closeStream(slices.MinFunc(w.streams, byLastLine))
 	}
 	w.consecutiveFailures++
@@ -189,7 +189,7 @@
 
 // recordLine notes that a complete line has arrived, which ends a series of failures.
 func (w *coordinatorWatch) recordLine() {
-	w.lastLineAt = w.loop.Now()
+	w.lastReadableLineAt = w.loop.Now()
 	w.backoff = minReconnectBackoff
 	w.consecutiveFailures = 0
 }
--- a/internal/proxy/watchstream.go
+++ b/internal/proxy/watchstream.go
@@ -16,21 +16,21 @@
 // What can't be decoded, or is missing, is requested once more on a new stream, from the last event that was
 // passed on. When it is the same then, it is skipped and counted: another request would bring the same.
 type watchStream struct {
-	owner          *coordinatorWatch
-	conn           *eventloop.Conn
-	lastLineAt     eventloop.Timestamp // when the last complete line arrived, or the stream was opened
-	silenceTimeout time.Duration       // how long it may receive nothing
-	lineTimeout    time.Duration       // how long it may receive no complete line
-	discardingLine bool                // the line that is arriving is too long; its rest is discarded
-	skippedLines   int64               // lines skipped since the last event, each of which may have been an event
+	owner              *coordinatorWatch
+	conn               *eventloop.Conn
+	lastReadableLineAt eventloop.Timestamp // when the last complete line arrived, or the stream was opened
+	silenceTimeout     time.Duration       // how long it may receive nothing
+	lineTimeout        time.Duration       // how long it may receive no complete line
+	discardingLine     bool                // the line that is arriving is too long; its rest is discarded
+	skippedLines       int64               // lines skipped since the last event, each of which may have been an event
 }
 
 // isStalled reports whether the stream is silent, as after a network partition, or has not completed a line
 // for too long.
 func (s *watchStream) isStalled() bool {
 	now := s.owner.loop.Now()
-	lastInput := max(s.conn.LastReceived(), s.lastLineAt)
-	return now-lastInput > s.silenceTimeout || now-s.lastLineAt > s.lineTimeout
+	lastInput := max(s.conn.LastReceived(), s.lastReadableLineAt)
+	return now-lastInput > s.silenceTimeout || now-s.lastReadableLineAt > s.lineTimeout
 }
 
 // Receive handles the complete lines in data.
@@ -78,7 +78,7 @@
 	if err != nil {
 		return err
 	}
-	s.lastLineAt = s.owner.loop.Now()
+	s.lastReadableLineAt = s.owner.loop.Now()
 	s.silenceTimeout = silenceTimeout
 	s.lineTimeout = lineTimeout
 	s.owner.recordLine()
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -79,7 +79,7 @@
 	case eventPurge:
 		return policy.Purge{Object: e.Object, Group: int(e.Group), Age: e.Age.duration()}
 	case eventClientDisconnected:
-		return policy.ClientDisconnected{ID: e.Request}
+		return policy.RequestEnded{ID: e.Request}
 	case eventTimerFired:
 		return policy.TimerFired{Token: e.Token}
 	}
--- a/policy/events.go
+++ b/policy/events.go
@@ -121,8 +121,8 @@
 	Age    time.Duration // since the purge
 }
 
-// ClientDisconnected says that a client has disconnected. Its request is finished.
-type ClientDisconnected struct{ ID int64 }
+// RequestEnded says that a client has disconnected. Its request is finished.
+type RequestEnded struct{ ID int64 }
 
 // TimerFired says that a timer has expired.
 type TimerFired struct{ Token uint64 }
--- a/policy/guard.go
+++ b/policy/guard.go
@@ -60,7 +60,7 @@
 	ClientDisconnected bool
 	RejectingNew       bool          // in a drain or a shutdown, once clients have had time to disconnect
 	Remaining          time.Duration // to the client's deadline
-	OpenRequests       int
+	UnreleasedRequests int
 	MaxOpenRequests    int
 	MemoryFull         bool // the memory limit for requests is reached
 }
@@ -74,7 +74,7 @@
 		return Verdict{RuleAnswer, ReasonStopping}
 	case info.Remaining <= 0:
 		return Verdict{RuleDeadline, ReasonDeadlineExceeded}
-	case info.OpenRequests >= info.MaxOpenRequests:
+	case info.UnreleasedRequests >= info.MaxOpenRequests:
 		return Verdict{RuleLimits, ReasonTooManyOpen}
 	case info.MemoryFull:
 		return Verdict{RuleLimits, ReasonMemory}
--- a/policy/guard_test.go
+++ b/policy/guard_test.go
@@ -45,7 +45,7 @@
 	drainSource := func(f Fetch) Event { return drain(f.Source) }
 	purgeObject := func(Fetch) Event { return Purge{Object: "x", Age: 70 * ms} }
 	purgeGroup := func(Fetch) Event { return Purge{Age: 70 * ms} }
-	disconnect := func(Fetch) Event { return ClientDisconnected{ID: 1} }
+	disconnect := func(Fetch) Event { return RequestEnded{ID: 1} }
 	for name, c := range map[string]struct {
 		event        func(Fetch) Event
 		want         Verdict
--- a/policy/request.go
+++ b/policy/request.go
@@ -95,7 +95,7 @@
 func (started StreamStarted) apply(r *Router) { r.finishRequest(started.ID) }
 
 // apply finishes a request whose client has disconnected.
-func (disconnected ClientDisconnected) apply(r *Router) { r.finishRequest(disconnected.ID) }
+func (disconnected RequestEnded) apply(r *Router) { r.finishRequest(disconnected.ID) }
 
 // finishRequest marks a request as finished and cancels its pending attempts. It is removed with its last
 // attempt. A streamed answer belongs to the client and is not cancelled.
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -141,7 +141,7 @@
 			if sent != nil && (sent.Target == f.starting || sent.Source == f.starting) {
 				f.sentAt = append(f.sentAt, f.now)
 			}
-			r.Handle(f.now, ClientDisconnected{req.ID})
+			r.Handle(f.now, RequestEnded{req.ID})
 			for i := range 2 {
 				r.Handle(f.now, Outcome{ID: req.ID, Attempt: i, Result: ResultCancelled,
 					RequestFinished: true})
@@ -260,7 +260,7 @@
 				if f := fetchOf(h.request(id, "x", 0)); f != nil && f.Target == home {
 					sent[processes]++
 				}
-				h.do(ClientDisconnected{ID: id})
+				h.do(RequestEnded{ID: id})
 				h.do(Outcome{ID: id, Result: ResultCancelled, RequestFinished: true})
 			}
 		}
--- a/policy/transfertime_test.go
+++ b/policy/transfertime_test.go
@@ -25,7 +25,7 @@
 		if got := h.router.requests[99].transferSeconds; math.Abs(got-want) > 0.01 {
 			t.Errorf("%s is expected to take %v s, want %v", object, got, want)
 		}
-		h.do(ClientDisconnected{ID: 99})
+		h.do(RequestEnded{ID: 99})
 		h.do(Outcome{ID: 99, Result: ResultCancelled})
 	}
 }
