--- a/Makefile
+++ b/Makefile
@@ -7,11 +7,12 @@
 	mkdir -p bin
 	CGO_ENABLED=1 go build -buildvcs=false -ldflags=-linkmode=external -o bin/ ./cmd/...
 
-# Tests that fail for a cause that is known and not mended yet; one line each: test, cause, issue.
+# Failures whose cause is known and not fixed yet, one line each. A line that begins with a test's name has that test skipped;
+# others are only printed.
 KNOWN_RED = $(shell sed -n 's/^\(Test[A-Za-z0-9_]*\).*/\1/p' KNOWN-RED.txt 2>/dev/null | paste -sd'|')
 
 test:
-	@if [ -s KNOWN-RED.txt ]; then echo "known failures, passed over:"; cat KNOWN-RED.txt; fi
+	@if [ -s KNOWN-RED.txt ]; then echo "known failures; tests named first on a line are skipped:"; cat KNOWN-RED.txt; fi
 	go test $(if $(KNOWN_RED),-skip '^($(KNOWN_RED))$$') ./...
 
 lint:
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -19,7 +19,7 @@
 	req       *request
 	number    int    // index among the request's attempts
 	target    string // id of the endpoint that is called
-	source    string // as of the last Encode: from which endpoint a miss is filled; the target itself: it is not
+	source    string // fill source as of the last Encode; the target itself if nothing is filled
 	createdAt eventloop.Timestamp
 
 	upstream  *upstream // the connection on which the call is queued or sent; nil: it got none
@@ -41,9 +41,7 @@
 func (p *Proxy) startAttempt(q *request, fetch policy.Fetch) {
 	a := &attempt{p: p, req: q, number: len(q.attempts), target: fetch.Target, createdAt: p.loop.Now()}
 	if a.number > 0 {
-		previous := q.attempts[a.number-1]
-		p.log.Info("retry", "request", q.ID, "attempt", a.number, "server", a.target,
-			"previous_server", previous.target, "previous_result", previous.result)
+		p.logRepeat(a, q.attempts[a.number-1])
 	}
 	q.attempts = append(q.attempts, a)
 	q.openAttempts++
@@ -60,6 +58,18 @@
 	a.enqueue(conn, maxReassignments)
 }
 
+// logRepeat logs an attempt that is not its request's first: a retry, or a hedge while the previous one is
+// open.
+func (p *Proxy) logRepeat(a, previous *attempt) {
+	if !previous.ended {
+		p.log.Info("hedge", "request", a.req.ID, "attempt", a.number, "server", a.target,
+			"previous_server", previous.target)
+		return
+	}
+	p.log.Info("retry", "request", a.req.ID, "attempt", a.number, "server", a.target,
+		"previous_server", previous.target, "previous_result", previous.result)
+}
+
 // fitsOn reports whether a call for the request can be sent on a connection.
 func (q *request) fitsOn(conn *connpool.PooledConn) bool { return conn.Owner.(*upstream).accepts(q) }
 
--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -3,6 +3,7 @@
 // This file holds a client's connection: its records, its open requests, and when it is closed.
 
 import (
+	"errors"
 	"slices"
 	"time"
 
@@ -184,14 +185,13 @@
 	c.closeIfDone()
 }
 
-// Closed ends the requests that are open on the connection. err is nil after an eviction alone: only that
-// must never meet an open request. A client that is stalled, or for which memory is lacking, loses its
-// requests.
+// Closed ends the requests that are open on the connection. Only an eviction (errEvicted) must never meet an
+// open request. A client that is stalled, or for which memory is lacking, loses its requests.
 func (c *clientConn) Closed(err error) {
 	delete(c.server.conns, c)
 	delete(c.server.blockedConns, c)
 	for _, number := range c.openRequests {
-		c.server.handler.handleConnectionClosed(number, err == nil)
+		c.server.handler.handleConnectionClosed(number, errors.Is(err, errEvicted))
 	}
 	c.openRequests = nil
 	c.blocked = nil
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// maxOpenRequests bounds the open requests; the settings may set a lower limit.
+	// maxOpenRequests bounds the requests that are not released yet; the settings may set a lower limit.
 	maxOpenRequests = 4096
 	// maxSharedCalls is how many idempotent calls share a connection where handshakes are priced. More calls
 	// would save less than an eighth of the remaining handshakes, and lose more calls with a connection that
 	// breaks.
 	maxSharedCalls = 8
-	// descriptorsForOthers is taken from the caches' half of the descriptors. With the tenth that clients and
-	// caches leave, it is for operators (16), the coordinator's streams, the listening sockets, the event loop
-	// and the configuration file.
+	// descriptorsForOthers is taken from the caches' half of the descriptors. With the tenth that clients
+	// and caches leave, it is for operators (16), the coordinator's streams, the listening sockets, the
+	// event loop and the configuration file.
 	descriptorsForOthers = 20
 
 	// Defaults of settings that are optional.
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -73,6 +73,7 @@
 	if err != nil {
 		t.log.Warn("endpoint removed, entry unreadable", "server", entry.ID, "error", err)
 		endpoint.State = policy.Removed
+		return endpoint
 	}
 	if !fullList { // a full list may have thousands
 		t.log.Info("endpoint changed", "server", entry.ID, "state", entry.State, "started_ms", entry.Started)
--- a/internal/proxy/eviction.go
+++ b/internal/proxy/eviction.go
@@ -4,12 +4,18 @@
 // that a new one can be accepted. Without it, clients that connect and send nothing, or send one request and
 // stay, would keep out all others.
 
-import "time"
+import (
+	"errors"
+	"time"
+)
+
+// errEvicted closes a connection whose place another client needs.
+var errEvicted = errors.New("evicted for another client")
 
 // How long a connection must have been idle before it can be evicted.
 const (
-	// evictSilentAfter is for a client that has sent nothing yet: a client in earnest sends its request once
-	// it is connected.
+	// evictSilentAfter is for a client that has sent nothing yet: a real client sends its request once it is
+	// connected.
 	evictSilentAfter = 50 * time.Millisecond
 	// evictIdleAfter is for a client whose requests have all been answered. A request that crosses the close
 	// within 50 ms is sent again. With a longer time, a few hundred clients a second that each send one
@@ -80,7 +86,7 @@
 func (f *FastCGIServer) evict(c *clientConn) {
 	f.log.Info("client connection evicted", "connection", c.number, "idle", c.idleTime())
 	c.conn.Close()
-	c.Closed(nil)
+	c.Closed(errEvicted)
 }
 
 // evictable reports whether the connection is a candidate: idle for long enough, with nothing open or queued.
--- a/internal/proxy/fastcgiserver.go
+++ b/internal/proxy/fastcgiserver.go
@@ -16,9 +16,9 @@
 	writeStallTimeout = 10 * time.Second
 	// criticalWriteStallTimeout replaces writeStallTimeout while the memory budget is critical.
 	criticalWriteStallTimeout = 200 * time.Millisecond
-	// idleTimeout is how long a connection may receive nothing. Clients close theirs after 4 s: one that is
-	// older has probably vanished, and would keep its descriptor. A connection with open requests is kept:
-	// the guard denies its close.
+	// idleTimeout is how long a connection may go without input from the client or an answer to it. Clients
+	// close theirs after 4 s: one that is older has probably vanished, and would keep its descriptor. A
+	// connection with open requests is kept: the guard denies its close.
 	idleTimeout = 5 * time.Second
 	// requestPauseTimeout is how long a client may pause before its first request, or in the middle of one.
 	requestPauseTimeout = 2 * time.Second
--- a/internal/proxy/invariants.go
+++ b/internal/proxy/invariants.go
@@ -55,11 +55,11 @@
 	startedAfterDisconnect: "begun_after_left",
 }
 
-// invariantChecker checks what the proxy has done, after the fact. It is independent of the guards, so that a
-// fault in these does not hide itself: it keeps records of its own of drains, purges, answers and calls, and
-// does not read the state that the guards decide by. It takes from the proxy only the clock, the settings
-// and, for a full endpoint list, the ids of the endpoints before it. In service, violations are counted and
-// logged; tests have onViolation end the program.
+// invariantChecker checks what the proxy has done, after the fact. It keeps records of its own of drains,
+// purges, answers and executions, so that a fault of the guards does not hide itself. It takes from the
+// proxy the clock, the settings, whether a call was written and how it ended, when a client disconnected,
+// and the ids of the endpoints before a full list: faults in those it does not find. In service, violations
+// are counted and logged; tests have onViolation end the program.
 type invariantChecker struct {
 	p             *Proxy
 	drainingSince map[string]eventloop.Timestamp // by endpoint: when its drain was notified
--- a/internal/proxy/memory.go
+++ b/internal/proxy/memory.go
@@ -8,7 +8,7 @@
 // collector's.
 const (
 	rejectDivisor    = 4 // at 1/4 of the limit new requests are rejected
-	criticalMultiple = 2 // at twice that, 1/2 of the limit, connections that only hold memory are closed
+	criticalMultiple = 2 // at twice that, 1/2 of the limit, partial requests are rejected and stalled clients closed
 )
 
 // memoryBudget counts the bytes that are buffered for clients and caches, and decides when there are too
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -112,9 +112,9 @@
 }
 
 // isUnusableAfter reports whether the connection must take no new calls once a call that was sent on it has
-// been stopped. That is also so if an answer has come in part, as it would take the bytes of the next one for
-// its own, and if the call has been written in part. The rest of that is sent only if other calls keep the
-// connection open.
+// been stopped. Also unusable: a connection on which an answer has arrived in part, as its rest would be read
+// as the start of the next answer, and one on which the call was written in part. The call's remaining bytes
+// are written only while other calls keep the connection open.
 func (u *upstream) isUnusableAfter(stopped *attempt) bool {
 	return u.unresponsive() || u.conn.UnparsedBytes() > 0 || !stopped.written || u.p.requiresConnClose(stopped)
 }
--- a/policy/events.go
+++ b/policy/events.go
@@ -59,7 +59,7 @@
 	ResultOK                          // an answer
 	ResultRejected                    // the target rejected it without processing it
 	ResultTimeout                     // no answer in time
-	ResultConnectFailed               // no connection came up, or it ended before the attempt's last byte
+	ResultConnectFailed               // not executed: no connection, or cut before the last byte
 	ResultReset                       // the connection broke while it was in flight
 	ResultCancelled                   // the proxy stopped waiting
 	ResultNotSent                     // not executed, for a reason that says nothing against the target
--- a/policy/guard.go
+++ b/policy/guard.go
@@ -60,7 +60,7 @@
 	ClientDisconnected bool
 	RejectingNew       bool          // in a drain or a shutdown, once clients have had time to disconnect
 	Remaining          time.Duration // to the client's deadline
-	UnreleasedRequests int
+	UnreleasedRequests int           // answered ones with open attempts included
 	MaxOpenRequests    int
 	MemoryFull         bool // the memory limit for requests is reached
 }
@@ -82,8 +82,9 @@
 	return Verdict{}
 }
 
-// CloseInfo describes a client's connection that might be closed. A field that is left zero is not checked:
-// after a timeout, a client may lose a request that it has sent in part.
+// CloseInfo describes a client's connection that might be closed. A field that is left zero is not checked,
+// but for HasUnreadInput, which is required: after a timeout, a client may lose a request that it has sent
+// in part.
 type CloseInfo struct {
 	OpenRequests   int  // that arrived completely and are not answered
 	PartialRequest bool // a request has arrived in part
--- a/policy/outliers.go
+++ b/policy/outliers.go
@@ -2,10 +2,10 @@
 
 // Outlier detection takes an endpoint out of rotation (ejects it) while it does not answer.
 //
-// Inputs: the result and cache status of each attempt, and overdue timers. An endpoint is ejected when a
-// connection to it fails, when it stays silent, or when it fails consecutive requests that another endpoint
-// then answers: a request that fails everywhere is at fault itself. Result: isEjected, and the time until
-// which it holds.
+// Inputs: the result and cache status of each attempt, and overdue timers. An endpoint is ejected when an
+// attempt ends as ResultConnectFailed, when it stays silent, or when it fails consecutive requests that
+// another endpoint then answers: a request that fails everywhere is at fault itself. Result: isEjected, and
+// the time until which it holds.
 //
 // An ejection lasts baseEjectionTime, twice as long for each earlier one that no response has made up for.
 // Afterwards the endpoint receives one attempt at a time until its responses have made up for all of them.
@@ -86,8 +86,8 @@
 	return e.ejections > 0 && len(e.link.inFlight) > 0
 }
 
-// OutOfRotation returns how many listed endpoints receive no new requests at time now: draining and ejected
-// ones.
+// OutOfRotation returns how many listed endpoints are draining or ejected at time now. An ejected one is
+// still used where no other is left.
 func (r *Router) OutOfRotation(now time.Duration) (count int) {
 	for _, e := range r.endpoints {
 		if e.State == Draining || e.State == Ready && now < e.ejectedUntil {
