--- a/cmd/edgeproxy/cache_test.go
+++ b/cmd/edgeproxy/cache_test.go
@@ -125,9 +125,9 @@
 	}
 }
 
-// TestSpoiltAnswerCostsOneRequest checks that a malformed answer fails one write alone: writes in flight to
+// TestMalformedAnswerFailsOneRequest checks that a malformed answer fails one write alone: writes in flight to
 // one server have a connection each.
-func TestSpoiltAnswerCostsOneRequest(t *testing.T) {
+func TestMalformedAnswerFailsOneRequest(t *testing.T) {
 	env := startTestEnv(t)
 	c := env.dial()
 	var calls []*receivedCall
@@ -280,9 +280,9 @@
 	}
 }
 
-// TestGivenUpBeforeASecondCopy checks that with hedging off an attempt is canceled by closing its connection
+// TestCancelledBeforeARetry checks that with hedging off an attempt is canceled by closing its connection
 // before the next one begins, as a server that hangs does not read STOP.
-func TestGivenUpBeforeASecondCopy(t *testing.T) {
+func TestCancelledBeforeARetry(t *testing.T) {
 	t.Parallel()
 	env := startTestEnv(t)
 	env.reload(`"second-copies":true`, `"second-copies":false`)
@@ -314,9 +314,9 @@
 	}
 }
 
-// TestIdempotencyKeyIsPassedOn checks that every attempt carries the client's idempotency key unchanged, and
+// TestIdempotencyKeyIsForwarded checks that every attempt carries the client's idempotency key unchanged, and
 // that malformed keys are rejected.
-func TestIdempotencyKeyIsPassedOn(t *testing.T) {
+func TestIdempotencyKeyIsForwarded(t *testing.T) {
 	env := startTestEnv(t)
 	c := env.dial()
 	c.request(1, "artes", longTimeoutMS, 1, "", "HTTP_REQ_TOKEN", "a-Key_7.x")
--- a/cmd/edgeproxy/client_test.go
+++ b/cmd/edgeproxy/client_test.go
@@ -42,9 +42,9 @@
 	}
 }
 
-// TestWholeRequestBeforeAMalformedRecord checks that a complete request is answered although a malformed
+// TestCompleteRequestBeforeAMalformedRecord checks that a complete request is answered although a malformed
 // record follows on its connection.
-func TestWholeRequestBeforeAMalformedRecord(t *testing.T) {
+func TestCompleteRequestBeforeAMalformedRecord(t *testing.T) {
 	env := startTestEnv(t)
 	for name, rest := range map[string]string{
 		"version":         "GET / HTTP/1.1\r\n\r\n",
@@ -71,9 +71,9 @@
 	}
 }
 
-// TestParkedRequestIsServed checks that a request that waits because its client reads no answers is served
+// TestBlockedRequestIsServed checks that a request that waits because its client reads no answers is served
 // once the client reads on.
-func TestParkedRequestIsServed(t *testing.T) {
+func TestBlockedRequestIsServed(t *testing.T) {
 	env := startTestEnv(t)
 	conn, out := newUnreadingClient(env)
 	c := &client{conn, make(chan answer, 1000)}
--- a/cmd/edgeproxy/clientlimits_test.go
+++ b/cmd/edgeproxy/clientlimits_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// TestRequestOverItsOwnLimitIsRefused checks that a request over a limit is rejected while its connection and
+// TestRequestOverItsOwnLimitIsRejected checks that a request over a limit is rejected while its connection and
 // the other requests on it go on.
-func TestRequestOverItsOwnLimitIsRefused(t *testing.T) {
+func TestRequestOverItsOwnLimitIsRejected(t *testing.T) {
 	env := startTestEnv(t)
 	env.cache.answerAll("served", "-", "fine")
 	for _, name := range []string{"body", "params"} {
@@ -179,9 +179,9 @@
 	env.checkMemory()
 }
 
-// TestSilentClientsMakeRoom checks that idle connections, incomplete requests included, are closed to make
+// TestIdleClientsAreEvicted checks that idle connections, incomplete requests included, are closed to make
 // descriptors available to other clients.
-func TestSilentClientsMakeRoom(t *testing.T) {
+func TestIdleClientsAreEvicted(t *testing.T) {
 	t.Parallel()
 	env := startTestEnv(t)
 	env.cache.answerAll("served", "-", "fine")
@@ -214,9 +214,9 @@
 	}
 }
 
-// TestFloodIsRefused checks that requests over the memory limit are rejected, that the process stays within
+// TestFloodIsRejected checks that requests over the memory limit are rejected, that the process stays within
 // its limit, and that it serves afterwards.
-func TestFloodIsRefused(t *testing.T) {
+func TestFloodIsRejected(t *testing.T) {
 	env := startTestEnv(t)
 	body := strings.Repeat("b", 48_000)
 	answers := make(chan answer, 10_000)
--- a/cmd/edgeproxy/config_test.go
+++ b/cmd/edgeproxy/config_test.go
@@ -125,9 +125,9 @@
 	}
 }
 
-// TestReloadTakesSettingsWholeOrNotAtAll checks that an invalid configuration changes nothing, its
+// TestReloadAppliesAllSettingsOrNone checks that an invalid configuration changes nothing, its
 // coordinator included, and that a valid one applies to new requests alone.
-func TestReloadTakesSettingsWholeOrNotAtAll(t *testing.T) {
+func TestReloadAppliesAllSettingsOrNone(t *testing.T) {
 	env := startTestEnv(t)
 	receive(t, env.followLines, "follow")
 	c := env.dial()
--- a/cmd/edgeproxy/coordinator_test.go
+++ b/cmd/edgeproxy/coordinator_test.go
@@ -98,10 +98,10 @@
 	}
 }
 
-// TestCoordinatorIsFollowedAnew checks that the watch reconnects from the last event taken after a malformed
+// TestWatchReconnects checks that the watch reconnects from the last event taken after a malformed
 // line, a gap, an index that shows missing events, the end of the stream and silence, and that repeated
 // events are dropped.
-func TestCoordinatorIsFollowedAnew(t *testing.T) {
+func TestWatchReconnects(t *testing.T) {
 	t.Parallel()
 	env := startTestEnv(t)
 	follow := func(what, want string) {
@@ -169,8 +169,9 @@
 	env.servedOnlyBy("second")
 }
 
-// TestEndlessLineIsGivenUp checks that a stream that sends bytes without ending a line is treated as silent.
-func TestEndlessLineIsGivenUp(t *testing.T) {
+// TestEndlessLineCountsAsSilence checks that a stream that sends bytes without ending a line is treated as
+// silent.
+func TestEndlessLineCountsAsSilence(t *testing.T) {
 	t.Parallel()
 	env := startTestEnv(t)
 	receive(t, env.followLines, "follow")
@@ -188,9 +189,9 @@
 	}
 }
 
-// TestUnreadableEntryCountsAsGone checks that the server of a malformed entry, which may have announced a
+// TestUnreadableEntryCountsAsRemoved checks that the server of a malformed entry, which may have announced a
 // drain, gets no new calls.
-func TestUnreadableEntryCountsAsGone(t *testing.T) {
+func TestUnreadableEntryCountsAsRemoved(t *testing.T) {
 	env := startTestEnv(t)
 	receive(t, env.followLines, "follow")
 	second := newStandIn(t)
@@ -202,9 +203,9 @@
 	env.servedOnlyBy("second")
 }
 
-// TestWholeListAfterAReload checks that a server that a full list lacks counts as removed, also right after a
+// TestFullListAfterAReload checks that a server that a full list lacks counts as removed, also right after a
 // reload.
-func TestWholeListAfterAReload(t *testing.T) {
+func TestFullListAfterAReload(t *testing.T) {
 	env := startTestEnv(t)
 	receive(t, env.followLines, "follow")
 	second := newStandIn(t)
@@ -217,9 +218,9 @@
 	env.servedOnlyBy("second")
 }
 
-// TestReadyWithDiscoveryDown checks that a restarted process serves by the list in its configuration while
+// TestReadyWithCoordinatorDown checks that a restarted process serves by the list in its configuration while
 // the coordinator is down.
-func TestReadyWithDiscoveryDown(t *testing.T) {
+func TestReadyWithCoordinatorDown(t *testing.T) {
 	env := newTestEnv(t)
 	env.cache.answerAll("served", "-", "fine")
 	env.coordinatorDown = true
@@ -238,9 +239,9 @@
 	}
 }
 
-// TestSlowLineIsHeard checks that an event that arrives slowly but steadily is taken: the bytes so far are
+// TestSlowLineIsReceived checks that an event that arrives slowly but steadily is taken: the bytes so far are
 // not discarded.
-func TestSlowLineIsHeard(t *testing.T) {
+func TestSlowLineIsReceived(t *testing.T) {
 	const inAll, step = 6 * time.Second, 100 * time.Millisecond
 	env := newTestEnv(t)
 	env.clock = newManualClock(t)
--- a/cmd/edgeproxy/disconnect_test.go
+++ b/cmd/edgeproxy/disconnect_test.go
@@ -35,9 +35,9 @@
 	receive(t, env.cache.stops, "STOP")
 }
 
-// TestTakenBackAtOnceIsForgotten checks that requests that are aborted in the turn in which they came do not
+// TestAbortInTheSameTurnIsReleased checks that requests that are aborted in the turn in which they came do not
 // stay counted as in flight: the link would look full, and later requests would be rejected.
-func TestTakenBackAtOnceIsForgotten(t *testing.T) {
+func TestAbortInTheSameTurnIsReleased(t *testing.T) {
 	env := newTestEnv(t)
 	small := endpoint("c1", "std", "edge", "SERVING", env.cache)
 	small["weight"] = 1
@@ -62,9 +62,9 @@
 	}
 }
 
-// TestNothingBeginsForAClientThatHasLeft checks that no call begins for a request whose client had
+// TestNothingBeginsForADisconnectedClient checks that no call begins for a request whose client had
 // disconnected or aborted it before it was read.
-func TestNothingBeginsForAClientThatHasLeft(t *testing.T) {
+func TestNothingBeginsForADisconnectedClient(t *testing.T) {
 	for _, how := range []string{"half-close", "close", "abort"} {
 		t.Run(how, func(t *testing.T) {
 			env := startTestEnv(t)
@@ -124,9 +124,9 @@
 	}
 }
 
-// TestUnreadingClientIsHeard checks that a disconnect or an abort takes effect although the client does not
+// TestUnreadingClientDisconnects checks that a disconnect or an abort takes effect although the client does not
 // read: a retry could begin afterwards otherwise.
-func TestUnreadingClientIsHeard(t *testing.T) {
+func TestUnreadingClientDisconnects(t *testing.T) {
 	for _, how := range []string{"half-close", "abort"} {
 		t.Run(how, func(t *testing.T) {
 			env := startTestEnv(t)
--- a/cmd/edgeproxy/fault_test.go
+++ b/cmd/edgeproxy/fault_test.go
@@ -83,9 +83,9 @@
 	env.servedOnlyBy("second")
 }
 
-// TestClientGoneWithItsRequest checks that the calls of a request are stopped, and no others begin, when its
+// TestClientResetsWithItsRequest checks that the calls of a request are stopped, and no others begin, when its
 // connection is reset with its last byte.
-func TestClientGoneWithItsRequest(t *testing.T) {
+func TestClientResetsWithItsRequest(t *testing.T) {
 	env := startTestEnv(t)
 	front := newFaultyAddr(t, env.addr, `c up conn 1 match "\x01\x05\x00\x01\x00\x00\x00\x00" : reset`)
 	conn, err := net.Dial("tcp", front.Addr().String())
@@ -142,9 +142,9 @@
 	}
 }
 
-// TestSpoiltAnswersThroughTheRelay checks that truncated, duplicate and corrupted answers fail their own
+// TestMalformedAnswersThroughTheRelay checks that truncated, duplicate and corrupted answers fail their own
 // attempt alone, and that each request gets one answer.
-func TestSpoiltAnswersThroughTheRelay(t *testing.T) {
+func TestMalformedAnswersThroughTheRelay(t *testing.T) {
 	for rule, want := range map[string]string{
 		"c down conn 1 byte 40 : close":      "200", // retried
 		"c down conn 1 byte 40 : reset":      "200",
--- a/cmd/edgeproxy/lateread_test.go
+++ b/cmd/edgeproxy/lateread_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// TestRequestReadTooLateIsRefused checks that a request that is read after its deadline is rejected at once
+// TestRequestReadTooLateIsRejected checks that a request that is read after its deadline is rejected at once
 // and not forwarded.
-func TestRequestReadTooLateIsRefused(t *testing.T) {
+func TestRequestReadTooLateIsRejected(t *testing.T) {
 	env := startTestEnv(t)
 	c := env.dial()
 	c.request(1, "artes", longTimeoutMS, 1, "")
@@ -30,9 +30,9 @@
 	}
 }
 
-// TestRequestBehindMuchInputTooLateIsRefused checks the same for a request behind more input than one turn of
+// TestRequestBehindMuchInputTooLateIsRejected checks the same for a request behind more input than one turn of
 // the event loop reads from a connection.
-func TestRequestBehindMuchInputTooLateIsRefused(t *testing.T) {
+func TestRequestBehindMuchInputTooLateIsRejected(t *testing.T) {
 	env := startTestEnv(t)
 	env.cache.answerAll("served", "-", "fine")
 	c := env.dial()
@@ -60,9 +60,9 @@
 	}
 }
 
-// TestRequestInTheQueueTooLateIsRefused checks the same for requests on connections that wait to be accepted:
+// TestRequestInTheQueueTooLateIsRejected checks the same for requests on connections that wait to be accepted:
 // the time in the queue counts.
-func TestRequestInTheQueueTooLateIsRefused(t *testing.T) {
+func TestRequestInTheQueueTooLateIsRejected(t *testing.T) {
 	env := startTestEnv(t)
 	env.cache.answerAll("served", "-", "fine")
 	resume := env.pause()
--- a/cmd/edgeproxy/system_test.go
+++ b/cmd/edgeproxy/system_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestHalfWrittenCallIsSentAgain checks that a call of which the server takes only a part is canceled in time
+// TestPartlyWrittenCallIsRetried checks that a call of which the server takes only a part is canceled in time
 // for a retry, also if it is not idempotent: an incomplete call is never executed.
-func TestHalfWrittenCallIsSentAgain(t *testing.T) {
+func TestPartlyWrittenCallIsRetried(t *testing.T) {
 	env := newTestEnv(t)
 	env.extraEnv = []string{syscallFaultsEnv + "=halfwrite:registro"}
 	env.startWith(env.cache, env.origin)
@@ -23,8 +23,8 @@
 	}
 }
 
-// TestLocalFailureSuspectsNobody checks that a lack of local descriptors or ports does not eject a server.
-func TestLocalFailureSuspectsNobody(t *testing.T) {
+// TestLocalFailureEjectsNoServer checks that a lack of local descriptors or ports does not eject a server.
+func TestLocalFailureEjectsNoServer(t *testing.T) {
 	for _, failure := range []string{"socket:ENFILE:4-40", "socket:ENOBUFS:4-40", "connect:EADDRNOTAVAIL:2-40"} {
 		env := newTestEnv(t)
 		env.cache.answerAll("served", "-", "fine")
--- a/internal/fastcgi/fastcgi_test.go
+++ b/internal/fastcgi/fastcgi_test.go
@@ -189,7 +189,7 @@
 }
 
 // An ID may be reused once its request is done, and the bytes buffered for it are released.
-func TestNumbersAndBytesAreGivenBack(t *testing.T) {
+func TestIDsAndBytesAreReleased(t *testing.T) {
 	var d Decoder
 	for range 3 {
 		decodeAll(t, &d, completeRequest(1))
--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -34,7 +34,7 @@
 func Check(h *History) []Violation {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	c := newInvariantChecker(h)
+	c := newHistoryChecker(h)
 	for _, q := range h.Requests {
 		c.checkFinalAnswers(q)
 		c.checkExecutions(q)
@@ -53,8 +53,8 @@
 	return c.violations
 }
 
-// invariantChecker checks a history. Its maps are indexes of the history.
-type invariantChecker struct {
+// historyChecker checks a history. Its maps are indexes of the history.
+type historyChecker struct {
 	h             *History
 	requests      map[string]*Request // by ID
 	executions    map[string]int      // by the request's ID
@@ -62,8 +62,8 @@
 	violations    []Violation
 }
 
-func newInvariantChecker(h *History) *invariantChecker {
-	c := &invariantChecker{
+func newHistoryChecker(h *History) *historyChecker {
+	c := &historyChecker{
 		h: h, requests: map[string]*Request{}, executions: map[string]int{}, callsBySerial: map[string]*Call{},
 	}
 	for _, q := range h.Requests {
@@ -78,14 +78,14 @@
 	return c
 }
 
-func (c *invariantChecker) report(rule string, at time.Duration, words []string, format string, args ...any) {
+func (c *historyChecker) report(rule string, at time.Duration, words []string, format string, args ...any) {
 	c.violations = append(c.violations, Violation{Rule: rule, At: at, Text: fmt.Sprintf(format, args...), Words: words})
 }
 
 // notifiedAt is when an event counts as known to the process of a request: when its line was written, or
 // notifyWithin after its publication. Time in which the coordinator sent the process nothing, or it was
 // paused, does not count. What the configuration of the process holds is known from its start.
-func (c *invariantChecker) notifiedAt(e *WatchEvent, q *Request) time.Duration {
+func (c *historyChecker) notifiedAt(e *WatchEvent, q *Request) time.Duration {
 	incarnation := c.h.incarnation(q.Proxy, q.Incarnation)
 	unreachable := c.h.Withheld[q.Proxy]
 	if incarnation != nil {
--- a/internal/soak/checker_test.go
+++ b/internal/soak/checker_test.go
@@ -31,9 +31,9 @@
 	return h
 }
 
-// TestInvariantChecker breaks each rule in a history that is otherwise sound, and checks that it alone is
+// TestHistoryChecker breaks each rule in a history that is otherwise sound, and checks that it alone is
 // reported.
-func TestInvariantChecker(t *testing.T) {
+func TestHistoryChecker(t *testing.T) {
 	delivered := func(e WatchEvent) func(*History) {
 		return func(h *History) {
 			e.Index = 2
--- a/internal/soak/rule_answers.go
+++ b/internal/soak/rule_answers.go
@@ -13,7 +13,7 @@
 )
 
 // checkFinalAnswers checks that a request got exactly one final answer, in time.
-func (c *invariantChecker) checkFinalAnswers(q *Request) {
+func (c *historyChecker) checkFinalAnswers(q *Request) {
 	who := fmt.Sprintf("request %s (%s, proxy %d)", q.ID, q.Class, q.Proxy)
 	words := []string{q.ID, proxyName(q.Proxy)}
 	if len(q.Answers) > 1 {
@@ -39,7 +39,7 @@
 
 // answerDue returns when the answer to a request is due at the latest. None is owed where the request was not
 // sent in full, was canceled, came too long after SIGTERM, or its process was killed before.
-func (c *invariantChecker) answerDue(q *Request) (due time.Duration, owed bool) {
+func (c *historyChecker) answerDue(q *Request) (due time.Duration, owed bool) {
 	incarnation := c.h.incarnation(q.Proxy, q.Incarnation)
 	if q.SentAt == 0 || q.CanceledAt != 0 || q.NoAnswerOwed || incarnation == nil {
 		return 0, false
--- a/internal/soak/rule_calls.go
+++ b/internal/soak/rule_calls.go
@@ -14,7 +14,7 @@
 
 // checkCall checks the rules on when and where a call may be sent. They do not apply to a call that its
 // server read late, as the time of its sending is unknown.
-func (c *invariantChecker) checkCall(call *Call) {
+func (c *historyChecker) checkCall(call *Call) {
 	q := c.requests[call.ID]
 	if q == nil {
 		c.report("unknown call", call.FirstByteAt, []string{call.ID}, "%s got a call that no client sent", call.Server)
@@ -31,7 +31,7 @@
 }
 
 // checkCanceled checks that no call begins more than cancelGrace after its client canceled the request.
-func (c *invariantChecker) checkCanceled(q *Request, call *Call, words []string) {
+func (c *historyChecker) checkCanceled(q *Request, call *Call, words []string) {
 	if q.CanceledAt == 0 {
 		return
 	}
@@ -44,7 +44,7 @@
 }
 
 // checkDeadline checks that a call gives its server no more time than its client has left.
-func (c *invariantChecker) checkDeadline(q *Request, call *Call, words []string) {
+func (c *historyChecker) checkDeadline(q *Request, call *Call, words []string) {
 	remaining := q.SentAt + q.Timeout - call.CompleteAt
 	if q.SentAt != 0 && call.Timeout > remaining+deadlineSlack+c.h.slack(q.SentAt, call.CompleteAt) {
 		c.report("deadline", call.CompleteAt, words,
@@ -54,7 +54,7 @@
 
 // checkDrain checks that a call neither goes to nor names a server for longer than the grace period after its
 // proxy was notified that the server is draining or removed.
-func (c *invariantChecker) checkDrain(q *Request, call *Call, server string, words []string) {
+func (c *historyChecker) checkDrain(q *Request, call *Call, server string, words []string) {
 	since, withdrawn := c.withdrawnSince(server, q, call.FirstByteAt)
 	if !withdrawn {
 		return
@@ -68,7 +68,7 @@
 
 // withdrawnSince returns since when, at a moment, the process of a request counts as notified that a server
 // is draining or removed.
-func (c *invariantChecker) withdrawnSince(server string, q *Request, at time.Duration) (since time.Duration, withdrawn bool) {
+func (c *historyChecker) withdrawnSince(server string, q *Request, at time.Duration) (since time.Duration, withdrawn bool) {
 	if server == "" {
 		return 0, false
 	}
--- a/internal/soak/rule_executions.go
+++ b/internal/soak/rule_executions.go
@@ -2,7 +2,7 @@
 
 // checkExecutions checks that a write is executed at most once, that it was executed if it is answered as
 // served, and that it was not if it is rejected.
-func (c *invariantChecker) checkExecutions(q *Request) {
+func (c *historyChecker) checkExecutions(q *Request) {
 	if q.Class != classWrite {
 		return
 	}
@@ -23,7 +23,7 @@
 
 // checkRepeats checks that a request with an idempotency key is repeated only while servers know its key:
 // within the deduplication window after the first call that may have been executed.
-func (c *invariantChecker) checkRepeats(q *Request) {
+func (c *historyChecker) checkRepeats(q *Request) {
 	if q.Class != classKeyed {
 		return
 	}
@@ -45,7 +45,7 @@
 }
 
 // firstPossibleExecution is the first call of a request that may have been executed; nil: there is none.
-func (c *invariantChecker) firstPossibleExecution(q *Request) (first *Call) {
+func (c *historyChecker) firstPossibleExecution(q *Request) (first *Call) {
 	for _, call := range c.h.Calls {
 		if call.ID != q.ID || call.ReadLate || provesNotRun(call.Result) {
 			continue
--- a/internal/soak/rule_incarnations.go
+++ b/internal/soak/rule_incarnations.go
@@ -18,7 +18,7 @@
 }
 
 // checkIncarnation checks the rules on one process: its start, its exit and its limits.
-func (c *invariantChecker) checkIncarnation(i *Incarnation) {
+func (c *historyChecker) checkIncarnation(i *Incarnation) {
 	words := []string{proxyName(i.Proxy)}
 	c.checkReady(i, words)
 	c.checkExit(i, words)
@@ -26,7 +26,7 @@
 }
 
 // checkReady checks that a process is ready in time, unless it ended before.
-func (c *invariantChecker) checkReady(i *Incarnation, words []string) {
+func (c *historyChecker) checkReady(i *Incarnation, words []string) {
 	due := i.whileRunning(i.StartedAt, readyWithin)
 	isBeforeDue := func(at time.Duration) bool { return at != 0 && at < due }
 	endedBefore := isBeforeDue(i.KilledAt) || isBeforeDue(i.SigtermAt) || isBeforeDue(i.ExitedAt)
@@ -38,7 +38,7 @@
 
 // checkExit checks that a process exits only when it is ordered to, after SIGTERM without an error, and in
 // time.
-func (c *invariantChecker) checkExit(i *Incarnation, words []string) {
+func (c *historyChecker) checkExit(i *Incarnation, words []string) {
 	beforeSigterm := i.SigtermAt == 0 || i.ExitedAt < i.SigtermAt
 	if i.ExitedAt != 0 && beforeSigterm && i.KilledAt == 0 {
 		c.report("crash", i.ExitedAt, words, "%v exited by itself: %s", i, i.ExitError)
@@ -52,7 +52,7 @@
 }
 
 // checkResources checks that a process stays within its memory and descriptors.
-func (c *invariantChecker) checkResources(i *Incarnation, words []string) {
+func (c *historyChecker) checkResources(i *Incarnation, words []string) {
 	if i.PeakMemoryKB > c.h.Limits.MemoryKB {
 		c.report("memory", i.ExitedAt, words, "%v used %d KB", i, i.PeakMemoryKB)
 	}
--- a/internal/soak/rule_purges.go
+++ b/internal/soak/rule_purges.go
@@ -4,7 +4,7 @@
 
 // checkPurges checks that no request is served from a copy that a purge covers, if its call was sent more
 // than the grace period after the proxy was notified of the purge.
-func (c *invariantChecker) checkPurges(q *Request) {
+func (c *historyChecker) checkPurges(q *Request) {
 	for _, a := range q.Answers {
 		call := c.callOf(q, a)
 		if call == nil || call.ReadLate || call.CopyMadeAt.IsZero() {
@@ -19,7 +19,7 @@
 }
 
 // callOf is the call that served an answer; nil: the answer is no success, or names no call of its request.
-func (c *invariantChecker) callOf(q *Request, a FinalAnswer) *Call {
+func (c *historyChecker) callOf(q *Request, a FinalAnswer) *Call {
 	serial, _, _ := strings.Cut(a.Body, " ")
 	call := c.callsBySerial[serial]
 	if a.Status != "200" || call == nil || call.ID != q.ID {
@@ -37,7 +37,7 @@
 	return matches && call.CopyMadeAt.Before(e.PurgedBefore)
 }
 
-func (c *invariantChecker) checkPurgeGrace(q *Request, call *Call, e *WatchEvent) {
+func (c *historyChecker) checkPurgeGrace(q *Request, call *Call, e *WatchEvent) {
 	notified := c.notifiedAt(e, q)
 	last := notified + c.h.Limits.PurgeGrace + socketSlack + c.h.slack(notified, call.FirstByteAt)
 	if call.FirstByteAt <= last {
--- a/internal/soak/rule_slowstart.go
+++ b/internal/soak/rule_slowstart.go
@@ -11,7 +11,7 @@
 // that time allows. The capacity grows linearly from SlowStartCapacity to 1 in SlowStartDuration. The rule
 // applies where at least two thirds of the calls come from notified proxies: the others can't know that the
 // server has started. It reports the first violation alone.
-func (c *invariantChecker) checkSlowStart(s ServerStart) {
+func (c *historyChecker) checkSlowStart(s ServerStart) {
 	calls := c.callsDuringSlowStart(s)
 	for i, last := range calls {
 		allowed := c.slowStartAllowance(last.FirstByteAt - s.At)
@@ -28,7 +28,7 @@
 
 // callsDuringSlowStart are the calls that a server read during its slow start, in the order of their first
 // bytes.
-func (c *invariantChecker) callsDuringSlowStart(s ServerStart) (calls []*Call) {
+func (c *historyChecker) callsDuringSlowStart(s ServerStart) (calls []*Call) {
 	for _, call := range c.h.Calls {
 		inSlowStart := call.FirstByteAt >= s.At && call.FirstByteAt < s.At+c.h.Limits.SlowStartDuration
 		if call.Server == s.Server && inSlowStart && !call.ReadLate {
@@ -41,7 +41,7 @@
 
 // countInWindow counts the calls in the window that ends with the last one, and those of them whose proxy was
 // notified of the server's start.
-func (c *invariantChecker) countInWindow(s ServerStart, calls []*Call) (count, notified int) {
+func (c *historyChecker) countInWindow(s ServerStart, calls []*Call) (count, notified int) {
 	windowStart := calls[len(calls)-1].FirstByteAt - c.h.Limits.OverloadWindow
 	for _, call := range calls {
 		if call.FirstByteAt <= windowStart {
@@ -58,7 +58,7 @@
 // slowStartAllowance is how many calls in a window a server may get when it has run for some time. Proxies
 // share the capacity without knowing of each other's calls, so a margin for the variance of the count is
 // added: a multiple of its square root.
-func (c *invariantChecker) slowStartAllowance(running time.Duration) float64 {
+func (c *historyChecker) slowStartAllowance(running time.Duration) float64 {
 	const fewCalls = 30
 	l := c.h.Limits
 	capacity := l.SlowStartCapacity + (1-l.SlowStartCapacity)*float64(running)/float64(l.SlowStartDuration)
@@ -71,7 +71,7 @@
 
 // knewOfStart reports whether the proxy of a call had been notified of a server's start when it sent the
 // call.
-func (c *invariantChecker) knewOfStart(s ServerStart, call *Call) bool {
+func (c *historyChecker) knewOfStart(s ServerStart, call *Call) bool {
 	q := c.requests[call.ID]
 	if q == nil {
 		return false
