--- a/internal/proxy/result.go
+++ b/internal/proxy/result.go
@@ -37,6 +37,21 @@
 	resp.StatusNotRun:      policy.ResultNotSent,
 }
 
+// cacheStatuses are the cache statuses as the decision module knows them. Any that is not in it is a
+// CacheStatusNone.
+var cacheStatuses = map[resp.CacheStatus]policy.CacheStatus{
+	resp.CacheStatusHit:            policy.CacheStatusHit,
+	resp.CacheStatusFilled:         policy.CacheStatusFilled,
+	resp.CacheStatusFilledByOrigin: policy.CacheStatusFilledByOrigin,
+	resp.CacheStatusCoalesced:      policy.CacheStatusCoalesced,
+	resp.CacheStatusStale:          policy.CacheStatusStale,
+	resp.CacheStatusSourceRejected: policy.CacheStatusSourceRejected,
+	resp.CacheStatusSourceFailed:   policy.CacheStatusSourceFailed,
+	resp.CacheStatusSourceMissing:  policy.CacheStatusSourceMissing,
+	resp.CacheStatusNoFillCapacity: policy.CacheStatusNoFillCapacity,
+	resp.CacheStatusOriginFailed:   policy.CacheStatusOriginFailed,
+}
+
 // handleAnswer ends an attempt by the server's answer. The first good answer is the request's final one.
 func (p *Proxy) handleAnswer(a *attempt, ans resp.Answer) {
 	result := a.resultOfAnswer(ans)
@@ -148,7 +163,7 @@
 		ID:              a.req.moduleID,
 		Attempt:         a.number,
 		Result:          result,
-		CacheStatus:     policy.CacheStatus(ans.CacheStatus),
+		CacheStatus:     cacheStatuses[ans.CacheStatus],
 		Elapsed:         p.loop.Now() - a.createdAt,
 		SourceFirstByte: ans.SourceFirstByte,
 		TransferTime:    p.config.transferTime(len(ans.Body)),
--- a/internal/resp/answer.go
+++ b/internal/resp/answer.go
@@ -55,22 +55,35 @@
 	"nobody":     StatusNotRun,
 }
 
-// CacheStatus says how a cache got an answer or why a fill failed, with the numbers of policy.CacheStatus; 0:
-// unknown.
+// CacheStatus says how a cache got an answer or why a fill failed.
 type CacheStatus int
 
+// Cache statuses of an answer; 0 is none of them: not reported, or not known here.
+const (
+	CacheStatusHit            CacheStatus = iota + 1 // the server had a copy
+	CacheStatusFilled                                // filled from the source's copy
+	CacheStatusFilledByOrigin                        // filled, and the source had to ask the origin
+	CacheStatusCoalesced                             // waited for a fill that was in progress
+	CacheStatusStale                                 // the server had a stale copy
+	CacheStatusSourceRejected                        // the source rejected the fill
+	CacheStatusSourceFailed                          // the source did not answer, or with an error
+	CacheStatusSourceMissing                         // the source does not have the object
+	CacheStatusNoFillCapacity                        // the server had no capacity for a fill
+	CacheStatusOriginFailed                          // the origin failed behind the source
+)
+
 // cacheStatusOfNote maps the values of the field "note".
 var cacheStatusOfNote = map[string]CacheStatus{
-	"TCP_HIT":       1,
-	"TCP_MISS":      2,
-	"TCP_MISS_ROOT": 3,
-	"TCP_JOIN":      4,
-	"TCP_STALE":     5,
-	"PEER_DENY":     6,
-	"PEER_DEAD":     7,
-	"PEER_MISS":     8,
-	"FILL_FULL":     9,
-	"ROOT_FAIL":     10,
+	"TCP_HIT":       CacheStatusHit,
+	"TCP_MISS":      CacheStatusFilled,
+	"TCP_MISS_ROOT": CacheStatusFilledByOrigin,
+	"TCP_JOIN":      CacheStatusCoalesced,
+	"TCP_STALE":     CacheStatusStale,
+	"PEER_DENY":     CacheStatusSourceRejected,
+	"PEER_DEAD":     CacheStatusSourceFailed,
+	"PEER_MISS":     CacheStatusSourceMissing,
+	"FILL_FULL":     CacheStatusNoFillCapacity,
+	"ROOT_FAIL":     CacheStatusOriginFailed,
 }
 
 // Fields of an answer. Others, such as the load report, are ignored.
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -43,7 +43,7 @@
 		raw("2", "overload", "-", "")
 	want := []Answer{
 		{
-			ID: "9b1f", Status: StatusServed, CacheStatus: 3, SourceFirstByte: 12500 * time.Microsecond,
+			ID: "9b1f", Status: StatusServed, CacheStatus: CacheStatusFilledByOrigin, SourceFirstByte: 12500 * time.Microsecond,
 			Version: "4be0", CreatedAtMillis: 1764576000123, Body: []byte("bytes\r\n"),
 		},
 		{ID: "2", Status: StatusOverloaded, Body: []byte{}},
