--- a/internal/fastcgi/decoder.go
+++ b/internal/fastcgi/decoder.go
@@ -136,7 +136,7 @@
 	p := d.receiving[id]
 	if p != nil {
 		d.drop(p)
-		return Reply{Data: AppendEnd(nil, id, applicationAborted, Complete), Close: !p.req.KeepConn}
+		return Reply{Data: AppendAborted(nil, id), Close: !p.req.KeepConn}
 	}
 	if d.inProgress[id] {
 		return Abort{ID: id}
--- a/internal/fastcgi/fastcgi.go
+++ b/internal/fastcgi/fastcgi.go
@@ -45,12 +45,11 @@
 // ProtocolStatus is the protocol-level result in END_REQUEST.
 type ProtocolStatus uint8
 
-// Protocol statuses.
+// Protocol statuses in use. 1, for a server that handles one request per connection, is not.
 const (
-	Complete      ProtocolStatus = 0 // the request was processed
-	CantMultiplex ProtocolStatus = 1 // the server handles one request per connection
-	Overloaded    ProtocolStatus = 2 // the server rejects the request for lack of capacity
-	UnknownRole   ProtocolStatus = 3 // the request's role is not supported
+	Complete    ProtocolStatus = 0 // the request was processed
+	Overloaded  ProtocolStatus = 2 // the server rejects the request for lack of capacity
+	UnknownRole ProtocolStatus = 3 // the request's role is not supported
 )
 
 // applicationAborted is the application status in END_REQUEST of a request that the client aborted.
--- a/internal/fastcgi/management.go
+++ b/internal/fastcgi/management.go
@@ -1,10 +1,11 @@
 package fastcgi
 
-// knownValues are the variables that FCGI_GET_VALUES may ask for, in the order of the answer.
+// knownValues are the variables that FCGI_GET_VALUES may ask for, in the order of the answer. The first two
+// are announced alone: nothing enforces them.
 var knownValues = []struct{ name, value string }{
-	{"FCGI_MAX_CONNS", "256"},
-	{"FCGI_MAX_REQS", "2048"},
-	{"FCGI_MPXS_CONNS", "1"}, // requests may share a connection
+	{"FCGI_MAX_CONNS", "256"}, // connections at once
+	{"FCGI_MAX_REQS", "2048"}, // requests at once, of all connections
+	{"FCGI_MPXS_CONNS", "1"},  // requests may share a connection
 }
 
 // management answers a record that belongs to no request.
--- a/internal/fastcgi/response.go
+++ b/internal/fastcgi/response.go
@@ -43,6 +43,11 @@
 	return dst
 }
 
+// AppendAborted encodes END_REQUEST of a request that the client aborted.
+func AppendAborted(dst []byte, id uint16) []byte {
+	return AppendEnd(dst, id, applicationAborted, Complete)
+}
+
 // AppendEnd encodes END_REQUEST.
 func AppendEnd(dst []byte, id uint16, appStatus uint32, status ProtocolStatus) []byte {
 	dst = appendHeader(dst, typeEnd, id, 8)
--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -159,7 +159,7 @@
 func (c *clientConn) handleAbort(id uint16) {
 	c.setBlocked(slices.DeleteFunc(c.blocked, func(b blockedRequest) bool { return b.request.ID == id }))
 	c.server.handler.HandleDisconnect(c.openRequests[id])
-	c.finishRequest(id, fastcgi.AppendEnd(nil, id, 1, fastcgi.Complete))
+	c.finishRequest(id, fastcgi.AppendAborted(nil, id))
 }
 
 // finishRequest writes the last bytes of a request and frees its id.
--- a/internal/resp/call.go
+++ b/internal/resp/call.go
@@ -30,7 +30,6 @@
 const (
 	flagCoalesceFill         = "coalesce"
 	flagCachedOnly           = "shallow"
-	flagTransit              = "transit"
 	flagStaleWhileRevalidate = "freshen"
 )
 
@@ -49,8 +48,7 @@
 
 	CoalesceFill         bool // wait for a fill of the object that is in progress
 	CachedOnly           bool // the source of a fill must answer from its cache or not at all
-	Transit              bool // a parent must not cache the answer
-	StaleWhileRevalidate bool // serve a copy that is about to become stale and refresh it
+	StaleWhileRevalidate bool // a stale copy is served and refreshed in the background
 
 	Body []byte
 }
@@ -110,9 +108,6 @@
 	if c.CachedOnly {
 		flags = append(flags, flagCachedOnly)
 	}
-	if c.Transit {
-		flags = append(flags, flagTransit)
-	}
 	if c.StaleWhileRevalidate {
 		flags = append(flags, flagStaleWhileRevalidate)
 	}
