--- a/cmd/faultproxy/main.go
+++ b/cmd/faultproxy/main.go
@@ -43,7 +43,7 @@
 	flags.BoolVar(&o.check, "check", false, "check the script and end")
 	flags.BoolVar(&o.compare, "compare", false, "compare two logs, named as arguments")
 	flags.DurationVar(&o.duration, "for", 0, "end after this `time`; else at SIGINT or SIGTERM")
-	flags.Uint64Var(&o.seed, "seed", 0, "`number` that goes before the script's seed")
+	flags.Uint64Var(&o.seed, "seed", 0, "`number` that overrides the script's seed")
 	err = flags.Parse(args)
 	if errors.Is(err, flag.ErrHelp) {
 		fmt.Println("faultproxy -script FILE [flags], or faultproxy -compare LOG LOG")
--- a/internal/fault/parse.go
+++ b/internal/fault/parse.go
@@ -79,11 +79,11 @@
 // parseSeed reads 'seed NUMBER'.
 func (s *Script) parseSeed(fields []string) error {
 	if len(fields) != 2 {
-		return errors.New("seed: one number is wanted")
+		return errors.New("seed: one number is required")
 	}
 	seed, err := strconv.ParseUint(fields[1], 10, 64)
 	if err != nil {
-		return fmt.Errorf("seed: %q is no number", fields[1])
+		return fmt.Errorf("seed: %q must be a whole number of at least 0", fields[1])
 	}
 	s.Seed = seed
 	return nil
@@ -92,7 +92,7 @@
 // parseLink reads 'link NAME listen ADDRESS to ADDRESS'.
 func (s *Script) parseLink(fields []string) (err error) {
 	if len(fields) != 6 || fields[2] != "listen" || fields[4] != "to" {
-		return errors.New("link: wanted is 'link NAME listen ADDRESS to ADDRESS'")
+		return errors.New("link: must be 'link NAME listen ADDRESS to ADDRESS'")
 	}
 	link := Link{Name: fields[1]}
 	if s.hasLink(link.Name) {
@@ -115,7 +115,7 @@
 func parseLoopback(field, text string) (netip.AddrPort, error) {
 	addr, err := netip.ParseAddrPort(text)
 	if err != nil {
-		return addr, fmt.Errorf("%s: %q is no address", field, text)
+		return addr, fmt.Errorf("%s: %q must be an IP address and a port", field, text)
 	}
 	if !addr.Addr().IsLoopback() {
 		return addr, fmt.Errorf("%s: %s is not on loopback", field, text)
--- a/internal/fault/parserule.go
+++ b/internal/fault/parserule.go
@@ -126,7 +126,7 @@
 	text := r.take()
 	n, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || n < lowest {
-		r.fail(field, "%q is no number from %d on", text, lowest)
+		r.fail(field, "%q must be a whole number of at least %d", text, lowest)
 	}
 	return n
 }
@@ -136,7 +136,7 @@
 	text := r.take()
 	d, err := time.ParseDuration(text)
 	if err != nil || d < 0 {
-		r.fail(field, "%q is no time from 0 on", text)
+		r.fail(field, "%q must be a duration of at least 0", text)
 	}
 	return d
 }
@@ -147,7 +147,7 @@
 	p, err := strconv.ParseFloat(text, 64)
 	inRange := p > 0 && p <= 1 // false for NaN
 	if err != nil || !inRange {
-		r.fail(field, "%q is no share over 0, up to 1", text)
+		r.fail(field, "%q must be over 0 and at most 1", text)
 	}
 	return p
 }
@@ -157,7 +157,7 @@
 	text := r.take()
 	pattern, err := strconv.Unquote(text)
 	if err != nil || pattern == "" {
-		r.fail(field, "%s is no quoted pattern", text)
+		r.fail(field, "%s must be a quoted pattern that is not empty", text)
 	}
 	return pattern
 }
--- a/internal/fault/validate.go
+++ b/internal/fault/validate.go
@@ -17,13 +17,13 @@
 		return err
 	}
 	if r.Kind.AffectsConnects() && !r.fitsConnects() {
-		return fmt.Errorf("%s: goes with conn or time alone", r.Kind)
+		return fmt.Errorf("%s: only conn or time may be its condition", r.Kind)
 	}
 	if r.Kind == Repeat && r.Amount > maxRepeatBytes {
-		return fmt.Errorf("repeat: %d bytes are more than the %d that are kept", r.Amount, maxRepeatBytes)
+		return fmt.Errorf("repeat: %d bytes exceed the limit of %d", r.Amount, maxRepeatBytes)
 	}
 	if r.Kind.AffectsConnects() && r.Duration == 0 {
-		return fmt.Errorf("%s: a time is wanted", r.Kind)
+		return fmt.Errorf("%s: a duration is required", r.Kind)
 	}
 	return nil
 }
@@ -31,7 +31,7 @@
 // validateSelection rejects more than one way to select connections.
 func (r *Rule) validateSelection() error {
 	if countTrue(r.ConnNumber > 0, r.EveryNth > 0, r.Probability > 0) > 1 {
-		return errors.New("conn: only one of conn, every and chance can be")
+		return errors.New("conn: only one of conn, every and chance is allowed")
 	}
 	return nil
 }
@@ -39,10 +39,10 @@
 // validate rejects more than one condition, and a count without a pattern.
 func (t Trigger) validate() error {
 	if countTrue(t.Time >= 0, t.Byte >= 0, t.Pattern != "") > 1 {
-		return errors.New("time: only one of time, byte and match can be")
+		return errors.New("time: only one of time, byte and match is allowed")
 	}
 	if t.NthMatch > 1 && t.Pattern == "" {
-		return errors.New("nth: goes with match")
+		return errors.New("nth: requires match")
 	}
 	return nil
 }
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -19,10 +19,10 @@
 	headEnd = "\r\n\r\n"
 )
 
-// Errors of a request that can't be decoded.
+// Errors of a request that can't be decoded. The text of ErrMalformed is sent, as the body of status 400.
 var (
 	ErrMalformed = errors.New("http: malformed call")
-	ErrTooLarge  = errors.New("http: head of a call exceeds its limit")
+	ErrTooLarge  = errors.New("http: head of a request exceeds its limit")
 )
 
 // Request is the head of a request, without its headers.
