--- a/internal/soak/checker_test.go
+++ b/internal/soak/checker_test.go
@@ -56,7 +56,7 @@
 		}, ""},
 		{"aborted", func(h *History) {
 			h.Requests[0].Answers = nil
-			h.Requests[0].CanceledAt = 10 * time.Second
+			h.Requests[0].CancelledAt = 10 * time.Second
 		}, ""},
 		{"closed", func(h *History) {
 			h.Requests[0].Answers = nil
@@ -77,8 +77,8 @@
 		{"repeated in its window", repeatedKeyed(300 * time.Millisecond), ""},
 		{"repeated after its window", repeatedKeyed(700 * time.Millisecond), "repeat after window"},
 		{"a call without a request", func(h *History) { h.Calls[0].ID = "other" }, "unknown call"},
-		{"begun after the client had disconnected", func(h *History) { h.Requests[0].CanceledAt = 9 * time.Second }, "begun after left"},
-		{"begun just after", func(h *History) { h.Requests[0].CanceledAt = 9950 * time.Millisecond }, ""},
+		{"begun after the client had disconnected", func(h *History) { h.Requests[0].CancelledAt = 9 * time.Second }, "begun after left"},
+		{"begun just after", func(h *History) { h.Requests[0].CancelledAt = 9950 * time.Millisecond }, ""},
 		{"a deadline that is too late", func(h *History) { h.Calls[0].Timeout = 1400 * time.Millisecond }, "deadline"},
 		{"to a server that drains", delivered(WatchEvent{PurgedGroup: -1, Withdrawn: []string{"cache"}}), "drain"},
 		{"a drain that was not delivered", undeliveredDrain(), "drain"},
--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -156,7 +156,7 @@
 	id := c.send(q, nil)
 	time.AfterFunc(pc.drawMillis(maxAbortDelay), func() {
 		c.write(encodeRecord(fcgiAbortRequest, id, "")) //nolint:errcheck // a lost connection shows in the answers
-		pc.h.locked(func() { q.CanceledAt = pc.h.Now() })
+		pc.h.locked(func() { q.CancelledAt = pc.h.Now() })
 	})
 }
 
@@ -189,7 +189,7 @@
 		c.disconnect(way)
 		pc.h.locked(func() {
 			for _, q := range requests {
-				q.CanceledAt = pc.h.Now()
+				q.CancelledAt = pc.h.Now()
 			}
 		})
 	})
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -63,7 +63,8 @@
 	}
 }
 
-// rewriteConfig writes a configuration with hedging on or off, or truncates the present one.
+// rewriteConfig writes a configuration with hedging on or off, or truncates the present one. The schedule has
+// no draw for hedging: the lowest bit of the fault's time decides.
 func (r *run) rewriteConfig(p *process, f Fault) error {
 	if f.Kind == "broken-reload" {
 		return p.truncateConfig()
@@ -74,7 +75,9 @@
 	return err
 }
 
-// restartProcess ends a proxy's process and starts the next one, which may run under a fault.
+// restartProcess ends a proxy's process and starts the next one, which may run under a fault. The schedule has
+// no draw for the clock's offset nor for the seed of failing calls: the remainder of the fault's duration is
+// the index of the one, the fault's time is the other.
 func (r *run) restartProcess(p *process, f Fault) {
 	if f.Kind == "kill" {
 		p.kill()
--- a/internal/soak/records.go
+++ b/internal/soak/records.go
@@ -28,7 +28,7 @@
 	Body               string // its first bytes, which name the call that served it
 }
 
-// Rejected reports whether the answer promises that the request was not executed.
+// Rejected reports whether the answer promises that sending the request again is harmless.
 func (a FinalAnswer) Rejected() bool {
 	return a.ProtocolOverloaded || a.Status == "503" || a.Status == "429"
 }
@@ -41,7 +41,7 @@
 	Incarnation       int           // of the proxy
 	SentAt            time.Duration // when its last byte was written; 0: not all of it was
 	Timeout           time.Duration // the length of time that its client waits for an answer
-	CanceledAt        time.Duration // when its client aborted it or disconnected
+	CancelledAt       time.Duration // when its client aborted it or disconnected
 	FirstOnConnection bool
 	NoAnswerOwed      bool          // its connection was closed for being idle while it was on its way
 	DisconnectedAt    time.Duration // when its connection ended without an answer
--- a/internal/soak/rule_answers.go
+++ b/internal/soak/rule_answers.go
@@ -38,10 +38,10 @@
 }
 
 // answerDue returns when the answer to a request is due at the latest. None is owed where the request was not
-// sent in full, was canceled, came too long after SIGTERM, or its process was killed before.
+// sent in full, was cancelled, came too long after SIGTERM, or its process was killed before.
 func (c *historyChecker) answerDue(q *Request) (due time.Duration, owed bool) {
 	incarnation := c.h.incarnation(q.Proxy, q.Incarnation)
-	if q.SentAt == 0 || q.CanceledAt != 0 || q.NoAnswerOwed || incarnation == nil {
+	if q.SentAt == 0 || q.CancelledAt != 0 || q.NoAnswerOwed || incarnation == nil {
 		return 0, false
 	}
 	due = incarnation.whileRunning(q.SentAt, q.Timeout+answerSlack+machineSlack)
--- a/internal/soak/rule_calls.go
+++ b/internal/soak/rule_calls.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// cancelGrace is how long after its client has canceled a request a call of it may begin.
+	// cancelGrace is how long after its client has cancelled a request a call of it may begin.
 	cancelGrace = 100 * time.Millisecond
 	// deadlineSlack is how much later than the client's the deadline of a call may be.
 	deadlineSlack = 150 * time.Millisecond
@@ -24,21 +24,21 @@
 		return
 	}
 	words := []string{call.ID, call.Server, proxyName(q.Proxy)}
-	c.checkCanceled(q, call, words)
+	c.checkCancelled(q, call, words)
 	c.checkDeadline(q, call, words)
 	c.checkDrain(q, call, call.Server, words)
 	c.checkDrain(q, call, call.Source, words)
 }
 
-// checkCanceled checks that no call begins more than cancelGrace after its client canceled the request.
-func (c *historyChecker) checkCanceled(q *Request, call *Call, words []string) {
-	if q.CanceledAt == 0 {
+// checkCancelled checks that no call begins more than cancelGrace after its client cancelled the request.
+func (c *historyChecker) checkCancelled(q *Request, call *Call, words []string) {
+	if q.CancelledAt == 0 {
 		return
 	}
-	last := q.CanceledAt + cancelGrace + c.h.slack(q.CanceledAt, call.FirstByteAt)
+	last := q.CancelledAt + cancelGrace + c.h.slack(q.CancelledAt, call.FirstByteAt)
 	if call.FirstByteAt > last {
-		since := call.FirstByteAt - q.CanceledAt
-		c.report("begun after left", call.FirstByteAt, words, "request %s began at %s %.3f after its client had canceled it",
+		since := call.FirstByteAt - q.CancelledAt
+		c.report("begun after left", call.FirstByteAt, words, "request %s began at %s %.3f after its client had cancelled it",
 			call.ID, call.Server, since.Seconds())
 	}
 }
--- a/internal/soak/rule_slowstart.go
+++ b/internal/soak/rule_slowstart.go
@@ -55,18 +55,30 @@
 	return count, notified
 }
 
-// slowStartAllowance is how many calls in a window a server may get when it has run for some time. Proxies
-// share the capacity without knowing of each other's calls, so a margin for the variance of the count is
-// added: a multiple of its square root.
+// The margin of slowStartAllowance for n calls is a multiple of sqrt(n), the standard deviation of a count,
+// and a summand. Small counts vary more in proportion, so that fewer than fewCalls get a larger margin.
+const (
+	fewCalls = 30
+
+	marginDeviations = 2.0 // multiple of sqrt(n)
+	marginCalls      = 2.0 // summand, in calls
+
+	fewCallsMarginDeviations = 3.0
+	fewCallsMarginCalls      = 3.0
+)
+
+// slowStartAllowance is how many calls in a window a server may get when it has run for some time. The
+// operators' rule has no number of calls, but a sum of costs: see docs/questions.md, 'N of the slow-start
+// rule'. All objects of a run have one size, so that each call costs one TransferTime. Proxies share the
+// capacity without knowing of each other's calls, so a margin for the variance of the count is added.
 func (c *historyChecker) slowStartAllowance(running time.Duration) float64 {
-	const fewCalls = 30
 	l := c.h.Limits
 	capacity := l.SlowStartCapacity + (1-l.SlowStartCapacity)*float64(running)/float64(l.SlowStartDuration)
 	calls := l.OverloadMultiple * l.LinkTransfers * capacity * l.OverloadWindow.Seconds() / l.TransferTime.Seconds()
 	if calls < fewCalls {
-		return calls + 3*math.Sqrt(calls) + 3
+		return calls + fewCallsMarginDeviations*math.Sqrt(calls) + fewCallsMarginCalls
 	}
-	return calls + 2*math.Sqrt(calls) + 2
+	return calls + marginDeviations*math.Sqrt(calls) + marginCalls
 }
 
 // knewOfStart reports whether the proxy of a call had been notified of a server's start when it sent the
