--- a/cmd/edgeproxy/admin_test.go
+++ b/cmd/edgeproxy/admin_test.go
@@ -46,7 +46,7 @@
 	c.writeRecord(recordAbort, 4, "") // its client aborts it
 	receive(t, c.answers, "END_REQUEST")
 	env.checkMetrics(map[string]int{operationsMetric("artes", "faulted"): 1, "svc_open_requests": 0})
-	env.sendEvent(endpointEvent(2, false, endpoint("c1", "std", "edge", "DRAINING", env.cache)))
+	env.sendEvent(endpointEvent(2, false, endpoint("c1", "std", "edge", "DRAINING", env.cache.Addr())))
 	env.eventually("one is out of rotation", func() bool { return env.metric("svc_out_of_rotation") == 1 })
 }
 
--- a/cmd/edgeproxy/cache_test.go
+++ b/cmd/edgeproxy/cache_test.go
@@ -280,7 +280,7 @@
 	}
 }
 
-// TestCancelledBeforeARetry checks that with hedging off an attempt is canceled by closing its connection
+// TestCancelledBeforeARetry checks that with hedging off an attempt is cancelled by closing its connection
 // before the next one begins, as a server that hangs does not read STOP.
 func TestCancelledBeforeARetry(t *testing.T) {
 	t.Parallel()
--- a/cmd/edgeproxy/clientlimits_test.go
+++ b/cmd/edgeproxy/clientlimits_test.go
@@ -40,7 +40,7 @@
 	const clients = 200
 	env := newTestEnv(t)
 	env.memoryMB = 16
-	env.start(fullList(env.cache, env.origin))
+	env.start(fullList(env.cache.Addr(), env.origin.Addr()))
 	env.awaitAlive("200")
 	var all []*client
 	for i := range clients {
@@ -70,7 +70,7 @@
 	const clients = 200
 	env := newTestEnv(t)
 	env.memoryMB = 16
-	env.startWith(env.cache, env.origin)
+	env.startWith(env.cache.Addr(), env.origin.Addr())
 	env.cache.answerAll("served", "-", "fine")
 	var all []*client
 	const size, part = 60_000, 50_000
@@ -111,7 +111,7 @@
 	const clients, each = 20, 4
 	env := newTestEnv(t)
 	env.memoryMB = 16
-	env.startWith(env.cache, env.origin)
+	env.startWith(env.cache.Addr(), env.origin.Addr())
 	big := strings.Repeat("x", 240_000)
 	var all []*client
 	for i := range clients {
--- a/cmd/edgeproxy/clock_test.go
+++ b/cmd/edgeproxy/clock_test.go
@@ -137,7 +137,7 @@
 	for _, by := range []string{"1h", "-1h", "4s", "-4s"} {
 		env := newTestEnv(t)
 		env.extraEnv = []string{clockOffset + "=" + by}
-		env.start(fullList(env.cache, env.origin))
+		env.start(fullList(env.cache.Addr(), env.origin.Addr()))
 		env.awaitAlive("200")
 		receive(t, env.followLines, "follow")
 		c := env.dial()
--- a/cmd/edgeproxy/config_test.go
+++ b/cmd/edgeproxy/config_test.go
@@ -51,7 +51,7 @@
 	env := newTestEnv(t)
 	_, env.stderr = fullPipe(t)
 	env.cache.answerAll("served", "-", "fine")
-	env.start(fullList(env.cache, env.origin))
+	env.start(fullList(env.cache.Addr(), env.origin.Addr()))
 	receive(t, env.followLines, "follow")
 	for _, line := range []string{"nonsense", "more of it", "and more"} {
 		env.sendEvent(line) // is logged
@@ -215,7 +215,7 @@
 		{`"may-cancel"`, `"max-open":-1,"may-cancel"`}, {`"group-size":1`, `"group-size":-300`},
 	} {
 		env := newTestEnv(t)
-		env.start(endpointEvent(1, true, endpoint("c1", "std", "edge", "SERVING", env.cache)))
+		env.start(endpointEvent(1, true, endpoint("c1", "std", "edge", "SERVING", env.cache.Addr())))
 		env.cmd.Process.Kill() //nolint:errcheck // only its configuration is of use
 		text := strings.Replace(env.initialConfig, change[0], change[1], 1)
 		if err := os.WriteFile(env.configPath, []byte(text), 0o600); err != nil || text == env.initialConfig {
@@ -236,7 +236,7 @@
 	for _, failure := range []string{"socket:ENFILE:1-3", "socket:ENOBUFS:2-5", "socket:ENOMEM:1-1"} {
 		env := newTestEnv(t)
 		env.extraEnv = []string{syscallFaultsEnv + "=" + failure}
-		env.start(endpointEvent(1, true, endpoint("c1", "std", "edge", "SERVING", env.cache)))
+		env.start(endpointEvent(1, true, endpoint("c1", "std", "edge", "SERVING", env.cache.Addr())))
 		select {
 		case err := <-env.exited:
 			t.Errorf("%s: ended with %v", failure, err)
--- a/cmd/edgeproxy/coordinator_test.go
+++ b/cmd/edgeproxy/coordinator_test.go
@@ -23,7 +23,7 @@
 		c.request(id, "artes", longTimeoutMS, object, "")
 		return receive(t, c.answers, "answer").body
 	}
-	env.sendEvent(endpointEvent(2, false, endpoint("c1", "std", "edge", "DRAINING", env.cache), endpoint("c2", "std", "edge", "SERVING", second)))
+	env.sendEvent(endpointEvent(2, false, endpoint("c1", "std", "edge", "DRAINING", env.cache.Addr()), endpoint("c2", "std", "edge", "SERVING", second.Addr())))
 	env.eventually("the event was taken", func() bool { return served(1) == "second" })
 	for object := range 20 {
 		got := served(object)
@@ -41,7 +41,7 @@
 	id := uint16(1)
 	c.request(id, "artes", longTimeoutMS, 1, "")
 	old := receive(t, env.cache.calls, "call")
-	env.sendEvent(endpointEvent(2, false, endpoint("c1", "std", "edge", "DELETED", env.cache), endpoint("c9", "std", "edge", "SERVING", env.cache)))
+	env.sendEvent(endpointEvent(2, false, endpoint("c1", "std", "edge", "DELETED", env.cache.Addr()), endpoint("c9", "std", "edge", "SERVING", env.cache.Addr())))
 	env.eventually("a call on a new connection", func() bool {
 		id++
 		c.request(id, "artes", longTimeoutMS, 1, "")
@@ -142,7 +142,7 @@
 	if a.status != "503" {
 		t.Errorf("without a list: %+v", a)
 	}
-	env.sendEvent(fullList(env.cache, env.origin))
+	env.sendEvent(fullList(env.cache.Addr(), env.origin.Addr()))
 	env.awaitAlive("200")
 }
 
@@ -153,7 +153,7 @@
 	receive(t, env.followLines, "follow")
 	second := newStandIn(t)
 	second.answerAll("served", "-", "second")
-	env.sendEvent(endpointEvent(2, false, endpoint("c2", "std", "edge", "SERVING", second)))
+	env.sendEvent(endpointEvent(2, false, endpoint("c2", "std", "edge", "SERVING", second.Addr())))
 	drain := `{"index":3,"endpoints":{"version":3,"full":false,"servers":[{"id":"c1","addr":"` + env.cache.Addr().String() +
 		`","zone":"edge","kind":"std","state":"DRAINING","weight":10000}]}}`
 	env.mu.Lock()
@@ -196,9 +196,9 @@
 	receive(t, env.followLines, "follow")
 	second := newStandIn(t)
 	second.answerAll("served", "-", "second")
-	broken := endpoint("c1", "std", "edge", "DRAINING", env.cache)
+	broken := endpoint("c1", "std", "edge", "DRAINING", env.cache.Addr())
 	broken["addr"] = "nowhere"
-	env.sendEvent(endpointEvent(2, false, broken, endpoint("c2", "std", "edge", "SERVING", second)))
+	env.sendEvent(endpointEvent(2, false, broken, endpoint("c2", "std", "edge", "SERVING", second.Addr())))
 	env.awaitEventsTaken()
 	env.servedOnlyBy("second")
 }
@@ -213,7 +213,7 @@
 	old := env.watchConn
 	env.reload(old.LocalAddr().String(), env.startCoordinator())
 	receive(t, env.followLines, "follow")
-	env.sendEvent(endpointEvent(2, true, endpoint("c2", "std", "edge", "SERVING", second), endpoint("o1", "origin", "hub", "SERVING", env.origin)))
+	env.sendEvent(endpointEvent(2, true, endpoint("c2", "std", "edge", "SERVING", second.Addr()), endpoint("o1", "origin", "hub", "SERVING", env.origin.Addr())))
 	env.awaitEventsTaken()
 	env.servedOnlyBy("second")
 }
@@ -224,7 +224,7 @@
 	env := newTestEnv(t)
 	env.cache.answerAll("served", "-", "fine")
 	env.coordinatorDown = true
-	env.start(fullList(env.cache, env.origin))
+	env.start(fullList(env.cache.Addr(), env.origin.Addr()))
 	env.awaitAlive("200")
 	c := env.dial()
 	c.request(1, "artes", longTimeoutMS, 1, "")
@@ -247,10 +247,10 @@
 	env.clock = newManualClock(t)
 	second := newStandIn(t)
 	second.answerAll("served", "-", "second")
-	drain := newSlowCoordinator(t, endpointEvent(2, false, endpoint("c1", "std", "edge", "DRAINING", env.cache)), env.followLines)
+	drain := newSlowCoordinator(t, endpointEvent(2, false, endpoint("c1", "std", "edge", "DRAINING", env.cache.Addr())), env.followLines)
 	env.coordinatorVia = func(string) string { return drain.Addr().String() }
-	env.start(endpointEvent(1, true, endpoint("c1", "std", "edge", "SERVING", env.cache), endpoint("c2", "std", "edge", "SERVING", second),
-		endpoint("o1", "origin", "hub", "SERVING", env.origin)))
+	env.start(endpointEvent(1, true, endpoint("c1", "std", "edge", "SERVING", env.cache.Addr()), endpoint("c2", "std", "edge", "SERVING", second.Addr()),
+		endpoint("o1", "origin", "hub", "SERVING", env.origin.Addr())))
 	env.awaitAlive("200")
 	receive(t, env.followLines, "follow")
 	for range inAll / step {
@@ -265,17 +265,17 @@
 // of its event and later events are taken without a reconnect.
 func TestUnknownStateHidesNothing(t *testing.T) {
 	env := newTestEnv(t)
-	env.start(endpointEvent(1, true, endpoint("c0", "std", "edge", "RESTING", env.cache), endpoint("c1", "std", "edge", "SERVING", env.cache),
-		endpoint("o1", "origin", "hub", "SERVING", env.origin)))
+	env.start(endpointEvent(1, true, endpoint("c0", "std", "edge", "RESTING", env.cache.Addr()), endpoint("c1", "std", "edge", "SERVING", env.cache.Addr()),
+		endpoint("o1", "origin", "hub", "SERVING", env.origin.Addr())))
 	env.awaitAlive("200")
 	receive(t, env.followLines, "follow")
 	second := newStandIn(t)
 	second.answerAll("served", "-", "second")
-	env.sendEvent(endpointEvent(2, false, endpoint("c1", "std", "edge", "RESTING", env.cache), endpoint("c2", "std", "edge", "SERVING", second),
-		endpoint("c3", "std", "edge", "SERVING", second)))
+	env.sendEvent(endpointEvent(2, false, endpoint("c1", "std", "edge", "RESTING", env.cache.Addr()), endpoint("c2", "std", "edge", "SERVING", second.Addr()),
+		endpoint("c3", "std", "edge", "SERVING", second.Addr())))
 	env.eventually("the rest of the event is taken", func() bool { return env.metric("svc_registry_entries") == 3 })
 	env.servedOnlyBy("second")
-	env.sendEvent(endpointEvent(3, false, endpoint("c3", "std", "edge", "DELETED", second)))
+	env.sendEvent(endpointEvent(3, false, endpoint("c3", "std", "edge", "DELETED", second.Addr())))
 	env.eventually("the next event is taken", func() bool { return env.metric("svc_registry_entries") == 2 })
 	if len(env.followLines) != 0 {
 		t.Errorf("reconnected: %q", <-env.followLines)
@@ -293,7 +293,7 @@
 		t.Errorf("%q", got)
 	}
 	env.sendEvent("{broken")
-	env.sendEvent(endpointEvent(3, false, endpoint("c2", "std", "edge", "SERVING", env.cache)))
+	env.sendEvent(endpointEvent(3, false, endpoint("c2", "std", "edge", "SERVING", env.cache.Addr())))
 	env.eventually("the event behind it is taken", func() bool { return env.metric("svc_registry_entries") == 3 })
 	if env.metric("svc_registry_unreadable") != 1 || len(env.followLines) != 0 {
 		t.Errorf("%d unreadable, %d followed", env.metric("svc_registry_unreadable"), len(env.followLines))
@@ -305,7 +305,7 @@
 	env := startTestEnv(t)
 	receive(t, env.followLines, "follow")
 	env.sendEvent(`{"index":2,"quota":{"server":"c1","share":0.5}}`)
-	env.sendEvent(endpointEvent(3, false, endpoint("c2", "std", "edge", "SERVING", env.cache)))
+	env.sendEvent(endpointEvent(3, false, endpoint("c2", "std", "edge", "SERVING", env.cache.Addr())))
 	env.eventually("the next event is taken", func() bool { return env.metric("svc_registry_entries") == 3 })
 	if len(env.followLines) != 0 || env.metric("svc_registry_unreadable") != 1 {
 		t.Errorf("%d followed, %d unreadable", len(env.followLines), env.metric("svc_registry_unreadable"))
@@ -317,7 +317,7 @@
 func TestMissingEventHidesNothing(t *testing.T) {
 	env := startTestEnv(t)
 	receive(t, env.followLines, "follow")
-	behind := endpointEvent(4, false, endpoint("c2", "std", "edge", "SERVING", env.cache))
+	behind := endpointEvent(4, false, endpoint("c2", "std", "edge", "SERVING", env.cache.Addr()))
 	env.sendEvent(behind)
 	got := receive(t, env.followLines, "follow again")
 	if got != "follow 1" {
@@ -331,7 +331,7 @@
 		t.Errorf("%q", got)
 	}
 	env.sendEvent("6")
-	env.sendEvent(endpointEvent(5, false, endpoint("c3", "std", "edge", "SERVING", env.cache)))
+	env.sendEvent(endpointEvent(5, false, endpoint("c3", "std", "edge", "SERVING", env.cache.Addr())))
 	env.eventually("a late event is taken", func() bool { return env.metric("svc_registry_entries") == 4 })
 }
 
@@ -342,10 +342,10 @@
 	receive(t, env.followLines, "follow")
 	second := newStandIn(t)
 	second.answerAll("served", "-", "second")
-	env.sendEvent(endpointEvent(2, false, endpoint("c2", "std", "edge", "SERVING", second)))
+	env.sendEvent(endpointEvent(2, false, endpoint("c2", "std", "edge", "SERVING", second.Addr())))
 	env.eventually("the second cache is known", func() bool { return env.metric("svc_registry_entries") == 3 })
 	c := env.dial()
-	drain, err := json.Marshal(endpointEvent(4, false, endpoint("c1", "std", "edge", "DRAINING", env.cache)))
+	drain, err := json.Marshal(endpointEvent(4, false, endpoint("c1", "std", "edge", "DRAINING", env.cache.Addr())))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/edgeproxy/coordinatorenv_test.go
+++ b/cmd/edgeproxy/coordinatorenv_test.go
@@ -11,12 +11,12 @@
 )
 
 // endpoint is an entry of the endpoint list.
-func endpoint(id, kind, zone, state string, at net.Listener) map[string]any {
-	return map[string]any{"id": id, "addr": at.Addr().String(), "zone": zone, "kind": kind, "state": state, "weight": 10000}
+func endpoint(id, kind, zone, state string, at net.Addr) map[string]any {
+	return map[string]any{"id": id, "addr": at.String(), "zone": zone, "kind": kind, "state": state, "weight": 10000}
 }
 
 // fullList is event 1 with a full endpoint list: one cache and the origin.
-func fullList(cache, origin net.Listener) map[string]any {
+func fullList(cache, origin net.Addr) map[string]any {
 	return endpointEvent(1, true, endpoint("c1", "std", "edge", "SERVING", cache), endpoint("o1", "origin", "hub", "SERVING", origin))
 }
 
--- a/cmd/edgeproxy/disconnect_test.go
+++ b/cmd/edgeproxy/disconnect_test.go
@@ -39,9 +39,9 @@
 // stay counted as in flight: the link would look full, and later requests would be rejected.
 func TestAbortInTheSameTurnIsReleased(t *testing.T) {
 	env := newTestEnv(t)
-	small := endpoint("c1", "std", "edge", "SERVING", env.cache)
+	small := endpoint("c1", "std", "edge", "SERVING", env.cache.Addr())
 	small["weight"] = 1
-	env.start(endpointEvent(1, true, small, endpoint("o1", "origin", "hub", "SERVING", env.origin)))
+	env.start(endpointEvent(1, true, small, endpoint("o1", "origin", "hub", "SERVING", env.origin.Addr())))
 	env.awaitAlive("200")
 	c := env.dial()
 	together := &bufferedConn{Conn: c.Conn}
--- a/cmd/edgeproxy/env_test.go
+++ b/cmd/edgeproxy/env_test.go
@@ -56,7 +56,7 @@
 func startTestEnv(t *testing.T) *testEnv {
 	t.Helper()
 	env := newTestEnv(t)
-	env.start(fullList(env.cache, env.origin))
+	env.start(fullList(env.cache.Addr(), env.origin.Addr()))
 	env.awaitAlive("200")
 	return env
 }
@@ -229,7 +229,7 @@
 }
 
 // startWith starts the program with the cache and the origin at the given addresses.
-func (env *testEnv) startWith(cache, origin net.Listener) {
+func (env *testEnv) startWith(cache, origin net.Addr) {
 	env.t.Helper()
 	env.start(fullList(cache, origin))
 	env.awaitAlive("200")
--- a/cmd/edgeproxy/fault_test.go
+++ b/cmd/edgeproxy/fault_test.go
@@ -23,7 +23,7 @@
 	} {
 		env := newTestEnv(t)
 		origin := newFaultyAddr(t, env.origin.Addr().String(), strings.Replace(rule, "c ", "c conn 1 ", 1))
-		env.startWith(env.cache, origin)
+		env.startWith(env.cache.Addr(), origin.Addr())
 		var ran []*receivedCall
 		var mu sync.Mutex
 		go func() {
@@ -69,10 +69,10 @@
 	}
 	second := newStandIn(t)
 	second.answerAll("served", "-", "second")
-	env.start(endpointEvent(1, true, endpoint("c1", "std", "edge", "SERVING", env.cache), endpoint("c2", "std", "edge", "SERVING", second),
-		endpoint("o1", "origin", "hub", "SERVING", env.origin)))
+	env.start(endpointEvent(1, true, endpoint("c1", "std", "edge", "SERVING", env.cache.Addr()), endpoint("c2", "std", "edge", "SERVING", second.Addr()),
+		endpoint("o1", "origin", "hub", "SERVING", env.origin.Addr())))
 	receive(t, env.followLines, "follow")
-	drain := endpointEvent(2, false, endpoint("c1", "std", "edge", "DRAINING", env.cache))
+	drain := endpointEvent(2, false, endpoint("c1", "std", "edge", "DRAINING", env.cache.Addr()))
 	env.sendEvent(drain)
 	got := receive(t, env.followLines, "follow again")
 	if got != "follow 1" {
@@ -156,7 +156,7 @@
 		"c down conn 1 byte 30 : silence 1s": "200",
 	} {
 		env := newTestEnv(t)
-		env.startWith(newFaultyAddr(t, env.cache.Addr().String(), rule), env.origin)
+		env.startWith(newFaultyAddr(t, env.cache.Addr().String(), rule).Addr(), env.origin.Addr())
 		env.cache.answerAll("served", "made=1,note=TCP_HIT", "whole")
 		env.origin.answerAll("served", "made=1", "whole")
 		c := env.dial()
--- a/cmd/edgeproxy/faultyaddr_test.go
+++ b/cmd/edgeproxy/faultyaddr_test.go
@@ -11,10 +11,8 @@
 	"testing"
 )
 
-// faultyAddr is a relay before an address. It is a listener as far as its address goes: nothing else of it is
-// used.
+// faultyAddr is a relay before an address.
 type faultyAddr struct {
-	net.Listener
 	relay *relay.Relay
 	mu    sync.Mutex
 	fired []string // under mu
--- a/cmd/edgeproxy/replace_test.go
+++ b/cmd/edgeproxy/replace_test.go
@@ -20,7 +20,7 @@
 	}
 	defer closeOnce(t, socket)
 	env.heldSocket = socket
-	env.start(fullList(env.cache, env.origin))
+	env.start(fullList(env.cache.Addr(), env.origin.Addr()))
 	env.addr = held.Addr().String()
 	env.awaitAlive("200")
 	oldClient := env.dial()
@@ -83,7 +83,7 @@
 	late.request(1, "artes", 500, 1, "")
 	inTime.request(2, "artes", longTimeoutMS, 2, "")
 	time.Sleep(600 * time.Millisecond) // not a race: the first one's deadline has passed
-	env.start(fullList(env.cache, env.origin))
+	env.start(fullList(env.cache.Addr(), env.origin.Addr()))
 	a := receive(t, late.answers, "rejection")
 	if a.status != "503" {
 		t.Errorf("%+v", a)
--- a/cmd/edgeproxy/scriptplay_test.go
+++ b/cmd/edgeproxy/scriptplay_test.go
@@ -59,7 +59,7 @@
 		watch := newFaultyAddr(t, addr, "c down every 2 byte 400 : reset", "c down every 3 byte 300 : garble 3")
 		return watch.Addr().String()
 	}
-	env.startWith(cache, origin)
+	env.startWith(cache.Addr(), origin.Addr())
 	front := newFaultyAddr(t, env.addr, "c up every 3 byte 2500 : reset", "c down byte 14000 : close", "c : pieces 70")
 	requests := int(length / clockStep)
 	var c *client
--- a/cmd/edgeproxy/shutdown_test.go
+++ b/cmd/edgeproxy/shutdown_test.go
@@ -166,7 +166,7 @@
 	const untilKill, step = 3700 * time.Millisecond, 50 * time.Millisecond
 	env := newTestEnv(t)
 	env.clock = newManualClock(t)
-	env.startWith(env.cache, env.origin)
+	env.startWith(env.cache.Addr(), env.origin.Addr())
 	c := env.dial()
 	c.request(1, "artes", longTimeoutMS, 1, "")
 	receive(t, env.cache.calls, "call")
@@ -199,7 +199,7 @@
 	env := newTestEnv(t)
 	env.cache.answerAll("served", "-", "fine")
 	env.extraEnv = []string{syscallFaultsEnv + "=accept:ENFILE:2-60"} // one every 20 ms: longer than the socket stays open for others
-	env.startWith(env.cache, env.origin)
+	env.startWith(env.cache.Addr(), env.origin.Addr())
 	if err := env.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/edgeproxy/system_test.go
+++ b/cmd/edgeproxy/system_test.go
@@ -5,12 +5,12 @@
 	"testing"
 )
 
-// TestPartlyWrittenCallIsRetried checks that a call of which the server takes only a part is canceled in time
+// TestPartlyWrittenCallIsRetried checks that a call of which the server takes only a part is cancelled in time
 // for a retry, also if it is not idempotent: an incomplete call is never executed.
 func TestPartlyWrittenCallIsRetried(t *testing.T) {
 	env := newTestEnv(t)
 	env.extraEnv = []string{syscallFaultsEnv + "=halfwrite:registro"}
-	env.startWith(env.cache, env.origin)
+	env.startWith(env.cache.Addr(), env.origin.Addr())
 	c := env.dial()
 	c.request(1, "registro", 2000, 1, "x")
 	receive(t, env.origin.calls, "complete call").answer("served", "-", "written")
@@ -29,7 +29,7 @@
 		env := newTestEnv(t)
 		env.cache.answerAll("served", "-", "fine")
 		env.extraEnv = []string{syscallFaultsEnv + "=" + failure}
-		env.startWith(env.cache, env.origin)
+		env.startWith(env.cache.Addr(), env.origin.Addr())
 		receive(t, env.followLines, "follow")
 		c := env.dial()
 		c.request(1, "artes", longTimeoutMS, 1, "")
