--- a/internal/connpool/acquire.go
+++ b/internal/connpool/acquire.go
@@ -14,7 +14,8 @@
 
 // UseInfo describes a use that needs a connection.
 type UseInfo struct {
-	// NonIdempotent says that the use can't be repeated when its connection is lost.
+	// NonIdempotent says that the use must not be repeated freely when its connection is lost. It is also set
+	// for a use with an idempotency key.
 	NonIdempotent bool
 
 	// Accepts reports whether the use may go on a connection. It must not block or change the pools.
@@ -43,9 +44,9 @@
 	}
 }
 
-// Reassign returns another connection for a use that waits for an overdue one: an established one that has
-// received something since the overdue one was dialed, which shows that the server is reachable, or else a
-// new one. The caller releases the overdue one, which serves other uses once it is established.
+// Reassign returns another connection for a use that waits for an overdue one: one that was established,
+// or has received something, since the overdue one was dialed, which shows that the server is reachable, or
+// else a new one. The caller releases the overdue one, which serves other uses once it is established.
 func (ps *Pools) Reassign(overdue *PooledConn, accepts func(*PooledConn) bool) (*PooledConn, error) {
 	pool := overdue.pool
 	existing := pool.pickProvenSince(overdue, accepts)
@@ -96,8 +97,8 @@
 	return best
 }
 
-// pickProvenSince returns the most suitable established connection that accepts a use and has received
-// something since the overdue one was dialed, nil if there is none.
+// pickProvenSince returns the most suitable connection that accepts a use and was established, or has received
+// something, since the overdue one was dialed, nil if there is none.
 func (p *endpointPool) pickProvenSince(overdue *PooledConn, accepts func(*PooledConn) bool) *PooledConn {
 	var best *PooledConn
 	for _, conn := range p.conns {
--- a/internal/connpool/idleloss.go
+++ b/internal/connpool/idleloss.go
@@ -6,22 +6,24 @@
 )
 
 const (
-	// minIdleTime is the upper end of the shortest range of idle times; each further range ends at twice the
-	// time.
-	minIdleTime = 20 * time.Millisecond
+	// firstBucketEnd is the upper end of the shortest range of idle times; each further range ends at twice
+	// the time.
+	firstBucketEnd = 20 * time.Millisecond
 
 	// immediateLoss is how soon after the start of a use a connection that ends counts as lost before the
 	// use.
 	immediateLoss = 100 * time.Millisecond
 
-	// maxLossFraction is the fraction of lost uses above which a connection is not used any more: two of six.
+	// maxLossFraction is the fraction of lost uses above which a connection is not used any more. By
+	// newestWeight, one loss (0.1) does not exceed it; two do with up to five successes between them (0.153),
+	// not with six (0.148), if nothing has decayed.
 	maxLossFraction = 0.15
 
 	// newestWeight is the weight of the last use in an estimate.
 	newestWeight = 0.1
 
-	// decayFactor is applied to the estimates once a second, so that idle times that were given up are tried
-	// again.
+	// decayFactor is applied to the estimates once a second, so that idle times that were not used any more
+	// are tried again.
 	decayFactor = 0.97
 )
 
@@ -31,14 +33,14 @@
 const (
 	noBucket        idleBucket = -1
 	newConnBucket   idleBucket = 0 // connections that have not been used
-	firstIdleBucket idleBucket = 1 // idle for less than minIdleTime; each further bucket is for twice the time
+	firstIdleBucket idleBucket = 1 // idle for less than firstBucketEnd; each further one for up to twice the time
 	idleBucketCount            = 12
 	lastIdleBucket  idleBucket = idleBucketCount - 1
 )
 
 // bucketOfIdleTime returns the bucket of a used connection that has been idle for the given time.
 func bucketOfIdleTime(idle time.Duration) idleBucket {
-	doublings := bits.Len64(uint64(idle / minIdleTime))
+	doublings := bits.Len64(uint64(idle / firstBucketEnd))
 	return min(firstIdleBucket+idleBucket(doublings), lastIdleBucket)
 }
 
--- a/internal/connpool/pools.go
+++ b/internal/connpool/pools.go
@@ -90,8 +90,8 @@
 }
 
 // CloseIdle closes connections that have been unused for the idle timeout, which is shorter than the
-// servers': a use that crosses a server's close would be lost. It also lets the estimates of losses decay. It
-// is called once a second.
+// servers': a use that crosses a server's close would be lost. It also lets the estimates of losses decay,
+// by a factor for one second: it must be called once a second.
 func (ps *Pools) CloseIdle() {
 	for _, pool := range ps.endpoints {
 		for _, conn := range slices.Clone(pool.conns) {
--- a/internal/eventloop/clock.go
+++ b/internal/eventloop/clock.go
@@ -11,7 +11,7 @@
 	Now() Timestamp
 	// PollTimeout is called once in each turn, before the loop polls for readiness; everything due up to the
 	// previous turn has been carried out by then. It returns how long the poll may block in real time, at
-	// most wanted.
+	// most wanted. In tests, a manual clock uses the call to advance.
 	PollTimeout(wanted time.Duration) time.Duration
 }
 
--- a/internal/eventloop/closing.go
+++ b/internal/eventloop/closing.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// lingerInterval is how long after the shutdown of its output a connection waits for the peer to close,
-	// and the interval at which that is checked again while the peer still acknowledges output.
+	// lingerInterval is how long a connection waits after the shutdown of its output, and again for as long
+	// as the peer has not acknowledged all output.
 	lingerInterval = 200 * time.Millisecond
 
-	// maxLinger is how long a connection waits in total.
+	// maxLinger bounds the wait in total.
 	maxLinger = 10 * time.Second
 )
 
@@ -71,8 +71,8 @@
 	c.updateInterest()
 }
 
-// linger closes the connection after lingerInterval, or at the deadline if the peer still acknowledges output
-// until then.
+// linger closes the connection once the peer has acknowledged all output, checked every lingerInterval, or at
+// the first check after the deadline.
 func (c *Conn) linger(deadline Timestamp) {
 	c.loop.At(c.loop.now+lingerInterval, func() {
 		switch {
--- a/internal/fault/stream.go
+++ b/internal/fault/stream.go
@@ -6,7 +6,8 @@
 )
 
 // StreamPlan plans one direction of a connection: Feed and CloseInput take what was read, and all three of
-// Feed, Advance and CloseInput return what is to be written, each piece with its time. Times never decrease.
+// Feed, Advance and CloseInput return what is to be written, each piece with its time. Times never decrease,
+// except that a reset is due at the present time.
 type StreamPlan struct {
 	conn      *ConnPlan
 	direction Direction
@@ -139,7 +140,8 @@
 	return append(output, s.end(now, EndHalfClosed))
 }
 
-// end ends the stream. A reset comes at once, the other endings after all output so far.
+// end ends the stream. A reset is due now, any other ending when the output so far has been written. The
+// caller of Advance may apply an ending without waiting for that, as package relay does.
 func (s *StreamPlan) end(now time.Duration, ending Ending) Output {
 	s.ended = true
 	if ending > EndHalfClosed {
--- a/internal/logging/ratelimit.go
+++ b/internal/logging/ratelimit.go
@@ -9,9 +9,11 @@
 )
 
 const (
-	// maxPerInterval is how many records with the same message are logged in each interval.
+	// maxPerInterval is how many records with the same message are logged in each interval: enough to see
+	// which servers or requests are concerned, and far fewer than Writer queues.
 	maxPerInterval = 20
 
+	// interval is how long one quota lasts. It begins with the first record after the previous one has ended.
 	interval = 10 * time.Second
 )
 
--- a/internal/logging/writer.go
+++ b/internal/logging/writer.go
@@ -30,7 +30,10 @@
 	return w
 }
 
-// run writes queued lines until Close, and after each the number of lines dropped since it was last written.
+// run writes queued lines until Close, and after each, if lines have been dropped since the last warning, a
+// warning with their number. The warning may come before the gap: the lines that were queued when it arose,
+// up to maxQueuedLines, still follow. It has neither a time nor the instance, unlike the lines of New's
+// logger.
 func (w *Writer) run(to io.Writer) {
 	defer close(w.done)
 	reported := int64(0)
--- a/internal/relay/conn.go
+++ b/internal/relay/conn.go
@@ -12,9 +12,12 @@
 )
 
 const (
-	readBufferSize    = 16 << 10 // bytes
-	maxPendingOutputs = 32       // of one direction that wait for their time, each of readBufferSize at most
-	dialTimeout       = 5 * time.Second
+	readBufferSize = 16 << 10 // bytes
+	dialTimeout    = 5 * time.Second
+
+	// maxPendingOutputs is how many outputs of one direction wait for their time. Each has readBufferSize at
+	// most, plus what a repeat rule sends again.
+	maxPendingOutputs = 32
 )
 
 // relayedConn is one relayed connection. It owns both ends: close closes them.
@@ -73,8 +76,8 @@
 	return s.PendingTimes()
 }
 
-// fireDue fires the rules by time that are due. It applies their endings itself: the reader may be blocked in
-// a read.
+// fireDue fires the rules by time that are due. It applies their endings itself, at once and before output
+// that is still pending: the reader may be blocked in a read.
 func (c *relayedConn) fireDue(s *fault.StreamPlan, to *net.TCPConn) {
 	c.planMu.Lock()
 	outputs := s.Advance(c.relay.now())
@@ -130,7 +133,8 @@
 	return true
 }
 
-// write writes each output at its time, until the channel is closed or the connection has ended.
+// write writes each output at its time, until the channel is closed or the connection has ended. An ending by
+// bytes or match takes effect when write reaches it, after the output before it.
 func (c *relayedConn) write(to *net.TCPConn, outputs <-chan fault.Output) {
 	for o := range outputs {
 		if !c.relay.sleepUntil(c.ctx, o.Due) {
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// checkListsByClass checks that each list by class is absent or complete. A missing element would otherwise
-// make a write that must not be repeated look like a read.
+// checkListsByClass checks that each list by class is absent or complete. A missing element would count as
+// false or 0: a write would be sent to a cache as if it were cacheable.
 func (d *document) checkListsByClass() error {
 	for _, list := range []struct {
 		key    string
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -77,7 +77,7 @@
 type limitsDocument struct {
 	ServerIdleTimeout microseconds `json:"conn-idle-us"` // servers close connections that are idle for this long
 	ConnectTimeout    microseconds `json:"connect-timeout-us"`
-	MaxOpenRequests   int          `json:"max-open"`         // of one proxy; 0: unlimited
+	MaxOpenRequests   int          `json:"max-open"`         // of one proxy; 0: no limit besides the proxy's own
 	MaxStreamsPerConn int          `json:"streams-per-conn"` // attempts on one connection at once; 0: unknown
 	MaxAttempts       *int         `json:"max-attempts"`     // of one request, after which it is not retried
 	RetryAfter        *bool        `json:"retry-after"`      // rejected clients get a Retry-After; absent: true
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -25,7 +25,7 @@
 	ServerIdleTimeout  time.Duration // servers close a connection that is idle for this long; 0: unknown
 	ConnectTimeout     time.Duration // 0: unknown
 	HandshakesPriced   bool          // new connections have a price
-	MaxOpenRequests    int           // requests that may be open at once; 0: unknown
+	MaxOpenRequests    int           // requests that may be open at once; 0: no limit besides the proxy's own
 	MaxStreamsPerConn  int           // attempts that one connection may carry at once; 0: unknown
 	RetryAfterDisabled bool          // rejected clients get no Retry-After
 
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -57,7 +57,7 @@
 		{`"name":"w"`, `"name":"a"`, false},
 		{`"name":"w"`, `"name":""`, false},
 		{`"classes"`, `"others"`, false},
-		{`"pass-on":[false,true]`, `"pass-on":[false]`, false}, // the write would look like a read
+		{`"pass-on":[false,true]`, `"pass-on":[false]`, false}, // the write would be taken as cacheable
 		{`"pass-on":[false,true]`, `"grace-for-us":[1,2,3]`, false},
 		{`"areas"`, `"zone":1,"areas"`, true},
 		{`"areas"`, `"zone":2,"areas"`, false},
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -23,7 +23,7 @@
 	Cell    int     `json:"cell"` // group of servers that share deduplication state
 	State   string  `json:"state"`
 	Weight  float64 `json:"weight"`     // relative capacity
-	Started int64   `json:"started_ms"` // Unix milliseconds of a late start, else 0
+	Started int64   `json:"started_ms"` // Unix milliseconds of its last start; 0: long ago
 }
 
 // EndpointUpdate is the complete endpoint list, or changes to it.
