--- a/internal/proxy/backpressure.go
+++ b/internal/proxy/backpressure.go
@@ -37,7 +37,7 @@
 
 // block keeps a request until the client has read more.
 func (c *clientConn) block(r *fastcgi.Request, parsed Request) {
-	c.openRequests[r.ID] = 0
+	c.openRequests[r.ID] = notSubmitted
 	c.blocked = append(c.blocked, blockedRequest{request: r, parsed: parsed, blockedAt: c.server.loop.Now()})
 	c.server.blockedConns[c] = true
 }
--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -16,6 +16,10 @@
 // is serving.
 const healthPath = "/alive"
 
+// notSubmitted stands for the number of an open request that is blocked, or that Submit is about to answer or
+// admit.
+const notSubmitted = 0
+
 // clientConn is one connection of a client, on which any number of requests may be open at a time.
 type clientConn struct {
 	server  *FastCGIServer
@@ -23,7 +27,7 @@
 	conn    *eventloop.Conn
 	decoder fastcgi.Decoder
 
-	openRequests     map[uint16]int64 // numbers by FastCGI id, 0: blocked; nil once closed
+	openRequests     map[uint16]int64 // numbers by FastCGI id, or notSubmitted; nil once closed
 	blocked          []blockedRequest // the oldest first
 	completeRequests int              // requests that have been received completely, or rejected before that
 	closeWhenDone    bool             // no further request will be read: close once all are answered
@@ -148,9 +152,9 @@
 
 // submit submits a request. It counts as open before Submit, which may answer it, and so remove it, at once.
 func (c *clientConn) submit(parsed Request, to *responder) {
-	c.openRequests[to.id] = 0
+	c.openRequests[to.id] = notSubmitted
 	number := c.server.handler.Submit(parsed, to)
-	if number != 0 {
+	if number != notSubmitted {
 		c.openRequests[to.id] = number
 	}
 }
