--- a/cmd/edgeproxy/coordinatorenv_test.go
+++ b/cmd/edgeproxy/coordinatorenv_test.go
@@ -147,7 +147,7 @@
 	defer s.mu.Unlock()
 	for conn, sent := range s.sent {
 		next := min(sent+bytes, len(s.line))
-		fmt.Fprint(conn, s.line[sent:next]) //nolint:errcheck // a follower may have disconnected
+		fmt.Fprint(conn, s.line[sent:next]) //nolint:errcheck // the proxy may have disconnected
 		s.sent[conn] = next
 	}
 }
--- a/cmd/faultproxy/main.go
+++ b/cmd/faultproxy/main.go
@@ -98,12 +98,12 @@
 		defer file.Close() //nolint:errcheck // each line is written when its fault fires, and a failed write is returned
 		out = file
 	}
-	return carryOut(script, o.duration, out)
+	return relayUntilStopped(script, o.duration, out)
 }
 
-// carryOut relays until SIGINT or SIGTERM, or for a duration that is not 0, and logs each fault that fires.
+// relayUntilStopped relays until SIGINT or SIGTERM, or for a duration that is not 0, and logs each fault that fires.
 // It returns the last error of a write to the log.
-func carryOut(script *fault.Script, duration time.Duration, log io.Writer) error {
+func relayUntilStopped(script *fault.Script, duration time.Duration, log io.Writer) error {
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGINT, syscall.SIGTERM)
 	var logErr error
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -94,7 +94,7 @@
 	}
 }
 
-// sendEvents sends a follower event 1, the full endpoint list, unless it has it, and then the event's index
+// sendEvents sends a watching proxy event 1, the full endpoint list, unless it has it, and then the event's index
 // every second.
 func sendEvents(conn net.Conn) error {
 	var lastIndex int
--- a/internal/proxy/watch_test.go
+++ b/internal/proxy/watch_test.go
@@ -58,7 +58,7 @@
 	return now
 }
 
-// A purge that is told in a turn in which the process was held up is as old as it was when the turn began.
+// A purge that is reported in a turn whose start was delayed is as old as it was when the turn began.
 func TestPurgeReportedInALongTurn(t *testing.T) {
 	const held, ago = 10 * time.Second, 12 * time.Second
 	loop, err := eventloop.NewLoop(&heldClock{TimeSource: eventloop.SystemClock(), held: held})
