--- a/internal/proxy/watch_test.go
+++ b/internal/proxy/watch_test.go
@@ -41,34 +41,35 @@
 	}
 }
 
-// heldClock goes by the system's clock, but the first look at it was long ago: a process that was held up in
-// its turn.
-type heldClock struct {
+// suspendedClock is the system's clock, but its first reading is in the past: the process has had no CPU since its
+// turn began.
+type suspendedClock struct {
 	eventloop.TimeSource
-	held   time.Duration
-	looked bool
+	suspended time.Duration // for how long
+	read      bool          // the first reading has been taken
 }
 
-func (c *heldClock) Now() eventloop.Timestamp {
+func (c *suspendedClock) Now() eventloop.Timestamp {
 	now := c.TimeSource.Now()
-	if !c.looked {
-		c.looked = true
-		return now - c.held
+	if !c.read {
+		c.read = true
+		return now - c.suspended
 	}
 	return now
 }
 
-// A purge that is reported in a turn whose start was delayed is as old as it was when the turn began.
+// A purge that is reported in a turn in which the process was suspended counts as old as it was when the turn
+// began.
 func TestPurgeReportedInALongTurn(t *testing.T) {
-	const held, ago = 10 * time.Second, 12 * time.Second
-	loop, err := eventloop.NewLoop(&heldClock{TimeSource: eventloop.SystemClock(), held: held})
+	const suspended, ago = 10 * time.Second, 12 * time.Second
+	loop, err := eventloop.NewLoop(&suspendedClock{TimeSource: eventloop.SystemClock(), suspended: suspended})
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := newEventProxy(loop)
 	p.applyEvent(watch.Event{Purge: &watch.Purge{Object: "w", At: loop.Now().Milliseconds()}}) // in time: the clock is right
 	p.applyEvent(watch.Event{Purge: &watch.Purge{Object: "x", At: time.Now().Add(-ago).UnixMilli()}})
-	if age := p.inbox[1].(policy.Purge).Age; age < ago-held-time.Second || age > ago-held+time.Second {
-		t.Errorf("the purge counts as %v old, %v before the turn", age, ago-held)
+	if age := p.inbox[1].(policy.Purge).Age; age < ago-suspended-time.Second || age > ago-suspended+time.Second {
+		t.Errorf("the purge counts as %v old, %v before the turn", age, ago-suspended)
 	}
 }
