--- a/internal/proxy/abandon_test.go
+++ b/internal/proxy/abandon_test.go
@@ -11,37 +11,37 @@
 
 // Guards against client connections that are closed without a line in the log: for output beyond its limit, for
 // output that is not read in time, and for lack of memory.
-func TestAbandonedClientsAreLogged(t *testing.T) {
-	for name, abandon := range map[string]func(*longTurn, *clientConn){
-		"output beyond the limit": func(_ *longTurn, c *clientConn) {
+func TestStalledClientCloseIsLogged(t *testing.T) {
+	for name, closeClient := range map[string]func(*proxyFixture, *clientConn){
+		"output beyond the limit": func(_ *proxyFixture, c *clientConn) {
 			c.conn.Write(make([]byte, 3*eventloop.MaxQueuedBytes)) // the sockets hold a part of it
 		},
-		"output not read in time": func(l *longTurn, c *clientConn) {
+		"output not read in time": func(f *proxyFixture, c *clientConn) {
 			c.conn.Write(make([]byte, eventloop.MaxQueuedBytes))
-			l.loop.Flush()
-			l.clock.now += writeStallTimeout + connCheckInterval
+			f.loop.Flush()
+			f.clock.now += writeStallTimeout + connCheckInterval
 		},
-		"lack of memory": func(l *longTurn, c *clientConn) {
+		"lack of memory": func(f *proxyFixture, c *clientConn) {
 			c.conn.Write(make([]byte, eventloop.MaxQueuedBytes))
-			l.loop.Flush()
-			l.clock.now += criticalWriteStallTimeout + connCheckInterval
-			if err := l.loop.Wait(0); err != nil {
+			f.loop.Flush()
+			f.clock.now += criticalWriteStallTimeout + connCheckInterval
+			if err := f.loop.Wait(0); err != nil {
 				t.Fatal(err)
 			}
-			l.p.memory.rejectAt = 0
+			f.p.memory.rejectAt = 0
 			c.relieveMemory()
 		},
 	} {
-		l := newLongTurn(t)
-		server := l.p.fastcgiServers[0]
+		f := newProxyFixture(t)
+		server := f.p.fastcgiServers[0]
 		var log bytes.Buffer
 		server.log = slog.New(slog.NewTextHandler(&log, nil))
-		l.turnUntil(t, func() bool { return len(server.conns) == 1 })
+		f.turnUntil(t, func() bool { return len(server.conns) == 1 })
 		for c := range server.conns {
-			abandon(l, c)
+			closeClient(f, c)
 		}
-		l.turnUntil(t, func() bool {
-			l.loop.Flush()
+		f.turnUntil(t, func() bool {
+			f.loop.Flush()
 			return len(server.conns) == 0
 		})
 		if lines := strings.Count(log.String(), "client connection closed, output not read"); lines != 1 {
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -22,10 +22,10 @@
 	source    string // fill source as of the last Encode; the target itself if nothing is filled
 	createdAt eventloop.Timestamp
 
-	upstream  *upstream // the connection on which the call is queued or sent; nil: it got none
-	lastEntry int       // number of the last queueEntry; those before it are void
-	started   bool      // the first byte has been written
-	written   bool      // the last byte has been written: the call may be executed
+	upstream     *upstream // the connection on which the call is queued or sent; nil: it got none
+	lastSequence int       // number of the last queueEntry; those before it are void
+	started      bool      // the first byte has been written
+	written      bool      // the last byte has been written: the call may be executed
 
 	// oldestCopyMillis is the Unix millisecond before which no copy in the answer may have been made; 0: no
 	// bound.
@@ -41,7 +41,7 @@
 func (p *Proxy) startAttempt(q *request, fetch policy.Fetch) {
 	a := &attempt{p: p, req: q, number: len(q.attempts), target: fetch.Target, createdAt: p.loop.Now()}
 	if a.number > 0 {
-		p.logRepeat(a, q.attempts[a.number-1])
+		p.logRetryOrHedge(a, q.attempts[a.number-1])
 	}
 	q.attempts = append(q.attempts, a)
 	q.openAttempts++
@@ -49,7 +49,7 @@
 		p.endAttempt(a, resp.Answer{}, policy.ResultNotSent)
 		return
 	}
-	use := connpool.UseInfo{NonIdempotent: !q.isIdempotent(), Accepts: q.fitsOn}
+	use := connpool.UseInfo{NonIdempotent: !q.isIdempotent(), Accepts: q.canUseConn}
 	conn, err := p.pools.Acquire(fetch.Target, use)
 	if err != nil {
 		p.endAttempt(a, resp.Answer{}, resultOfConnectError(err))
@@ -58,9 +58,9 @@
 	a.enqueue(conn, maxReassignments)
 }
 
-// logRepeat logs an attempt that is not its request's first: a retry, or a hedge while the previous one is
+// logRetryOrHedge logs an attempt that is not its request's first: a retry, or a hedge while the previous one is
 // open.
-func (p *Proxy) logRepeat(a, previous *attempt) {
+func (p *Proxy) logRetryOrHedge(a, previous *attempt) {
 	if !previous.ended {
 		p.log.Info("hedge", "request", a.req.ID, "attempt", a.number, "server", a.target,
 			"previous_server", previous.target)
@@ -70,8 +70,10 @@
 		"previous_server", previous.target, "previous_result", previous.result)
 }
 
-// fitsOn reports whether a call for the request can be sent on a connection.
-func (q *request) fitsOn(conn *connpool.PooledConn) bool { return conn.Owner.(*upstream).accepts(q) }
+// canUseConn reports whether a call for the request can be sent on a connection.
+func (q *request) canUseConn(conn *connpool.PooledConn) bool {
+	return conn.Owner.(*upstream).accepts(q)
+}
 
 // enqueue queues the call on a connection. If that is not up in the usual time, the call is moved to another
 // one, as nothing of it has been sent: some connections come up only after a second, which is beyond most
@@ -79,25 +81,25 @@
 func (a *attempt) enqueue(conn *connpool.PooledConn, reassignmentsLeft int) {
 	a.upstream = conn.Owner.(*upstream)
 	a.upstream.calls[a.req.ID] = a
-	a.lastEntry++
-	conn.Send(queueEntry{a, a.lastEntry})
+	a.lastSequence++
+	conn.Send(queueEntry{a, a.lastSequence})
 	if conn.Connected() || reassignmentsLeft == 0 {
 		return
 	}
-	patience := max(0, conn.ConnectPatience()-conn.Age())
-	a.p.loop.At(a.p.loop.Now()+patience, func() { a.reassign(conn, reassignmentsLeft) })
+	untilOverdue := max(0, conn.ConnectPatience()-conn.Age())
+	a.p.loop.At(a.p.loop.Now()+untilOverdue, func() { a.reassign(conn, reassignmentsLeft) })
 }
 
 // reassign moves the call from a connection that is late to another one, if there is one.
-func (a *attempt) reassign(late *connpool.PooledConn, reassignmentsLeft int) {
-	if a.ended || a.started || late.Connected() || late.Ended() {
+func (a *attempt) reassign(overdue *connpool.PooledConn, reassignmentsLeft int) {
+	if a.ended || a.started || overdue.Connected() || overdue.Ended() {
 		return
 	}
-	other, err := a.p.pools.Reassign(late, a.req.fitsOn)
+	other, err := a.p.pools.Reassign(overdue, a.req.canUseConn)
 	if err != nil {
 		return
 	}
 	delete(a.upstream.calls, a.req.ID)
-	late.Release()
+	overdue.Release()
 	a.enqueue(other, reassignmentsLeft-1)
 }
--- a/internal/proxy/backpressure.go
+++ b/internal/proxy/backpressure.go
@@ -73,22 +73,22 @@
 func (c *clientConn) submitBlocked(b blockedRequest) {
 	parsed, err := c.server.parse(b.request)
 	if err != nil {
-		c.reject(b)
+		c.rejectBlockedRequest(b)
 		return
 	}
 	parsed.Timeout -= c.server.loop.Now() - b.blockedAt
 	c.submit(parsed, &responder{conn: c, id: b.request.ID})
 }
 
-// rejectBlocked rejects the requests that have been blocked for too long at the given time.
-func (c *clientConn) rejectBlocked(now eventloop.Timestamp) {
+// rejectOverdueBlocked rejects the requests that have been blocked for too long at the given time.
+func (c *clientConn) rejectOverdueBlocked(now eventloop.Timestamp) {
 	for len(c.blocked) > 0 && now-c.blocked[0].blockedAt >= c.blocked[0].parsed.Timeout/blockedTimeoutDivisor {
-		c.reject(c.popBlocked())
+		c.rejectBlockedRequest(c.popBlocked())
 	}
 }
 
-// reject rejects a blocked request.
-func (c *clientConn) reject(b blockedRequest) {
+// rejectBlockedRequest rejects a blocked request.
+func (c *clientConn) rejectBlockedRequest(b blockedRequest) {
 	to := &responder{conn: c, id: b.request.ID}
 	c.server.handler.rejectUnsubmitted(b.parsed, to, Answer{
 		Status: Rejected, RetryAfter: unsubmittedRetryAfter, Reason: policy.ReasonBackpressure,
@@ -103,7 +103,7 @@
 	}
 	c.conn.Flush()
 	if c.isStalledFor(criticalWriteStallTimeout) {
-		c.abandon(errMemoryLimit)
+		c.closeStalled(errMemoryLimit)
 	}
 }
 
--- a/internal/proxy/call.go
+++ b/internal/proxy/call.go
@@ -29,7 +29,7 @@
 // queue twice, and must be sent once.
 type queueEntry struct {
 	*attempt
-	number int
+	sequence int
 }
 
 // Encode makes the call when its first byte is about to be written. The decision module is asked again, as
@@ -37,7 +37,7 @@
 // connection.
 func (e queueEntry) Encode() ([]byte, bool) {
 	a := e.attempt
-	if a.ended || a.started || a.lastEntry != e.number {
+	if a.ended || a.started || a.lastSequence != e.sequence {
 		return nil, false
 	}
 	now := a.p.loop.CurrentTime() // the process may have been suspended since the turn began
@@ -82,7 +82,7 @@
 	a.req.responder.PollClient() // may finish the request
 	disconnected := a.req.responder.ClientDisconnected().GraceOver
 	if a.req.finished {
-		a.p.counters.allows(actionSend, policy.Verdict{Rule: policy.RuleAnswer, Reason: policy.ReasonAnswered})
+		a.p.counters.recordVerdict(actionSend, policy.Verdict{Rule: policy.RuleAnswer, Reason: policy.ReasonAnswered})
 		return policy.Fetch{}, false
 	}
 	fetch, verdict := a.p.router.MaySend(now, policy.SendInfo{
@@ -91,7 +91,7 @@
 		Remaining:          a.req.deadline - now,
 		ClientDisconnected: disconnected,
 	})
-	if a.p.counters.allows(actionSend, verdict) {
+	if a.p.counters.recordVerdict(actionSend, verdict) {
 		return fetch, true
 	}
 	a.p.log.Info("attempt not sent", "request", a.req.ID, "attempt", a.number, "server", a.target,
@@ -105,7 +105,7 @@
 // Started notes that the first byte has been written; complete says that the last one has been too.
 func (a *attempt) Started(complete bool) {
 	a.started = true
-	a.upstream.noteSent()
+	a.upstream.recordSent()
 	a.p.invariants.checkSent(a)
 	if !complete {
 		a.p.loop.At(a.p.loop.CurrentTime()+maxPartialWriteTime, a.failPartialWrite)
@@ -116,7 +116,7 @@
 func (a *attempt) Written() {
 	a.written = true
 	a.p.invariants.checkWritten(a)
-	a.p.counters.count(a.req.ClassName, outcomeForwarded)
+	a.p.counters.countOutcome(a.req.ClassName, outcomeForwarded)
 }
 
 // failPartialWrite fails the connection of a call of which the peer still has not taken the last byte. Also when
--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -36,7 +36,7 @@
 	skipBytes       int                 // bytes still to come of a record that is discarded
 	incompleteSince eventloop.Timestamp // start of the wait for a request, or the rest of one; 0: none
 
-	lastAnswer        eventloop.Timestamp // when the last answer was written
+	lastAnsweredAt    eventloop.Timestamp // when the last answer was written
 	polledAt          eventloop.Timestamp // when the client was last polled within a turn
 	disconnectedSince eventloop.Timestamp // when the client stopped sending; 0: it has not
 }
@@ -135,7 +135,7 @@
 	if !c.isBackpressured() && len(c.blocked) == 0 {
 		return false
 	}
-	return !c.disconnect().GraceOver && !c.server.lifecycle.rejecting()
+	return !c.disconnectState().GraceOver && !c.server.lifecycle.rejecting()
 }
 
 // waitBeforeRead is how long a request that has just been read may have waited in the kernel.
@@ -172,7 +172,7 @@
 // finishRequest writes the last bytes of a request and frees its id.
 func (c *clientConn) finishRequest(id uint16, data []byte) {
 	delete(c.openRequests, id)
-	c.lastAnswer = c.server.loop.Now()
+	c.lastAnsweredAt = c.server.loop.Now()
 	c.decoder.Done(id)
 	c.conn.Write(data)
 	c.closeIfDone()
@@ -194,22 +194,22 @@
 // Closed ends the requests that are open on the connection, which its client or a failure has closed.
 func (c *clientConn) Closed(err error) {
 	if errors.Is(err, eventloop.ErrWriteStalled) {
-		c.logAbandoned(err, eventloop.MaxQueuedBytes)
+		c.logStalledClose(err, eventloop.MaxQueuedBytes)
 	}
 	c.release(err)
 }
 
-// abandon closes the connection of a client that is stalled, or for which memory is lacking. The client loses its
+// closeStalled closes the connection of a client that is stalled, or for which memory is lacking. The client loses its
 // open requests.
-func (c *clientConn) abandon(reason error) {
+func (c *clientConn) closeStalled(reason error) {
 	queuedBytes, _ := c.conn.QueuedOutput()
-	c.logAbandoned(reason, queuedBytes)
+	c.logStalledClose(reason, queuedBytes)
 	c.conn.Close()
 	c.release(reason)
 }
 
-// logAbandoned logs that the connection is closed with output that its client has not read.
-func (c *clientConn) logAbandoned(reason error, queuedBytes int) {
+// logStalledClose logs that the connection is closed with output that its client has not read.
+func (c *clientConn) logStalledClose(reason error, queuedBytes int) {
 	c.server.log.Info("client connection closed, output not read",
 		"connection", c.number, "reason", reason, "queued_bytes", queuedBytes, "open_requests", len(c.openRequests))
 }
@@ -239,7 +239,7 @@
 
 // idleTime is the time since the last input or answer.
 func (c *clientConn) idleTime() time.Duration {
-	return c.server.loop.Now() - max(c.conn.LastReceived(), c.lastAnswer)
+	return c.server.loop.Now() - max(c.conn.LastReceived(), c.lastAnsweredAt)
 }
 
 // isOverdue reports whether the client has exceeded a timeout for sending a request or for being idle. It is not
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -19,10 +19,10 @@
 	// would save less than an eighth of the remaining handshakes, and lose more calls with a connection that
 	// breaks.
 	maxSharedCalls = 8
-	// descriptorsForOthers is taken from the caches' half of the descriptors. With the tenth that clients
+	// reservedDescriptors is taken from the caches' half of the descriptors. With the tenth that clients
 	// and caches leave, it is for operators (16), the coordinator's streams, the listening sockets, the
 	// event loop and the configuration file.
-	descriptorsForOthers = 20
+	reservedDescriptors = 20
 
 	// Defaults of settings that are optional.
 	defaultServerIdleTimeout = 15 * time.Second
@@ -95,8 +95,8 @@
 	return time.Duration(float64(bodyBytes) / c.transferBytesPerSecond * float64(time.Second))
 }
 
-// withAllowedRetryAfter removes the Retry-After advice from an answer where the settings disable it.
-func (c *runtimeConfig) withAllowedRetryAfter(a Answer) Answer {
+// applyRetryAfterSetting removes the Retry-After advice from an answer where the settings disable it.
+func (c *runtimeConfig) applyRetryAfterSetting(a Answer) Answer {
 	if c.RetryAfterDisabled {
 		a.RetryAfter = 0
 	}
@@ -108,4 +108,4 @@
 
 // UpstreamSockets is how many of the process's descriptors connections to caches, parents and the origin may
 // hold.
-func UpstreamSockets(descriptors int) int { return max(1, descriptors/2-descriptorsForOthers) }
+func UpstreamSockets(descriptors int) int { return max(1, descriptors/2-reservedDescriptors) }
--- a/internal/proxy/coordinatorclock_test.go
+++ b/internal/proxy/coordinatorclock_test.go
@@ -22,14 +22,14 @@
 // clockTest is a proxy whose wall clock is wrong, set by hand.
 type clockTest struct {
 	p     *Proxy
-	clock *handClock
+	clock *manualClock
 	right eventloop.Timestamp // the correct time at the test's start
 }
 
 func newClockTest(t *testing.T, wrongBy time.Duration) *clockTest {
 	t.Helper()
 	right := eventloop.Timestamp(time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC).UnixNano())
-	clock := &handClock{now: right + wrongBy}
+	clock := &manualClock{now: right + wrongBy}
 	loop, err := eventloop.NewLoop(clock)
 	if err != nil {
 		t.Fatal(err)
@@ -40,9 +40,9 @@
 // report has the coordinator report a purge that took place the given time before the test's start, and
 // returns as how old it counts.
 func (c *clockTest) report(ago time.Duration) time.Duration {
-	c.p.inbox = nil
+	c.p.pendingEvents = nil
 	c.p.applyEvent(watch.Event{Purge: &watch.Purge{Object: "x", At: (c.right - ago).Milliseconds()}}, c.p.loop.Now())
-	return c.p.inbox[len(c.p.inbox)-1].(policy.Purge).Age
+	return c.p.pendingEvents[len(c.p.pendingEvents)-1].(policy.Purge).Age
 }
 
 // advance moves the clock on.
@@ -94,7 +94,7 @@
 	}
 	c.p.applyInitialState([]watch.Event{purge(5 * time.Second), purge(2 * time.Second)})
 	for i, want := range []time.Duration{3 * time.Second, 0} {
-		if age := c.p.inbox[i].(policy.Purge).Age; age > want || age < want-time.Second {
+		if age := c.p.pendingEvents[i].(policy.Purge).Age; age > want || age < want-time.Second {
 			t.Errorf("the %d. counts as %v old, want %v", i+1, age, want)
 		}
 	}
@@ -120,9 +120,9 @@
 		if ago == last {
 			object = "x"
 		}
-		c.p.inbox = nil
+		c.p.pendingEvents = nil
 		c.p.applyEvent(watch.Event{Purge: &watch.Purge{Object: object, At: (loop.Now() - ago).Milliseconds()}}, c.p.loop.Now())
-		for _, ev := range c.p.inbox {
+		for _, ev := range c.p.pendingEvents {
 			router.Handle(loop.Now(), ev)
 		}
 	}
--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -91,10 +91,10 @@
 	return counts
 }
 
-func (c *counters) count(class string, o outcome) { c.addClass(class)[o]++ }
+func (c *counters) countOutcome(class string, o outcome) { c.addClass(class)[o]++ }
 
-// allows reports whether a verdict allows an action, and counts one that denies it.
-func (c *counters) allows(a action, verdict policy.Verdict) bool {
+// recordVerdict reports whether a verdict recordVerdict an action, and counts one that denies it.
+func (c *counters) recordVerdict(a action, verdict policy.Verdict) bool {
 	if verdict.Allowed() {
 		return true
 	}
@@ -105,15 +105,15 @@
 // countNotServed counts an answer that serves nothing.
 func (c *counters) countNotServed(reason policy.Reason) { c.notServed[reason]++ }
 
-// writeNotServed adds the figures of answers that served nothing, in a fixed order.
-func (c *counters) writeNotServed(b *strings.Builder) {
+// writeNotServedMetrics adds the figures of answers that served nothing, in a fixed order.
+func (c *counters) writeNotServedMetrics(b *strings.Builder) {
 	for _, reason := range slices.Sorted(maps.Keys(c.notServed)) {
 		fmt.Fprintf(b, "svc_not_served{reason=%q} %d\n", reason, c.notServed[reason])
 	}
 }
 
-// writeOutcomes adds the figures of each class.
-func (c *counters) writeOutcomes(b *strings.Builder) {
+// writeOutcomeMetrics adds the figures of each class.
+func (c *counters) writeOutcomeMetrics(b *strings.Builder) {
 	for _, class := range c.classNames {
 		for o, n := range c.outcomes[class] {
 			fmt.Fprintf(b, "svc_operations{priority=%q,status=%q} %d\n", class, outcome(o), n)
@@ -121,8 +121,8 @@
 	}
 }
 
-// writeDenials adds the figures of the guards, in a fixed order.
-func (c *counters) writeDenials(b *strings.Builder) {
+// writeDenialMetrics adds the figures of the guards, in a fixed order.
+func (c *counters) writeDenialMetrics(b *strings.Builder) {
 	byLabel := func(x, y denial) int { return strings.Compare(x.label(), y.label()) }
 	for _, d := range slices.SortedFunc(maps.Keys(c.denials), byLabel) {
 		fmt.Fprintf(b, "svc_denied{%s} %d\n", d.label(), c.denials[d])
--- a/internal/proxy/disconnect.go
+++ b/internal/proxy/disconnect.go
@@ -31,8 +31,8 @@
 	c.server.loop.At(c.disconnectedSince+disconnectGrace, c.cancelOpenRequests)
 }
 
-// disconnect says whether and since when the client is disconnected.
-func (c *clientConn) disconnect() Disconnect {
+// disconnectState says whether and since when the client is disconnected.
+func (c *clientConn) disconnectState() Disconnect {
 	if c.disconnectedSince == 0 {
 		return Disconnect{}
 	}
@@ -53,7 +53,7 @@
 
 // cancelOpenRequests cancels the requests of a client that has disconnected.
 func (c *clientConn) cancelOpenRequests() {
-	c.rejectBlocked(math.MaxInt64)
+	c.rejectOverdueBlocked(math.MaxInt64)
 	for _, number := range c.openRequests {
 		c.server.handler.CancelAfterDisconnect(number)
 	}
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -16,11 +16,11 @@
 	"cloverdoor/internal/watch"
 )
 
-// handClock is moved on by a test.
-type handClock struct{ now eventloop.Timestamp }
+// manualClock is moved on by a test.
+type manualClock struct{ now eventloop.Timestamp }
 
-func (c *handClock) Now() eventloop.Timestamp { return c.now }
-func (c *handClock) PollTimeout(wanted time.Duration) time.Duration {
+func (c *manualClock) Now() eventloop.Timestamp { return c.now }
+func (c *manualClock) PollTimeout(wanted time.Duration) time.Duration {
 	return min(wanted, time.Millisecond)
 }
 
@@ -49,7 +49,7 @@
 
 // Nothing begins for a client that disconnects, or aborts its request, while the turn in which its request
 // was read lasts: the process may lose its core between reading and writing.
-func TestNothingBeginsForAClientThatDisconnectsInALongTurn(t *testing.T) {
+func TestNoCallStartsAfterDisconnectInLongTurn(t *testing.T) {
 	for name, disconnect := range map[string]func(*testing.T, *net.TCPConn){
 		"close": func(t *testing.T, c *net.TCPConn) {
 			t.Helper()
@@ -71,12 +71,12 @@
 		"nothing": func(*testing.T, *net.TCPConn) {},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := newLongTurn(t)
-			a := l.waitForAttempt(t)
-			disconnect(t, l.client)
+			f := newProxyFixture(t)
+			a := f.waitForAttempt(t)
+			disconnect(t, f.client)
 			time.Sleep(20 * time.Millisecond) // on loopback it has arrived long before
-			l.clock.now += 200 * time.Millisecond
-			l.p.processEvents()
+			f.clock.now += 200 * time.Millisecond
+			f.p.processEvents()
 			if want := name == "nothing"; a.started != want {
 				t.Errorf("begun %v", a.started)
 			}
@@ -84,17 +84,17 @@
 	}
 }
 
-// longTurn is a proxy with one endpoint and one client, whose turns a test takes.
-type longTurn struct {
+// proxyFixture is a proxy with one endpoint and one client, whose turns a test takes.
+type proxyFixture struct {
 	p      *Proxy
 	loop   *eventloop.Loop
-	clock  *handClock
+	clock  *manualClock
 	client *net.TCPConn
 }
 
-func newLongTurn(t *testing.T) *longTurn {
+func newProxyFixture(t *testing.T) *proxyFixture {
 	t.Helper()
-	clock := &handClock{now: eventloop.Timestamp(time.Now().UnixNano())}
+	clock := &manualClock{now: eventloop.Timestamp(time.Now().UnixNano())}
 	loop, err := eventloop.NewLoop(clock)
 	if err != nil {
 		t.Fatal(err)
@@ -126,7 +126,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { closeConn(t, client) })
-	return &longTurn{p: p, loop: loop, clock: clock, client: client.(*net.TCPConn)}
+	return &proxyFixture{p: p, loop: loop, clock: clock, client: client.(*net.TCPConn)}
 }
 
 // freeAddr returns a local address on which nobody listens.
@@ -150,60 +150,60 @@
 
 // waitForAttempt sends a request and takes turns, in which nothing is written, until its attempt has a
 // connection.
-func (l *longTurn) waitForAttempt(t *testing.T) *attempt {
+func (f *proxyFixture) waitForAttempt(t *testing.T) *attempt {
 	t.Helper()
-	return l.waitForAttemptOf(t, completeRequest())
+	return f.waitForAttemptOf(t, completeRequest())
 }
 
 // waitForAttemptOf does so for the records of a request.
-func (l *longTurn) waitForAttemptOf(t *testing.T, records []byte) *attempt {
+func (f *proxyFixture) waitForAttemptOf(t *testing.T, records []byte) *attempt {
 	t.Helper()
-	if _, err := l.client.Write(records); err != nil {
+	if _, err := f.client.Write(records); err != nil {
 		t.Fatal(err)
 	}
-	l.turnUntil(t, func() bool { return len(l.p.requests) > 0 })
+	f.turnUntil(t, func() bool { return len(f.p.requests) > 0 })
 	var a *attempt
-	for _, q := range l.p.requests {
+	for _, q := range f.p.requests {
 		a = q.attempts[0]
 	}
-	l.turnUntil(t, a.upstream.conn.Connected)
+	f.turnUntil(t, a.upstream.conn.Connected)
 	return a
 }
 
 // turnUntil takes turns until done reports true, for 5 s at most.
-func (l *longTurn) turnUntil(t *testing.T, done func() bool) {
+func (f *proxyFixture) turnUntil(t *testing.T, done func() bool) {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); !done(); {
 		if time.Now().After(end) {
 			t.Fatal("not done after 5 s")
 		}
-		l.clock.now += time.Millisecond
-		if err := l.loop.Wait(time.Millisecond); err != nil {
+		f.clock.now += time.Millisecond
+		if err := f.loop.Wait(time.Millisecond); err != nil {
 			t.Fatal(err)
 		}
-		l.p.dispatchEvents()
+		f.p.dispatchEvents()
 	}
 }
 
 // Guards against the figure svc_denied being filled with closes that nobody wanted: a client connection that is
 // silent while its request is open is not asked to close, and is closed once the request has been answered.
-func TestNoCloseIsAskedForWhileARequestIsOpen(t *testing.T) {
-	l := newLongTurn(t)
-	a := l.waitForAttemptOf(t, requestWithTimeout("60000"))
-	server := l.p.fastcgiServers[0]
-	for end := l.clock.now + 2*idleTimeout; l.clock.now < end; l.clock.now += connCheckInterval {
-		if err := l.loop.Wait(0); err != nil {
+func TestOpenRequestCausesNoCloseDenials(t *testing.T) {
+	f := newProxyFixture(t)
+	a := f.waitForAttemptOf(t, requestWithTimeout("60000"))
+	server := f.p.fastcgiServers[0]
+	for end := f.clock.now + 2*idleTimeout; f.clock.now < end; f.clock.now += connCheckInterval {
+		if err := f.loop.Wait(0); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if denials := l.p.counters.denials; len(denials) != 0 || len(server.conns) != 1 {
+	if denials := f.p.counters.denials; len(denials) != 0 || len(server.conns) != 1 {
 		t.Errorf("denied: %v; %d connections", denials, len(server.conns))
 	}
-	l.p.answer(a.req, Answer{Status: Failed})
-	l.loop.Flush()
-	l.clock.now += 2 * idleTimeout
-	l.turnUntil(t, func() bool {
-		l.loop.Flush()
+	f.p.answer(a.req, Answer{Status: Failed})
+	f.loop.Flush()
+	f.clock.now += 2 * idleTimeout
+	f.turnUntil(t, func() bool {
+		f.loop.Flush()
 		for c := range server.conns {
 			if !c.conn.Ended() {
 				return false
--- a/internal/proxy/fastcgiserver.go
+++ b/internal/proxy/fastcgiserver.go
@@ -96,9 +96,9 @@
 // checkConn rejects requests that have been blocked for too long, and closes a connection that is stalled or
 // overdue.
 func (f *FastCGIServer) checkConn(c *clientConn) {
-	c.rejectBlocked(f.loop.Now())
+	c.rejectOverdueBlocked(f.loop.Now())
 	if c.isStalledFor(writeStallTimeout) || f.memory.critical() && c.isStalledFor(criticalWriteStallTimeout) {
-		c.abandon(eventloop.ErrWriteStalled)
+		c.closeStalled(eventloop.ErrWriteStalled)
 		return
 	}
 	if !c.conn.Ended() && c.isOverdue() && f.mayClose(c.closeInfo()) {
@@ -124,7 +124,7 @@
 
 // mayClose reports whether a connection can be closed now, and counts a denial.
 func (f *FastCGIServer) mayClose(info policy.CloseInfo) bool {
-	return f.counters.allows(actionClose, policy.MayClose(info))
+	return f.counters.recordVerdict(actionClose, policy.MayClose(info))
 }
 
 // closeDrainedConns closes, while clients are to be disconnected, the connections that hold nothing any more.
--- a/internal/proxy/invariants.go
+++ b/internal/proxy/invariants.go
@@ -227,8 +227,8 @@
 	}
 }
 
-// writeFigures adds a line for each invariant.
-func (c *invariantChecker) writeFigures(b *strings.Builder) {
+// writeMetrics adds a line for each invariant.
+func (c *invariantChecker) writeMetrics(b *strings.Builder) {
 	for v, count := range c.counts {
 		fmt.Fprintf(b, "svc_violations{rule=%q} %d\n", violationNames[v], count)
 	}
--- a/internal/proxy/invariants_test.go
+++ b/internal/proxy/invariants_test.go
@@ -14,8 +14,8 @@
 
 // A draining endpoint is forgotten after a while, as endpoints are replaced under new ids for as long as a process
 // runs. One that has just begun to drain is known.
-func TestInvariantCheckerForgetsServers(t *testing.T) {
-	clock := &handClock{now: eventloop.Timestamp(time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC).UnixNano())}
+func TestInvariantCheckerForgetsOldDrains(t *testing.T) {
+	clock := &manualClock{now: eventloop.Timestamp(time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC).UnixNano())}
 	loop, err := eventloop.NewLoop(clock)
 	if err != nil {
 		t.Fatal(err)
@@ -43,8 +43,8 @@
 	return Disconnect{Since: 1, GraceOver: true}
 }
 
-// checkerScene is a checker that has been notified of a drain and a purge, and one attempt.
-type checkerScene struct {
+// checkerFixture is a checker that has been notified of a drain and a purge, and one attempt.
+type checkerFixture struct {
 	*invariantChecker
 	attempt *attempt
 	wait    func(time.Duration) // lets time pass
@@ -56,9 +56,9 @@
 	for _, c := range []struct {
 		want    violation // violationCount: none
 		request request
-		do      func(s checkerScene)
+		do      func(s checkerFixture)
 	}{
-		{violationCount, request{}, func(s checkerScene) {
+		{violationCount, request{}, func(s checkerFixture) {
 			s.attempt.target, s.attempt.source = drained, drained
 			s.checkSent(s.attempt) // within the grace period
 			s.attempt.target, s.attempt.source = served, served
@@ -72,39 +72,39 @@
 			s.checkFinalAnswer(s.attempt.req, Served)
 			s.checkConnectionClosed(s.attempt.req, false)
 		}},
-		{secondAnswer, request{}, func(s checkerScene) {
+		{secondAnswer, request{}, func(s checkerFixture) {
 			s.checkFinalAnswer(s.attempt.req, Served)
 			s.checkFinalAnswer(s.attempt.req, Failed)
 		}},
-		{unanswered, request{}, func(s checkerScene) {
+		{unanswered, request{}, func(s checkerFixture) {
 			s.checkConnectionClosed(s.attempt.req, true) // the client gave it up
 			s.checkConnectionClosed(s.attempt.req, false)
 		}},
-		{executedTwice, request{}, func(s checkerScene) {
+		{executedTwice, request{}, func(s checkerFixture) {
 			s.checkWritten(s.attempt)
 			s.attempt.written = true
 			s.observeEnd(s.attempt, policy.ResultReset) // it may have been executed
 			s.checkWritten(s.attempt)
 		}},
-		{rejectedAfterExecution, request{}, func(s checkerScene) {
+		{rejectedAfterExecution, request{}, func(s checkerFixture) {
 			s.checkWritten(s.attempt)
 			s.checkFinalAnswer(s.attempt.req, Rejected)
 		}},
-		{sentToDraining, request{}, func(s checkerScene) {
+		{sentToDraining, request{}, func(s checkerFixture) {
 			s.attempt.target, s.attempt.source = served, drained
 			s.wait(time.Second)
 			s.checkSent(s.attempt)
 		}},
-		{servedPurged, request{Request: Request{Group: purgedGroup}}, func(s checkerScene) {
+		{servedPurged, request{Request: Request{Group: purgedGroup}}, func(s checkerFixture) {
 			s.wait(time.Second)
 			s.checkSent(s.attempt)
 			s.checkServed(s.attempt, resp.Answer{CreatedAtMillis: 999})
 		}},
-		{startedAfterDisconnect, request{responder: disconnectedResponder{}}, func(s checkerScene) {
+		{startedAfterDisconnect, request{responder: disconnectedResponder{}}, func(s checkerFixture) {
 			s.checkSent(s.attempt)
 		}},
 	} {
-		clock := &handClock{now: eventloop.Timestamp(time.Hour)}
+		clock := &manualClock{now: eventloop.Timestamp(time.Hour)}
 		loop, err := eventloop.NewLoop(clock)
 		if err != nil {
 			t.Fatal(err)
@@ -126,7 +126,7 @@
 		}
 		q.idempotency = policy.NonIdempotent
 		wait := func(d time.Duration) { clock.now += d }
-		c.do(checkerScene{invariantChecker: checker, attempt: &attempt{p: p, req: &q}, wait: wait})
+		c.do(checkerFixture{invariantChecker: checker, attempt: &attempt{p: p, req: &q}, wait: wait})
 		var want [violationCount]int64
 		if c.want < violationCount {
 			want[c.want] = 1
--- a/internal/proxy/partialcall_test.go
+++ b/internal/proxy/partialcall_test.go
@@ -33,8 +33,8 @@
 	return allow
 }
 
-// newSharingProxy returns a proxy that has one connection for all calls to its only server.
-func newSharingProxy(t *testing.T, loop *eventloop.Loop) *Proxy {
+// newSharedConnProxy returns a proxy that has one connection for all calls to its only server.
+func newSharedConnProxy(t *testing.T, loop *eventloop.Loop) *Proxy {
 	t.Helper()
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -59,13 +59,13 @@
 
 // Guards against a request that waits for its deadline behind the rest of a call that nobody wants any more: the
 // connection of a call that was written in part ends after 0.1 s, also when its attempt has ended before.
-func TestEndedCallHoldsUpNoOther(t *testing.T) {
-	clock := &handClock{now: eventloop.Timestamp(time.Now().UnixNano())}
+func TestPartialWriteDoesNotBlockOtherCalls(t *testing.T) {
+	clock := &manualClock{now: eventloop.Timestamp(time.Now().UnixNano())}
 	loop, err := eventloop.NewLoop(clock)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := newSharingProxy(t, loop)
+	p := newSharedConnProxy(t, loop)
 	turnUntil := func(done func() bool) {
 		t.Helper()
 		for end := time.Now().Add(5 * time.Second); !done(); {
--- a/internal/proxy/partialrequest_test.go
+++ b/internal/proxy/partialrequest_test.go
@@ -4,7 +4,7 @@
 
 // The bytes that a closed connection has buffered are released, also when they are counted once more after
 // its close.
-func TestClosedConnectionBuffersNothing(t *testing.T) {
+func TestClosedConnectionReleasesBufferedBytes(t *testing.T) {
 	f := &FastCGIServer{memory: &memoryBudget{}, conns: map[*clientConn]bool{}}
 	c := &clientConn{server: f, openRequests: map[uint16]int64{}}
 	f.conns[c] = true
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -35,7 +35,7 @@
 	counters   *counters
 	invariants *invariantChecker
 
-	inbox             []policy.Event     // events that the decision module has not seen yet
+	pendingEvents     []policy.Event     // events that the decision module has not seen yet
 	requests          map[int64]*request // by number
 	lastRequestNumber int64
 	openRequests      int // admitted and not yet answered or given up by their clients
@@ -116,7 +116,7 @@
 		for _, f := range p.fastcgiServers {
 			f.submitUnblocked()
 		}
-		if len(p.inbox) == 0 {
+		if len(p.pendingEvents) == 0 {
 			break
 		}
 	}
@@ -131,9 +131,9 @@
 // dispatchEvents hands the queued events to the decision module and executes its actions, which may queue
 // further events.
 func (p *Proxy) dispatchEvents() {
-	for len(p.inbox) > 0 {
-		events := p.inbox
-		p.inbox = nil
+	for len(p.pendingEvents) > 0 {
+		events := p.pendingEvents
+		p.pendingEvents = nil
 		var actions []policy.Action
 		for _, ev := range events {
 			actions = append(actions, p.router.Handle(p.loop.Now(), ev)...)
@@ -146,7 +146,7 @@
 }
 
 // notify queues an event for the decision module.
-func (p *Proxy) notify(ev policy.Event) { p.inbox = append(p.inbox, ev) }
+func (p *Proxy) notify(ev policy.Event) { p.pendingEvents = append(p.pendingEvents, ev) }
 
 // classIndex is a class's index among the classes of the settings in use.
 func (p *Proxy) classIndex(name string) (index int, known bool) {
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -49,7 +49,7 @@
 // answered.
 func (p *Proxy) Submit(in Request, responder Responder) int64 {
 	verdict := p.mayAdmit(in, responder)
-	if !p.counters.allows(actionStart, verdict) {
+	if !p.counters.recordVerdict(actionStart, verdict) {
 		p.log.Info("request not admitted", "request", in.ID, "rule", verdict.Rule, "reason", verdict.Reason)
 		p.rejectUnsubmitted(in, responder, rejection(verdict))
 		return 0
@@ -118,9 +118,9 @@
 
 // rejectUnsubmitted answers a request that has not been submitted to the decision module.
 func (p *Proxy) rejectUnsubmitted(in Request, responder Responder, a Answer) {
-	p.counters.count(in.ClassName, a.Status.outcome())
+	p.counters.countOutcome(in.ClassName, a.Status.outcome())
 	p.counters.countNotServed(a.Reason)
-	responder.Respond(p.config.withAllowedRetryAfter(a))
+	responder.Respond(p.config.applyRetryAfterSetting(a))
 }
 
 // markRouted marks the requests among events that the decision module has processed. Those that were given up
@@ -149,8 +149,8 @@
 	}
 	p.finish(q)
 	p.invariants.checkFinalAnswer(q, a.Status)
-	p.counters.count(q.ClassName, a.Status.outcome())
-	q.responder.Respond(p.config.withAllowedRetryAfter(a))
+	p.counters.countOutcome(q.ClassName, a.Status.outcome())
+	q.responder.Respond(p.config.applyRetryAfterSetting(a))
 }
 
 // expire handles a request's deadline. Its open attempts are ended, upon which the decision module gives the
@@ -186,7 +186,7 @@
 		return
 	}
 	p.finish(q)
-	p.counters.count(q.ClassName, outcomeFailed)
+	p.counters.countOutcome(q.ClassName, outcomeFailed)
 	p.notify(policy.RequestEnded{ID: number})
 }
 
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -16,13 +16,13 @@
 // stats returns the figures in the form in which operators fetch them, a line each.
 func (p *Proxy) stats() string {
 	var b strings.Builder
-	p.counters.writeOutcomes(&b)
+	p.counters.writeOutcomeMetrics(&b)
 	for _, g := range p.gauges() {
 		fmt.Fprintf(&b, "svc_%s %d\n", g.name, g.value)
 	}
-	p.counters.writeNotServed(&b)
-	p.counters.writeDenials(&b)
-	p.invariants.writeFigures(&b)
+	p.counters.writeNotServedMetrics(&b)
+	p.counters.writeDenialMetrics(&b)
+	p.invariants.writeMetrics(&b)
 	return b.String()
 }
 
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -53,15 +53,15 @@
 	return u.waitingSince != 0 && u.p.loop.Now()-u.waitingSince > unresponsiveAfter
 }
 
-// noteSent notes that a call has been sent.
-func (u *upstream) noteSent() {
+// recordSent notes that a call has been sent.
+func (u *upstream) recordSent() {
 	if u.waitingSince == 0 {
 		u.waitingSince = u.p.loop.Now()
 	}
 }
 
-// noteReceived notes that bytes have come. The answers to the calls that are still open are due from now on.
-func (u *upstream) noteReceived() {
+// recordReceived notes that bytes have come. The answers to the calls that are still open are due from now on.
+func (u *upstream) recordReceived() {
 	u.waitingSince = 0
 	if len(u.calls) > 0 {
 		u.waitingSince = u.p.loop.Now()
@@ -72,7 +72,7 @@
 // STOP command.
 func (u *upstream) Receive(data []byte) (used int, err error) {
 	u.conn.MarkAlive()
-	defer u.noteReceived()
+	defer u.recordReceived()
 	for {
 		size, ans, err := resp.Decode(data[used:])
 		if size == 0 || err != nil {
--- a/internal/proxy/watch_test.go
+++ b/internal/proxy/watch_test.go
@@ -69,7 +69,7 @@
 	p := newEventProxy(loop)
 	p.applyEvent(watch.Event{Purge: &watch.Purge{Object: "w", At: loop.Now().Milliseconds()}}, loop.Now()) // in time: the clock is right
 	p.applyEvent(watch.Event{Purge: &watch.Purge{Object: "x", At: time.Now().Add(-ago).UnixMilli()}}, loop.Now())
-	if age := p.inbox[1].(policy.Purge).Age; age < ago-suspended-time.Second || age > ago-suspended+time.Second {
+	if age := p.pendingEvents[1].(policy.Purge).Age; age < ago-suspended-time.Second || age > ago-suspended+time.Second {
 		t.Errorf("the purge counts as %v old, %v before the turn", age, ago-suspended)
 	}
 }
--- a/internal/proxy/watchclock_test.go
+++ b/internal/proxy/watchclock_test.go
@@ -61,9 +61,9 @@
 func takeEvent[E policy.Event](c *clockPlay) (taken E) {
 	c.t.Helper()
 	for range int(10 * time.Second / playStep) {
-		c.proxy.inbox = nil
+		c.proxy.pendingEvents = nil
 		c.step()
-		for _, ev := range c.proxy.inbox {
+		for _, ev := range c.proxy.pendingEvents {
 			if wanted, isWanted := ev.(E); isWanted {
 				return wanted
 			}
--- a/internal/proxy/watchplay_test.go
+++ b/internal/proxy/watchplay_test.go
@@ -29,7 +29,7 @@
 // step arrives in one piece, so that a play does not depend on the machine.
 type watchPlay struct {
 	t     *testing.T
-	clock *handClock
+	clock *manualClock
 	loop  *eventloop.Loop
 	watch *coordinatorWatch
 	taken *recordedEvents // what the watch has passed on, unless the test has a handler of its own
@@ -74,7 +74,7 @@
 ) *watchPlay {
 	t.Helper()
 	right := eventloop.Timestamp(time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC).UnixNano())
-	clock := &handClock{now: right + wrongBy}
+	clock := &manualClock{now: right + wrongBy}
 	loop, err := eventloop.NewLoop(clock)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/proxy/watchstream_test.go
+++ b/internal/proxy/watchstream_test.go
@@ -36,7 +36,7 @@
 func TestEventOrder(t *testing.T) {
 	event := func(index int64) watch.Event { return watch.Event{Index: index, Purge: &watch.Purge{Object: "x"}} }
 	heartbeat := func(index int64) watch.Event { return watch.Event{Index: index} }
-	loop, err := eventloop.NewLoop(&handClock{})
+	loop, err := eventloop.NewLoop(&manualClock{})
 	if err != nil {
 		t.Fatal(err)
 	}
