--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -1,7 +1,7 @@
 package proxy
 
-// This file holds the configuration: what is fixed at the start, what a reload replaces, and the limits that
-// are derived from either.
+// This file defines the configuration: the part that is fixed at the start, the part that a reload replaces,
+// and the limits that are derived from them.
 
 import (
 	"cmp"
@@ -13,15 +13,15 @@
 )
 
 const (
-	// maxOpenRequests bounds the requests that are not released yet; the settings may set a lower limit.
+	// maxOpenRequests limits the requests that have not been released; the settings may set a lower limit.
 	maxOpenRequests = 4096
-	// maxSharedCalls is how many idempotent calls share a connection where handshakes are priced. More calls
-	// would save less than an eighth of the remaining handshakes, and lose more calls with a connection that
-	// breaks.
+	// maxSharedCalls is how many idempotent calls share a connection if the settings price handshakes. Sharing
+	// it among more would save less than an eighth of the remaining handshakes, and a connection that breaks
+	// would lose more calls.
 	maxSharedCalls = 8
-	// reservedDescriptors is taken from the caches' half of the descriptors. With the tenth that clients
-	// and caches leave, it is for operators (16), the coordinator's streams, the listening sockets, the
-	// event loop and the configuration file.
+	// reservedDescriptors is subtracted from the caches' half of the descriptors. Together with the tenth that
+	// is assigned to neither clients nor caches, these descriptors serve operators (16), the coordinator's
+	// streams, the listening sockets, the event loop and the configuration file.
 	reservedDescriptors = 20
 
 	// Defaults of settings that are optional.
@@ -29,7 +29,7 @@
 	defaultConnectTimeout    = time.Second
 )
 
-// Config is what a proxy needs at its start. Its settings and transfer rate can be replaced later.
+// Config is what a proxy needs at its start. Its settings and transfer rate can be replaced by a reload.
 type Config struct {
 	Settings               settings.Settings
 	Seed                   uint64             // of the random decisions
@@ -51,7 +51,7 @@
 	transferBytesPerSecond float64        // rate of one transfer; 0: unknown
 }
 
-// newRuntimeConfig returns the configuration for settings that have been checked.
+// newRuntimeConfig returns the configuration for settings, which must be valid.
 func newRuntimeConfig(set settings.Settings, transferBytesPerSecond float64) runtimeConfig {
 	c := runtimeConfig{
 		Settings:               set,
@@ -64,12 +64,12 @@
 	return c
 }
 
-// openRequestLimit is how many requests may be open at once.
+// openRequestLimit returns how many requests may be open at once.
 func (c *runtimeConfig) openRequestLimit() int {
 	return min(maxOpenRequests, cmp.Or(c.MaxOpenRequests, maxOpenRequests))
 }
 
-// poolLimits bounds the connections to caches, parents and the origin; maxConns is for all of them together.
+// poolLimits returns the limits on connections to caches, parents and the origin, maxConns in total.
 func (c *runtimeConfig) poolLimits(maxConns int) connpool.Limits {
 	sharedCalls := 0
 	if c.HandshakesPriced {
@@ -82,12 +82,12 @@
 		MaxConns:       maxConns,
 		DedicatedConns: maxConns / 2,
 		ConnectTimeout: cmp.Or(c.ConnectTimeout, defaultConnectTimeout),
-		// Well before the server closes the connection: a call that crosses the server's close is lost.
+		// Well below the server's timeout: a call that crosses the server's close is lost.
 		IdleTimeout: serverIdleTimeout * 2 / 3,
 	}
 }
 
-// transferTime is how long a body takes at the rate of one transfer; 0: unknown.
+// transferTime returns how long a body takes at the rate of one transfer; 0: unknown.
 func (c *runtimeConfig) transferTime(bodyBytes int) time.Duration {
 	if c.transferBytesPerSecond <= 0 {
 		return 0
@@ -95,7 +95,7 @@
 	return time.Duration(float64(bodyBytes) / c.transferBytesPerSecond * float64(time.Second))
 }
 
-// applyRetryAfterSetting removes the Retry-After advice from an answer where the settings disable it.
+// applyRetryAfterSetting removes the Retry-After advice from an answer if the settings disable it.
 func (c *runtimeConfig) applyRetryAfterSetting(a Answer) Answer {
 	if c.RetryAfterDisabled {
 		a.RetryAfter = 0
@@ -103,9 +103,9 @@
 	return a
 }
 
-// ClientSockets is how many of the process's descriptors clients may hold: two fifths.
+// ClientSockets returns how many of the process's descriptors clients may hold: two fifths.
 func ClientSockets(descriptors int) int { return descriptors * 2 / 5 }
 
-// UpstreamSockets is how many of the process's descriptors connections to caches, parents and the origin may
-// hold.
+// UpstreamSockets returns how many of the process's descriptors connections to caches, parents and the origin
+// may hold: half of them less reservedDescriptors.
 func UpstreamSockets(descriptors int) int { return max(1, descriptors/2-reservedDescriptors) }
--- a/internal/proxy/listen.go
+++ b/internal/proxy/listen.go
@@ -1,6 +1,6 @@
 package proxy
 
-// This file holds the opening of the proxy's servers.
+// This file opens the proxy's servers.
 
 import (
 	"net/netip"
@@ -20,7 +20,7 @@
 }
 
 // ListenOn opens a FastCGI server on a listening socket that was passed to the process. Another process may
-// take over from this one on the same socket; both accept for a while then.
+// take over from this one on the same socket, in which case both accept connections for a while.
 func (p *Proxy) ListenOn(fd, maxConns int) error {
 	f := p.newFastCGIServer(maxConns)
 	f.sharedSocket = true
@@ -53,7 +53,7 @@
 	f.start(ln)
 }
 
-// ListenAdmin opens the operators' server on addr.
+// ListenAdmin opens the operators' HTTP server on addr.
 func (p *Proxy) ListenAdmin(addr netip.AddrPort) error {
 	a := &AdminServer{handler: p, loop: p.loop, conns: map[*adminConn]bool{}}
 	_, err := p.loop.Listen(addr, a.ensureCapacity, a.accept)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,7 +1,7 @@
 package proxy
 
-// This file holds the proxy as a whole: what it consists of, its main loop, and the exchange of events and
-// actions with the decision module.
+// This file defines Proxy, its main loop, and the exchange of events and actions with the decision module
+// (package policy).
 
 import (
 	"fmt"
@@ -15,15 +15,15 @@
 )
 
 const (
-	// maxPollTime is how long the event loop waits at most before signals are polled again.
+	// maxPollTime is the longest time that the event loop waits before signals are polled again.
 	maxPollTime = 50 * time.Millisecond
 	// idleSweepInterval is how often idle connections to caches are closed.
 	idleSweepInterval = time.Second
 )
 
-// Proxy is one edge proxy. It owns the open requests and their attempts, hands what happens to them to the
-// decision module as events, and executes the actions that the module returns. All of it runs on the event
-// loop's goroutine.
+// Proxy is one edge proxy. It owns the open requests and their attempts, reports to the decision module, as
+// events, what happens to them, and executes the actions that the module returns. Its methods must be called
+// on the event loop's goroutine.
 type Proxy struct {
 	loop       *eventloop.Loop
 	log        *slog.Logger
@@ -35,8 +35,8 @@
 	counters   *counters
 	invariants *invariantChecker
 
-	pendingEvents     []policy.Event     // events that the decision module has not seen yet
-	requests          map[int64]*request // by number
+	pendingEvents     []policy.Event     // events not handed to the decision module yet
+	requests          map[int64]*request // by request.number
 	lastRequestNumber int64
 	openRequests      int // admitted and not yet answered or given up by their clients
 	maxUpstreamConns  int
@@ -51,7 +51,7 @@
 }
 
 // New returns a proxy with the endpoints and purges of the configuration's initial state. It accepts no
-// client yet.
+// clients before Listen or ListenOn is called.
 func New(loop *eventloop.Loop, cfg Config, logger *slog.Logger) *Proxy {
 	p := &Proxy{
 		loop:              loop,
@@ -94,7 +94,8 @@
 	p.pools.SetLimits(c.poolLimits(p.maxUpstreamConns))
 }
 
-// Run serves until the proxy has stopped. Signals are polled between the turns of the event loop.
+// Run runs the event loop until the proxy has stopped. Signals are polled after each turn of the loop. An
+// error is a failure of the loop.
 func (p *Proxy) Run(signals Signals) error {
 	for p.lifecycle.phase != Stopped {
 		if err := p.loop.Wait(maxPollTime); err != nil {
@@ -107,8 +108,9 @@
 	return nil
 }
 
-// processEvents dispatches events and writes output until no event is queued. Connections of clients are
-// closed last, when everything that has been received is processed and all output of the turn is written.
+// processEvents dispatches events and writes output until no event is queued. While clients are to be
+// disconnected, it closes their connections last, when everything that has been received is processed and all
+// output of the turn is written.
 func (p *Proxy) processEvents() {
 	for {
 		p.dispatchEvents()
@@ -148,7 +150,7 @@
 // notify queues an event for the decision module.
 func (p *Proxy) notify(ev policy.Event) { p.pendingEvents = append(p.pendingEvents, ev) }
 
-// classIndex is a class's index among the classes of the settings in use.
+// classIndex returns a class's index among the classes of the settings in use.
 func (p *Proxy) classIndex(name string) (index int, known bool) {
 	index, known = p.config.classIndexes[name]
 	return index, known
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -1,6 +1,7 @@
-// Package proxy turns client requests into events of the decision module, and the module's actions into
+// Package proxy turns client requests into events for the decision module, and the module's actions into
 // attempts at caches. It holds requests and attempts, the watch of the coordinator and the phases of the
-// program. Which cache a request goes to, and what follows from the result, is decided in package policy.
+// program. The decision module is package policy: it decides which cache a request goes to, and what follows
+// from the result.
 package proxy
 
 import (
@@ -10,8 +11,8 @@
 	"cloverdoor/policy"
 )
 
-// Request is a client's request, whatever protocol it came by. The fields that are forwarded keep the
-// client's spelling.
+// Request is a client's request, independent of the protocol. The fields that are forwarded to caches are
+// kept as the client wrote them.
 type Request struct {
 	ID             string // the client's own id, forwarded
 	Class          int    // index in the settings' classes
@@ -19,17 +20,17 @@
 	Object         string
 	Part           int
 	Group          int
-	SizeKB         float64       // size of the object as the settings measure it; 0: not known
+	SizeKB         float64       // size of the object as the settings measure it; 0: unknown
 	KnownVersion   string        // version of the copy that the client holds; empty: none
-	IdempotencyKey string        // by which caches recognize a repeated request; empty: none
+	IdempotencyKey string        // lets caches recognize a repeated request; empty: none
 	Timeout        time.Duration // how long the client waits, counted from the request's last byte
 	Body           []byte
 }
 
-// Status is how a request ended.
+// Status says how a request was answered.
 type Status int
 
-// The final answers.
+// The statuses of final answers.
 const (
 	Served      Status = iota
 	NotModified        // served: the client's copy is current
@@ -43,25 +44,25 @@
 	Status     Status
 	Version    string // of the copy served
 	Body       []byte
-	RetryAfter time.Duration // of a rejection: how long the client should not retry; 0: not said
+	RetryAfter time.Duration // of a rejection: how long the client should wait before a retry; 0: no advice
 	Reason     policy.Reason // of an answer that serves nothing
 }
 
 // Disconnect says whether a client has disconnected.
 type Disconnect struct {
 	Since     eventloop.Timestamp // the earliest time at which it may have happened; 0: the client is connected
-	GraceOver bool                // so long ago that nothing may begin for the client any more
+	GraceOver bool                // it happened so long ago that nothing may be started for the client any more
 }
 
-// Responder is the way back to the client of one request. Its methods are called on the loop's goroutine and
-// don't block.
+// Responder answers the client of one request. Its methods are called on the loop's goroutine and must not
+// block.
 type Responder interface {
-	// Respond gives the final answer. It is called at most once.
+	// Respond sends the final answer. It is called at most once.
 	Respond(Answer)
-	// PollClient reads what the client has sent since the turn began, if that is long ago. It may end the
-	// request before it returns, as the client may have disconnected or aborted it: the caller must look at
-	// the request's state again.
+	// PollClient reads what the client has sent since the turn of the event loop began, if the turn began long
+	// ago. The client may have disconnected or aborted the request, which then ends before PollClient returns:
+	// the caller must check the request's state again.
 	PollClient()
-	// ClientDisconnected says whether the client has disconnected, as far as its input has been read.
+	// ClientDisconnected says whether the client has disconnected, as far as the input read so far shows.
 	ClientDisconnected() Disconnect
 }
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -1,7 +1,7 @@
 package proxy
 
-// This file holds the life of a request: admission, the deadline, the one final answer, the client's
-// disconnect, and its release once the last attempt has ended.
+// This file holds the life cycle of a request: its admission, its deadline, its one final answer, the
+// disconnect of its client, and its release once the last attempt has ended.
 
 import (
 	"time"
@@ -12,17 +12,17 @@
 )
 
 const (
-	// answerReserve is how long before the client's timeout a request must have its answer: the answer has to
-	// be written and to reach the client. The client allows 50 ms more than its timeout.
+	// answerReserve is how long before the client's timeout a request must have its answer, as the answer still
+	// has to be written and to reach the client. The client waits 50 ms longer than its timeout.
 	answerReserve = 60 * time.Millisecond
-	// answerReserveDivisor bounds the reserve to a quarter of the timeout, so that short ones leave time to
-	// serve.
+	// answerReserveDivisor limits the reserve to a quarter of the timeout, so that a short timeout leaves time
+	// to serve the request.
 	answerReserveDivisor = 4
-	// expiryRecheckTime is how long the decision module has for the final answer once the open attempts were
-	// ended at the deadline.
+	// expiryRecheckTime is how long the decision module has to give the final answer after the open attempts
+	// were ended at the deadline.
 	expiryRecheckTime = answerReserve / 4
-	// unsubmittedRetryAfter is the Retry-After of a request that was never submitted to the decision
-	// module: it is no sign of congestion, so that the client may retry soon.
+	// unsubmittedRetryAfter is the Retry-After of a request that is rejected without being submitted to the
+	// decision module. Such a rejection is no sign of congestion, so the client may retry soon.
 	unsubmittedRetryAfter = 100 * time.Millisecond
 )
 
@@ -36,7 +36,7 @@
 	timer        *eventloop.Timer    // fires at the deadline
 	attempts     []*attempt          // in the order in which they were started
 	openAttempts int                 // attempts that have not ended
-	routed       bool                // the decision module has processed the request, and its first actions were executed
+	routed       bool                // the decision module has processed it and its first actions have been executed
 	finished     bool                // answered, or given up by the client
 	record       requestRecord       // of the invariant checker
 }
@@ -44,9 +44,8 @@
 // isIdempotent reports whether the request may be executed any number of times.
 func (q *request) isIdempotent() bool { return q.idempotency == policy.Idempotent }
 
-// Submit admits a request whose last byte has just been received. It returns the id under which
-// HandleDisconnect and CancelAfterDisconnect know the request, or 0 if the request was rejected and thereby
-// answered.
+// Submit admits a request whose last byte has just been received. It returns the request's number, which
+// HandleDisconnect and CancelAfterDisconnect take, or 0 if the request was answered with a rejection.
 func (p *Proxy) Submit(in Request, responder Responder) int64 {
 	verdict := p.mayAdmit(in, responder)
 	if !p.counters.recordVerdict(actionStart, verdict) {
@@ -67,7 +66,7 @@
 	return q.number
 }
 
-// mayAdmit asks the guard whether a request may be admitted.
+// mayAdmit asks policy.MayAdmit whether a request may be admitted.
 func (p *Proxy) mayAdmit(in Request, responder Responder) policy.Verdict {
 	return policy.MayAdmit(policy.AdmitInfo{
 		ClientDisconnected: responder.ClientDisconnected().GraceOver,
@@ -79,8 +78,8 @@
 	})
 }
 
-// rejection is the answer to a request that is not admitted. Where a limit is reached, the shortest form of
-// answer is used.
+// rejection returns the answer to a request that is not admitted. If the cause is a limit of the process, it
+// is the shortest form of answer.
 func rejection(verdict policy.Verdict) Answer {
 	if verdict.Rule == policy.RuleLimits {
 		return Answer{Status: Overloaded, Reason: verdict.Reason}
@@ -88,7 +87,7 @@
 	return Answer{Status: Rejected, RetryAfter: unsubmittedRetryAfter, Reason: verdict.Reason}
 }
 
-// admit opens a request and starts its timer.
+// admit adds a request to the open ones and starts its timer.
 func (p *Proxy) admit(in Request, responder Responder) *request {
 	p.lastRequestNumber++
 	q := &request{
@@ -105,8 +104,8 @@
 	return q
 }
 
-// answerDeadline is when a request that is admitted now must have its answer. During a shutdown it is no
-// later than the shutdown's own deadline.
+// answerDeadline returns when a request that is admitted now must have its answer. During a shutdown that is
+// no later than the shutdown's own deadline.
 func (p *Proxy) answerDeadline(timeout time.Duration) eventloop.Timestamp {
 	now := p.loop.Now()
 	deadline := now + timeout - min(answerReserve, timeout/answerReserveDivisor)
@@ -123,8 +122,8 @@
 	responder.Respond(p.config.applyRetryAfterSetting(a))
 }
 
-// markRouted marks the requests among events that the decision module has processed. Those that were given up
-// in the meantime can be released now.
+// markRouted marks the requests that are among events as processed by the decision module, and releases those
+// that are finished and have no open attempt.
 func (p *Proxy) markRouted(events []policy.Event) {
 	for _, ev := range events {
 		arrival, isRequest := ev.(policy.Request)
@@ -137,7 +136,7 @@
 	}
 }
 
-// answer gives the final answer. A request that is finished already, or nil, gets none.
+// answer gives a request its final answer. It does nothing if q is nil or finished already.
 func (p *Proxy) answer(q *request, a Answer) {
 	if q == nil || q.finished {
 		return
@@ -153,9 +152,9 @@
 	q.responder.Respond(p.config.applyRetryAfterSetting(a))
 }
 
-// expire handles a request's deadline. Its open attempts are ended, upon which the decision module gives the
-// final answer. A request that the module holds without an attempt is failed here: every request gets its
-// answer in time.
+// expire enforces a request's deadline. It ends the open attempts, after which the decision module gives the
+// final answer, and checks again after expiryRecheckTime. A request that the module holds without an open
+// attempt is failed here, so that every request gets its answer in time.
 func (p *Proxy) expire(q *request) {
 	if q.openAttempts == 0 {
 		p.answer(q, Answer{Status: Failed, Reason: policy.ReasonDeadlineExceeded})
@@ -168,7 +167,7 @@
 	}
 }
 
-// shortenDeadline moves a request's deadline forward to deadline; an earlier one stays.
+// shortenDeadline sets a request's deadline to an earlier time. A deadline that is earlier already stays.
 func (p *Proxy) shortenDeadline(q *request, deadline eventloop.Timestamp) {
 	if q.deadline <= deadline {
 		return
@@ -178,8 +177,8 @@
 	q.timer = p.loop.At(deadline, func() { p.expire(q) })
 }
 
-// HandleDisconnect gives up a request whose client aborted it or is disconnected. The request gets no answer,
-// and counts as faulted.
+// HandleDisconnect gives up a request whose client aborted it or has disconnected. The request gets no answer
+// and counts as failed.
 func (p *Proxy) HandleDisconnect(number int64) {
 	q := p.requests[number]
 	if q == nil || q.finished {
@@ -190,8 +189,8 @@
 	p.notify(policy.RequestEnded{ID: number})
 }
 
-// handleConnectionClosed gives up an open request whose client connection has closed. evicted says that it
-// was closed for another client.
+// handleConnectionClosed gives up an open request whose client connection has closed. evicted says that the
+// connection was closed to make room for another client.
 func (p *Proxy) handleConnectionClosed(number int64, evicted bool) {
 	if q := p.requests[number]; q != nil {
 		p.invariants.checkConnectionClosed(q, evicted)
@@ -200,7 +199,7 @@
 }
 
 // CancelAfterDisconnect answers a request whose client has probably disconnected, and cancels its attempts. A
-// client that has only closed its sending side learns from the answer whether the request may have been
+// client that has closed only its sending side learns from the answer whether the request may have been
 // executed.
 func (p *Proxy) CancelAfterDisconnect(number int64) {
 	q := p.requests[number]
@@ -215,8 +214,8 @@
 	p.notify(policy.RequestEnded{ID: number})
 }
 
-// hasStartedNonIdempotentCall reports whether the request is not idempotent and the first byte of a call
-// for it has been written: the rest may follow before its connection is closed.
+// hasStartedNonIdempotentCall reports whether the request is not idempotent and the first byte of a call for
+// it has been written. The rest of the call may still be written before its connection is closed.
 func (q *request) hasStartedNonIdempotentCall() bool {
 	if q.isIdempotent() {
 		return false
@@ -236,10 +235,10 @@
 	p.releaseIfDone(q)
 }
 
-// releaseIfDone releases a request that is finished and has no open attempt. While an attempt is open the
-// timer stays, as it ends the attempt if the server never answers. A request that is finished in the turn in
-// which it was received stays until the decision module has processed it: the module's first attempt would
-// otherwise never be reported as ended, and its place on the link would stay occupied.
+// releaseIfDone releases a request that is finished and has no open attempt. While an attempt is open, the
+// timer keeps running, as it ends the attempt if the server never answers. A request that is finished in the
+// turn in which it was received is kept until the decision module has processed it: otherwise the first
+// attempt that the module orders would never be reported as ended and would occupy its link forever.
 func (p *Proxy) releaseIfDone(q *request) {
 	if !q.routed || !q.finished || q.openAttempts > 0 || p.requests[q.number] != q {
 		return
