--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -1,6 +1,6 @@
 package proxy
 
-// This file starts attempts and chooses the connections on which their calls are queued.
+// This file starts attempts and selects the connections on which their calls are queued.
 
 import (
 	"cloverdoor/internal/connpool"
@@ -9,8 +9,8 @@
 	"cloverdoor/policy"
 )
 
-// maxReassignments is how often a call may be moved from a connection that is late to another one. With a
-// third of all connections late, three late ones in succession are few.
+// maxReassignments is how often a call may be moved from an overdue connection to another one. Even if a third
+// of all connections are overdue, three in succession are rare.
 const maxReassignments = 2
 
 // attempt is one call of a request to a cache, a parent or the origin. It ends once, with one result.
@@ -19,16 +19,16 @@
 	req       *request
 	number    int    // index among the request's attempts
 	target    string // id of the endpoint that is called
-	source    string // fill source as of the last Encode; the target itself if nothing is filled
+	source    string // id of the fill source as of the last Encode; the target itself if nothing is filled
 	createdAt eventloop.Timestamp
 
-	upstream     *upstream // the connection on which the call is queued or sent; nil: it got none
+	upstream     *upstream // the connection on which the call is queued or sent; nil: none was available
 	lastSequence int       // number of the last queueEntry; those before it are void
 	started      bool      // the first byte has been written
 	written      bool      // the last byte has been written: the call may be executed
 
-	// oldestCopyMillis is the Unix millisecond before which no copy in the answer may have been made; 0: no
-	// bound.
+	// oldestCopyMillis is the earliest creation time, in Unix milliseconds, of a copy that is accepted as the
+	// answer; 0: no limit.
 	oldestCopyMillis int64
 
 	ended  bool
@@ -36,8 +36,8 @@
 	record attemptRecord // of the invariant checker
 }
 
-// startAttempt starts an attempt as ordered by the decision module: its call is queued on a connection to the
-// target.
+// startAttempt starts an attempt that the decision module has ordered and queues its call on a connection to
+// the target.
 func (p *Proxy) startAttempt(q *request, fetch policy.Fetch) {
 	a := &attempt{p: p, req: q, number: len(q.attempts), target: fetch.Target, createdAt: p.loop.Now()}
 	if a.number > 0 {
@@ -58,8 +58,8 @@
 	a.enqueue(conn, maxReassignments)
 }
 
-// logRetryOrHedge logs an attempt that is not its request's first: a retry, or a hedge while the previous one is
-// open.
+// logRetryOrHedge logs an attempt after the first one of its request: a hedge if the previous attempt is still
+// open, otherwise a retry.
 func (p *Proxy) logRetryOrHedge(a, previous *attempt) {
 	if !previous.ended {
 		p.log.Info("hedge", "request", a.req.ID, "attempt", a.number, "server", a.target,
@@ -75,9 +75,9 @@
 	return conn.Owner.(*upstream).accepts(q)
 }
 
-// enqueue queues the call on a connection. If that is not up in the usual time, the call is moved to another
-// one, as nothing of it has been sent: some connections come up only after a second, which is beyond most
-// deadlines.
+// enqueue queues the call on a connection. If the connection is overdue before it is established, the call is
+// moved to another one, which is safe as nothing of it has been sent. Some connections take more than a second
+// to be established, which exceeds most deadlines.
 func (a *attempt) enqueue(conn *connpool.PooledConn, reassignmentsLeft int) {
 	a.upstream = conn.Owner.(*upstream)
 	a.upstream.calls[a.req.ID] = a
@@ -90,7 +90,7 @@
 	a.p.loop.At(a.p.loop.Now()+untilOverdue, func() { a.reassign(conn, reassignmentsLeft) })
 }
 
-// reassign moves the call from a connection that is late to another one, if there is one.
+// reassign moves the call from an overdue connection to another one, if the pool provides one.
 func (a *attempt) reassign(overdue *connpool.PooledConn, reassignmentsLeft int) {
 	if a.ended || a.started || overdue.Connected() || overdue.Ended() {
 		return
--- a/internal/proxy/call.go
+++ b/internal/proxy/call.go
@@ -1,7 +1,7 @@
 package proxy
 
-// This file sends the call of an attempt: the last check by the decision module, the encoding, and what
-// follows from its first and last byte being written.
+// This file sends the call of an attempt: the last check by the decision module, the encoding, and the effects
+// of writing its first and its last byte.
 
 import (
 	"errors"
@@ -14,25 +14,26 @@
 )
 
 const (
-	// maxPartialWriteTime is how long a call may be written in part. The call carries the time that is left,
-	// which may be outdated by 0.15 s at most when the server has read it.
+	// maxPartialWriteTime is the longest time between the writes of a call's first and last byte. The call
+	// states the time left to its deadline, which must be out of date by no more than 0.15 s when the server
+	// has read the call.
 	maxPartialWriteTime = 100 * time.Millisecond
-	// maxAgeTolerance is by how much the age of a copy may exceed its bound: both are rounded to
+	// maxAgeTolerance is by how much the age of a copy may exceed its limit, as both are rounded to
 	// milliseconds.
 	maxAgeTolerance = 2 * time.Millisecond
 )
 
-var errPartialWrite = errors.New("peer has read only a part of the call")
+var errPartialWrite = errors.New("peer did not read the whole call in time")
 
-// queueEntry is an attempt's call in the output queue of a connection (an eventloop.Message). Only the
-// attempt's last entry counts: a call that was moved to another connection and back is in the first one's
-// queue twice, and must be sent once.
+// queueEntry is an attempt's call in the output queue of a connection. It implements eventloop.Message. Only
+// the attempt's last entry is sent: a call that was moved to another connection and back is in the first
+// one's queue twice, and must be sent once.
 type queueEntry struct {
 	*attempt
-	sequence int
+	sequence int // number of the entry among those of its attempt
 }
 
-// Encode makes the call when its first byte is about to be written. The decision module is asked again, as
+// Encode encodes the call when its first byte is about to be written. It asks the decision module again, as
 // the target may have begun to drain, or the object may have been purged, while the call waited for its
 // connection.
 func (e queueEntry) Encode() ([]byte, bool) {
@@ -54,7 +55,7 @@
 	return resp.AppendCall(nil, &call), true
 }
 
-// call is the call as the decision module wants it at the time now.
+// call returns the call with the parameters that the decision module has given at the time now.
 func (a *attempt) call(fetch policy.Fetch, now eventloop.Timestamp) resp.Call {
 	call := resp.Call{
 		ID:                   a.req.ID,
@@ -102,7 +103,7 @@
 	return policy.Fetch{}, false
 }
 
-// Started notes that the first byte has been written; complete says that the last one has been too.
+// Started records that the first byte has been written; complete says that the last one has been too.
 func (a *attempt) Started(complete bool) {
 	a.started = true
 	a.upstream.recordSent()
@@ -112,15 +113,15 @@
 	}
 }
 
-// Written notes that the last byte has been written, and counts the attempt as forwarded.
+// Written records that the last byte has been written, and counts the attempt as forwarded.
 func (a *attempt) Written() {
 	a.written = true
 	a.p.invariants.checkWritten(a)
 	a.p.counters.countOutcome(a.req.ClassName, outcomeForwarded)
 }
 
-// failPartialWrite fails the connection of a call of which the peer still has not taken the last byte. Also when
-// its attempt has ended: the rest would hold up the calls behind it.
+// failPartialWrite closes the connection with an error if the last byte of the call has still not been
+// written, even if the attempt has ended: the rest of the call would delay those queued behind it.
 func (a *attempt) failPartialWrite() {
 	if !a.written {
 		a.upstream.conn.Fail(errPartialWrite)
--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -1,6 +1,6 @@
 package proxy
 
-// This file holds a client's connection: its records, its open requests, and when it is closed.
+// This file handles a client's connection: its records, its open requests, and when it is closed.
 
 import (
 	"errors"
@@ -16,8 +16,8 @@
 // is serving.
 const healthPath = "/alive"
 
-// notSubmitted stands for the number of an open request that is blocked, or that Submit is about to answer or
-// admit.
+// notSubmitted takes the place of a request's number while the request is blocked, or while Submit decides
+// whether to admit it.
 const notSubmitted = 0
 
 // clientConn is one connection of a client, on which any number of requests may be open at a time.
@@ -27,21 +27,22 @@
 	conn    *eventloop.Conn
 	decoder fastcgi.Decoder
 
-	openRequests     map[uint16]int64 // numbers by FastCGI id, or notSubmitted; nil once closed
+	openRequests     map[uint16]int64 // request numbers, or notSubmitted, by FastCGI id; nil once closed
 	blocked          []blockedRequest // the oldest first
-	completeRequests int              // requests that have been received completely, or rejected before that
+	completeRequests int              // requests received completely, or rejected before that
 	closeWhenDone    bool             // no further request will be read: close once all are answered
 
 	partialBytes    int                 // buffered bytes of partial and blocked requests
 	skipBytes       int                 // bytes still to come of a record that is discarded
-	incompleteSince eventloop.Timestamp // start of the wait for a request, or the rest of one; 0: none
+	incompleteSince eventloop.Timestamp // start of the wait for the first request, or for the rest of one; 0: no wait
 
 	lastAnsweredAt    eventloop.Timestamp // when the last answer was written
 	polledAt          eventloop.Timestamp // when the client was last polled within a turn
-	disconnectedSince eventloop.Timestamp // when the client stopped sending; 0: it has not
+	disconnectedSince eventloop.Timestamp // when the client closed its sending side; 0: it is open
 }
 
-// Receive handles the complete records in data.
+// Receive handles the complete records in data and returns how many bytes it consumed. A protocol error stops
+// reading but does not close the connection, so the returned error is always nil.
 func (c *clientConn) Receive(data []byte) (used int, err error) {
 	completeBefore := c.completeRequests
 	skipped := min(c.skipBytes, len(data))
@@ -61,8 +62,8 @@
 	return used, nil
 }
 
-// updateIncompleteSince keeps the start of the wait for the rest of a request. The wait restarts with each
-// request that has been completed, as what is incomplete then is another one.
+// updateIncompleteSince updates the start of the wait for a request or the rest of one. The wait restarts
+// whenever a request is completed, as a partial request after it is another one.
 func (c *clientConn) updateIncompleteSince(hasPartial, completedRequest bool) {
 	if !hasPartial && c.completeRequests > 0 {
 		c.incompleteSince = 0
@@ -86,7 +87,7 @@
 	return len(data), nil
 }
 
-// handleEvent handles what one record has brought; most bring no event.
+// handleEvent handles the event of one record. Most records have none, and event is nil.
 func (c *clientConn) handleEvent(event fastcgi.Event) {
 	switch event := event.(type) {
 	case *fastcgi.Request:
@@ -129,8 +130,9 @@
 	c.submit(parsed, to)
 }
 
-// mustBlock reports whether the next request is blocked: requests are submitted in the order in which they
-// came. One that would be rejected anyway is submitted for its rejection.
+// mustBlock reports whether the next request is blocked, because of backpressure or because earlier requests
+// are blocked, as requests are submitted in the order in which they arrived. A request that would be rejected
+// anyway is not blocked: Submit rejects it.
 func (c *clientConn) mustBlock() bool {
 	if !c.isBackpressured() && len(c.blocked) == 0 {
 		return false
@@ -138,12 +140,12 @@
 	return !c.disconnectState().GraceOver && !c.server.lifecycle.rejecting()
 }
 
-// waitBeforeRead is how long a request that has just been read may have waited in the kernel.
+// waitBeforeRead returns how long a request that has just been read may have waited in the kernel.
 func (c *clientConn) waitBeforeRead() time.Duration {
 	return max(c.server.loop.SchedulingDelay(maxPollTime), c.conn.QueueingDelay())
 }
 
-// answerHealthCheck says whether the proxy is serving.
+// answerHealthCheck answers 200 while the proxy is serving, otherwise 503.
 func (c *clientConn) answerHealthCheck(to *responder) {
 	status := statusServiceUnavailable
 	if c.server.lifecycle.phase == Serving {
@@ -152,7 +154,8 @@
 	to.write(fastcgi.Response{Status: status})
 }
 
-// submit submits a request. It counts as open before Submit, which may answer it, and so remove it, at once.
+// submit submits a request. The request is marked as open before Submit is called, because Submit may answer
+// it, which removes the mark.
 func (c *clientConn) submit(parsed Request, to *responder) {
 	c.openRequests[to.id] = notSubmitted
 	number := c.server.handler.Submit(parsed, to)
@@ -161,15 +164,15 @@
 	}
 }
 
-// handleAbort ends a request that its client has aborted. FastCGI requires an END_REQUEST, which frees the
-// request's id; there is no other answer.
+// handleAbort ends a request that its client has aborted. The only answer is the END_REQUEST record that
+// FastCGI requires, after which the client may use the request's id again.
 func (c *clientConn) handleAbort(id uint16) {
 	c.setBlocked(slices.DeleteFunc(c.blocked, func(b blockedRequest) bool { return b.request.ID == id }))
 	c.server.handler.HandleDisconnect(c.openRequests[id])
 	c.finishRequest(id, fastcgi.AppendAborted(nil, id))
 }
 
-// finishRequest writes the last bytes of a request and frees its id.
+// finishRequest writes the end of the answer to a request and frees the request's id.
 func (c *clientConn) finishRequest(id uint16, data []byte) {
 	delete(c.openRequests, id)
 	c.lastAnsweredAt = c.server.loop.Now()
@@ -178,8 +181,8 @@
 	c.closeIfDone()
 }
 
-// stopReading ignores further input after a protocol error. Requests that were complete before it are still
-// answered, and the connection is closed after the last answer.
+// stopReading ignores further input after a protocol error. Requests that were complete before the error are
+// still answered, and the connection is closed after the last answer.
 func (c *clientConn) stopReading(err error) {
 	c.server.log.Warn("client connection not read further, protocol error",
 		"connection", c.number, "error", err, "open_requests", len(c.openRequests))
@@ -191,7 +194,7 @@
 	c.closeIfDone()
 }
 
-// Closed ends the requests that are open on the connection, which its client or a failure has closed.
+// Closed ends the open requests of a connection that was closed by its client or by a failure.
 func (c *clientConn) Closed(err error) {
 	if errors.Is(err, eventloop.ErrWriteStalled) {
 		c.logStalledClose(err, eventloop.MaxQueuedBytes)
@@ -199,8 +202,8 @@
 	c.release(err)
 }
 
-// closeStalled closes the connection of a client that is stalled, or for which memory is lacking. The client loses its
-// open requests.
+// closeStalled closes the connection of a client that does not read its answers: for too long, or while the
+// memory budget is critical. Its open requests get no answer.
 func (c *clientConn) closeStalled(reason error) {
 	queuedBytes, _ := c.conn.QueuedOutput()
 	c.logStalledClose(reason, queuedBytes)
@@ -208,14 +211,14 @@
 	c.release(reason)
 }
 
-// logStalledClose logs that the connection is closed with output that its client has not read.
+// logStalledClose logs that the connection is closed although its client has not read all output.
 func (c *clientConn) logStalledClose(reason error, queuedBytes int) {
 	c.server.log.Info("client connection closed, output not read",
 		"connection", c.number, "reason", reason, "queued_bytes", queuedBytes, "open_requests", len(c.openRequests))
 }
 
-// release ends the requests that are open on a connection that is closed. Only an eviction (errEvicted) must never
-// meet an open request.
+// release removes a closed connection from its server and ends the open requests. An eviction (errEvicted),
+// unlike any other cause, must not find an open request.
 func (c *clientConn) release(err error) {
 	delete(c.server.conns, c)
 	delete(c.server.blockedConns, c)
@@ -227,23 +230,23 @@
 	c.setPartialBytes(0)
 }
 
-// closeIfDone closes a connection on which no further request will be read, once all are answered.
+// closeIfDone closes the connection if no further request will be read from it and all have been answered.
 func (c *clientConn) closeIfDone() {
 	if c.closeWhenDone && c.hasNoOpenRequest() {
 		c.conn.CloseAfterFlush()
 	}
 }
 
-// hasNoOpenRequest reports whether no request is open, complete or not.
+// hasNoOpenRequest reports whether the connection has neither an open request nor a partial one.
 func (c *clientConn) hasNoOpenRequest() bool { return len(c.openRequests) == 0 && !c.decoder.Busy() }
 
-// idleTime is the time since the last input or answer.
+// idleTime returns the time since the last input or answer.
 func (c *clientConn) idleTime() time.Duration {
 	return c.server.loop.Now() - max(c.conn.LastReceived(), c.lastAnsweredAt)
 }
 
-// isOverdue reports whether the client has exceeded a timeout for sending a request or for being idle. It is not
-// idle while a request is open.
+// isOverdue reports whether the client has exceeded a timeout for sending a request or for being idle. A
+// client with an open request is never overdue.
 func (c *clientConn) isOverdue() bool {
 	if len(c.openRequests) > 0 {
 		return false
@@ -255,19 +258,19 @@
 	return idle > requestPauseTimeout || c.server.loop.Now()-c.incompleteSince > requestReadTimeout
 }
 
-// expectsRequest reports whether the client has just connected or begun a record: a close would lose its
+// expectsRequest reports whether the client has just connected or begun a request: a close would lose the
 // request.
 func (c *clientConn) expectsRequest() bool {
 	return c.incompleteSince != 0 && c.server.loop.Now()-c.incompleteSince <= evictPartialAfter
 }
 
-// closeInfo is what decides whether an idle connection can be closed.
+// closeInfo returns what policy.MayClose needs to decide whether an idle connection can be closed.
 func (c *clientConn) closeInfo() policy.CloseInfo {
 	return policy.CloseInfo{OpenRequests: len(c.openRequests), HasUnreadInput: c.conn.HasUnreadInput}
 }
 
-// drainInfo is what decides whether a connection can be closed because clients are to be disconnected:
-// nothing that its client has sent, or is about to send, may be lost.
+// drainInfo returns what policy.MayClose needs to decide whether a connection can be closed because clients
+// are to be disconnected. No answer may be lost, nor anything that the client has sent or is about to send.
 func (c *clientConn) drainInfo() policy.CloseInfo {
 	queuedBytes, _ := c.conn.QueuedOutput()
 	return policy.CloseInfo{
