--- a/internal/proxy/actions.go
+++ b/internal/proxy/actions.go
@@ -8,7 +8,7 @@
 )
 
 // execute carries out one action of the decision module. An action for a request that has been released
-// meanwhile is void.
+// meanwhile is ignored.
 func (p *Proxy) execute(action policy.Action) {
 	switch action := action.(type) {
 	case policy.Fetch:
@@ -26,8 +26,8 @@
 	}
 }
 
-// cancelAttempt ends an attempt whose answer is no longer wanted. One that can't be cancelled goes on until
-// its answer or its deadline.
+// cancelAttempt ends an attempt whose answer is no longer wanted. An attempt that can't be cancelled continues
+// until its answer or its deadline.
 func (p *Proxy) cancelAttempt(action policy.Cancel) {
 	q := p.requests[action.ID]
 	if q == nil || action.Attempt >= len(q.attempts) {
@@ -39,7 +39,7 @@
 	}
 }
 
-// startTimer has the decision module notified after the time that it asks for.
+// startTimer notifies the decision module after the time that it has asked for.
 func (p *Proxy) startTimer(action policy.StartTimer) {
 	p.loop.At(p.loop.Now()+action.In, func() { p.notify(policy.TimerFired{Token: action.Token}) })
 }
--- a/internal/proxy/backpressure.go
+++ b/internal/proxy/backpressure.go
@@ -1,7 +1,7 @@
 package proxy
 
-// This file holds backpressure: while a client has too many unread bytes of answers, its further requests are
-// blocked. A blocked request is open, so that its client can abort it, but it is not submitted.
+// This file implements backpressure: while a client leaves too many bytes of its answers unread, its further
+// requests are blocked. A blocked request is open, so that its client can abort it, but is not submitted.
 
 import (
 	"errors"
@@ -16,12 +16,12 @@
 // blocked.
 const backpressureBytes = 1 << 20
 
-// blockedTimeoutDivisor sets how long a request may stay blocked before it is rejected: for its timeout
-// divided by this. A later rejection would leave the client too little time for a retry.
+// blockedTimeoutDivisor limits the time for which a request may be blocked before it is rejected: to its
+// timeout divided by this. A later rejection would leave the client too little time for a retry.
 const blockedTimeoutDivisor = 2
 
-// errMemoryLimit closes a connection whose unread answers take memory that the process does not have.
-var errMemoryLimit = errors.New("memory for clients is used up")
+// errMemoryLimit says that a connection was closed because its unread answers take memory that is short.
+var errMemoryLimit = errors.New("memory limit reached")
 
 // blockedRequest is a request that is blocked by backpressure.
 type blockedRequest struct {
@@ -30,13 +30,13 @@
 	blockedAt eventloop.Timestamp
 }
 
-// isBackpressured reports whether the client has too many unread bytes.
+// isBackpressured reports whether the client has too many unread bytes of answers.
 func (c *clientConn) isBackpressured() bool {
 	queuedBytes, _ := c.conn.QueuedOutput()
 	return queuedBytes >= backpressureBytes
 }
 
-// block keeps a request until the client has read more.
+// block holds a request back until the client has read more of its answers.
 func (c *clientConn) block(r *fastcgi.Request, parsed Request) {
 	c.openRequests[r.ID] = notSubmitted
 	c.blocked = append(c.blocked, blockedRequest{request: r, parsed: parsed, blockedAt: c.server.loop.Now()})
@@ -80,7 +80,7 @@
 	c.submit(parsed, &responder{conn: c, id: b.request.ID})
 }
 
-// rejectOverdueBlocked rejects the requests that have been blocked for too long at the given time.
+// rejectOverdueBlocked rejects the requests that, at the given time, have been blocked for too long.
 func (c *clientConn) rejectOverdueBlocked(now eventloop.Timestamp) {
 	for len(c.blocked) > 0 && now-c.blocked[0].blockedAt >= c.blocked[0].parsed.Timeout/blockedTimeoutDivisor {
 		c.rejectBlockedRequest(c.popBlocked())
@@ -95,8 +95,9 @@
 	})
 }
 
-// relieveMemory makes way for an answer while the memory budget is critical: queued output is written at
-// once, and a client that is stalled loses its connection, which shows it that its answers are incomplete.
+// relieveMemory frees memory for an answer while the memory budget is critical: queued output is written at
+// once, and the connection of a stalled client is closed, which shows the client that its answers are
+// incomplete.
 func (c *clientConn) relieveMemory() {
 	if !c.server.memory.critical() {
 		return
--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -1,6 +1,7 @@
 package proxy
 
-// This file counts what the figures report: outcomes of requests, denials by guards, reloads.
+// This file holds the counters behind the metrics: outcomes of requests, denials by the decision module's
+// guards, reloads.
 
 import (
 	"fmt"
@@ -11,15 +12,15 @@
 	"cloverdoor/policy"
 )
 
-// outcome is how a request ended, or that an attempt was forwarded, under the names of the figures.
+// outcome says how a request ended, or that an attempt was forwarded.
 type outcome int
 
 // The outcomes that are counted for each class.
 const (
-	outcomeServed    outcome = iota // answered as asked
+	outcomeServed    outcome = iota // answered with what was requested
 	outcomeRejected                 // rejected: may be sent again
 	outcomeFailed                   // failed, or given up by the client
-	outcomeForwarded                // forwarded: counts attempts, not requests
+	outcomeForwarded                // written to a server: counts attempts, not requests
 	outcomeCount
 )
 
@@ -30,10 +31,10 @@
 	outcomeForwarded: "relayed",
 }
 
-// String is the outcome's name in the figures and in the log.
+// String returns the outcome's name in the metrics and in the log.
 func (o outcome) String() string { return outcomeNames[o] }
 
-// outcome is what a final answer counts as.
+// outcome returns the outcome as which a final answer is counted.
 func (s Status) outcome() outcome {
 	switch s {
 	case Served, NotModified:
@@ -44,17 +45,17 @@
 	return outcomeFailed
 }
 
-// action is what a guard was asked about, under the names of the figures.
+// action is what a guard was asked to allow, by its name in the metrics.
 type action string
 
-// The actions that guards look at.
+// The actions that guards check.
 const (
 	actionSend  action = "send"  // write the first byte of an attempt
 	actionStart action = "start" // admit a complete request
 	actionClose action = "close" // close a client connection
 )
 
-// denial is an action that a guard has denied, and why.
+// denial is an action that a guard has denied, with the reason.
 type denial struct {
 	action action
 	policy.Verdict
@@ -64,14 +65,14 @@
 	return fmt.Sprintf("action=%q,rule=%q,reason=%q", d.action, d.Rule, d.Reason)
 }
 
-// counters are what the process has counted since its start. None of them ever falls.
+// counters holds what the process has counted since its start. No count ever decreases.
 type counters struct {
-	classNames []string // in the order in which the classes became known
+	classNames []string // in the order of their addClass calls
 	outcomes   map[string]*[outcomeCount]int64
 	denials    map[denial]int64
 	notServed  map[policy.Reason]int64 // answers that served nothing
 
-	configsAccepted, configsRejected int // configurations read again
+	configsAccepted, configsRejected int // by reloads
 	unreadableParts                  int // parts of the coordinator's events that could not be read
 }
 
@@ -79,8 +80,8 @@
 	return &counters{outcomes: map[string]*[outcomeCount]int64{}, denials: map[denial]int64{}, notServed: map[policy.Reason]int64{}}
 }
 
-// addClass makes a class known, so that its figures are listed from now on. A class that is removed keeps its
-// counts.
+// addClass returns the counts of a class, whose metrics are listed from its first call on. A class that is
+// removed from the settings keeps its counts.
 func (c *counters) addClass(class string) *[outcomeCount]int64 {
 	counts := c.outcomes[class]
 	if counts == nil {
@@ -105,14 +106,14 @@
 // countNotServed counts an answer that serves nothing.
 func (c *counters) countNotServed(reason policy.Reason) { c.notServed[reason]++ }
 
-// writeNotServedMetrics adds the figures of answers that served nothing, in a fixed order.
+// writeNotServedMetrics writes the metrics of answers that served nothing, in a fixed order.
 func (c *counters) writeNotServedMetrics(b *strings.Builder) {
 	for _, reason := range slices.Sorted(maps.Keys(c.notServed)) {
 		fmt.Fprintf(b, "svc_not_served{reason=%q} %d\n", reason, c.notServed[reason])
 	}
 }
 
-// writeOutcomeMetrics adds the figures of each class.
+// writeOutcomeMetrics writes the metrics of each class.
 func (c *counters) writeOutcomeMetrics(b *strings.Builder) {
 	for _, class := range c.classNames {
 		for o, n := range c.outcomes[class] {
@@ -121,7 +122,7 @@
 	}
 }
 
-// writeDenialMetrics adds the figures of the guards, in a fixed order.
+// writeDenialMetrics writes the metrics of denials, in a fixed order.
 func (c *counters) writeDenialMetrics(b *strings.Builder) {
 	byLabel := func(x, y denial) int { return strings.Compare(x.label(), y.label()) }
 	for _, d := range slices.SortedFunc(maps.Keys(c.denials), byLabel) {
--- a/internal/proxy/disconnect.go
+++ b/internal/proxy/disconnect.go
@@ -1,7 +1,6 @@
 package proxy
 
-// This file holds what is done when a client stops sending, or closes its connection, while requests of it
-// are open.
+// This file handles clients that close their sending side, or their connection, while they have open requests.
 
 import (
 	"math"
@@ -11,27 +10,27 @@
 )
 
 const (
-	// disconnectGrace is how long after a client has stopped sending its open requests are cancelled. Nothing
-	// may begin for it more than 0.1 s after a disconnect; without any grace, a client that has closed only
-	// its sending side would lose answers that are about to come.
+	// disconnectGrace is the time between a client's closing its sending side and the cancellation of its open
+	// requests. No call may be started for a client more than 0.1 s after its disconnect; without any grace,
+	// a client that has closed only its sending side would lose answers that are about to come.
 	disconnectGrace = 80 * time.Millisecond
-	// clientPollInterval is how old what has been read from a client may be before it is polled within a
-	// turn.
+	// clientPollInterval is the time since the last read from a client after which the client is polled within
+	// a turn.
 	clientPollInterval = 30 * time.Millisecond
-	// unknownDisconnectTime stands for a disconnect whose time is not known: it counts as long ago, so that
-	// the grace is over.
+	// unknownDisconnectTime is the time of a disconnect that happened at an unknown time. It is long ago, so
+	// that the grace is over.
 	unknownDisconnectTime eventloop.Timestamp = 1
 )
 
-// PeerClosing notes that the client sends no more: it stopped after the given time (0: not known). It has
-// most likely closed the connection, but may also have closed only its sending side and wait for its answers:
-// those that come within disconnectGrace are still sent.
+// PeerClosing records that the client closed its sending side after the given time (0: unknown). The client
+// has most likely closed the connection, but may also wait for its answers: those that come within
+// disconnectGrace are still sent.
 func (c *clientConn) PeerClosing(after eventloop.Timestamp) {
 	c.disconnectedSince = max(unknownDisconnectTime, after)
 	c.server.loop.At(c.disconnectedSince+disconnectGrace, c.cancelOpenRequests)
 }
 
-// disconnectState says whether and since when the client is disconnected.
+// disconnectState returns whether and since when the client is disconnected.
 func (c *clientConn) disconnectState() Disconnect {
 	if c.disconnectedSince == 0 {
 		return Disconnect{}
@@ -40,8 +39,8 @@
 	return Disconnect{Since: c.disconnectedSince, GraceOver: graceOver}
 }
 
-// pollClient reads what the client has sent since the turn began, if the turn, or the last poll, is older
-// than clientPollInterval: the client may have disconnected or aborted a request meanwhile.
+// pollClient reads what the client has sent since the turn began, if both the start of the turn and the last
+// poll are longer ago than clientPollInterval: the client may have disconnected or aborted a request meanwhile.
 func (c *clientConn) pollClient() {
 	now := c.server.loop.CurrentTime()
 	lastRead := max(c.polledAt, c.server.loop.Now())
@@ -59,8 +58,7 @@
 	}
 }
 
-// PeerClosed reports whether the client is still owed output. The connection is closed once it is not any
-// more.
+// PeerClosed reports whether the client still has to get output. The connection is closed once it has got all.
 func (c *clientConn) PeerClosed() (owed bool) {
 	c.closeWhenDone = true
 	if len(c.openRequests) > 0 {
--- a/internal/proxy/eviction.go
+++ b/internal/proxy/eviction.go
@@ -1,27 +1,27 @@
 package proxy
 
-// This file holds eviction: when clients hold all the connections that they may, an idle one is closed so
-// that a new one can be accepted. Without it, clients that connect and send nothing, or send one request and
-// stay, would keep out all others.
+// This file implements eviction: when the limit on client connections is reached, an idle one is closed so that
+// a new one can be accepted. Without eviction, clients that connect and send nothing, or send one request and
+// stay connected, would keep out all others.
 
 import (
 	"errors"
 	"time"
 )
 
-// errEvicted closes a connection whose place another client needs.
+// errEvicted says that a connection was closed to make room for another client.
 var errEvicted = errors.New("evicted for another client")
 
 // How long a connection must have been idle before it can be evicted.
 const (
-	// evictSilentAfter is for a client that has sent nothing yet: a real client sends its request once it is
-	// connected.
+	// evictSilentAfter is for a client that has sent nothing yet: a normal client sends its request as soon as
+	// it is connected.
 	evictSilentAfter = 50 * time.Millisecond
-	// evictIdleAfter is for a client whose requests have all been answered. A request that crosses the close
-	// within 50 ms is sent again. With a longer time, a few hundred clients a second that each send one
-	// request and stay would hold all connections.
+	// evictIdleAfter is for a client whose requests have all been answered. The client repeats a request that
+	// crosses the close within 50 ms. With a longer time, a few hundred clients a second that each send one
+	// request and stay connected would hold all connections.
 	evictIdleAfter = 100 * time.Millisecond
-	// evictPartialAfter is for a client that paused in the middle of a request, which would be lost.
+	// evictPartialAfter is for a client that paused in the middle of a request, which the eviction loses.
 	evictPartialAfter = 250 * time.Millisecond
 )
 
@@ -46,13 +46,12 @@
 	}
 }
 
-// ensureCapacity reports whether one more client can be accepted. It may evict another for that.
+// ensureCapacity reports whether one more client can be accepted. It evicts another one if necessary.
 func (f *FastCGIServer) ensureCapacity() bool {
 	return len(f.conns) < f.maxConns || f.evictIdleClient()
 }
 
-// evictIdleClient closes the connection whose loss costs least, and reports whether there was one that can be
-// closed.
+// evictIdleClient evicts the client whose eviction costs least, and reports whether there was one to evict.
 func (f *FastCGIServer) evictIdleClient() bool {
 	denied := map[*clientConn]bool{}
 	for {
@@ -68,7 +67,7 @@
 	}
 }
 
-// evictionCandidate returns the connection to evict first among those not in denied, nil if there is none.
+// evictionCandidate returns the connection to evict first, except those in denied; nil if there is none.
 func (f *FastCGIServer) evictionCandidate(denied map[*clientConn]bool) *clientConn {
 	var candidate *clientConn
 	for c := range f.conns {
@@ -82,15 +81,15 @@
 	return candidate
 }
 
-// evict closes a connection to free its place.
+// evict closes a connection to make room for another client.
 func (f *FastCGIServer) evict(c *clientConn) {
 	f.log.Info("client connection evicted", "connection", c.number, "idle", c.idleTime())
 	c.conn.Close()
 	c.release(errEvicted)
 }
 
-// evictable reports whether the connection is a candidate: idle for long enough, with nothing open or queued.
-// It is asked of every connection; policy.MayClose then decides about the one that was chosen.
+// evictable reports whether the connection is a candidate: idle for long enough, with no open request and no
+// queued output. Every connection is checked; policy.MayClose then decides about the chosen one.
 func (c *clientConn) evictable() bool {
 	queuedBytes, _ := c.conn.QueuedOutput()
 	if len(c.openRequests) > 0 || queuedBytes > 0 || c.conn.Ended() {
@@ -99,7 +98,8 @@
 	return c.idleTime() > c.evictionClass().minIdleTime()
 }
 
-// evictBefore orders candidates: by class, then the longest idle first.
+// evictBefore reports whether the connection is evicted before another one: lower classes come first, and
+// within a class those that have been idle for longer.
 func (c *clientConn) evictBefore(other *clientConn) bool {
 	class, otherClass := c.evictionClass(), other.evictionClass()
 	if class != otherClass {
@@ -108,7 +108,7 @@
 	return c.idleTime() > other.idleTime()
 }
 
-// evictionClass is the class of the connection in its present state.
+// evictionClass returns the class of the connection in its present state.
 func (c *clientConn) evictionClass() evictionClass {
 	switch {
 	case c.hasPartialRequest():
--- a/internal/proxy/fastcgiserver.go
+++ b/internal/proxy/fastcgiserver.go
@@ -1,6 +1,6 @@
 package proxy
 
-// This file holds the FastCGI server: what it needs of the proxy, its timeouts, and how it stops.
+// This file holds the FastCGI server: its interface to the proxy, its timeouts, and how it stops.
 
 import (
 	"log/slog"
@@ -17,20 +17,20 @@
 	// criticalWriteStallTimeout replaces writeStallTimeout while the memory budget is critical.
 	criticalWriteStallTimeout = 200 * time.Millisecond
 	// idleTimeout is how long a connection may go without input from the client or an answer to it. Clients
-	// close theirs after 4 s: one that is older has probably vanished, and would keep its descriptor. A
-	// connection with open requests is kept: the guard denies its close.
+	// close idle connections after 4 s: one that has not has probably vanished, and its connection would hold
+	// its descriptor forever. A connection with open requests is kept: policy.MayClose denies its close.
 	idleTimeout = 5 * time.Second
 	// requestPauseTimeout is how long a client may pause before its first request, or in the middle of one.
 	requestPauseTimeout = 2 * time.Second
-	// requestReadTimeout is how long it may take to send a complete request, pauses included.
+	// requestReadTimeout is how long a client may take to send a complete request, pauses included.
 	requestReadTimeout = 10 * time.Second
-	// connCheckInterval is the time between checks of all client connections for these timeouts.
+	// connCheckInterval is the interval at which all client connections are checked for these timeouts.
 	connCheckInterval = maxPollTime
 )
 
-// requestHandler is what the FastCGI server needs of the proxy. Its methods are called on the loop's
-// goroutine and must not block. A request's number is the one that Submit returned; numbers of requests that
-// have ended, and 0, are ignored.
+// requestHandler is the FastCGI server's interface to the proxy. Its methods are called on the loop's goroutine
+// and must not block. Requests are identified by the number that Submit returned; numbers of requests that have
+// ended, and 0, are ignored.
 type requestHandler interface {
 	// classIndex returns a class's index in the settings.
 	classIndex(name string) (index int, known bool)
@@ -41,11 +41,11 @@
 	rejectUnsubmitted(in Request, to Responder, a Answer)
 	// HandleDisconnect ends a request that its client has aborted. It gets no answer.
 	HandleDisconnect(number int64)
-	// CancelAfterDisconnect cancels a request whose client has probably disconnected, and answers it at once:
-	// the client may have closed only its sending side.
+	// CancelAfterDisconnect cancels a request whose client has probably disconnected. It answers the request at
+	// once, as the client may have closed only its sending side.
 	CancelAfterDisconnect(number int64)
-	// handleConnectionClosed ends a request whose connection has closed. evicted says that it was closed for
-	// another client, which must not happen while a request is open.
+	// handleConnectionClosed ends a request whose connection has closed. evicted says that it was closed to
+	// make room for another client, which must not happen while a request is open.
 	handleConnectionClosed(number int64, evicted bool)
 }
 
@@ -62,18 +62,18 @@
 	listener      *eventloop.Listener
 	sharedSocket  bool // another process may accept from the same listening socket
 	conns         map[*clientConn]bool
-	blockedConns  map[*clientConn]bool // those with requests that are blocked by backpressure
+	blockedConns  map[*clientConn]bool // with requests that are blocked by backpressure
 	maxConns      int
 	acceptedConns int64 // since the start; numbers the connections in the log
 }
 
-// start begins to watch over the connections that ln accepts.
+// start begins the periodic checks of the connections that ln accepts.
 func (f *FastCGIServer) start(ln *eventloop.Listener) {
 	f.listener = ln
 	f.checkConns()
 }
 
-// accept makes the handler of a new connection.
+// accept returns the handler of a new connection.
 func (f *FastCGIServer) accept(conn *eventloop.Conn) eventloop.Handler {
 	f.acceptedConns++
 	c := &clientConn{
@@ -84,7 +84,7 @@
 	return c
 }
 
-// checkConns applies the timeouts to every connection, and again after connCheckInterval.
+// checkConns applies the timeouts to every connection, and does so again after connCheckInterval.
 func (f *FastCGIServer) checkConns() {
 	f.stopAccepting()
 	for c := range f.conns {
@@ -106,10 +106,9 @@
 	}
 }
 
-// stopAccepting closes the listener once a shutdown has reached its disconnecting step. On a shared socket
-// that is at once: connections that still arrive are accepted by the other process. On a socket of its own,
-// closing it would reset those in its backlog: they are accepted first, until new requests are rejected
-// anyway.
+// stopAccepting closes the listener once a shutdown disconnects clients. A shared socket is closed at once, as
+// the other process accepts the connections that still arrive. Closing a socket that is not shared would reset
+// the connections in its backlog: they are accepted first, until new requests are rejected anyway.
 func (f *FastCGIServer) stopAccepting() {
 	if f.lifecycle.phase != Stopping || !f.lifecycle.disconnecting() {
 		return
@@ -127,10 +126,10 @@
 	return f.counters.recordVerdict(actionClose, policy.MayClose(info))
 }
 
-// closeDrainedConns closes, while clients are to be disconnected, the connections that hold nothing any more.
-// It is called at the end of a turn, when all input has been read and all output written and acknowledged:
-// data that arrives while a closed connection still has output would be lost. A connection that can't be
-// closed is checked again in the next turn, so its denial isn't counted.
+// closeDrainedConns closes the connections on which nothing remains to be done. It is called at the end of a
+// turn in which clients are to be disconnected, as data that arrives while a closed connection still has output
+// would be lost: all input must have been read, and all output written and acknowledged. A connection that
+// can't be closed is checked again in the next turn, so its denial isn't counted.
 func (f *FastCGIServer) closeDrainedConns() {
 	for c := range f.conns {
 		if c.conn.Ended() {
--- a/internal/proxy/result.go
+++ b/internal/proxy/result.go
@@ -1,7 +1,7 @@
 package proxy
 
-// This file decides how an attempt ended, and so what is known of the effect of its call. The decision module
-// bases retries on that knowledge.
+// This file determines how an attempt ended, and thereby whether its call was executed. The decision module
+// bases its retries on that.
 //
 //	result         cause                                                          call executed
 //	OK             good answer                                                    yes
@@ -13,7 +13,7 @@
 //	               passed before the last byte was written                        no
 //	Reset          the connection broke after the last byte                       unknown
 //	Timeout        no answer by the request's deadline, after the last byte       unknown
-//	Cancelled      cancelled after the last byte, or a part, was written          unknown
+//	Cancelled      cancelled after a part or all of it was written                unknown
 //	Error          the server answered that it crashed, or with an answer that
 //	               can't be used                                                  unknown
 
@@ -26,7 +26,7 @@
 	"cloverdoor/policy"
 )
 
-// resultByStatus is the result of an attempt that was answered. Any status that is not in it is a
+// resultByStatus maps the status of an answer to the result of its attempt. A status that is not listed is a
 // ResultError.
 var resultByStatus = map[resp.Status]policy.Result{
 	resp.StatusServed:      policy.ResultOK,
@@ -37,7 +37,7 @@
 	resp.StatusNotRun:      policy.ResultNotSent,
 }
 
-// cacheStatuses are the cache statuses as the decision module knows them. Any that is not in it is a
+// cacheStatuses maps cache statuses to those of the decision module. A status that is not listed is a
 // CacheStatusNone.
 var cacheStatuses = map[resp.CacheStatus]policy.CacheStatus{
 	resp.CacheStatusHit:            policy.CacheStatusHit,
@@ -52,7 +52,7 @@
 	resp.CacheStatusOriginFailed:   policy.CacheStatusOriginFailed,
 }
 
-// handleAnswer ends an attempt by the server's answer. The first good answer is the request's final one.
+// handleAnswer ends an attempt with the server's answer. The first good answer is the request's final one.
 func (p *Proxy) handleAnswer(a *attempt, ans resp.Answer) {
 	result := a.resultOfAnswer(ans)
 	if result == policy.ResultOK {
@@ -67,7 +67,7 @@
 	p.endAttempt(a, ans, result)
 }
 
-// resultOfAnswer is how an answer ends its attempt.
+// resultOfAnswer returns the result of an attempt that got the answer.
 func (a *attempt) resultOfAnswer(ans resp.Answer) policy.Result {
 	result := resultByStatus[ans.Status]
 	if result != policy.ResultOK {
@@ -78,24 +78,25 @@
 		return policy.ResultError
 	}
 	if ans.Status == resp.StatusNotModified && !a.confirmsKnownVersion(ans) {
-		// The client would take a copy for current that the server has not named. The answer is well formed:
-		// other calls on the connection are not affected.
+		// The server has not confirmed the client's copy, which the client would take for current. The answer
+		// is well formed: other calls on the connection are not affected.
 		return policy.ResultError
 	}
 	return policy.ResultOK
 }
 
-// exceedsMaxAge reports whether a copy is older than the call allowed. Answers without a time are trusted.
+// exceedsMaxAge reports whether a copy is older than the call allowed. An answer without a creation time is
+// accepted.
 func (a *attempt) exceedsMaxAge(ans resp.Answer) bool {
 	return ans.CreatedAtMillis > 0 && ans.CreatedAtMillis < a.oldestCopyMillis
 }
 
-// confirmsKnownVersion reports whether an answer names the version of which the client has a copy.
+// confirmsKnownVersion reports whether an answer names the version of the client's copy.
 func (a *attempt) confirmsKnownVersion(ans resp.Answer) bool {
 	return a.req.KnownVersion != "" && ans.Version == a.req.KnownVersion
 }
 
-// resultOfClose is how the end of a connection ends the attempts on it.
+// resultOfClose returns the result of the attempts on a connection that ended with err.
 func resultOfClose(err error) policy.Result {
 	if errors.Is(err, eventloop.ErrNotConnected) {
 		return resultOfConnectError(err)
@@ -103,8 +104,8 @@
 	return policy.ResultReset
 }
 
-// resultOfConnectError is how an attempt ends whose connection did not come up. A lack of resources on this
-// machine does not count against the server.
+// resultOfConnectError returns the result of an attempt whose connection was not established. A lack of
+// resources on this machine does not count against the server.
 func resultOfConnectError(err error) policy.Result {
 	if errors.Is(err, eventloop.ErrLocalResources) || errors.Is(err, connpool.ErrConnLimit) {
 		return policy.ResultNotSent
@@ -112,7 +113,7 @@
 	return policy.ResultConnectFailed
 }
 
-// resultIfNeverSent refines the result of an attempt whose call was not written completely: it was not
+// resultIfNeverSent corrects the result of an attempt whose call was not written completely: the call was not
 // executed.
 func resultIfNeverSent(result policy.Result) policy.Result {
 	switch result {
@@ -124,15 +125,14 @@
 	return result
 }
 
-// neverSent reports whether the call of an attempt that has ended was not written completely, and never will
-// be.
+// neverSent reports whether the call of an ended attempt has not been written completely and never will be.
 func (a *attempt) neverSent() bool {
 	return !a.started || !a.written && a.upstream.conn.Ended()
 }
 
-// requiresConnClose reports whether an attempt can be cancelled only by closing its connection. That is so
-// where no hedging is allowed and a retry may follow: a server that hangs does not read the STOP command, and
-// would execute both calls.
+// requiresConnClose reports whether an attempt can be cancelled only by closing its connection. That is the
+// case if hedging is not allowed and a retry may follow: a server that hangs does not read the STOP command
+// and would execute both calls.
 func (p *Proxy) requiresConnClose(a *attempt) bool {
 	return !p.config.Policy.Hedging && a.started && !a.req.finished
 }
@@ -142,8 +142,8 @@
 	return !p.requiresConnClose(a) || a.ended || a.upstream.conn.InUse == 1
 }
 
-// endAttempt ends an attempt and notifies the decision module, once. ans is the zero Answer if the server
-// gave none; the call is stopped then, if it has been sent.
+// endAttempt ends an attempt and notifies the decision module. It does nothing if the attempt has ended
+// already. ans is the zero Answer if the server gave none; a call that has been sent is then stopped.
 func (p *Proxy) endAttempt(a *attempt, ans resp.Answer, result policy.Result) {
 	if a.ended {
 		return
@@ -152,7 +152,7 @@
 	a.req.openAttempts--
 	answered := ans.Status != 0
 	if a.upstream != nil {
-		a.upstream.release(a, answered) // may close the connection, which decides neverSent
+		a.upstream.release(a, answered) // may close the connection, on which neverSent depends
 	}
 	if !answered && a.neverSent() {
 		result = resultIfNeverSent(result)
