--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -94,7 +94,7 @@
 
 func (c *counters) countOutcome(class string, o outcome) { c.addClass(class)[o]++ }
 
-// recordVerdict reports whether a verdict recordVerdict an action, and counts one that denies it.
+// recordVerdict reports whether a verdict allows an action, and counts a denial.
 func (c *counters) recordVerdict(a action, verdict policy.Verdict) bool {
 	if verdict.Allowed() {
 		return true
--- a/internal/proxy/fields.go
+++ b/internal/proxy/fields.go
@@ -1,6 +1,6 @@
 package proxy
 
-// This file holds the decoding of the fields of a FastCGI request.
+// This file decodes the fields of FastCGI requests.
 
 import (
 	"errors"
@@ -12,7 +12,7 @@
 	"cloverdoor/internal/fastcgi"
 )
 
-// operationPath is the prefix of the script names of requests; the class's name follows.
+// operationPath is the prefix of a request's script name; the name of its class follows.
 const operationPath = "/ops/"
 
 // The limits of the fields that clients send.
@@ -55,8 +55,8 @@
 	if !isIdempotencyKey(parsed.IdempotencyKey) {
 		return Request{}, errors.New("Req-Token must be up to 64 letters, digits and -._~")
 	}
-	// A version in any other form could not be forwarded. Without it the client gets the complete object,
-	// which is always right.
+	// A version in any other form can't be forwarded. Without a version the client gets the complete object,
+	// which is always correct.
 	version := r.Params["HTTP_X_VER"]
 	if isHexID(version) {
 		parsed.KnownVersion = version
@@ -87,7 +87,7 @@
 	return len(s) <= maxIdempotencyKeyLength && strings.Trim(s, keyCharacters) == ""
 }
 
-// sizeKB decodes the size of an object where the client sends it; 0 where it does not.
+// sizeKB decodes the size of an object, which clients may omit: it is then 0.
 func sizeKB(s string) (float64, error) {
 	if s == "" {
 		return 0, nil
@@ -103,8 +103,8 @@
 	return size, nil
 }
 
-// decimal decodes a decimal number between minimum and maximum. Only the canonical form is accepted, so that
-// the number is forwarded just as it came.
+// decimal decodes a decimal number from minimum to maximum. Only the canonical form is accepted, so that the
+// number is forwarded exactly as the client sent it.
 func decimal(s string, minimum, maximum int) (int, error) {
 	n, err := strconv.Atoi(s)
 	if err != nil {
--- a/internal/proxy/invariants.go
+++ b/internal/proxy/invariants.go
@@ -1,7 +1,7 @@
 package proxy
 
-// This file checks after the fact that the proxy has kept its promises, independently of the code that keeps
-// them.
+// This file checks after the fact that the proxy has kept its guarantees, independently of the code that
+// provides them.
 
 import (
 	"fmt"
@@ -19,24 +19,25 @@
 	// checkTolerance is added to each time limit, for the delay between a decision and its effect on a
 	// socket.
 	checkTolerance = 50 * time.Millisecond
-	// drainGracePeriod is how long after the notice of its drain an endpoint may still be sent calls.
+	// drainGracePeriod is how long an endpoint may still be sent calls after its drain has been reported.
 	drainGracePeriod = 500 * time.Millisecond
-	// drainingRetention is how long a draining endpoint is remembered: longer than any request lives.
+	// drainingRetention is how long a draining endpoint is remembered: longer than any request may take.
 	drainingRetention = 11 * time.Minute
 	// disconnectGracePeriod is how long after a client's disconnect calls may still be started for it.
 	disconnectGracePeriod = 100 * time.Millisecond
-	// purgeRetentionMargin is how long a purge is remembered after it must be completed everywhere.
+	// purgeRetentionMargin is how long a purge is remembered after the time by which all caches must have
+	// completed it.
 	purgeRetentionMargin = time.Second
 )
 
-// violation is an invariant that can be violated.
+// violation identifies an invariant by the way in which it is violated.
 type violation int
 
-// The invariants, by how they are violated.
+// The violations that are checked for.
 const (
 	secondAnswer           violation = iota // a request got more than one final answer
 	unanswered                              // a client connection was evicted while a request was open on it
-	executedTwice                           // a non-idempotent call was written completely while another may have been executed
+	executedTwice                           // a non-idempotent call was fully written while another may have been executed
 	rejectedAfterExecution                  // a non-idempotent request was rejected although it may have been executed
 	sentToDraining                          // a call was started on, or with a fill from, a draining endpoint
 	servedPurged                            // an answer was made before a purge
@@ -44,7 +45,7 @@
 	violationCount
 )
 
-// violationNames are the names in the figures and in the log.
+// violationNames are the names in the metrics and in the log.
 var violationNames = [violationCount]string{
 	secondAnswer:           "second_answer",
 	unanswered:             "unanswered",
@@ -55,29 +56,29 @@
 	startedAfterDisconnect: "begun_after_left",
 }
 
-// invariantChecker checks what the proxy has done, after the fact. It keeps records of its own of drains,
-// purges, answers and executions, so that a fault of the guards does not hide itself. It takes from the
-// proxy the clock, the settings, whether a call was written and how it ended, when a client disconnected,
-// and the ids of the endpoints before a full list: faults in those it does not find. In service, violations
-// are counted and logged; tests have onViolation end the program.
+// invariantChecker checks what the proxy has done, after the fact. It keeps its own records of drains, purges,
+// answers and executions, so that it also detects faults of the guards. It relies on the proxy for the clock,
+// the settings, whether a call was written and how it ended, when a client disconnected, and the ids of the
+// endpoints before a full list: it does not detect faults in those. In production, violations are counted and
+// logged; in tests, onViolation ends the program.
 type invariantChecker struct {
 	p             *Proxy
-	drainingSince map[string]eventloop.Timestamp // by endpoint: when its drain was notified
+	drainingSince map[string]eventloop.Timestamp // by endpoint id: when its drain was reported
 	purges        map[any]purgeRecord            // by object (string) or group (int)
 	counts        [violationCount]int64
 	onViolation   func(text string) // nil: violations are only counted and logged
 }
 
-// purgeRecord is a purge as the coordinator reported it.
+// purgeRecord is a purge that the coordinator has reported.
 type purgeRecord struct {
-	createdBefore int64               // Unix millisecond; copies made before it are purged
-	receivedAt    eventloop.Timestamp // when this process was notified
+	createdBefore int64               // Unix milliseconds; copies made before are purged
+	receivedAt    eventloop.Timestamp // when the report arrived
 }
 
 // requestRecord is what the checker knows of a request.
 type requestRecord struct {
 	finalAnswers     int
-	possiblyExecuted bool // a call was written completely and is not known to be without effect
+	possiblyExecuted bool // a call was written completely, and it is not known that it was not executed
 }
 
 // attemptRecord is what the checker knows of an attempt.
@@ -114,8 +115,8 @@
 	}
 }
 
-// recordDrains records which endpoints are draining or removed from now on. A full list removes those that it
-// leaves out.
+// recordDrains records which endpoints are draining or removed from now on. A full list removes the endpoints
+// that it omits.
 func (c *invariantChecker) recordDrains(update *watch.EndpointUpdate, now eventloop.Timestamp) {
 	maps.DeleteFunc(c.drainingSince, func(_ string, since eventloop.Timestamp) bool { return now-since > drainingRetention })
 	if update.Full {
@@ -132,15 +133,15 @@
 	}
 }
 
-// markDraining records a drain, unless it is known already.
+// markDraining records the start of a drain, unless the endpoint is draining already.
 func (c *invariantChecker) markDraining(id string, now eventloop.Timestamp) {
 	if _, known := c.drainingSince[id]; !known {
 		c.drainingSince[id] = now
 	}
 }
 
-// recordPurge records a purge and forgets those that are completed everywhere. The latest purge of an object
-// or group counts.
+// recordPurge records a purge and forgets those that must have been completed by all caches. The latest purge
+// of an object or group counts.
 func (c *invariantChecker) recordPurge(purge *watch.Purge, now eventloop.Timestamp) {
 	retention := c.p.config.Policy.PurgeCompletedWithin + purgeRetentionMargin
 	maps.DeleteFunc(c.purges, func(_ any, record purgeRecord) bool { return now-record.receivedAt > retention })
@@ -158,7 +159,7 @@
 	}
 }
 
-// checkSent checks an attempt of whose call the first byte has been written.
+// checkSent checks an attempt when the first byte of its call has been written.
 func (c *invariantChecker) checkSent(a *attempt) {
 	now := c.p.loop.CurrentTime()
 	for _, id := range []string{a.target, a.source} {
@@ -174,8 +175,8 @@
 	a.record.sentAt = now
 }
 
-// checkWritten checks an attempt of whose call the last byte has been written: it may be executed from now
-// on.
+// checkWritten checks an attempt when the last byte of its call has been written. From now on the call may be
+// executed.
 func (c *invariantChecker) checkWritten(a *attempt) {
 	if a.req.idempotency == policy.NonIdempotent && a.req.record.possiblyExecuted {
 		c.report(executedTwice, a.req, a.target)
@@ -183,7 +184,8 @@
 	a.req.record.possiblyExecuted = true
 }
 
-// observeEnd records that a call which was written completely turned out to be without effect.
+// observeEnd records how an attempt ended: some results show that a call that was written completely was not
+// executed.
 func (c *invariantChecker) observeEnd(a *attempt, result policy.Result) {
 	switch result {
 	case policy.ResultRejected, policy.ResultNotFound, policy.ResultNotSent, policy.ResultConnectFailed:
@@ -193,7 +195,7 @@
 	}
 }
 
-// checkServed checks a good answer. Answers without a time can't be checked.
+// checkServed checks a good answer against the purges. An answer without a creation time can't be checked.
 func (c *invariantChecker) checkServed(a *attempt, ans resp.Answer) {
 	if ans.CreatedAtMillis == 0 {
 		return
@@ -207,7 +209,8 @@
 	}
 }
 
-// checkFinalAnswer checks a final answer.
+// checkFinalAnswer checks that a request gets only one final answer, and that a non-idempotent request that is
+// rejected cannot have been executed.
 func (c *invariantChecker) checkFinalAnswer(q *request, status Status) {
 	q.record.finalAnswers++
 	if q.record.finalAnswers > 1 {
@@ -219,15 +222,15 @@
 	}
 }
 
-// checkConnectionClosed checks a request that is given up as its client connection has closed. A connection
-// with an open request must not be evicted.
+// checkConnectionClosed checks a request that is given up because its client connection has closed. A
+// connection with an open request must not be evicted.
 func (c *invariantChecker) checkConnectionClosed(q *request, evicted bool) {
 	if evicted && q.record.finalAnswers == 0 {
 		c.report(unanswered, q, "connection closed")
 	}
 }
 
-// writeMetrics adds a line for each invariant.
+// writeMetrics writes a line for each invariant.
 func (c *invariantChecker) writeMetrics(b *strings.Builder) {
 	for v, count := range c.counts {
 		fmt.Fprintf(b, "svc_violations{rule=%q} %d\n", violationNames[v], count)
--- a/internal/proxy/partialrequest.go
+++ b/internal/proxy/partialrequest.go
@@ -1,15 +1,15 @@
 package proxy
 
-// This file holds the memory that requests take before they are complete, and how it is freed while the
-// memory budget is critical.
+// This file counts the memory that requests take before they are submitted, and frees that of partial requests
+// while the memory budget is critical.
 
 import (
 	"cloverdoor/internal/fastcgi"
 	"cloverdoor/policy"
 )
 
-// minSkippedBytes is how long the beginning of an incomplete record must be to be discarded while the memory
-// budget is critical. The records that begin a request are shorter.
+// minSkippedBytes is how many bytes of an incomplete record must have been received for the record to be
+// discarded while the memory budget is critical. The records that begin a request are shorter.
 const minSkippedBytes = 1 << 10
 
 // hasPartialRequest reports whether a part of a request has been received.
@@ -17,8 +17,8 @@
 	return c.conn.UnparsedBytes() > 0 || c.decoder.Receiving()
 }
 
-// rejectPartial frees the memory of requests that are not complete: they are rejected, and the rest of them
-// is skipped. record is the beginning of an incomplete record; used is how much of it was discarded.
+// rejectPartial rejects the partial requests, which frees their memory, and skips the rest of their records.
+// record is the beginning of an incomplete record; used is how many bytes of it are discarded.
 func (c *clientConn) rejectPartial(record []byte) (used int) {
 	for _, id := range c.decoder.DropPartial() {
 		c.completeRequests++
@@ -33,7 +33,7 @@
 	return len(record)
 }
 
-// updatePartialBytes counts the bytes that the connection's partial and blocked requests take.
+// updatePartialBytes counts the bytes of the connection's partial and blocked requests again.
 func (c *clientConn) updatePartialBytes() {
 	buffered := c.decoder.BufferedBytes()
 	for _, b := range c.blocked {
@@ -42,9 +42,9 @@
 	c.setPartialBytes(buffered)
 }
 
-// setPartialBytes keeps the memory budget's sum in step with the connection's bytes. A connection may be
-// closed while its input is being handled: counting it again after that would leave its bytes in the sum, and
-// the server would reject ever more.
+// setPartialBytes sets the connection's bytes and adds the change to the memory budget. A connection may be
+// closed while its input is being handled. Counting its bytes after that would leave them in the budget
+// forever, and the server would reject more and more requests: a closed connection has none.
 func (c *clientConn) setPartialBytes(buffered int) {
 	if c.openRequests == nil {
 		buffered = 0
--- a/internal/proxy/result.go
+++ b/internal/proxy/result.go
@@ -13,7 +13,7 @@
 //	               passed before the last byte was written                        no
 //	Reset          the connection broke after the last byte                       unknown
 //	Timeout        no answer by the request's deadline, after the last byte       unknown
-//	Cancelled      cancelled after a part or all of it was written                unknown
+//	Cancelled      cancelled after a part or all of the call was written          unknown
 //	Error          the server answered that it crashed, or with an answer that
 //	               can't be used                                                  unknown
 
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -1,19 +1,19 @@
 package proxy
 
-// This file writes the figures that operators fetch.
+// This file writes the metrics that operators fetch.
 
 import (
 	"fmt"
 	"strings"
 )
 
-// gauge is one figure without labels.
+// gauge is one metric without labels.
 type gauge struct {
 	name  string // without the prefix svc_
 	value int
 }
 
-// stats returns the figures in the form in which operators fetch them, a line each.
+// stats returns all metrics as text, one per line.
 func (p *Proxy) stats() string {
 	var b strings.Builder
 	p.counters.writeOutcomeMetrics(&b)
@@ -39,8 +39,8 @@
 	}
 }
 
-// droppedLogLines is how many lines of the log were dropped because its reader was slow; 0 where that is not
-// known.
+// droppedLogLines returns how many log lines were dropped because the reader of the log was slow; 0: none, or
+// unknown.
 func (p *Proxy) droppedLogLines() int {
 	if p.countDroppedLines == nil {
 		return 0
--- a/internal/proxy/status.go
+++ b/internal/proxy/status.go
@@ -1,6 +1,6 @@
 package proxy
 
-// The status codes of HTTP that the proxy answers with, to clients in CGI responses and to operators.
+// The HTTP status codes of the proxy's answers to clients, in CGI responses, and to operators.
 const (
 	statusOK                 = 200
 	statusBadRequest         = 400
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -1,7 +1,7 @@
 package proxy
 
-// This file holds one connection to a cache, a parent or the origin: which calls it accepts, and how answers
-// and its end reach the attempts.
+// This file handles a connection to a cache, a parent or the origin: which calls it accepts, and how answers
+// and the end of the connection reach the attempts.
 
 import (
 	"cmp"
@@ -15,25 +15,26 @@
 	"cloverdoor/internal/resp"
 )
 
-// unresponsiveAfter is how long a connection with open calls may bring no byte before it takes no new calls.
+// unresponsiveAfter is how long a connection with open calls may receive nothing before it accepts no new
+// calls.
 const unresponsiveAfter = time.Second
 
 // upstream is one connection to a cache, a parent or the origin, with the calls that are open on it.
 type upstream struct {
 	p            *Proxy
 	conn         *connpool.PooledConn
-	calls        map[string]*attempt // by the id of the client's request, which the answers carry
-	waitingSince eventloop.Timestamp // since when an answer is due and no byte has come; 0: none is due
+	calls        map[string]*attempt // by the id of the client's request, which answers carry
+	waitingSince eventloop.Timestamp // since when an answer is due and nothing has been received; 0: none is due
 }
 
-// openUpstream makes the handler of a new connection.
+// openUpstream returns the handler of a new connection.
 func (p *Proxy) openUpstream(conn *connpool.PooledConn) eventloop.Handler {
 	return &upstream{p: p, conn: conn, calls: map[string]*attempt{}}
 }
 
-// accepts reports whether a call for q can be sent here. No two calls for one request share a connection:
-// answers carry the request's id alone, so that the answer to a cancelled call would be taken for that of the
-// next one.
+// accepts reports whether a call for q can be sent on the connection. No two calls for one request share a
+// connection: answers carry only the request's id, so the answer to a cancelled call would be taken for that to
+// the next one.
 func (u *upstream) accepts(q *request) bool {
 	if u.unresponsive() || u.calls[q.ID] != nil {
 		return false
@@ -46,21 +47,22 @@
 	return true
 }
 
-// unresponsive reports whether nothing has come for too long since a call was sent. The server may be cut off
-// from the network: a call would wait here until its deadline, and a non-idempotent one could not be retried.
-// Time counts from the first unanswered call on, even if several were cancelled since.
+// unresponsive reports whether nothing has been received for too long while answers were due. The server may be
+// cut off from the network: a call would wait here until its deadline, and a non-idempotent one could not be
+// retried. The time counts from the first unanswered call, even if calls have been cancelled since.
 func (u *upstream) unresponsive() bool {
 	return u.waitingSince != 0 && u.p.loop.Now()-u.waitingSince > unresponsiveAfter
 }
 
-// recordSent notes that a call has been sent.
+// recordSent records that a call has been sent.
 func (u *upstream) recordSent() {
 	if u.waitingSince == 0 {
 		u.waitingSince = u.p.loop.Now()
 	}
 }
 
-// recordReceived notes that bytes have come. The answers to the calls that are still open are due from now on.
+// recordReceived records that bytes have been received. The answers to the calls that are still open count as
+// due from now on.
 func (u *upstream) recordReceived() {
 	u.waitingSince = 0
 	if len(u.calls) > 0 {
@@ -68,8 +70,8 @@
 	}
 }
 
-// Receive handles the complete answers in data. An answer to a call that is not open any more has crossed its
-// STOP command.
+// Receive handles the complete answers in data. An answer to a call that is no longer open has crossed the
+// call's STOP command and is ignored.
 func (u *upstream) Receive(data []byte) (used int, err error) {
 	u.conn.MarkAlive()
 	defer u.recordReceived()
@@ -100,8 +102,7 @@
 	}
 }
 
-// release takes an attempt that has ended off the connection. A call that was sent and not answered is
-// stopped.
+// release removes an ended attempt from the connection. A call that was sent and not answered is stopped.
 func (u *upstream) release(a *attempt, answered bool) {
 	delete(u.calls, a.req.ID)
 	if a.started && !answered && !u.conn.Ended() {
@@ -111,10 +112,11 @@
 	u.conn.Release()
 }
 
-// isUnusableAfter reports whether the connection must take no new calls once a call that was sent on it has
-// been stopped. Also unusable: a connection on which an answer has arrived in part, as its rest would be read
-// as the start of the next answer, and one on which the call was written in part. The call's remaining bytes
-// are written only while other calls keep the connection open, and for maxPartialWriteTime at most.
+// isUnusableAfter reports whether the connection must accept no new calls once a call that was sent on it has
+// been stopped. That is the case if the connection is unresponsive, if the stopped call can be cancelled only
+// by closing it, if an answer has arrived in part, as its rest would be read as the start of the next answer, or
+// if the stopped call was written in part. The rest of such a call is written only while other calls keep the
+// connection open, and for maxPartialWriteTime at most.
 func (u *upstream) isUnusableAfter(stopped *attempt) bool {
 	return u.unresponsive() || u.conn.UnparsedBytes() > 0 || !stopped.written || u.p.requiresConnClose(stopped)
 }
