--- a/internal/proxy/abandon_test.go
+++ b/internal/proxy/abandon_test.go
@@ -9,12 +9,12 @@
 	"cloverdoor/internal/eventloop"
 )
 
-// Guards against client connections that are closed without a line in the log: for output beyond its limit, for
-// output that is not read in time, and for lack of memory.
+// Guards against client connections that are closed without a log line: because their output exceeds its limit,
+// because it is not read in time, and because the memory budget is critical.
 func TestStalledClientCloseIsLogged(t *testing.T) {
 	for name, closeClient := range map[string]func(*proxyFixture, *clientConn){
 		"output beyond the limit": func(_ *proxyFixture, c *clientConn) {
-			c.conn.Write(make([]byte, 3*eventloop.MaxQueuedBytes)) // the sockets hold a part of it
+			c.conn.Write(make([]byte, 3*eventloop.MaxQueuedBytes)) // the socket buffers hold a part of it
 		},
 		"output not read in time": func(f *proxyFixture, c *clientConn) {
 			c.conn.Write(make([]byte, eventloop.MaxQueuedBytes))
@@ -45,7 +45,7 @@
 			return len(server.conns) == 0
 		})
 		if lines := strings.Count(log.String(), "client connection closed, output not read"); lines != 1 {
-			t.Errorf("%s: %d lines in %q", name, lines, log.String())
+			t.Errorf("%s: %d lines about the close in the log %q", name, lines, log.String())
 		}
 	}
 }
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -15,7 +15,7 @@
 	"cloverdoor/internal/watch"
 )
 
-// discardResponder is the responder of a client that stays connected and ignores its answer.
+// discardResponder is the responder for a client that stays connected and ignores its answer.
 type discardResponder struct{}
 
 func (discardResponder) Respond(Answer) {}
@@ -24,8 +24,8 @@
 
 func (discardResponder) ClientDisconnected() Disconnect { return Disconnect{} }
 
-// A call that was moved from a late connection to another and back is in the first one's queue twice, and is sent
-// once: a write would otherwise be executed twice.
+// Guards against a call that is executed twice because it was moved from an overdue connection to another one and
+// back: it is in the first connection's queue twice, and must be sent once.
 func TestReassignedCallIsSentOnce(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -73,7 +73,7 @@
 	}, slog.New(slog.DiscardHandler))
 	in := Request{ID: "9b1f03aa5c7e2d41", ClassName: "w", Object: "7f3a9c21e0b4d655", Timeout: time.Minute}
 	id := p.Submit(in, discardResponder{})
-	p.dispatchEvents() // the call is queued on a connection that is not up yet
+	p.dispatchEvents() // queues the call on a connection that is not established yet
 	a := p.requests[id].attempts[0]
 	first := a.upstream.conn
 	second, err := p.pools.Reassign(first, func(s *connpool.PooledConn) bool { return s != first })
@@ -89,6 +89,6 @@
 		loop.Flush()
 	}
 	if text := <-seen + <-seen; strings.Count(text, "REQ") != 1 {
-		t.Errorf("%q", text)
+		t.Errorf("received %q, not one call", text)
 	}
 }
--- a/internal/proxy/cachestatus_test.go
+++ b/internal/proxy/cachestatus_test.go
@@ -8,7 +8,7 @@
 	"cloverdoor/policy"
 )
 
-// Every cache status on the wire has its own status in the decision module, and an unknown one has none.
+// Each cache status on the wire has its own status in the decision module; an unknown one is CacheStatusNone.
 func TestCacheStatusOfAnswer(t *testing.T) {
 	statusOfNote := map[string]policy.CacheStatus{
 		"TCP_HIT":       policy.CacheStatusHit,
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -16,7 +16,7 @@
 	"cloverdoor/internal/watch"
 )
 
-// manualClock is moved on by a test.
+// manualClock is a clock that a test advances.
 type manualClock struct{ now eventloop.Timestamp }
 
 func (c *manualClock) Now() eventloop.Timestamp { return c.now }
@@ -24,17 +24,17 @@
 	return min(wanted, time.Millisecond)
 }
 
-// record is one FastCGI record.
+// record returns a FastCGI record of request 1.
 func record(kind byte, content string) []byte {
 	head := []byte{1, kind, 0, 1, 0, 0, 0, 0}
 	binary.BigEndian.PutUint16(head[4:], uint16(len(content)))
 	return append(head, content...)
 }
 
-// completeRequest is a request for an object, with the records that complete it.
+// completeRequest returns the records of a complete request.
 func completeRequest() []byte { return requestWithTimeout("5000") }
 
-// requestWithTimeout is a complete request whose client waits for so many milliseconds.
+// requestWithTimeout returns the records of a complete request with a timeout in milliseconds.
 func requestWithTimeout(millis string) []byte {
 	var pairs []byte
 	for _, p := range [][2]string{{"SCRIPT_NAME", "/ops/w"}, {"HTTP_REQ_ID", "9b1f03aa5c7e2d41"}, {"HTTP_REQ_KEY", "7f3a9c21e0b4d655"},
@@ -47,8 +47,8 @@
 	return append(out, record(5, "")...)
 }
 
-// Nothing begins for a client that disconnects, or aborts its request, while the turn in which its request
-// was read lasts: the process may lose its core between reading and writing.
+// Guards against calls that are started for a client that has disconnected, or aborted its request, since its
+// request was read in the same turn. A turn is long if the process loses its core between reading and writing.
 func TestNoCallStartsAfterDisconnectInLongTurn(t *testing.T) {
 	for name, disconnect := range map[string]func(*testing.T, *net.TCPConn){
 		"close": func(t *testing.T, c *net.TCPConn) {
@@ -74,17 +74,17 @@
 			f := newProxyFixture(t)
 			a := f.waitForAttempt(t)
 			disconnect(t, f.client)
-			time.Sleep(20 * time.Millisecond) // on loopback it has arrived long before
+			time.Sleep(20 * time.Millisecond) // on loopback it arrives much sooner
 			f.clock.now += 200 * time.Millisecond
 			f.p.processEvents()
 			if want := name == "nothing"; a.started != want {
-				t.Errorf("begun %v", a.started)
+				t.Errorf("call started: %v", a.started)
 			}
 		})
 	}
 }
 
-// proxyFixture is a proxy with one endpoint and one client, whose turns a test takes.
+// proxyFixture is a proxy with one endpoint and one client. A test runs the turns of its event loop.
 type proxyFixture struct {
 	p      *Proxy
 	loop   *eventloop.Loop
@@ -140,7 +140,7 @@
 	return netip.MustParseAddrPort(listener.Addr().String())
 }
 
-// closeConn closes a connection or a listener that may have been closed before.
+// closeConn closes a connection or a listener, which may be closed already.
 func closeConn(tb testing.TB, c io.Closer) {
 	tb.Helper()
 	if err := c.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
@@ -148,14 +148,14 @@
 	}
 }
 
-// waitForAttempt sends a request and takes turns, in which nothing is written, until its attempt has a
-// connection.
+// waitForAttempt sends a request and runs turns, in which nothing is written, until its attempt has an
+// established connection.
 func (f *proxyFixture) waitForAttempt(t *testing.T) *attempt {
 	t.Helper()
 	return f.waitForAttemptOf(t, completeRequest())
 }
 
-// waitForAttemptOf does so for the records of a request.
+// waitForAttemptOf does the same with the given records of a request.
 func (f *proxyFixture) waitForAttemptOf(t *testing.T, records []byte) *attempt {
 	t.Helper()
 	if _, err := f.client.Write(records); err != nil {
@@ -170,7 +170,7 @@
 	return a
 }
 
-// turnUntil takes turns until done reports true, for 5 s at most.
+// turnUntil runs turns until done reports true, for 5 s at most.
 func (f *proxyFixture) turnUntil(t *testing.T, done func() bool) {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); !done(); {
@@ -185,8 +185,8 @@
 	}
 }
 
-// Guards against the figure svc_denied being filled with closes that nobody wanted: a client connection that is
-// silent while its request is open is not asked to close, and is closed once the request has been answered.
+// Guards against a metric svc_denied that counts closes which nobody wanted: no close is requested for a client
+// connection that is silent while its request is open. Once the request has been answered, it is closed.
 func TestOpenRequestCausesNoCloseDenials(t *testing.T) {
 	f := newProxyFixture(t)
 	a := f.waitForAttemptOf(t, requestWithTimeout("60000"))
@@ -197,7 +197,7 @@
 		}
 	}
 	if denials := f.p.counters.denials; len(denials) != 0 || len(server.conns) != 1 {
-		t.Errorf("denied: %v; %d connections", denials, len(server.conns))
+		t.Errorf("denials: %v; %d connections", denials, len(server.conns))
 	}
 	f.p.answer(a.req, Answer{Status: Failed})
 	f.loop.Flush()
--- a/internal/proxy/invariants_test.go
+++ b/internal/proxy/invariants_test.go
@@ -12,8 +12,8 @@
 	"cloverdoor/policy"
 )
 
-// A draining endpoint is forgotten after a while, as endpoints are replaced under new ids for as long as a process
-// runs. One that has just begun to drain is known.
+// Guards against records of draining endpoints that grow for as long as a process runs, as endpoints are replaced
+// under new ids: old ones are forgotten. An endpoint that has just begun to drain is remembered.
 func TestInvariantCheckerForgetsOldDrains(t *testing.T) {
 	clock := &manualClock{now: eventloop.Timestamp(time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC).UnixNano())}
 	loop, err := eventloop.NewLoop(clock)
@@ -22,9 +22,9 @@
 	}
 	p := &Proxy{loop: loop, log: slog.New(slog.DiscardHandler)}
 	checker := newInvariantChecker(p, nil)
-	const replaced, every = 2000, time.Second
+	const replaced, interval = 2000, time.Second
 	for i := range replaced {
-		clock.now += every
+		clock.now += interval
 		if err := loop.Wait(0); err != nil {
 			t.Fatal(err)
 		}
@@ -32,76 +32,76 @@
 		checker.observeEvent(watch.Event{Endpoints: &watch.EndpointUpdate{Endpoints: []watch.Endpoint{removed}}})
 	}
 	if _, known := checker.drainingSince[fmt.Sprint(replaced-1)]; !known || len(checker.drainingSince) > replaced/2 {
-		t.Errorf("%d endpoints are remembered, the last one %v", len(checker.drainingSince), known)
+		t.Errorf("%d endpoints are remembered, the last one: %v", len(checker.drainingSince), known)
 	}
 }
 
-// disconnectedResponder is the responder of a client that has disconnected long ago.
+// disconnectedResponder is the responder for a client that disconnected long ago.
 type disconnectedResponder struct{ discardResponder }
 
 func (disconnectedResponder) ClientDisconnected() Disconnect {
 	return Disconnect{Since: 1, GraceOver: true}
 }
 
-// checkerFixture is a checker that has been notified of a drain and a purge, and one attempt.
+// checkerFixture is a checker to which a drain and a purge have been reported, with one attempt.
 type checkerFixture struct {
 	*invariantChecker
 	attempt *attempt
 	wait    func(time.Duration) // lets time pass
 }
 
-// Each violation is counted once, under its own name, and none is counted where the proxy keeps its promises.
+// Each violation is counted once, under its own name, and none is counted if the proxy keeps its guarantees.
 func TestInvariantCheckerFindsEachViolation(t *testing.T) {
 	const drained, served, purgedGroup = "c1", "c2", 7
 	for _, c := range []struct {
 		want    violation // violationCount: none
 		request request
-		do      func(s checkerFixture)
+		do      func(f checkerFixture)
 	}{
-		{violationCount, request{}, func(s checkerFixture) {
-			s.attempt.target, s.attempt.source = drained, drained
-			s.checkSent(s.attempt) // within the grace period
-			s.attempt.target, s.attempt.source = served, served
-			s.wait(time.Second)
-			s.checkSent(s.attempt)
-			s.checkWritten(s.attempt)
-			s.attempt.written = true
-			s.observeEnd(s.attempt, policy.ResultRejected) // not executed: another call may follow
-			s.checkWritten(s.attempt)
-			s.checkServed(s.attempt, resp.Answer{CreatedAtMillis: 2000})
-			s.checkFinalAnswer(s.attempt.req, Served)
-			s.checkConnectionClosed(s.attempt.req, false)
+		{violationCount, request{}, func(f checkerFixture) {
+			f.attempt.target, f.attempt.source = drained, drained
+			f.checkSent(f.attempt) // within the grace period
+			f.attempt.target, f.attempt.source = served, served
+			f.wait(time.Second)
+			f.checkSent(f.attempt)
+			f.checkWritten(f.attempt)
+			f.attempt.written = true
+			f.observeEnd(f.attempt, policy.ResultRejected) // not executed: another call may be sent
+			f.checkWritten(f.attempt)
+			f.checkServed(f.attempt, resp.Answer{CreatedAtMillis: 2000})
+			f.checkFinalAnswer(f.attempt.req, Served)
+			f.checkConnectionClosed(f.attempt.req, false)
 		}},
-		{secondAnswer, request{}, func(s checkerFixture) {
-			s.checkFinalAnswer(s.attempt.req, Served)
-			s.checkFinalAnswer(s.attempt.req, Failed)
+		{secondAnswer, request{}, func(f checkerFixture) {
+			f.checkFinalAnswer(f.attempt.req, Served)
+			f.checkFinalAnswer(f.attempt.req, Failed)
 		}},
-		{unanswered, request{}, func(s checkerFixture) {
-			s.checkConnectionClosed(s.attempt.req, true) // the client gave it up
-			s.checkConnectionClosed(s.attempt.req, false)
+		{unanswered, request{}, func(f checkerFixture) {
+			f.checkConnectionClosed(f.attempt.req, true)
+			f.checkConnectionClosed(f.attempt.req, false) // closed by the client: no violation
 		}},
-		{executedTwice, request{}, func(s checkerFixture) {
-			s.checkWritten(s.attempt)
-			s.attempt.written = true
-			s.observeEnd(s.attempt, policy.ResultReset) // it may have been executed
-			s.checkWritten(s.attempt)
+		{executedTwice, request{}, func(f checkerFixture) {
+			f.checkWritten(f.attempt)
+			f.attempt.written = true
+			f.observeEnd(f.attempt, policy.ResultReset) // it may have been executed
+			f.checkWritten(f.attempt)
 		}},
-		{rejectedAfterExecution, request{}, func(s checkerFixture) {
-			s.checkWritten(s.attempt)
-			s.checkFinalAnswer(s.attempt.req, Rejected)
+		{rejectedAfterExecution, request{}, func(f checkerFixture) {
+			f.checkWritten(f.attempt)
+			f.checkFinalAnswer(f.attempt.req, Rejected)
 		}},
-		{sentToDraining, request{}, func(s checkerFixture) {
-			s.attempt.target, s.attempt.source = served, drained
-			s.wait(time.Second)
-			s.checkSent(s.attempt)
+		{sentToDraining, request{}, func(f checkerFixture) {
+			f.attempt.target, f.attempt.source = served, drained
+			f.wait(time.Second)
+			f.checkSent(f.attempt)
 		}},
-		{servedPurged, request{Request: Request{Group: purgedGroup}}, func(s checkerFixture) {
-			s.wait(time.Second)
-			s.checkSent(s.attempt)
-			s.checkServed(s.attempt, resp.Answer{CreatedAtMillis: 999})
+		{servedPurged, request{Request: Request{Group: purgedGroup}}, func(f checkerFixture) {
+			f.wait(time.Second)
+			f.checkSent(f.attempt)
+			f.checkServed(f.attempt, resp.Answer{CreatedAtMillis: 999})
 		}},
-		{startedAfterDisconnect, request{responder: disconnectedResponder{}}, func(s checkerFixture) {
-			s.checkSent(s.attempt)
+		{startedAfterDisconnect, request{responder: disconnectedResponder{}}, func(f checkerFixture) {
+			f.checkSent(f.attempt)
 		}},
 	} {
 		clock := &manualClock{now: eventloop.Timestamp(time.Hour)}
--- a/internal/proxy/partialcall_test.go
+++ b/internal/proxy/partialcall_test.go
@@ -14,7 +14,7 @@
 	"cloverdoor/internal/watch"
 )
 
-// blockWrites has the first write on any connection take a few bytes and all later ones none, until allow is
+// blockWrites makes the first write on any connection accept a few bytes and all later ones none, until allow is
 // called.
 func blockWrites(t *testing.T) (allow func()) {
 	t.Helper()
@@ -33,7 +33,7 @@
 	return allow
 }
 
-// newSharedConnProxy returns a proxy that has one connection for all calls to its only server.
+// newSharedConnProxy returns a proxy that uses one connection for all calls to its only server.
 func newSharedConnProxy(t *testing.T, loop *eventloop.Loop) *Proxy {
 	t.Helper()
 	server, err := net.Listen("tcp", "127.0.0.1:0")
@@ -57,8 +57,8 @@
 	}, slog.New(slog.DiscardHandler))
 }
 
-// Guards against a request that waits for its deadline behind the rest of a call that nobody wants any more: the
-// connection of a call that was written in part ends after 0.1 s, also when its attempt has ended before.
+// Guards against a request that waits until its deadline behind the rest of a cancelled call: the connection of a
+// call that was written in part is closed after 0.1 s, even if the call's attempt has ended by then.
 func TestPartialWriteDoesNotBlockOtherCalls(t *testing.T) {
 	clock := &manualClock{now: eventloop.Timestamp(time.Now().UnixNano())}
 	loop, err := eventloop.NewLoop(clock)
@@ -83,21 +83,21 @@
 		return p.requests[p.Submit(in, discardResponder{})]
 	}
 	allowWrites := blockWrites(t)
-	unwanted := submit("0000000000000001")
-	turnUntil(func() bool { return len(unwanted.attempts) > 0 && unwanted.attempts[0].started })
+	cancelled := submit("0000000000000001")
+	turnUntil(func() bool { return len(cancelled.attempts) > 0 && cancelled.attempts[0].started })
 	other := submit("0000000000000002")
 	turnUntil(func() bool { return len(other.attempts) > 0 })
-	shared := unwanted.attempts[0].upstream
+	shared := cancelled.attempts[0].upstream
 	if other.attempts[0].upstream != shared {
 		t.Fatal("the calls do not share a connection")
 	}
-	p.HandleDisconnect(unwanted.number)
-	turnUntil(func() bool { return unwanted.attempts[0].ended })
+	p.HandleDisconnect(cancelled.number)
+	turnUntil(func() bool { return cancelled.attempts[0].ended })
 	clock.now += maxPartialWriteTime + time.Millisecond
 	turnUntil(func() bool { return shared.conn.Ended() })
 	allowWrites()
 	turnUntil(func() bool { return other.attempts[len(other.attempts)-1].written })
 	if len(other.attempts) != 2 || other.attempts[0].started {
-		t.Errorf("%d attempts", len(other.attempts))
+		t.Errorf("%d attempts of the other request, not 2, or its first call was sent", len(other.attempts))
 	}
 }
--- a/internal/proxy/partialrequest_test.go
+++ b/internal/proxy/partialrequest_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// The bytes that a closed connection has buffered are released, also when they are counted once more after
-// its close.
+// Guards against a memory count that never falls again: the buffered bytes of a closed connection are released,
+// even if they are counted again after its close.
 func TestClosedConnectionReleasesBufferedBytes(t *testing.T) {
 	f := &FastCGIServer{memory: &memoryBudget{}, conns: map[*clientConn]bool{}}
 	c := &clientConn{server: f, openRequests: map[uint16]int64{}}
@@ -16,6 +16,6 @@
 	c.Closed(nil)
 	c.setPartialBytes(700)
 	if f.memory.partial != 0 || len(f.conns) != 0 {
-		t.Errorf("%d bytes and %d connections left", f.memory.partial, len(f.conns))
+		t.Errorf("%d bytes and %d connections counted after the close", f.memory.partial, len(f.conns))
 	}
 }
--- a/internal/proxy/result_test.go
+++ b/internal/proxy/result_test.go
@@ -11,13 +11,13 @@
 	"cloverdoor/policy"
 )
 
-// An answer ends its attempt by its status, its age and the version that it names.
+// The result of an answered attempt depends on the answer's status, creation time and version.
 func TestResultOfAnswer(t *testing.T) {
 	const bound = 1000 // Unix milliseconds
 	for _, c := range []struct {
 		name  string
-		known string // version that the client has
-		bound int64  // of the copy's time; 0: none
+		known string // version of the client's copy
+		bound int64  // earliest creation time that is accepted; 0: any
 		ans   resp.Answer
 		want  policy.Result
 	}{
@@ -28,7 +28,7 @@
 		{"known version", "v", 0, resp.Answer{Status: resp.StatusNotModified, Version: "v"}, policy.ResultOK},
 		{"another version", "v", 0, resp.Answer{Status: resp.StatusNotModified, Version: "w"}, policy.ResultError},
 		{"no known version", "", 0, resp.Answer{Status: resp.StatusNotModified}, policy.ResultError},
-		{"lacks it", "", bound, resp.Answer{Status: resp.StatusNotFound, CreatedAtMillis: 1}, policy.ResultNotFound},
+		{"not found", "", bound, resp.Answer{Status: resp.StatusNotFound, CreatedAtMillis: 1}, policy.ResultNotFound},
 		{"overloaded", "", 0, resp.Answer{Status: resp.StatusOverloaded}, policy.ResultRejected},
 		{"crashed", "", 0, resp.Answer{Status: resp.StatusCrashed}, policy.ResultError},
 		{"not run", "", 0, resp.Answer{Status: resp.StatusNotRun}, policy.ResultNotSent},
@@ -41,7 +41,8 @@
 	}
 }
 
-// The end of a connection says whether its calls may have been executed, and whether the server is to blame.
+// The error with which a connection ends determines whether its calls may have been executed, and whether their
+// results count against the server.
 func TestResultOfClose(t *testing.T) {
 	for _, c := range []struct {
 		err  error
