--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -22,7 +22,7 @@
 
 func (discardResponder) PollClient() {}
 
-func (discardResponder) ClientDisconnected() Disconnect { return Disconnect{} }
+func (discardResponder) ClientDisconnected() DisconnectState { return DisconnectState{} }
 
 // Guards against a call that is executed twice because it was moved from an overdue connection to another one and
 // back: it is in the first connection's queue twice, and must be sent once.
--- a/internal/proxy/disconnect.go
+++ b/internal/proxy/disconnect.go
@@ -31,12 +31,12 @@
 }
 
 // disconnectState returns whether and since when the client is disconnected.
-func (c *clientConn) disconnectState() Disconnect {
+func (c *clientConn) disconnectState() DisconnectState {
 	if c.disconnectedSince == 0 {
-		return Disconnect{}
+		return DisconnectState{}
 	}
 	graceOver := c.server.loop.CurrentTime() >= c.disconnectedSince+disconnectGrace
-	return Disconnect{Since: c.disconnectedSince, GraceOver: graceOver}
+	return DisconnectState{Since: c.disconnectedSince, GraceOver: graceOver}
 }
 
 // pollClient reads what the client has sent since the turn began, if both the start of the turn and the last
--- a/internal/proxy/invariants_test.go
+++ b/internal/proxy/invariants_test.go
@@ -39,8 +39,8 @@
 // disconnectedResponder is the responder for a client that disconnected long ago.
 type disconnectedResponder struct{ discardResponder }
 
-func (disconnectedResponder) ClientDisconnected() Disconnect {
-	return Disconnect{Since: 1, GraceOver: true}
+func (disconnectedResponder) ClientDisconnected() DisconnectState {
+	return DisconnectState{Since: 1, GraceOver: true}
 }
 
 // checkerFixture is a checker to which a drain and a purge have been reported, with one attempt.
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -48,8 +48,8 @@
 	Reason     policy.Reason // of an answer that serves nothing
 }
 
-// Disconnect says whether a client has disconnected.
-type Disconnect struct {
+// DisconnectState says whether a client has disconnected.
+type DisconnectState struct {
 	Since     eventloop.Timestamp // the earliest time at which it may have happened; 0: the client is connected
 	GraceOver bool                // it happened so long ago that nothing may be started for the client any more
 }
@@ -64,5 +64,5 @@
 	// the caller must check the request's state again.
 	PollClient()
 	// ClientDisconnected says whether the client has disconnected, as far as the input read so far shows.
-	ClientDisconnected() Disconnect
+	ClientDisconnected() DisconnectState
 }
--- a/internal/proxy/responder.go
+++ b/internal/proxy/responder.go
@@ -21,7 +21,7 @@
 func (r *responder) PollClient() { r.conn.pollClient() }
 
 // ClientDisconnected implements Responder.
-func (r *responder) ClientDisconnected() Disconnect { return r.conn.disconnectState() }
+func (r *responder) ClientDisconnected() DisconnectState { return r.conn.disconnectState() }
 
 // Respond implements Responder.
 func (r *responder) Respond(a Answer) {
