--- a/internal/proxy/backpressure.go
+++ b/internal/proxy/backpressure.go
@@ -20,7 +20,8 @@
 // timeout divided by this. A later rejection would leave the client too little time for a retry.
 const blockedTimeoutDivisor = 2
 
-// errMemoryLimit says that a connection was closed because its unread answers take memory that is short.
+// errMemoryLimit says that a connection was closed because its unread answers take memory that the process
+// lacks.
 var errMemoryLimit = errors.New("memory limit reached")
 
 // blockedRequest is a request that is blocked by backpressure.
--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -67,7 +67,7 @@
 
 // counters holds what the process has counted since its start. No count ever decreases.
 type counters struct {
-	classNames []string // in the order of their addClass calls
+	classNames []string // in the order in which the classes were added
 	outcomes   map[string]*[outcomeCount]int64
 	denials    map[denial]int64
 	notServed  map[policy.Reason]int64 // answers that served nothing
@@ -80,8 +80,8 @@
 	return &counters{outcomes: map[string]*[outcomeCount]int64{}, denials: map[denial]int64{}, notServed: map[policy.Reason]int64{}}
 }
 
-// addClass returns the counts of a class, whose metrics are listed from its first call on. A class that is
-// removed from the settings keeps its counts.
+// addClass adds a class, unless it is known, and returns its counts. Its metrics are listed from then on. A
+// class that is removed from the settings keeps its counts.
 func (c *counters) addClass(class string) *[outcomeCount]int64 {
 	counts := c.outcomes[class]
 	if counts == nil {
@@ -94,7 +94,7 @@
 
 func (c *counters) countOutcome(class string, o outcome) { c.addClass(class)[o]++ }
 
-// recordVerdict reports whether a verdict allows an action, and counts a denial.
+// recordVerdict reports whether a verdict allows an action, and counts the verdict if it does not.
 func (c *counters) recordVerdict(a action, verdict policy.Verdict) bool {
 	if verdict.Allowed() {
 		return true
--- a/internal/proxy/disconnect.go
+++ b/internal/proxy/disconnect.go
@@ -11,8 +11,8 @@
 
 const (
 	// disconnectGrace is the time between a client's closing its sending side and the cancellation of its open
-	// requests. No call may be started for a client more than 0.1 s after its disconnect; without any grace,
-	// a client that has closed only its sending side would lose answers that are about to come.
+	// requests. Nothing may be started for a client more than 0.1 s after its disconnect; without any grace, a
+	// client that has closed only its sending side would lose answers that are about to come.
 	disconnectGrace = 80 * time.Millisecond
 	// clientPollInterval is the time since the last read from a client after which the client is polled within
 	// a turn.
@@ -58,7 +58,7 @@
 	}
 }
 
-// PeerClosed reports whether the client still has to get output. The connection is closed once it has got all.
+// PeerClosed reports whether output for the client remains. The connection is closed once all is written.
 func (c *clientConn) PeerClosed() (owed bool) {
 	c.closeWhenDone = true
 	if len(c.openRequests) > 0 {
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -185,8 +185,8 @@
 	}
 }
 
-// Guards against a metric svc_denied that counts closes which nobody wanted: no close is requested for a client
-// connection that is silent while its request is open. Once the request has been answered, it is closed.
+// Guards against closes that nobody wanted in the metric svc_denied: a client connection that is silent while its
+// request is open is not proposed for closing. It is closed once the request has been answered.
 func TestOpenRequestCausesNoCloseDenials(t *testing.T) {
 	f := newProxyFixture(t)
 	a := f.waitForAttemptOf(t, requestWithTimeout("60000"))
--- a/internal/proxy/fastcgiserver.go
+++ b/internal/proxy/fastcgiserver.go
@@ -17,8 +17,8 @@
 	// criticalWriteStallTimeout replaces writeStallTimeout while the memory budget is critical.
 	criticalWriteStallTimeout = 200 * time.Millisecond
 	// idleTimeout is how long a connection may go without input from the client or an answer to it. Clients
-	// close idle connections after 4 s: one that has not has probably vanished, and its connection would hold
-	// its descriptor forever. A connection with open requests is kept: policy.MayClose denies its close.
+	// close idle connections after 4 s: a client that has not done so has probably vanished, and its connection
+	// would occupy a descriptor. A connection with open requests is kept: policy.MayClose denies its close.
 	idleTimeout = 5 * time.Second
 	// requestPauseTimeout is how long a client may pause before its first request, or in the middle of one.
 	requestPauseTimeout = 2 * time.Second
@@ -126,10 +126,10 @@
 	return f.counters.recordVerdict(actionClose, policy.MayClose(info))
 }
 
-// closeDrainedConns closes the connections on which nothing remains to be done. It is called at the end of a
-// turn in which clients are to be disconnected, as data that arrives while a closed connection still has output
-// would be lost: all input must have been read, and all output written and acknowledged. A connection that
-// can't be closed is checked again in the next turn, so its denial isn't counted.
+// closeDrainedConns closes, while clients are to be disconnected, the connections on which nothing remains to
+// be done: all input has been read, and all output written and acknowledged. It is called at the end of a turn,
+// as data that arrives while a closed connection still has output would be lost. A connection that can't be
+// closed is checked again in the next turn, so its denial isn't counted.
 func (f *FastCGIServer) closeDrainedConns() {
 	for c := range f.conns {
 		if c.conn.Ended() {
--- a/internal/proxy/partialrequest.go
+++ b/internal/proxy/partialrequest.go
@@ -33,7 +33,7 @@
 	return len(record)
 }
 
-// updatePartialBytes counts the bytes of the connection's partial and blocked requests again.
+// updatePartialBytes recounts the bytes of the connection's partial and blocked requests.
 func (c *clientConn) updatePartialBytes() {
 	buffered := c.decoder.BufferedBytes()
 	for _, b := range c.blocked {
@@ -42,9 +42,9 @@
 	c.setPartialBytes(buffered)
 }
 
-// setPartialBytes sets the connection's bytes and adds the change to the memory budget. A connection may be
-// closed while its input is being handled. Counting its bytes after that would leave them in the budget
-// forever, and the server would reject more and more requests: a closed connection has none.
+// setPartialBytes sets the connection's bytes and adds the change to the memory budget; a closed connection has
+// no bytes. A connection may be closed while its input is being handled: counting its bytes after that would
+// leave them in the budget, and the server would reject more and more requests.
 func (c *clientConn) setPartialBytes(buffered int) {
 	if c.openRequests == nil {
 		buffered = 0
