--- a/internal/proxy/fastcgiserver.go
+++ b/internal/proxy/fastcgiserver.go
@@ -141,7 +141,7 @@
 	}
 }
 
-// Idle reports whether no client is connected or waits to be accepted.
+// Idle reports whether no client is connected and none waits to be accepted.
 func (f *FastCGIServer) Idle() bool {
 	return len(f.conns) == 0 && (f.sharedSocket || !f.listener.HasPending())
 }
--- a/internal/proxy/responder.go
+++ b/internal/proxy/responder.go
@@ -1,6 +1,6 @@
 package proxy
 
-// This file holds the encoding of answers for FastCGI clients.
+// This file encodes answers for FastCGI clients.
 
 import (
 	"strconv"
@@ -14,7 +14,7 @@
 	id   uint16 // the FastCGI request id
 }
 
-// responseOverheadBytes is the space allocated for headers and record framing around an answer's body.
+// responseOverheadBytes is the space allocated for headers and record framing in addition to an answer's body.
 const responseOverheadBytes = 256
 
 // PollClient implements Responder.
@@ -58,7 +58,7 @@
 	r.conn.finishRequest(r.id, fastcgi.AppendResponse(buffer, r.id, response))
 }
 
-// versionHeader names the served copy's version. A version in any other form than 16 hex digits is omitted.
+// versionHeader returns the header with the served copy's version; none if the version is not 16 hex digits.
 func versionHeader(version string) [][2]string {
 	if !isHexID(version) {
 		return nil
@@ -66,7 +66,8 @@
 	return [][2]string{{"X-Ver", version}}
 }
 
-// retryAfterHeader advises the client for how many milliseconds not to retry.
+// retryAfterHeader returns the header that says how many milliseconds the client should wait before a retry;
+// none if the answer gives no advice.
 func retryAfterHeader(a Answer) [][2]string {
 	millis := a.RetryAfter.Milliseconds()
 	if millis <= 0 {
