--- a/internal/proxy/adminoperations.go
+++ b/internal/proxy/adminoperations.go
@@ -86,7 +86,7 @@
 // stopDrain implements adminHandler.
 func (p *Proxy) stopDrain() Phase {
 	if p.lifecycle.phase == Draining {
-		p.lifecycle.enter(Serving, p.openRequests)
+		p.lifecycle.setPhase(Serving, p.openRequests)
 	}
 	return p.lifecycle.phase
 }
--- a/internal/proxy/lifecycle.go
+++ b/internal/proxy/lifecycle.go
@@ -68,15 +68,15 @@
 	answerBy       eventloop.Timestamp // while Stopping: every request has its answer by then
 }
 
-// enter changes the phase. openRequests is for the log.
-func (l *lifecycle) enter(next Phase, openRequests int) {
+// setPhase changes the phase. openRequests is for the log.
+func (l *lifecycle) setPhase(next Phase, openRequests int) {
 	l.log.Info("phase changed", "from", l.phase, "to", next, "open_requests", openRequests)
 	l.phase = next
 }
 
 // beginDrain sets the times of an operator's drain.
 func (l *lifecycle) beginDrain(openRequests int) {
-	l.enter(Draining, openRequests)
+	l.setPhase(Draining, openRequests)
 	l.disconnectFrom = l.loop.Now() + drainAcceptTime
 	l.rejectFrom = l.loop.Now() + drainRejectAfter
 }
@@ -84,13 +84,13 @@
 // beginShutdown sets the times of a graceful shutdown. longestDeadline is that of the settings, 0: none. Where
 // another process accepts clients on the same socket (takeover), idle connections are closed at once.
 func (l *lifecycle) beginShutdown(longestDeadline time.Duration, takeover bool, openRequests int) {
-	l.enter(Stopping, openRequests)
+	l.setPhase(Stopping, openRequests)
 	l.disconnectFrom = l.loop.Now() + shutdownAcceptTime
 	if takeover {
 		l.disconnectFrom = l.loop.Now()
 	}
-	platformWaits := min(maxShutdownDeadline, cmp.Or(longestDeadline, maxShutdownDeadline)) + killGrace
-	l.answerBy = l.loop.Now() + platformWaits - KillMargin
+	killDelay := min(maxShutdownDeadline, cmp.Or(longestDeadline, maxShutdownDeadline)) + killGrace
+	l.answerBy = l.loop.Now() + killDelay - KillMargin
 	l.rejectFrom = l.answerBy - shutdownRejectTime
 }
 
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -18,7 +18,7 @@
 	default:
 	}
 	if p.lifecycle.phase == Stopping && p.lifecycle.disconnecting() && !p.hasOpenWork() {
-		p.lifecycle.enter(Stopped, p.openRequests)
+		p.lifecycle.setPhase(Stopped, p.openRequests)
 	}
 }
 
