--- a/internal/proxy/coordinatorclock.go
+++ b/internal/proxy/coordinatorclock.go
@@ -32,9 +32,9 @@
 	log    *slog.Logger
 	notify func(policy.Event) // receives corrections
 
-	lower  []offsetBound // recent lower bounds of the offset, the highest first
-	upper  []offsetBound // recent upper bounds of the offset, the lowest first
-	offset time.Duration // coordinator's time minus the loop's
+	lowerBounds []offsetBound // recent lower bounds of the offset, the highest first
+	upperBounds []offsetBound // recent upper bounds of the offset, the lowest first
+	offset      time.Duration // coordinator's time minus the loop's
 
 	// newestInitialPurge is the latest time of a purge in the configuration's initial state; 0: none.
 	newestInitialPurge eventloop.Timestamp
@@ -42,24 +42,24 @@
 
 // offsetBound is a bound of the offset that a reported time has shown.
 type offsetBound struct {
-	at     eventloop.Timestamp // when it was shown
-	offset time.Duration
+	observedAt eventloop.Timestamp // when it was shown
+	offset     time.Duration
 }
 
 // observe compares a time that the coordinator reported with the loop's, and reports a correction.
-// notPublishedAt is a time of the loop at which the event was not published yet; 0: unknown, so that only a
+// publishedAfter is a time of the loop at which the event was not published yet; 0: unknown, so that only a
 // reported time in the future shows anything.
-func (c *coordinatorClock) observe(reported, notPublishedAt eventloop.Timestamp) {
+func (c *coordinatorClock) observe(reported, publishedAfter eventloop.Timestamp) {
 	now := c.loop.Now()
-	if notPublishedAt == 0 && reported <= c.toCoordinator(now) {
+	if publishedAfter == 0 && reported <= c.toCoordinator(now) {
 		return
 	}
-	c.forgetOldBounds(now)
-	c.addLowerBound(offsetBound{at: now, offset: reported - now})
-	if notPublishedAt != 0 {
-		c.addUpperBound(offsetBound{at: now, offset: reported - notPublishedAt + maxReportDelay})
+	c.removeExpiredBounds(now)
+	c.addLowerBound(offsetBound{observedAt: now, offset: reported - now})
+	if publishedAfter != 0 {
+		c.addUpperBound(offsetBound{observedAt: now, offset: reported - publishedAfter + maxReportDelay})
 	}
-	change := c.estimate() - c.offset
+	change := c.estimateOffset() - c.offset
 	if change.Abs() < minCorrection {
 		return
 	}
@@ -68,44 +68,44 @@
 	c.notify(policy.ClockCorrection{Offset: -change})
 }
 
-// forgetOldBounds removes the bounds that hold no longer.
-func (c *coordinatorClock) forgetOldBounds(now eventloop.Timestamp) {
-	isOld := func(b offsetBound) bool { return now-b.at > maxBoundAge }
-	c.lower = slices.DeleteFunc(c.lower, isOld)
-	c.upper = slices.DeleteFunc(c.upper, isOld)
+// removeExpiredBounds removes the bounds that hold no longer.
+func (c *coordinatorClock) removeExpiredBounds(now eventloop.Timestamp) {
+	expired := func(b offsetBound) bool { return now-b.observedAt > maxBoundAge }
+	c.lowerBounds = slices.DeleteFunc(c.lowerBounds, expired)
+	c.upperBounds = slices.DeleteFunc(c.upperBounds, expired)
 }
 
 // addLowerBound adds a lower bound and removes those that are no higher.
 func (c *coordinatorClock) addLowerBound(added offsetBound) {
-	c.lower = slices.DeleteFunc(c.lower, func(b offsetBound) bool { return b.offset <= added.offset })
-	c.lower = append(c.lower, added)
+	c.lowerBounds = slices.DeleteFunc(c.lowerBounds, func(b offsetBound) bool { return b.offset <= added.offset })
+	c.lowerBounds = append(c.lowerBounds, added)
 }
 
 // addUpperBound adds an upper bound and removes those that are no lower.
 func (c *coordinatorClock) addUpperBound(added offsetBound) {
-	c.upper = slices.DeleteFunc(c.upper, func(b offsetBound) bool { return b.offset >= added.offset })
-	c.upper = append(c.upper, added)
+	c.upperBounds = slices.DeleteFunc(c.upperBounds, func(b offsetBound) bool { return b.offset >= added.offset })
+	c.upperBounds = append(c.upperBounds, added)
 }
 
-// estimate is the offset that the bounds show: 0, the present offset, or else the highest lower bound, so that
+// estimateOffset is the offset that the bounds show: 0, the present offset, or else the highest lower bound, so that
 // nothing counts as older than it is. Where bounds contradict each other, the lower one is right: a report may
 // be later than expected, but never earlier.
-func (c *coordinatorClock) estimate() time.Duration {
-	lowest := c.lower[0].offset
+func (c *coordinatorClock) estimateOffset() time.Duration {
+	lowest := c.lowerBounds[0].offset
 	for _, candidate := range []time.Duration{0, c.offset} {
-		if lowest <= candidate && candidate <= c.highestOffset() {
+		if lowest <= candidate && candidate <= c.maxOffset() {
 			return candidate
 		}
 	}
 	return lowest
 }
 
-// highestOffset is the highest offset that is consistent with the bounds.
-func (c *coordinatorClock) highestOffset() time.Duration {
-	if len(c.upper) == 0 {
+// maxOffset is the highest offset that is consistent with the bounds.
+func (c *coordinatorClock) maxOffset() time.Duration {
+	if len(c.upperBounds) == 0 {
 		return math.MaxInt64
 	}
-	return max(c.upper[0].offset, c.lower[0].offset+maxReportDelay)
+	return max(c.upperBounds[0].offset, c.lowerBounds[0].offset+maxReportDelay)
 }
 
 // toLocal is the loop's time at a time of the coordinator.
@@ -125,7 +125,7 @@
 func (c *coordinatorClock) age(unixMillis int64) time.Duration {
 	end := time.Duration(unixMillis+1) * time.Millisecond
 	now := c.toCoordinator(c.loop.Now())
-	if len(c.lower) == 0 && c.newestInitialPurge != 0 {
+	if len(c.lowerBounds) == 0 && c.newestInitialPurge != 0 {
 		now = min(now, c.newestInitialPurge)
 	}
 	return max(0, now-end)
