--- a/internal/proxy/coordinatorclock_test.go
+++ b/internal/proxy/coordinatorclock_test.go
@@ -21,27 +21,27 @@
 
 // clockTest is a proxy whose wall clock is wrong, set by hand.
 type clockTest struct {
-	p     *Proxy
-	clock *handClock
-	right eventloop.Timestamp // the correct time at the test's start
+	p            *Proxy
+	clock        *handClock
+	correctStart eventloop.Timestamp // the correct time at the test's start
 }
 
-func newClockTest(t *testing.T, wrongBy time.Duration) *clockTest {
+func newClockTest(t *testing.T, clockError time.Duration) *clockTest {
 	t.Helper()
-	right := eventloop.Timestamp(time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC).UnixNano())
-	clock := &handClock{now: right + wrongBy}
+	correctStart := eventloop.Timestamp(time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC).UnixNano())
+	clock := &handClock{now: correctStart + clockError}
 	loop, err := eventloop.NewLoop(clock)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &clockTest{p: newEventProxy(loop), clock: clock, right: right}
+	return &clockTest{p: newEventProxy(loop), clock: clock, correctStart: correctStart}
 }
 
 // report has the coordinator report a purge that took place the given time before the test's start, and
 // returns as how old it counts.
 func (c *clockTest) report(ago time.Duration) time.Duration {
 	c.p.inbox = nil
-	c.p.applyEvent(watch.Event{Purge: &watch.Purge{Object: "x", At: (c.right - ago).Milliseconds()}}, c.p.loop.Now())
+	c.p.applyEvent(watch.Event{Purge: &watch.Purge{Object: "x", At: (c.correctStart - ago).Milliseconds()}}, c.p.loop.Now())
 	return c.p.inbox[len(c.p.inbox)-1].(policy.Purge).Age
 }
 
@@ -56,23 +56,23 @@
 
 // However wrong the clock is, a purge never counts as older than it is, and counts as about as old once one
 // has been reported in time.
-func TestPurgeAgeByAWrongClock(t *testing.T) {
-	for _, wrongBy := range []time.Duration{0, time.Hour, -time.Hour, 3 * time.Second, -3 * time.Second} {
-		c := newClockTest(t, wrongBy)
+func TestPurgeAgeWithWrongClock(t *testing.T) {
+	for _, clockError := range []time.Duration{0, time.Hour, -time.Hour, 3 * time.Second, -3 * time.Second} {
+		c := newClockTest(t, clockError)
 		for _, ago := range []time.Duration{400 * time.Millisecond, 100 * time.Millisecond, 2 * time.Second, 0} {
 			got := c.report(ago)
 			if got > ago {
-				t.Errorf("%v wrong: %v ago counts as %v", wrongBy, ago, got)
+				t.Errorf("%v wrong: %v ago counts as %v", clockError, ago, got)
 			}
 			if ago == 2*time.Second && got < ago-maxReportDelay {
-				t.Errorf("%v wrong: %v ago counts as only %v", wrongBy, ago, got)
+				t.Errorf("%v wrong: %v ago counts as only %v", clockError, ago, got)
 			}
 		}
 	}
 }
 
 // One wrong time from the coordinator is forgotten.
-func TestWrongTimeIsForgotten(t *testing.T) {
+func TestWrongReportedTimeExpires(t *testing.T) {
 	c := newClockTest(t, 0)
 	c.report(-time.Hour)
 	if c.p.clock.offset == 0 {
@@ -87,10 +87,10 @@
 
 // Before anything has been reported live, purges of the initial state are certain only against the latest of
 // them.
-func TestInitialPurgesByAWrongClock(t *testing.T) {
+func TestInitialPurgeAgesWithWrongClock(t *testing.T) {
 	c := newClockTest(t, time.Hour)
 	purge := func(ago time.Duration) watch.Event {
-		return watch.Event{Purge: &watch.Purge{Object: "x", At: (c.right - ago).Milliseconds()}}
+		return watch.Event{Purge: &watch.Purge{Object: "x", At: (c.correctStart - ago).Milliseconds()}}
 	}
 	c.p.applyInitialState([]watch.Event{purge(5 * time.Second), purge(2 * time.Second)})
 	for i, want := range []time.Duration{3 * time.Second, 0} {
@@ -102,7 +102,7 @@
 
 // After a pause many purges are reported at once, the oldest first: late reports say nothing of the clock,
 // and no purge counts as older than it is once the last of them has been reported.
-func TestPurgesThatCatchUp(t *testing.T) {
+func TestPurgeAgesAfterReportingPause(t *testing.T) {
 	c := newClockTest(t, 0)
 	c.report(0) // in time
 	loop := c.p.loop
--- a/internal/proxy/endpoints_test.go
+++ b/internal/proxy/endpoints_test.go
@@ -82,7 +82,7 @@
 
 // Guards against an endpoint that counts as restarted as its list corrects the clock: all starts of a list are
 // converted with the offset that holds after it, whatever their order.
-func TestStartsOfOneListHaveOneOffset(t *testing.T) {
+func TestStartTimesOfOneListUseOneOffset(t *testing.T) {
 	const behind = time.Hour
 	c := newClockTest(t, -behind)
 	var starts []policy.Endpoint
@@ -98,10 +98,10 @@
 			ID: id, State: watch.StateServing, Kind: "std", Zone: "edge", Addr: "127.0.0.1:1", Started: started.Milliseconds(),
 		}
 	}
-	first := entry("a", c.right-2*behind)
+	first := entry("a", c.correctStart-2*behind)
 	table.apply(&watch.EndpointUpdate{Full: true, Endpoints: []watch.Endpoint{first}})
 	before := starts[0].Started
-	table.apply(&watch.EndpointUpdate{Endpoints: []watch.Endpoint{first, entry("b", c.right)}})
+	table.apply(&watch.EndpointUpdate{Endpoints: []watch.Endpoint{first, entry("b", c.correctStart)}})
 	if want := before + corrected; corrected != -behind || starts[0].Started != want {
 		t.Errorf("corrected by %v; the start is at %v, want %v", corrected, starts[0].Started, want)
 	}
--- a/internal/proxy/missingevents.go
+++ b/internal/proxy/missingevents.go
@@ -18,9 +18,9 @@
 // those behind them were applied. One that arrives late must not undo what a newer event has said: as long as
 // any is missing, the newest event that named each endpoint is remembered.
 type missingEvents struct {
-	requests       map[int64]int    // by index of a missing event: how often it was requested again
-	newestByServer map[string]int64 // by endpoint id: index of the newest event that named it
-	newestFullList int64            // index of the newest event with a full list; 0: none
+	requests         map[int64]int    // by index of a missing event: how often it was requested again
+	newestByEndpoint map[string]int64 // by endpoint id: index of the newest event that named it
+	newestFullList   int64            // index of the newest event with a full list; 0: none
 }
 
 // add notes that the events from one index to another are missing and have been requested again as often as
@@ -28,13 +28,13 @@
 func (m *missingEvents) add(from, to int64, requests int) {
 	if m.requests == nil {
 		m.requests = map[int64]int{}
-		m.newestByServer = map[string]int64{}
+		m.newestByEndpoint = map[string]int64{}
 	}
 	for index := max(from, to-maxMissingEvents+1); index <= to; index++ {
 		m.requests[index] = requests
 	}
 	for len(m.requests) > maxMissingEvents {
-		delete(m.requests, m.first())
+		delete(m.requests, m.lowest())
 	}
 }
 
@@ -47,8 +47,8 @@
 	return missing
 }
 
-// first is the lowest index of a missing event.
-func (m *missingEvents) first() int64 { return slices.Min(slices.Collect(maps.Keys(m.requests))) }
+// lowest is the lowest index of a missing event.
+func (m *missingEvents) lowest() int64 { return slices.Min(slices.Collect(maps.Keys(m.requests))) }
 
 // fewestRequests is how often the least requested of the missing events was requested again.
 func (m *missingEvents) fewestRequests() int {
@@ -62,16 +62,16 @@
 	}
 }
 
-// giveUp forgets the events that were requested often enough, and returns how many those are.
-func (m *missingEvents) giveUp() int {
+// dropExhausted forgets the events that were requested often enough, and returns how many those are.
+func (m *missingEvents) dropExhausted() int {
 	before := len(m.requests)
 	maps.DeleteFunc(m.requests, func(_ int64, requests int) bool { return requests >= maxRequestsForMissing })
-	m.forgetIfEmpty()
+	m.resetIfEmpty()
 	return before - len(m.requests)
 }
 
-// recordTaken notes what an event says that was applied. A late one is missing no longer.
-func (m *missingEvents) recordTaken(ev watch.Event) {
+// recordDelivered notes what an event says that was applied. A late one is missing no longer.
+func (m *missingEvents) recordDelivered(ev watch.Event) {
 	if m.isEmpty() {
 		return
 	}
@@ -79,7 +79,7 @@
 	if ev.Endpoints != nil {
 		m.recordEndpoints(ev.Index, ev.Endpoints)
 	}
-	m.forgetIfEmpty()
+	m.resetIfEmpty()
 }
 
 // recordEndpoints notes which endpoints an event names.
@@ -88,12 +88,12 @@
 		m.newestFullList = max(m.newestFullList, index)
 	}
 	for _, endpoint := range update.Endpoints {
-		m.newestByServer[endpoint.ID] = max(m.newestByServer[endpoint.ID], index)
+		m.newestByEndpoint[endpoint.ID] = max(m.newestByEndpoint[endpoint.ID], index)
 	}
 }
 
-// forgetIfEmpty forgets what newer events said once no event is missing.
-func (m *missingEvents) forgetIfEmpty() {
+// resetIfEmpty forgets what newer events said once no event is missing.
+func (m *missingEvents) resetIfEmpty() {
 	if m.isEmpty() {
 		*m = missingEvents{}
 	}
@@ -102,5 +102,5 @@
 // isSuperseded reports whether an event newer than the one with the index has named an endpoint, or has listed
 // all.
 func (m *missingEvents) isSuperseded(index int64, endpoint string) bool {
-	return m.newestFullList > index || m.newestByServer[endpoint] > index
+	return m.newestFullList > index || m.newestByEndpoint[endpoint] > index
 }
--- a/internal/proxy/watch.go
+++ b/internal/proxy/watch.go
@@ -27,8 +27,8 @@
 // not block.
 type watchHandler interface {
 	// applyEvent takes the next event. Each is passed on once, in the order of their indices; some may be
-	// left out. notPublishedAt is a time at which the event was not published yet.
-	applyEvent(ev watch.Event, notPublishedAt eventloop.Timestamp)
+	// left out. publishedAfter is a time at which the event was not published yet.
+	applyEvent(ev watch.Event, publishedAfter eventloop.Timestamp)
 	// applyLateEvent takes an event that was left out before. superseded reports whether newer events, which
 	// have been passed on already, say what holds for an endpoint.
 	applyLateEvent(ev watch.Event, superseded func(endpoint string) bool)
@@ -120,7 +120,7 @@
 // openStreamAfter opens one more stream for all events after the one with the index. recovering says that it is
 // opened for missing events.
 func (w *coordinatorWatch) openStreamAfter(index int64, recovering bool) {
-	w.makeRoom()
+	w.closeExcessStreams()
 	w.streamsOpened++
 	s := newWatchStream(w)
 	s.recovering = recovering
--- a/internal/proxy/watch_test.go
+++ b/internal/proxy/watch_test.go
@@ -60,7 +60,7 @@
 
 // A purge that is reported in a turn in which the process was suspended counts as old as it was when the turn
 // began.
-func TestPurgeReportedInALongTurn(t *testing.T) {
+func TestPurgeAgeInSuspendedTurn(t *testing.T) {
 	const suspended, ago = 10 * time.Second, 12 * time.Second
 	loop, err := eventloop.NewLoop(&suspendedClock{TimeSource: eventloop.SystemClock(), suspended: suspended})
 	if err != nil {
--- a/internal/proxy/watchevents.go
+++ b/internal/proxy/watchevents.go
@@ -36,13 +36,13 @@
 		}
 	}
 	for _, ev := range events {
-		p.takeEvent(ev, 0)
+		p.processWatchEvent(ev, 0)
 	}
 }
 
 // applyEvent implements watchHandler.
-func (p *Proxy) applyEvent(ev watch.Event, notPublishedAt eventloop.Timestamp) {
-	p.takeEvent(ev, notPublishedAt)
+func (p *Proxy) applyEvent(ev watch.Event, publishedAfter eventloop.Timestamp) {
+	p.processWatchEvent(ev, publishedAfter)
 }
 
 // applyLateEvent implements watchHandler.
@@ -50,23 +50,23 @@
 	if ev.Endpoints != nil {
 		ev.Endpoints = p.endpoints.withoutSuperseded(ev.Endpoints, superseded)
 	}
-	p.takeEvent(ev, 0)
+	p.processWatchEvent(ev, 0)
 }
 
 // countUnreadable implements watchHandler.
 func (p *Proxy) countUnreadable(parts int) { p.counters.unreadableParts += parts }
 
-// takeEvent passes an event on to the decision module. notPublishedAt is a time at which it was not published yet;
+// processWatchEvent passes an event on to the decision module. publishedAfter is a time at which it was not published yet;
 // 0: unknown. The first endpoint list ends the start of the program.
-func (p *Proxy) takeEvent(ev watch.Event, notPublishedAt eventloop.Timestamp) {
+func (p *Proxy) processWatchEvent(ev watch.Event, publishedAfter eventloop.Timestamp) {
 	p.invariants.observeEvent(ev)
 	if ev.Purge != nil {
-		p.takePurge(ev.Purge, notPublishedAt)
+		p.processPurge(ev.Purge, publishedAfter)
 	}
 	if ev.Endpoints != nil {
 		p.endpoints.apply(ev.Endpoints)
 		if p.lifecycle.phase == Starting {
-			p.lifecycle.enter(Serving, p.openRequests)
+			p.lifecycle.setPhase(Serving, p.openRequests)
 		}
 	}
 	if ev.Unreadable > 0 {
@@ -76,12 +76,12 @@
 	}
 }
 
-// takePurge passes on a purge. One whose time is not reported counts as new, and one whose target can't be
+// processPurge passes on a purge. One whose time is not reported counts as new, and one whose target can't be
 // decoded purges every group.
-func (p *Proxy) takePurge(purge *watch.Purge, notPublishedAt eventloop.Timestamp) {
+func (p *Proxy) processPurge(purge *watch.Purge, publishedAfter eventloop.Timestamp) {
 	age := time.Duration(0)
 	if purge.At != 0 {
-		p.clock.observe(time.Duration(purge.At)*time.Millisecond, notPublishedAt)
+		p.clock.observe(time.Duration(purge.At)*time.Millisecond, publishedAfter)
 		age = p.clock.age(purge.At)
 	}
 	switch {
--- a/internal/proxy/watchrecovery.go
+++ b/internal/proxy/watchrecovery.go
@@ -13,9 +13,9 @@
 // passed over together are requested together. It doubles with each further request.
 const firstRecoveryDelay = 500 * time.Millisecond
 
-// passOver notes that the events from one index to another are missing and have been requested again as often as
+// recordMissing notes that the events from one index to another are missing and have been requested again as often as
 // requests says.
-func (w *coordinatorWatch) passOver(from, to int64, requests int) {
+func (w *coordinatorWatch) recordMissing(from, to int64, requests int) {
 	if from > to {
 		return
 	}
@@ -51,7 +51,7 @@
 			break
 		}
 	}
-	lost := w.missing.giveUp()
+	lost := w.missing.dropExhausted()
 	if lost > 0 {
 		w.log.Error("coordinator events lost, given up", "events", lost, "event", w.lastIndex)
 	}
@@ -60,18 +60,18 @@
 		return
 	}
 	w.missing.recordRequest()
-	w.openStreamAfter(w.missing.first()-1, true)
+	w.openStreamAfter(w.missing.lowest()-1, true)
 	w.scheduleRecovery()
 }
 
-// takeLate passes on an event that was missing. Any other event up to lastIndex is a repeat.
-func (w *coordinatorWatch) takeLate(ev watch.Event) {
+// deliverLate passes on an event that was missing. Any other event up to lastIndex is a repeat.
+func (w *coordinatorWatch) deliverLate(ev watch.Event) {
 	if !w.missing.has(ev.Index) || ev.IsHeartbeat() {
 		return
 	}
 	superseded := func(endpoint string) bool { return w.missing.isSuperseded(ev.Index, endpoint) }
 	w.handler.applyLateEvent(ev, superseded)
-	w.missing.recordTaken(ev)
+	w.missing.recordDelivered(ev)
 	w.log.Warn("coordinator event recovered", "event", ev.Index)
 	if w.missing.isEmpty() {
 		w.stopRecovery()
--- a/internal/proxy/watchrecovery_test.go
+++ b/internal/proxy/watchrecovery_test.go
@@ -12,10 +12,10 @@
 	"cloverdoor/policy"
 )
 
-// requestedFrom is the index that each stream of a play followed.
-func (p *watchPlay) requestedFrom() []int {
+// followedIndices is the index that each stream of a play followed.
+func (h *watchHarness) followedIndices() []int {
 	var from []int
-	for _, s := range p.streams {
+	for _, s := range h.streams {
 		from = append(from, s.from)
 	}
 	return from
@@ -23,16 +23,16 @@
 
 // Guards against a drain that is lost for good as its line was spoilt once in the middle of the input: what
 // follows it is taken at once, and it is requested again, as often as three bad lines in a row need.
-func TestSpoiltEventIsTakenLate(t *testing.T) {
-	spoilt := func(line string) string { return line[:len(line)/2] + line + "\n" }
+func TestCorruptEventIsRecovered(t *testing.T) {
+	corrupt := func(line string) string { return line[:len(line)/2] + line + "\n" }
 	for _, c := range []struct {
-		name       string
-		spoiltLine func(stream int) string // what stands for event 2 on a stream; empty: its line
-		late       time.Duration           // the latest time of event 2
+		name        string
+		corruptLine func(stream int) string // what stands for event 2 on a stream; empty: its line
+		late        time.Duration           // the latest time of event 2
 	}{
 		{"spoilt once", func(stream int) string {
 			if stream == 0 {
-				return spoilt(`{"index":2,"x":1}`)
+				return corrupt(`{"index":2,"x":1}`)
 			}
 			return ""
 		}, time.Second},
@@ -41,107 +41,107 @@
 				return strings.Repeat("{", stream+1) + "broken\n"
 			}
 			return ""
-		}, reportLimit},
+		}, maxEventDelay},
 		{"spoilt alike three times", func(stream int) string {
 			if stream < 3 {
 				return "{broken\n"
 			}
 			return ""
-		}, reportLimit},
+		}, maxEventDelay},
 		{"missing three times", func(stream int) string {
 			if stream < 3 {
 				return " "
 			}
 			return ""
-		}, reportLimit},
+		}, maxEventDelay},
 	} {
-		p := newWatchPlay(t, func(stream int) streamScript {
-			line := c.spoiltLine(stream)
+		h := newWatchHarness(t, func(stream int) streamScript {
+			line := c.corruptLine(stream)
 			if line == "" {
-				return bringAll
+				return sendAll
 			}
-			return spoiling(2, line)
+			return replaceEventLine(2, line)
 		})
-		p.run(2 * time.Second)
-		published := p.clock.now
-		p.publish(drainEvent)
-		p.publish(drainEvent)
-		p.publish(drainEvent)
-		p.runUntil(4, reportLimit)
-		if p.taken.has(2) || !p.taken.has(4) {
-			t.Errorf("%s: taken at first: %v", c.name, p.taken.indices)
+		h.run(2 * time.Second)
+		published := h.clock.now
+		h.publish(drainEvent)
+		h.publish(drainEvent)
+		h.publish(drainEvent)
+		h.runUntil(4, maxEventDelay)
+		if h.delivered.has(2) || !h.delivered.has(4) {
+			t.Errorf("%s: taken at first: %v", c.name, h.delivered.indices)
 		}
-		p.runUntil(2, time.Minute)
-		if took := p.clock.now - published; took > c.late {
+		h.runUntil(2, time.Minute)
+		if took := h.clock.now - published; took > c.late {
 			t.Errorf("%s: the event was taken after %v", c.name, took)
 		}
-		p.run(30 * time.Second)
-		if got := fmt.Sprint(p.taken.indices, p.taken.late); got != "[3 4 2] [2]" {
+		h.run(30 * time.Second)
+		if got := fmt.Sprint(h.delivered.indices, h.delivered.late); got != "[3 4 2] [2]" {
 			t.Errorf("%s: taken: %s", c.name, got)
 		}
-		if last := p.requestedFrom()[len(p.streams)-1]; last != 1 {
-			t.Errorf("%s: requested from %v", c.name, p.requestedFrom())
+		if last := h.followedIndices()[len(h.streams)-1]; last != 1 {
+			t.Errorf("%s: requested from %v", c.name, h.followedIndices())
 		}
-		p.close()
+		h.close()
 	}
 }
 
 // Guards against an event that can never be read and is requested without end: it is given up after a few
 // requests, and all that follow it are taken as they come.
-func TestEventThatIsNeverReadableIsGivenUp(t *testing.T) {
-	p := newWatchPlay(t, func(int) streamScript { return spoiling(2, "{broken\n") })
-	p.run(2 * time.Second)
-	p.publish(drainEvent)
-	p.publish(drainEvent)
-	p.run(time.Minute)
-	if streams := len(p.streams); streams != 1+maxRequestsForMissing {
-		t.Errorf("streams followed from %v", p.requestedFrom())
+func TestUnreadableEventIsGivenUp(t *testing.T) {
+	h := newWatchHarness(t, func(int) streamScript { return replaceEventLine(2, "{broken\n") })
+	h.run(2 * time.Second)
+	h.publish(drainEvent)
+	h.publish(drainEvent)
+	h.run(time.Minute)
+	if streams := len(h.streams); streams != 1+maxRequestsForMissing {
+		t.Errorf("streams followed from %v", h.followedIndices())
 	}
-	if !p.watch.missing.isEmpty() || len(p.watch.streams) != 1 {
-		t.Errorf("missing: %v, %d streams", p.watch.missing.requests, len(p.watch.streams))
+	if !h.watch.missing.isEmpty() || len(h.watch.streams) != 1 {
+		t.Errorf("missing: %v, %d streams", h.watch.missing.requests, len(h.watch.streams))
 	}
-	p.publish(drainEvent)
-	if took := p.runUntil(4, time.Minute); took > 2*playStep {
+	h.publish(drainEvent)
+	if took := h.runUntil(4, time.Minute); took > 2*harnessStep {
 		t.Errorf("the next event was taken after %v", took)
 	}
 }
 
 // Guards against missing events that hold up new ones, or are forgotten, when the streams fail meanwhile.
-func TestMissingEventThoughStreamsFail(t *testing.T) {
-	for name, broken := range brokenStreams() {
-		p := newWatchPlay(t, func(stream int) streamScript {
+func TestMissingEventIsRecoveredThoughStreamsFail(t *testing.T) {
+	for name, broken := range failureScripts() {
+		h := newWatchHarness(t, func(stream int) streamScript {
 			switch stream {
 			case 0:
-				return spoiling(2, "{broken\n")
+				return replaceEventLine(2, "{broken\n")
 			case 1, 2:
 				return broken()
 			}
-			return bringAll
+			return sendAll
 		})
-		p.run(2 * time.Second)
-		published := p.clock.now
-		p.publish(drainEvent)
-		p.publish(drainEvent)
-		p.run(700 * time.Millisecond) // the second stream is open
-		p.publish(drainEvent)
-		p.runUntil(4, time.Minute)
-		p.runUntil(2, time.Minute)
-		if took := p.clock.now - published; took >= reportLimit {
+		h.run(2 * time.Second)
+		published := h.clock.now
+		h.publish(drainEvent)
+		h.publish(drainEvent)
+		h.run(700 * time.Millisecond) // the second stream is open
+		h.publish(drainEvent)
+		h.runUntil(4, time.Minute)
+		h.runUntil(2, time.Minute)
+		if took := h.clock.now - published; took >= maxEventDelay {
 			t.Errorf("%s: all events were taken after %v", name, took)
 		}
-		p.close()
+		h.close()
 	}
 }
 
-// lateTable is an endpoint table with one kind and zone that records what the decision module is notified of.
-type lateTable struct {
+// recordedTable is an endpoint table with one kind and zone that records what the decision module is notified of.
+type recordedTable struct {
 	endpointTable
 	states map[string]policy.State // as the module knows them
 }
 
-func newLateTable(t *testing.T) *lateTable {
+func newRecordedTable(t *testing.T) *recordedTable {
 	t.Helper()
-	table := &lateTable{states: map[string]policy.State{}}
+	table := &recordedTable{states: map[string]policy.State{}}
 	table.endpointTable = endpointTable{
 		log: slog.New(slog.DiscardHandler), clock: newClockTest(t, 0).p.clock, pools: &recordedPools{},
 		kinds: []string{"std"}, zones: []string{"edge"}, startMillis: map[string]int64{},
@@ -160,7 +160,7 @@
 
 // Guards against a late event that undoes a newer one: whichever event of a series is late, the endpoints end in
 // the states that the whole series says.
-func TestLateEventUndoesNothing(t *testing.T) {
+func TestLateEventKeepsNewerState(t *testing.T) {
 	entries := func(states ...string) []watch.Endpoint {
 		var list []watch.Endpoint
 		for _, entry := range states {
@@ -182,12 +182,12 @@
 		t.Fatal("the states have other numbers")
 	}
 	for late := range series {
-		table := newLateTable(t)
+		table := newRecordedTable(t)
 		var missing missingEvents
 		table.apply(&watch.EndpointUpdate{Full: true, Endpoints: entries("z SERVING")})
 		apply := func(index int, update *watch.EndpointUpdate) {
 			table.apply(update)
-			missing.recordTaken(watch.Event{Index: int64(index), Endpoints: series[index]})
+			missing.recordDelivered(watch.Event{Index: int64(index), Endpoints: series[index]})
 		}
 		for index, update := range series {
 			if index == late {
@@ -207,16 +207,16 @@
 		if fmt.Sprint(got) != want {
 			t.Errorf("event %d late: %v, want %s", late, got, want)
 		}
-		if !missing.isEmpty() || missing.newestByServer != nil {
+		if !missing.isEmpty() || missing.newestByEndpoint != nil {
 			t.Errorf("event %d late: %+v is remembered", late, missing)
 		}
 	}
 }
 
 // Guards against missing events that are never requested again as further ones keep being passed over.
-func TestRecoveryIsNotPutOffByFurtherMissingEvents(t *testing.T) {
-	spoilEverySecond := func(s *playedStream) {
-		for s.sent < len(s.play.lines) {
+func TestRecoveryIsNotDelayedByFurtherMissingEvents(t *testing.T) {
+	corruptEverySecond := func(s *fakeStream) {
+		for s.sent < len(s.harness.lines) {
 			line := s.nextLine()
 			if s.sent%2 == 1 {
 				line = "{broken\n"
@@ -225,20 +225,20 @@
 			s.sent++
 		}
 	}
-	p := newWatchPlay(t, func(stream int) streamScript {
+	h := newWatchHarness(t, func(stream int) streamScript {
 		if stream == 0 {
-			return spoilEverySecond
+			return corruptEverySecond
 		}
-		return bringAll
+		return sendAll
 	})
-	p.run(time.Second)
-	published := p.clock.now
-	for !p.taken.has(2) && p.clock.now-published < reportLimit {
-		p.publish(drainEvent)
-		p.publish(drainEvent)
-		p.run(200 * time.Millisecond)
+	h.run(time.Second)
+	published := h.clock.now
+	for !h.delivered.has(2) && h.clock.now-published < maxEventDelay {
+		h.publish(drainEvent)
+		h.publish(drainEvent)
+		h.run(200 * time.Millisecond)
 	}
-	if took := p.clock.now - published; took >= reportLimit {
-		t.Errorf("event 2 was not taken within %v; the streams followed from %v", took, p.requestedFrom())
+	if took := h.clock.now - published; took >= maxEventDelay {
+		t.Errorf("event 2 was not taken within %v; the streams followed from %v", took, h.followedIndices())
 	}
 }
--- a/internal/proxy/watchretry.go
+++ b/internal/proxy/watchretry.go
@@ -24,10 +24,10 @@
 	// minStreamCheckInterval is the shortest.
 	minStreamCheckInterval = 50 * time.Millisecond
 
-	// quickReplacements is how many streams in a row are opened quickRetryTimeout after the one before has
+	// quickRetries is how many streams in a row are opened quickRetryTimeout after the one before has
 	// stalled. After 7 s a drain must be heeded whether its event has arrived or not: lineTimeout and as many
 	// retries have to end well before that.
-	quickReplacements = 3
+	quickRetries = 3
 	// quickRetryTimeout is how long such a stream may take for its first line: a heartbeat comes within a
 	// second.
 	quickRetryTimeout = 1250 * time.Millisecond
@@ -76,13 +76,13 @@
 
 // retryTimeout is how long a new stream may take for its first line after all others have stalled.
 func (w *coordinatorWatch) retryTimeout() time.Duration {
-	doublings := max(0, w.stalls-quickReplacements)
-	return min(quickRetryTimeout<<min(doublings, quickReplacements), maxRetryTimeout)
+	doublings := max(0, w.stalls-quickRetries)
+	return min(quickRetryTimeout<<min(doublings, quickRetries), maxRetryTimeout)
 }
 
-// makeRoom closes streams until one more may be opened. Of those that are in the middle of a line, the one that
+// closeExcessStreams closes streams until one more may be opened. Of those that are in the middle of a line, the one that
 // has received most of it stays; after it, the newer ones do.
-func (w *coordinatorWatch) makeRoom() {
+func (w *coordinatorWatch) closeExcessStreams() {
 	kept := w.mostAdvancedStream()
 	receiving := 0
 	for _, s := range w.streams {
--- a/internal/proxy/watchstream.go
+++ b/internal/proxy/watchstream.go
@@ -142,7 +142,7 @@
 	w := s.owner
 	if ev.Index <= w.lastIndex {
 		s.skippedLines = 0 // none of the lines was a newer event
-		w.takeLate(ev)
+		w.deliverLate(ev)
 		return nil
 	}
 	requests := 0
@@ -157,23 +157,23 @@
 		w.log.Error("coordinator events skipped, missing", "after", w.lastIndex, "before", ev.Index)
 		requests = 1
 	}
-	s.take(ev, requests)
+	s.deliver(ev, requests)
 	return nil
 }
 
-// take passes on a new event. Those between it and the last one are missing and have been requested again as
+// deliver passes on a new event. Those between it and the last one are missing and have been requested again as
 // often as requests says; a heartbeat stands for a missing one itself.
-func (s *watchStream) take(ev watch.Event, requests int) {
+func (s *watchStream) deliver(ev watch.Event, requests int) {
 	w := s.owner
 	lastMissing := ev.Index - 1
 	if ev.IsHeartbeat() {
 		lastMissing = ev.Index
 	}
-	w.passOver(w.lastIndex+1, lastMissing, requests)
+	w.recordMissing(w.lastIndex+1, lastMissing, requests)
 	w.lastIndex = ev.Index
 	s.skippedLines = 0
 	if !ev.IsHeartbeat() {
-		w.missing.recordTaken(ev)
+		w.missing.recordDelivered(ev)
 	}
 	w.handler.applyEvent(ev, w.upToDateAt)
 }
