--- a/internal/proxy/missingevents.go
+++ b/internal/proxy/missingevents.go
@@ -8,23 +8,23 @@
 )
 
 const (
-	// maxMissingEvents bounds how many missing events are remembered; the newest are.
+	// maxMissingEvents bounds how many missing events are tracked. Beyond it the oldest are forgotten.
 	maxMissingEvents = 1024
-	// maxRequestsForMissing is how often a missing event is requested again before it is given up.
+	// maxRequestsForMissing is how often a missing event is requested again before recovery gives it up.
 	maxRequestsForMissing = 4
 )
 
-// missingEvents are the events that were passed over because they could not be decoded or did not arrive, while
-// those behind them were applied. One that arrives late must not undo what a newer event has said: as long as
-// any is missing, the newest event that named each endpoint is remembered.
+// missingEvents tracks the events that were skipped because they could not be decoded or did not arrive, while
+// later events were applied. An event that arrives late must not undo a newer one, so while any event is missing,
+// the index of the newest event that named each endpoint is kept as well.
 type missingEvents struct {
-	requests         map[int64]int    // by index of a missing event: how often it was requested again
+	requests         map[int64]int    // how often each missing event was requested again, by index
 	newestByEndpoint map[string]int64 // by endpoint id: index of the newest event that named it
 	newestFullList   int64            // index of the newest event with a full list; 0: none
 }
 
-// add notes that the events from one index to another are missing and have been requested again as often as
-// requests says.
+// add records the events from index from to index to, inclusive, as missing. requests is how often they have been
+// requested again already.
 func (m *missingEvents) add(from, to int64, requests int) {
 	if m.requests == nil {
 		m.requests = map[int64]int{}
@@ -47,22 +47,22 @@
 	return missing
 }
 
-// lowest is the lowest index of a missing event.
+// lowest returns the lowest index of a missing event. At least one must be missing.
 func (m *missingEvents) lowest() int64 { return slices.Min(slices.Collect(maps.Keys(m.requests))) }
 
-// fewestRequests is how often the least requested of the missing events was requested again.
+// fewestRequests returns the lowest number of requests among the missing events. At least one must be missing.
 func (m *missingEvents) fewestRequests() int {
 	return slices.Min(slices.Collect(maps.Values(m.requests)))
 }
 
-// recordRequest notes that all missing events have been requested once more.
+// recordRequest records that all missing events have been requested once more.
 func (m *missingEvents) recordRequest() {
 	for index := range m.requests {
 		m.requests[index]++
 	}
 }
 
-// dropExhausted forgets the events that were requested often enough, and returns how many those are.
+// dropExhausted forgets the events that have reached maxRequestsForMissing and returns how many it forgot.
 func (m *missingEvents) dropExhausted() int {
 	before := len(m.requests)
 	maps.DeleteFunc(m.requests, func(_ int64, requests int) bool { return requests >= maxRequestsForMissing })
@@ -70,7 +70,8 @@
 	return before - len(m.requests)
 }
 
-// recordDelivered notes what an event says that was applied. A late one is missing no longer.
+// recordDelivered records an event that was applied, new or late: it is no longer missing, and the endpoints that
+// it names have a newest event. It does nothing while no event is missing.
 func (m *missingEvents) recordDelivered(ev watch.Event) {
 	if m.isEmpty() {
 		return
@@ -82,7 +83,7 @@
 	m.resetIfEmpty()
 }
 
-// recordEndpoints notes which endpoints an event names.
+// recordEndpoints records which endpoints an event names.
 func (m *missingEvents) recordEndpoints(index int64, update *watch.EndpointUpdate) {
 	if update.Full {
 		m.newestFullList = max(m.newestFullList, index)
@@ -92,15 +93,14 @@
 	}
 }
 
-// resetIfEmpty forgets what newer events said once no event is missing.
+// resetIfEmpty discards the indices of the newest events once no event is missing.
 func (m *missingEvents) resetIfEmpty() {
 	if m.isEmpty() {
 		*m = missingEvents{}
 	}
 }
 
-// isSuperseded reports whether an event newer than the one with the index has named an endpoint, or has listed
-// all.
+// isSuperseded reports whether an event newer than index has named the endpoint or was a full list.
 func (m *missingEvents) isSuperseded(index int64, endpoint string) bool {
 	return m.newestFullList > index || m.newestByEndpoint[endpoint] > index
 }
--- a/internal/proxy/watch.go
+++ b/internal/proxy/watch.go
@@ -1,6 +1,6 @@
 package proxy
 
-// This file holds the watch of the coordinator: which streams are open, and what has been received on them.
+// This file holds the watch of the coordinator: its open streams and the state that they share.
 
 import (
 	"bytes"
@@ -16,33 +16,34 @@
 )
 
 var (
-	// errEventGap closes a stream on which events are missing.
+	// errEventGap closes a stream whose next event skips indices.
 	errEventGap = errors.New("events are missing")
-	// errRecoveryEnded is the reason of a reconnect after the last stream was one that was opened for missing
-	// events.
+	// errRecoveryEnded is the logged reason of a reconnect when recovery has given up and its stream was the only
+	// one open.
 	errRecoveryEnded = errors.New("missing events were given up")
 )
 
-// watchHandler is what the watch needs of the proxy. Its methods are called on the loop's goroutine and must
-// not block.
+// watchHandler receives the events of a watch. Its methods are called on the event loop's goroutine and must not
+// block.
 type watchHandler interface {
-	// applyEvent takes the next event. Each is passed on once, in the order of their indices; some may be
-	// left out. publishedAfter is a time at which the event was not published yet.
+	// applyEvent handles the next event. Each event is delivered once, in the order of the indices, which may have
+	// gaps. The event was published after publishedAfter.
 	applyEvent(ev watch.Event, publishedAfter eventloop.Timestamp)
-	// applyLateEvent takes an event that was left out before. superseded reports whether newer events, which
-	// have been passed on already, say what holds for an endpoint.
+	// applyLateEvent handles an event that was left out before. superseded reports whether a newer event that has
+	// been delivered already determines the state of an endpoint.
 	applyLateEvent(ev watch.Event, superseded func(endpoint string) bool)
-	// countUnreadable counts lines or events that were skipped.
+	// countUnreadable adds to the count of lines, event parts and gaps that were skipped.
 	countUnreadable(parts int)
 }
 
 // coordinatorWatch receives the coordinator's events: the endpoint list, its changes, and purges.
 //
-// Normally one stream is open. When no complete line has arrived on it for too long it is stalled, and another
-// one is opened beside it: the first may still complete a long line, and a new one may bring at once what the
-// first never will. When all that are open are stalled, one more is opened, up to maxWatchStreams; then one is
-// replaced (see makeRoom). The first stream that brings a complete line again closes the others (see
-// closeOthers). When a stream ends and no other one is healthy, the watch reconnects after a backoff.
+// Normally one stream is open. A stream is stalled when no readable line has arrived on it for too long. Another
+// stream is then opened beside it, because the stalled one may still complete a long line, while a new one may
+// deliver at once what the stalled one never will. Whenever all open streams are stalled, one more is opened, up
+// to maxWatchStreams; beyond that it replaces others (see closeExcessStreams). The first stream that delivers a
+// readable line closes the others (see closeOthers). When a stream ends and no other is healthy, the watch
+// reconnects after a backoff.
 type coordinatorWatch struct {
 	handler watchHandler
 	loop    *eventloop.Loop
@@ -51,31 +52,31 @@
 
 	addr           netip.AddrPort
 	streams        []*watchStream // the oldest first
-	streamsOpened  int            // so far: the number of the last stream
-	stalls         int            // since the last complete line: how often all streams were stalled
+	streamsOpened  int            // total so far; also the number of the newest stream
+	stalls         int            // how often all streams were stalled since the last readable line
 	reconnectTimer *eventloop.Timer
 	backoff        time.Duration // before the next reconnect
 
-	lastIndex          int64               // index of the last event that was passed on
-	lastReadableLineAt eventloop.Timestamp // when the last complete line arrived on any stream, or the watch began
+	lastIndex          int64               // index of the newest event that was delivered
+	lastReadableLineAt eventloop.Timestamp // when the last readable line arrived on any stream, or the watch started
 	lastUnreadable     unreadableLine
 	lastGap            eventGap
 
-	// upToDateAt is the latest known time at which no event after lastIndex was published.
+	// upToDateAt is the latest known time before which no event after lastIndex was published.
 	upToDateAt eventloop.Timestamp
 
 	missing       missingEvents
-	recoveryTimer *eventloop.Timer // requests them again; nil: nothing is scheduled
+	recoveryTimer *eventloop.Timer // requests the missing events again; nil: nothing is scheduled
 	recoveryDue   eventloop.Timestamp
 }
 
-// eventGap is a place at which events are missing: those between the two indices.
+// eventGap is a range of missing events: those between the two indices, exclusive.
 type eventGap struct{ after, before int64 }
 
-// unreadableLine is a line that is neither an event nor a heartbeat, and the last event before it.
+// unreadableLine is a line that could not be decoded, and the last event delivered before it.
 type unreadableLine struct {
 	text  []byte
-	after int64 // index of the event
+	after int64 // index of that event
 }
 
 // start opens the first stream.
@@ -87,8 +88,8 @@
 	w.checkStreams()
 }
 
-// switchTo watches the coordinator at addr instead, from the same event on. The streams of the one before are
-// closed at once: it may keep them open and send nothing more on them.
+// switchTo watches the coordinator at addr instead, continuing after lastIndex. Streams to the previous coordinator
+// are closed at once, because it may keep them open without sending anything more.
 func (w *coordinatorWatch) switchTo(addr netip.AddrPort) {
 	if addr == w.addr {
 		return
@@ -105,8 +106,8 @@
 	w.openStream()
 }
 
-// silentMillis is for how many milliseconds no complete line has arrived; 0 before the watch has begun. Above
-// 7000 the endpoint list may be out of date.
+// silentMillis returns the milliseconds since the last readable line; 0 before the watch has started. Above 7000
+// the endpoint list may be out of date.
 func (w *coordinatorWatch) silentMillis() int {
 	if w == nil {
 		return 0
@@ -114,11 +115,11 @@
 	return int((w.loop.Now() - w.lastReadableLineAt).Milliseconds())
 }
 
-// openStream opens one more stream for all events after the last.
+// openStream opens one more stream, for all events after lastIndex.
 func (w *coordinatorWatch) openStream() { w.openStreamAfter(w.lastIndex, false) }
 
-// openStreamAfter opens one more stream for all events after the one with the index. recovering says that it is
-// opened for missing events.
+// openStreamAfter opens one more stream, for all events after index. recovering marks a stream that requests
+// missing events again.
 func (w *coordinatorWatch) openStreamAfter(index int64, recovering bool) {
 	w.closeExcessStreams()
 	w.streamsOpened++
@@ -140,14 +141,15 @@
 	w.removeStream(s)
 }
 
-// removeStream forgets a stream that is closed.
+// removeStream removes a closed stream from the open ones.
 func (w *coordinatorWatch) removeStream(s *watchStream) {
 	w.streams = slices.DeleteFunc(w.streams, func(other *watchStream) bool { return other == s })
 }
 
-// closeOthers closes other streams after s has brought a complete line. If the line was a new event, all are
-// closed. Otherwise one that is in the middle of a line may bring an event that s never will, and stays for
-// as long as a line may take. A stream for missing events stays, and closes no others until it has caught up.
+// closeOthers closes other streams after s has delivered a readable line. If the line was a new event, it closes
+// all of them. Otherwise a stream in the middle of a line may deliver an event that s never will, so it is kept
+// until maxLineTime has passed since its last readable line. A stream that requests missing events is always kept,
+// and closes no others until it has caught up.
 func (w *coordinatorWatch) closeOthers(s *watchStream, newEvent bool) {
 	if s.recovering {
 		return
@@ -163,15 +165,15 @@
 	}
 }
 
-// recordLine notes that a complete line has arrived, which ends a series of stalls.
+// recordLine records that a readable line has arrived, which ends a series of stalls.
 func (w *coordinatorWatch) recordLine() {
 	w.lastReadableLineAt = w.loop.Now()
 	w.backoff = minReconnectBackoff
 	w.stalls = 0
 }
 
-// isRepeatedUnreadable reports whether a line that can't be decoded came last time at the same place too, and
-// remembers it otherwise.
+// isRepeatedUnreadable reports whether the previous unreadable line was the same and followed the same event. If
+// not, it remembers this one.
 func (w *coordinatorWatch) isRepeatedUnreadable(line []byte) bool {
 	if w.lastUnreadable.after == w.lastIndex && bytes.Equal(w.lastUnreadable.text, line) {
 		return true
@@ -180,7 +182,7 @@
 	return false
 }
 
-// isRepeatedGap reports whether a gap was found last time at the same place too, and remembers it otherwise.
+// isRepeatedGap reports whether the previous gap was the same. If not, it remembers this one.
 func (w *coordinatorWatch) isRepeatedGap(gap eventGap) bool {
 	if gap == w.lastGap {
 		return true
--- a/internal/proxy/watchevents.go
+++ b/internal/proxy/watchevents.go
@@ -1,6 +1,6 @@
 package proxy
 
-// This file holds the proxy's side of the watch: what an event of the coordinator does.
+// This file applies the coordinator's events to the proxy.
 
 import (
 	"net/netip"
@@ -11,10 +11,10 @@
 	"cloverdoor/policy"
 )
 
-// groupCount is how many groups of objects there are; they are numbered from 0.
+// groupCount is the number of groups of objects, numbered from 0.
 const groupCount = 256
 
-// WatchCoordinator starts to watch the coordinator at addr for events after lastIndex.
+// WatchCoordinator starts watching the coordinator at addr for events after lastIndex.
 func (p *Proxy) WatchCoordinator(addr netip.AddrPort, lastIndex int64) {
 	p.coordinator = &coordinatorWatch{
 		handler: p, loop: p.loop, log: p.log, rng: p.rng, addr: addr, lastIndex: lastIndex,
@@ -22,12 +22,13 @@
 	p.coordinator.start()
 }
 
-// SwitchCoordinator watches the coordinator at addr instead. Its events continue the indices of the one
-// before.
+// SwitchCoordinator watches the coordinator at addr instead. The new coordinator must continue the event indices of
+// the previous one.
 func (p *Proxy) SwitchCoordinator(addr netip.AddrPort) { p.coordinator.switchTo(addr) }
 
-// applyInitialState takes the events of the configuration. They have not just happened, so their times say
-// little about the clock.
+// applyInitialState applies the events of the configuration. They are not recent, so their times say little about
+// the clock. The time of the newest purge is recorded first, because it limits the age of each purge (see
+// coordinatorClock.age).
 func (p *Proxy) applyInitialState(events []watch.Event) {
 	for _, ev := range events {
 		if ev.Purge != nil {
@@ -56,8 +57,8 @@
 // countUnreadable implements watchHandler.
 func (p *Proxy) countUnreadable(parts int) { p.counters.unreadableParts += parts }
 
-// processWatchEvent passes an event on to the decision module. publishedAfter is a time at which it was not published yet;
-// 0: unknown. The first endpoint list ends the start of the program.
+// processWatchEvent passes an event on to the decision module. The event was published after publishedAfter; 0:
+// unknown. The first endpoint list ends the Starting phase.
 func (p *Proxy) processWatchEvent(ev watch.Event, publishedAfter eventloop.Timestamp) {
 	p.invariants.observeEvent(ev)
 	if ev.Purge != nil {
@@ -76,8 +77,8 @@
 	}
 }
 
-// processPurge passes on a purge. One whose time is not reported counts as new, and one whose target can't be
-// decoded purges every group.
+// processPurge passes a purge on to the decision module. A purge without a time counts as new, and one whose target
+// could not be decoded purges every group.
 func (p *Proxy) processPurge(purge *watch.Purge, publishedAfter eventloop.Timestamp) {
 	age := time.Duration(0)
 	if purge.At != 0 {
--- a/internal/proxy/watchrecovery.go
+++ b/internal/proxy/watchrecovery.go
@@ -1,7 +1,7 @@
 package proxy
 
-// This file holds the recovery of events that the watch has passed over: they are requested again on a stream of
-// their own, while what is newer goes on arriving on the others.
+// This file recovers events that the watch has skipped: they are requested again on a separate stream, while newer
+// events keep arriving on the others.
 
 import (
 	"time"
@@ -9,12 +9,12 @@
 	"cloverdoor/internal/watch"
 )
 
-// firstRecoveryDelay is the time from passing over an event to requesting it again, so that events that are
-// passed over together are requested together. It doubles with each further request.
+// firstRecoveryDelay is the time from skipping an event to requesting it again. The delay lets events that are
+// skipped shortly after one another share a request. It doubles with each further request.
 const firstRecoveryDelay = 500 * time.Millisecond
 
-// recordMissing notes that the events from one index to another are missing and have been requested again as often as
-// requests says.
+// recordMissing records the events from index from to index to, inclusive, as missing and schedules their recovery.
+// requests is how often they have been requested again already.
 func (w *coordinatorWatch) recordMissing(from, to int64, requests int) {
 	if from > to {
 		return
@@ -23,8 +23,8 @@
 	w.scheduleRecovery()
 }
 
-// scheduleRecovery requests missing events again after the delay that is due for the least requested of them, or
-// earlier if that was scheduled before.
+// scheduleRecovery schedules the next request for the missing events. The delay is that of the event with the fewest
+// requests; a request that is already scheduled for an earlier time is not put off.
 func (w *coordinatorWatch) scheduleRecovery() {
 	due := w.loop.Now() + firstRecoveryDelay<<w.missing.fewestRequests()
 	if w.recoveryTimer != nil && w.recoveryDue <= due {
@@ -35,14 +35,14 @@
 	w.recoveryTimer = w.loop.At(due, w.recoverMissing)
 }
 
-// stopRecovery requests nothing again.
+// stopRecovery cancels the scheduled request.
 func (w *coordinatorWatch) stopRecovery() {
 	w.loop.Stop(w.recoveryTimer)
 	w.recoveryTimer = nil
 }
 
-// recoverMissing opens a stream that follows from before the first missing event, in place of the one that was
-// opened for this before. Events that were requested often enough are given up.
+// recoverMissing requests the missing events again: it opens a stream that starts at the first of them and closes
+// the previous recovery stream. Events that have reached maxRequestsForMissing are given up.
 func (w *coordinatorWatch) recoverMissing() {
 	w.recoveryTimer = nil
 	for _, s := range w.streams {
@@ -64,7 +64,7 @@
 	w.scheduleRecovery()
 }
 
-// deliverLate passes on an event that was missing. Any other event up to lastIndex is a repeat.
+// deliverLate delivers an event that was missing. It drops any other, as a repeat.
 func (w *coordinatorWatch) deliverLate(ev watch.Event) {
 	if !w.missing.has(ev.Index) || ev.IsHeartbeat() {
 		return
--- a/internal/proxy/watchretry.go
+++ b/internal/proxy/watchretry.go
@@ -1,6 +1,7 @@
 package proxy
 
-// This file holds when the watch opens a stream beside stalled ones or instead of them, and when it reconnects.
+// This file decides when the watch opens another stream, beside stalled ones or in place of them, and when it
+// reconnects.
 
 import (
 	"math/rand/v2"
@@ -11,45 +12,44 @@
 const (
 	// watchConnectTimeout is how long a connect to the coordinator may take before another stream is opened.
 	watchConnectTimeout = 500 * time.Millisecond
-	// silenceTimeout is how long a stream may receive nothing. The coordinator sends a heartbeat every
-	// second.
+	// silenceTimeout is how long a stream may receive nothing before it is stalled. The coordinator sends a
+	// heartbeat every second.
 	silenceTimeout = 2500 * time.Millisecond
-	// lineTimeout is how long a stream may receive no complete line, while a long list arrives in pieces for
-	// example.
+	// lineTimeout is how long a stream may go without a readable line before it is stalled, even while it receives
+	// pieces of one, such as a long list.
 	lineTimeout = 3500 * time.Millisecond
-	// maxLineTime is how long a stream that goes on receiving pieces of a line is kept.
+	// maxLineTime is how long a stream that keeps receiving pieces of one line is kept while others are closed.
 	maxLineTime = 32 * time.Second
-	// streamCheckInterval is the longest time between checks of the streams for these timeouts.
+	// streamCheckInterval is the longest time between checks of the streams for stalls.
 	streamCheckInterval = silenceTimeout / 10
-	// minStreamCheckInterval is the shortest.
+	// minStreamCheckInterval is the shortest time between those checks.
 	minStreamCheckInterval = 50 * time.Millisecond
 
-	// quickRetries is how many streams in a row are opened quickRetryTimeout after the one before has
-	// stalled. After 7 s a drain must be heeded whether its event has arrived or not: lineTimeout and as many
-	// retries have to end well before that.
+	// quickRetries is how many streams in a row get only quickRetryTimeout for their first line. A drain must be
+	// obeyed after 7 s whether its event has arrived or not, so lineTimeout and this many retries must end well
+	// before that.
 	quickRetries = 3
-	// quickRetryTimeout is how long such a stream may take for its first line: a heartbeat comes within a
-	// second.
+	// quickRetryTimeout is how long such a stream may take for its first line. A heartbeat arrives within a second.
 	quickRetryTimeout = 1250 * time.Millisecond
-	// maxRetryTimeout bounds that time, which doubles with each further stall.
+	// maxRetryTimeout bounds the time for the first line, which doubles with each stall after the quick retries.
 	maxRetryTimeout = 4 * quickRetryTimeout
 
 	// maxWatchStreams is how many streams may be open at once.
 	maxWatchStreams = 4
-	// maxReceivingStreams is how many of them may be in the middle of a line, as each makes a slow coordinator
-	// slower.
+	// maxReceivingStreams is how many streams may be in the middle of a line at once. Each such stream slows down
+	// an already slow coordinator.
 	maxReceivingStreams = 2
 
-	// minReconnectBackoff is the pause before the first reconnect after an outage has begun. It doubles with
-	// each further one.
+	// minReconnectBackoff is the longest pause before the first reconnect of an outage. It doubles with each
+	// further reconnect.
 	minReconnectBackoff = 100 * time.Millisecond
-	// maxReconnectBackoff bounds that pause. It is short, as the coordinator may report drains as soon as it
-	// is back.
+	// maxReconnectBackoff bounds the pause. It is short because the coordinator may report drains as soon as it is
+	// back.
 	maxReconnectBackoff = 400 * time.Millisecond
 )
 
-// checkStreams opens a stream when all that are open are stalled. While none is open, a reconnect is scheduled
-// already.
+// checkStreams opens another stream when all open ones are stalled, and schedules the next check. While no stream is
+// open, a reconnect is already scheduled.
 func (w *coordinatorWatch) checkStreams() {
 	if len(w.streams) > 0 && !w.hasHealthyStream() {
 		w.log.Warn("coordinator watch stalled, opening another stream",
@@ -60,7 +60,7 @@
 	w.loop.At(w.loop.Now()+w.nextStreamCheck(), w.checkStreams)
 }
 
-// nextStreamCheck is the time until the streams have to be checked again.
+// nextStreamCheck returns the time until the streams must be checked again.
 func (w *coordinatorWatch) nextStreamCheck() time.Duration {
 	next := time.Duration(0)
 	for _, s := range w.streams {
@@ -69,19 +69,20 @@
 	return min(max(next, minStreamCheckInterval), streamCheckInterval)
 }
 
-// hasHealthyStream reports whether a stream is open that is not stalled.
+// hasHealthyStream reports whether an open stream is not stalled.
 func (w *coordinatorWatch) hasHealthyStream() bool {
 	return slices.ContainsFunc(w.streams, func(s *watchStream) bool { return !s.isStalled() })
 }
 
-// retryTimeout is how long a new stream may take for its first line after all others have stalled.
+// retryTimeout returns how long a new stream may take for its first line after all others have stalled.
 func (w *coordinatorWatch) retryTimeout() time.Duration {
 	doublings := max(0, w.stalls-quickRetries)
 	return min(quickRetryTimeout<<min(doublings, quickRetries), maxRetryTimeout)
 }
 
-// closeExcessStreams closes streams until one more may be opened. Of those that are in the middle of a line, the one that
-// has received most of it stays; after it, the newer ones do.
+// closeExcessStreams closes streams so that one more may be opened. If maxReceivingStreams or more are in the
+// middle of a line, it closes them, and if maxWatchStreams are open, it closes the oldest. It never closes the
+// stream that has received most of a line.
 func (w *coordinatorWatch) closeExcessStreams() {
 	kept := w.mostAdvancedStream()
 	receiving := 0
@@ -98,8 +99,8 @@
 	}
 }
 
-// mostAdvancedStream is the stream that has received most of a line, unless it has taken maxLineTime; nil: none
-// is in the middle of one.
+// mostAdvancedStream returns the stream that has received most of a line, among those that have spent at most
+// maxLineTime on it; nil: there is none.
 func (w *coordinatorWatch) mostAdvancedStream() *watchStream {
 	var most *watchStream
 	for _, s := range w.streams {
@@ -113,7 +114,8 @@
 	return most
 }
 
-// scheduleReconnect opens a stream after the backoff, unless a healthy one is open.
+// scheduleReconnect schedules a reconnect after the backoff, unless a healthy stream is open. err is the logged
+// reason.
 func (w *coordinatorWatch) scheduleReconnect(err error) {
 	if w.reconnectTimer != nil || w.hasHealthyStream() {
 		return
@@ -125,7 +127,7 @@
 	w.backoff = min(2*w.backoff, maxReconnectBackoff)
 }
 
-// reconnect opens a stream, unless a healthy one is open by now.
+// reconnect opens a stream, unless a healthy one has been opened meanwhile.
 func (w *coordinatorWatch) reconnect() {
 	w.reconnectTimer = nil
 	if !w.hasHealthyStream() {
@@ -133,8 +135,8 @@
 	}
 }
 
-// jitteredBackoff draws a pause between half of backoff and all of it. All processes of a fleet lose a
-// coordinator at the same time: with equal pauses they would reconnect at the same time too.
+// jitteredBackoff returns a random pause between half of backoff and all of it. All proxies of a fleet lose their
+// coordinator at the same time; with equal pauses they would also reconnect at the same time.
 func jitteredBackoff(backoff time.Duration, rng *rand.Rand) time.Duration {
 	return backoff/2 + time.Duration(rng.Int64N(int64(backoff/2)))
 }
--- a/internal/proxy/watchstream.go
+++ b/internal/proxy/watchstream.go
@@ -1,6 +1,6 @@
 package proxy
 
-// This file holds one stream of the watch: its lines, and the order of their events.
+// This file holds a single stream of the watch: how its lines are read and its events put in order.
 
 import (
 	"errors"
@@ -11,32 +11,33 @@
 )
 
 const (
-	// minHeartbeatInterval and maxHeartbeatInterval are between which times a heartbeat arrives after the one before
-	// if neither was held up: one is sent every second.
+	// minHeartbeatInterval and maxHeartbeatInterval bound the time between two heartbeats that arrived without
+	// delay. The coordinator sends one every second.
 	minHeartbeatInterval = 500 * time.Millisecond
 	maxHeartbeatInterval = 1500 * time.Millisecond
 )
 
-// watchStream is one connection to the coordinator. It decodes lines and passes on the events that are next
-// in order.
+// watchStream is one connection to the coordinator. It decodes lines and delivers events in the order of their
+// indices.
 //
-// What can't be decoded, or is missing, must not hold up what follows: it is skipped and counted, and requested
-// again beside it (see coordinatorWatch.passOver). Where nothing follows it yet, it is requested once more before
-// it is skipped, from the last event that was passed on.
+// An event that is missing or can't be decoded must not delay the events that follow. It is skipped, counted and
+// requested again on another stream (see coordinatorWatch.recordMissing). A gap, or an unreadable line that nothing
+// follows yet, first closes the stream: the next stream continues after the last delivered event, and the event is
+// skipped only if the same fault occurs there.
 type watchStream struct {
 	owner              *coordinatorWatch
 	conn               *eventloop.Conn
-	lastReadableLineAt eventloop.Timestamp // when the last complete line arrived, or the stream was opened
+	lastReadableLineAt eventloop.Timestamp // when the last readable line arrived, or the stream was opened
 	lastHeartbeatAt    eventloop.Timestamp // when the last heartbeat arrived; 0: none has
-	connectTimeout     time.Duration       // how long its connect may take
-	lineTimeout        time.Duration       // how long it may receive no complete line
-	discardingLine     bool                // the line that is arriving is too long; its rest is discarded
-	skippedLines       int64               // lines skipped since the last event, each of which may have been an event
-	recovering         bool                // opened for missing events, and has not brought the last event yet
+	connectTimeout     time.Duration       // how long connecting may take
+	lineTimeout        time.Duration       // how long it may go without a readable line
+	discardingLine     bool                // the current line is too long; its rest is discarded
+	skippedLines       int64               // lines skipped since the last event; each may have been an event
+	recovering         bool                // requests missing events and has not reached lastIndex yet
 }
 
-// newWatchStream returns a stream that is yet to be connected. While others are stalled, it has to bring its first
-// line within the retry timeout.
+// newWatchStream returns a stream that is not connected yet. While others are stalled, the retry timeout limits its
+// connect and its first line.
 func newWatchStream(w *coordinatorWatch) *watchStream {
 	s := &watchStream{
 		owner:              w,
@@ -51,8 +52,9 @@
 	return s
 }
 
-// stalledAt is when the stream counts as stalled if nothing more arrives: it is silent, as after a network
-// partition, or has not completed a line for too long.
+// stalledAt returns the time at which the stream becomes stalled if nothing more arrives. It is stalled when
+// connecting takes too long, when it is silent, as after a network partition, or when no readable line has arrived
+// for too long.
 func (s *watchStream) stalledAt() eventloop.Timestamp {
 	if !s.conn.Connected() {
 		return s.lastReadableLineAt + s.connectTimeout
@@ -61,7 +63,7 @@
 	return min(lastInput+silenceTimeout, s.lastReadableLineAt+s.lineTimeout)
 }
 
-// isStalled reports whether that time has come.
+// isStalled reports whether the stream is stalled.
 func (s *watchStream) isStalled() bool { return s.owner.loop.Now() >= s.stalledAt() }
 
 // isReceiving reports whether the stream is in the middle of a line and not silent.
@@ -73,7 +75,7 @@
 func (s *watchStream) Receive(data []byte) (used int, err error) {
 	for {
 		n, line, err := watch.NextLine(data[used:])
-		if errors.Is(err, watch.ErrTooLong) { // a new stream would bring the same line
+		if errors.Is(err, watch.ErrTooLong) { // a new stream would carry the same line
 			s.discardingLine = true
 			return len(data), nil
 		}
@@ -92,9 +94,9 @@
 	}
 }
 
-// handleLine handles one line. An error closes the stream, and the watch reconnects. One that can't be
-// decoded is skipped at once where more follows it, as the stream is intact then and what follows may be a
-// drain. At the end of the input the connection may have been cut, so the line is requested once more first.
+// handleLine handles one line. An error closes the stream, and the watch reconnects. A line that can't be decoded is
+// skipped at once if more input follows, because the stream is intact then and the input may hold a drain. At the
+// end of the input the connection may have been cut, so the line is requested once more before it is skipped.
 func (s *watchStream) handleLine(line []byte, moreFollows bool) error {
 	if s.discardingLine {
 		s.discardingLine = false
@@ -127,7 +129,7 @@
 	return nil
 }
 
-// skipLine counts a line that can't be decoded. Events after it are still taken.
+// skipLine counts and logs a line that can't be decoded. Later events are still delivered.
 func (s *watchStream) skipLine(sizeBytes int) {
 	s.skippedLines++
 	s.owner.handler.countUnreadable(1)
@@ -135,9 +137,9 @@
 		"event", s.owner.lastIndex, "bytes", sizeBytes)
 }
 
-// handleEvent passes on an event if it is next in order, or was missing; other events up to lastIndex are
-// repeats and are dropped. A gap closes the stream. A gap that is there again on the next stream is passed over
-// once an event behind it arrives; a heartbeat alone does not, as the missing events may still come.
+// handleEvent delivers an event if it is next in order or was missing, and drops other events up to lastIndex as
+// repeats. A gap closes the stream. If the next stream has the same gap, the gap is skipped when an event after
+// it arrives. A heartbeat does not skip it, because the missing events may still arrive.
 func (s *watchStream) handleEvent(ev watch.Event) error {
 	w := s.owner
 	if ev.Index <= w.lastIndex {
@@ -161,8 +163,9 @@
 	return nil
 }
 
-// deliver passes on a new event. Those between it and the last one are missing and have been requested again as
-// often as requests says; a heartbeat stands for a missing one itself.
+// deliver passes a new event to the handler. The events between lastIndex and it are recorded as missing; requests
+// is how often they have been requested again already. A heartbeat with a new index shows that the event with that
+// index is missing too.
 func (s *watchStream) deliver(ev watch.Event, requests int) {
 	w := s.owner
 	lastMissing := ev.Index - 1
@@ -178,9 +181,9 @@
 	w.handler.applyEvent(ev, w.upToDateAt)
 }
 
-// recordHeartbeat notes at which time no event after lastIndex was published, as far as a heartbeat shows it: it
-// was written after the stream was opened. One that came when it was due was not held up on its way either, so
-// that it was written just before it arrived.
+// recordHeartbeat updates upToDateAt. A heartbeat that repeats lastIndex shows that no later event had been
+// published when it was written, which was after the stream was opened. A heartbeat that arrived on schedule was not
+// delayed on its way, so it was written just before it arrived.
 func (s *watchStream) recordHeartbeat(index int64) {
 	w := s.owner
 	now := w.loop.Now()
@@ -196,8 +199,8 @@
 	w.upToDateAt = max(w.upToDateAt, writtenAfter)
 }
 
-// maxNextIndex is the highest index that ev can have if no event is missing. A heartbeat repeats the index of
-// the last event.
+// maxNextIndex returns the highest index that ev can have if no event is missing. Each skipped line may have been an
+// event. A heartbeat repeats the index of the last event.
 func (s *watchStream) maxNextIndex(ev watch.Event) int64 {
 	highest := s.owner.lastIndex + s.skippedLines
 	if ev.IsHeartbeat() {
@@ -206,7 +209,7 @@
 	return highest + 1
 }
 
-// Closed reconnects unless another stream is healthy.
+// Closed removes the stream and schedules a reconnect unless another stream is healthy.
 func (s *watchStream) Closed(err error) {
 	s.owner.removeStream(s)
 	s.owner.scheduleReconnect(err)
