--- a/internal/proxy/coordinatorclock.go
+++ b/internal/proxy/coordinatorclock.go
@@ -1,6 +1,6 @@
 package proxy
 
-// This file holds the comparison of the process's clock with the coordinator's.
+// This file compares the process's clock with the coordinator's.
 
 import (
 	"log/slog"
@@ -13,9 +13,9 @@
 )
 
 const (
-	// maxReportDelay is how long after a purge its event is published at most in normal operation.
+	// maxReportDelay is the longest time from a purge to the publication of its event in normal operation.
 	maxReportDelay = 500 * time.Millisecond
-	// maxBoundAge is how long a bound holds: a wrong or late time has no effect after it.
+	// maxBoundAge is how long a bound is used. It limits the effect of a wrong or late reported time.
 	maxBoundAge = 10 * time.Second
 	// minCorrection is the smallest change of the offset that is applied.
 	minCorrection = 200 * time.Millisecond
@@ -23,14 +23,15 @@
 
 // coordinatorClock converts between the loop's time and the coordinator's, which reports Unix times.
 //
-// The loop's time was set from the machine's wall clock when the process started, and may have been wrong
-// then. An event is reported after it happened, so each reported time is a lower bound of the coordinator's
-// time. It is an upper bound too, of the time at which the event was not published yet. The process's own clock
-// is used unchanged as long as it agrees with the recent bounds.
+// The loop's time was set from the machine's wall clock when the process started, which may have been wrong. An
+// event is reported after it happened, so its reported time is a lower bound of the coordinator's present time. It
+// is also published within maxReportDelay, so its reported time plus that delay is an upper bound of the
+// coordinator's time at any moment at which the event was not published yet. The process's own clock is used
+// unchanged as long as it agrees with the recent bounds.
 type coordinatorClock struct {
 	loop   *eventloop.Loop
 	log    *slog.Logger
-	notify func(policy.Event) // receives corrections
+	notify func(policy.Event) // is called with each correction
 
 	lowerBounds []offsetBound // recent lower bounds of the offset, the highest first
 	upperBounds []offsetBound // recent upper bounds of the offset, the lowest first
@@ -40,15 +41,15 @@
 	newestInitialPurge eventloop.Timestamp
 }
 
-// offsetBound is a bound of the offset that a reported time has shown.
+// offsetBound is a bound of the offset, derived from a reported time.
 type offsetBound struct {
-	observedAt eventloop.Timestamp // when it was shown
+	observedAt eventloop.Timestamp // when the time was reported
 	offset     time.Duration
 }
 
-// observe compares a time that the coordinator reported with the loop's, and reports a correction.
-// publishedAfter is a time of the loop at which the event was not published yet; 0: unknown, so that only a
-// reported time in the future shows anything.
+// observe compares a time reported by the coordinator with the loop's time. If the offset changes by at least
+// minCorrection, it corrects the offset and calls notify. publishedAfter is a time of the loop at which the event
+// was not published yet; 0: unknown, in which case only a reported time in the future has an effect.
 func (c *coordinatorClock) observe(reported, publishedAfter eventloop.Timestamp) {
 	now := c.loop.Now()
 	if publishedAfter == 0 && reported <= c.toCoordinator(now) {
@@ -68,7 +69,7 @@
 	c.notify(policy.ClockCorrection{Offset: -change})
 }
 
-// removeExpiredBounds removes the bounds that hold no longer.
+// removeExpiredBounds removes the bounds that are older than maxBoundAge.
 func (c *coordinatorClock) removeExpiredBounds(now eventloop.Timestamp) {
 	expired := func(b offsetBound) bool { return now-b.observedAt > maxBoundAge }
 	c.lowerBounds = slices.DeleteFunc(c.lowerBounds, expired)
@@ -87,9 +88,9 @@
 	c.upperBounds = append(c.upperBounds, added)
 }
 
-// estimateOffset is the offset that the bounds show: 0, the present offset, or else the highest lower bound, so that
-// nothing counts as older than it is. Where bounds contradict each other, the lower one is right: a report may
-// be later than expected, but never earlier.
+// estimateOffset returns the offset that agrees with the bounds: 0 or the present offset if they do, otherwise the
+// highest lower bound, so that nothing counts as older than it is. If a lower and an upper bound contradict each
+// other, the lower one is right, because a report may be later than expected but never earlier.
 func (c *coordinatorClock) estimateOffset() time.Duration {
 	lowest := c.lowerBounds[0].offset
 	for _, candidate := range []time.Duration{0, c.offset} {
@@ -100,7 +101,7 @@
 	return lowest
 }
 
-// maxOffset is the highest offset that is consistent with the bounds.
+// maxOffset returns the highest offset that agrees with the bounds.
 func (c *coordinatorClock) maxOffset() time.Duration {
 	if len(c.upperBounds) == 0 {
 		return math.MaxInt64
@@ -108,20 +109,20 @@
 	return max(c.upperBounds[0].offset, c.lowerBounds[0].offset+maxReportDelay)
 }
 
-// toLocal is the loop's time at a time of the coordinator.
+// toLocal converts the coordinator's time to the loop's.
 func (c *coordinatorClock) toLocal(reported eventloop.Timestamp) eventloop.Timestamp {
 	return reported - c.offset
 }
 
-// toCoordinator is the coordinator's time at a time of the loop.
+// toCoordinator converts the loop's time to the coordinator's.
 func (c *coordinatorClock) toCoordinator(at eventloop.Timestamp) eventloop.Timestamp {
 	return at + c.offset
 }
 
-// age is how long ago, counted from the turn's time, something took place that the coordinator reported with
-// a Unix time. It is a lower bound. The Unix time is in milliseconds: a copy made within that millisecond
-// may be older than the purge, so the age counts from its end. Before any bound the process's own clock may
-// be wrong: then only the times of the initial state's purges are certain.
+// age returns a lower bound of the time from a purge, reported as a Unix time in milliseconds, to the start of the
+// loop's turn. A copy made within the reported millisecond may be older than the purge, so the age counts from the
+// end of that millisecond. While there is no lower bound of the offset, the process's own clock may be wrong, so the
+// newest purge of the initial state stands for the present time if it is earlier.
 func (c *coordinatorClock) age(unixMillis int64) time.Duration {
 	end := time.Duration(unixMillis+1) * time.Millisecond
 	now := c.toCoordinator(c.loop.Now())
