--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -1,7 +1,7 @@
 package proxy
 
-// This file holds the table of endpoints: what the coordinator's updates change in it, in the decision module
-// and in the connection pools.
+// This file applies the coordinator's endpoint updates to the endpoint table, the decision module and the connection
+// pools.
 
 import (
 	"errors"
@@ -16,42 +16,42 @@
 	"cloverdoor/policy"
 )
 
-// endpointPools is what the endpoint table needs of the connection pools.
+// endpointPools is the part of the connection pools that the endpoint table uses.
 type endpointPools interface {
-	// SetAddress sets where an endpoint's connections lead.
+	// SetAddress sets the address of an endpoint.
 	SetAddress(id string, addr netip.AddrPort)
-	// DiscardConns stops using an endpoint's present connections, as it has restarted.
+	// DiscardConns stops using the present connections to an endpoint that has restarted.
 	DiscardConns(id string)
-	// RemoveEndpoint closes an endpoint's connections.
+	// RemoveEndpoint closes the connections to an endpoint.
 	RemoveEndpoint(id string)
 }
 
-// endpointTable holds the endpoints in use. It turns the coordinator's updates into updates for the decision
-// module and keeps the connection pools in step with them.
+// endpointTable holds the endpoints in use. It converts the coordinator's updates to updates for the decision module
+// and applies them to the connection pools.
 type endpointTable struct {
 	log    *slog.Logger
 	clock  *coordinatorClock
 	pools  endpointPools
-	notify func(policy.Event) // receives one update for each of the coordinator's
+	notify func(policy.Event) // is called with one update for each of the coordinator's
 
-	kinds, zones []string         // the settings' names; the decision module knows their indices
-	startMillis  map[string]int64 // of each endpoint in use, by id: Unix millisecond of its start as reported
+	kinds, zones []string         // names in the settings; the decision module uses their indices
+	startMillis  map[string]int64 // reported start of each endpoint in use, by id, in Unix milliseconds
 }
 
-// endpointStates are the decision module's states by the coordinator's; any other counts as removed.
+// endpointStates maps the coordinator's states to the decision module's. Any other state counts as removed.
 var endpointStates = map[string]policy.State{
 	watch.StateServing:  policy.Ready,
 	watch.StateDraining: policy.Draining,
 	watch.StateDeleted:  policy.Removed,
 }
 
-// count is how many endpoints are in use.
+// count returns the number of endpoints in use.
 func (t *endpointTable) count() int { return len(t.startMillis) }
 
-// apply takes a full list of endpoints or changes to it.
+// apply applies a full list of endpoints, or changes to it, and calls notify.
 func (t *endpointTable) apply(update *watch.EndpointUpdate) {
 	t.observeStarts(update)
-	inUse := map[string]bool{} // whether each endpoint that the update names is in use from now on
+	inUse := map[string]bool{} // whether each endpoint in the update is in use after it
 	decoded := policy.EndpointUpdate{Full: update.Full}
 	for _, entry := range update.Endpoints {
 		endpoint := t.applyEntry(entry, update.Full)
@@ -68,8 +68,8 @@
 	t.notify(decoded)
 }
 
-// withoutSuperseded returns what a late update still changes, without the endpoints for which newer updates say
-// what holds. A full list becomes a list of changes: the endpoints that it leaves out are removed by name.
+// withoutSuperseded returns the changes of a late update without those to endpoints whose state a newer update
+// determines. A full list becomes a list of changes in which the endpoints that it leaves out are deleted.
 func (t *endpointTable) withoutSuperseded(
 	late *watch.EndpointUpdate, superseded func(endpoint string) bool,
 ) *watch.EndpointUpdate {
@@ -92,8 +92,8 @@
 	return changes
 }
 
-// observeStarts compares the start times of an update with the clock. All of them must be known before any is
-// converted: one may correct the clock.
+// observeStarts compares the start times of an update with the clock. It must see all of them before any is
+// converted, because each may correct the clock.
 func (t *endpointTable) observeStarts(update *watch.EndpointUpdate) {
 	for _, entry := range update.Endpoints {
 		if entry.Started != 0 {
@@ -102,8 +102,8 @@
 	}
 }
 
-// applyEntry decodes one endpoint and passes its address to the pools. One that can't be decoded counts as
-// removed, as it can't be used, and as the entry may have said that it is draining.
+// applyEntry decodes one endpoint and passes its address to the pools. An entry that can't be decoded counts as
+// removed, because the endpoint can't be used and the entry may have said that it is draining.
 func (t *endpointTable) applyEntry(entry watch.Endpoint, fullList bool) policy.Endpoint {
 	endpoint, addr, err := t.decode(entry)
 	if err != nil {
@@ -111,7 +111,7 @@
 		endpoint.State = policy.Removed
 		return endpoint
 	}
-	if !fullList { // a full list may have thousands
+	if !fullList { // a full list may have thousands of entries
 		t.log.Info("endpoint changed", "server", entry.ID, "state", entry.State, "started_ms", entry.Started)
 	}
 	if endpoint.State == policy.Removed {
@@ -126,7 +126,7 @@
 	return endpoint
 }
 
-// decode decodes one entry of the list. One that is removed needs no valid address, kind or zone.
+// decode decodes one entry of an update. A removed endpoint needs no valid address, kind or zone.
 func (t *endpointTable) decode(entry watch.Endpoint) (policy.Endpoint, netip.AddrPort, error) {
 	endpoint := policy.Endpoint{
 		ID:      entry.ID,
@@ -147,7 +147,7 @@
 	return endpoint, addr, err
 }
 
-// startTime is the loop's time of a start that was reported as a Unix millisecond; 0: it started long ago.
+// startTime converts a start reported in Unix milliseconds to the loop's time; 0: the endpoint started long ago.
 func (t *endpointTable) startTime(unixMillis int64) eventloop.Timestamp {
 	if unixMillis == 0 {
 		return 0
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -12,44 +12,44 @@
 	"cloverdoor/internal/settings"
 )
 
-// loadTimeout is how long the configuration may take to be read before the reload counts as failed.
+// loadTimeout is how long reading the configuration may take before the reload counts as failed.
 const loadTimeout = 5 * time.Second
 
 var errLoadTimeout = errors.New("reading the configuration timed out")
 
-// Signals is how the process is controlled from outside while Run serves.
+// Signals controls the proxy from outside while Run serves.
 type Signals struct {
 	Stop   <-chan os.Signal // starts a graceful shutdown
 	Reload <-chan os.Signal // reloads the configuration
-	// Load reads the configuration. It is called on a goroutine of its own, as it may block, and so must not
-	// touch the proxy. A call that exceeds the time limit is abandoned, not ended: the next one may overlap
+	// Load reads the configuration. It may block, so it is called on a separate goroutine and must not access the
+	// proxy. A call that exceeds loadTimeout is not ended but its result is discarded, so the next call may overlap
 	// with it.
 	Load func() (PrepareUpdate, error)
 }
 
-// PrepareUpdate checks a configuration that has been read against the one in use and returns what the proxy
-// has to replace. It is called on the event loop's goroutine, once, and must not block. An error rejects the
-// configuration as a whole.
+// PrepareUpdate checks a configuration that has been read against the one in use and returns what the proxy must
+// replace. It is called once, on the event loop's goroutine, and must not block. An error rejects the whole
+// configuration.
 type PrepareUpdate func() (ConfigUpdate, error)
 
 // ConfigUpdate is what a reload replaces while the proxy serves.
 type ConfigUpdate struct {
 	Coordinator            netip.AddrPort
-	Settings               settings.Settings // checked: the proxy takes them as they are
+	Settings               settings.Settings // already validated
 	TransferBytesPerSecond float64           // rate of one transfer; 0: unknown
 }
 
-// configLoader reads the configuration on a goroutine of its own, as a slow disk must not hold up requests.
-// One read is awaited at a time. Its goroutine only calls load and puts the result into a buffered channel,
-// so that it ends when load returns, whether the result is still awaited or not. Everything else belongs to
-// the event loop's goroutine.
+// configLoader reads the configuration on a separate goroutine, because a slow disk must not delay requests. It
+// awaits one read at a time. The goroutine only calls load and puts the result into a buffered channel, so it ends
+// when load returns even if nobody awaits the result any more. Everything else belongs to the event loop's
+// goroutine.
 type configLoader struct {
-	results   chan loadResult     // of the read that is awaited; nil: there is none
-	startedAt eventloop.Timestamp // of that read
-	requested bool                // a reload has been requested for which no read has been started
+	results   chan loadResult     // result of the awaited read; nil: no read is awaited
+	startedAt eventloop.Timestamp // when the awaited read was started
+	requested bool                // a reload has been requested and its read not started
 }
 
-// loadResult is what a read has brought: a configuration or an error.
+// loadResult is the result of a read: a configuration or an error.
 type loadResult struct {
 	prepare PrepareUpdate
 	err     error
@@ -68,7 +68,7 @@
 	}()
 }
 
-// poll returns the result of the awaited read if that is done or has exceeded its time limit.
+// poll returns the result of the awaited read if the read is done or has exceeded loadTimeout.
 func (l *configLoader) poll(now eventloop.Timestamp) (result loadResult, done bool) {
 	if l.results == nil {
 		return loadResult{}, false
@@ -99,8 +99,7 @@
 	p.configLoader.start(signals.Load, p.loop.Now())
 }
 
-// finishReload applies a configuration that has been read. If it can't be used, the proxy goes on with the
-// one in use.
+// finishReload applies a configuration that has been read. If it is rejected, the proxy keeps the one in use.
 func (p *Proxy) finishReload(result loadResult) {
 	update, err := result.update()
 	if err != nil {
@@ -111,11 +110,11 @@
 	p.counters.configsAccepted++
 	p.log.Info("configuration reloaded", "coordinator", update.Coordinator, "classes", len(update.Settings.Policy.Classes))
 	p.applyConfig(newRuntimeConfig(update.Settings, update.TransferBytesPerSecond))
-	p.notify(update.Settings.Policy) // precedes the requests by the new classes, which are parsed from the next turn on
+	p.notify(update.Settings.Policy) // before any request of the new classes, which are parsed from the next turn on
 	p.SwitchCoordinator(update.Coordinator)
 }
 
-// update checks the configuration that has been read.
+// update checks the configuration that has been read and returns what the proxy must replace.
 func (r loadResult) update() (ConfigUpdate, error) {
 	if r.err != nil {
 		return ConfigUpdate{}, r.err
