--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -1,14 +1,14 @@
 package proxy
 
-// This file carries out a graceful shutdown, by the times that lifecycle.go sets.
+// This file performs a graceful shutdown, with the timing of lifecycle.go.
 
 import (
 	"os"
 	"slices"
 )
 
-// advancePhase moves to the phase that is due. A shutdown ends when clients have stopped coming and every
-// request has been answered.
+// advancePhase starts a shutdown when stop delivers a signal, and ends it when idle clients are being disconnected
+// and no client connection or unanswered request is left.
 func (p *Proxy) advancePhase(stop <-chan os.Signal) {
 	select {
 	case <-stop:
@@ -22,8 +22,8 @@
 	}
 }
 
-// beginShutdown begins a graceful shutdown. Requests that are open get no more time than the platform leaves to
-// the process: one that a kill finds unanswered is lost.
+// beginShutdown begins a graceful shutdown. It shortens the deadlines of open requests to the time that the platform
+// leaves to the process, because a request that is unanswered when the process is killed is lost.
 func (p *Proxy) beginShutdown() {
 	p.lifecycle.beginShutdown(p.config.MaxDeadline, p.isTakenOver(), p.openRequests)
 	for _, q := range p.requests {
@@ -31,13 +31,12 @@
 	}
 }
 
-// isTakenOver reports whether another process may accept from all listening sockets of this one.
+// isTakenOver reports whether all listening sockets are shared, so that another process may accept from them.
 func (p *Proxy) isTakenOver() bool {
 	return !slices.ContainsFunc(p.fastcgiServers, func(f *FastCGIServer) bool { return !f.sharedSocket })
 }
 
-// hasOpenWork reports whether a client connection is open or waits to be accepted, or a request has no
-// answer.
+// hasOpenWork reports whether a client connection is open or waiting to be accepted, or a request is unanswered.
 func (p *Proxy) hasOpenWork() bool {
 	for _, f := range p.fastcgiServers {
 		if !f.Idle() {
