--- a/internal/proxy/adminoperations.go
+++ b/internal/proxy/adminoperations.go
@@ -1,29 +1,29 @@
 package proxy
 
-// This file holds the operations that operators can call, and their HTTP answers.
+// This file holds the operators' operations and their HTTP answers.
 
 import "cloverdoor/internal/http1"
 
-// adminHandler is what operators can ask for. Its methods are called on the loop's goroutine and must not
+// adminHandler carries out the operators' calls. Its methods are called on the event loop's goroutine and must not
 // block.
 type adminHandler interface {
-	// currentPhase is the phase of the program.
+	// currentPhase returns the phase of the process.
 	currentPhase() Phase
-	// startDrain disconnects all clients, if the program is serving. It returns the phase after that.
+	// startDrain starts to disconnect all clients if the phase is Serving. It returns the resulting phase.
 	startDrain() Phase
-	// stopDrain revokes startDrain. It returns the phase after that.
+	// stopDrain returns to Serving if the phase is Draining. It returns the resulting phase.
 	stopDrain() Phase
-	// stats is the text of all figures.
+	// stats returns all metrics as text.
 	stats() string
 }
 
-// adminOperation is an operation and the one HTTP method by which it is called.
+// adminOperation is an operation and the only HTTP method that it accepts.
 type adminOperation struct {
 	method string
 	run    func(adminHandler) http1.Response
 }
 
-// adminOperations are the operations by path.
+// adminOperations holds the operations by path.
 var adminOperations = map[string]adminOperation{
 	"/ops/readiness":   {method: "GET", run: answerReadiness},
 	"/ops/stats":       {method: "GET", run: answerStats},
@@ -43,27 +43,28 @@
 	return operation.run(handler)
 }
 
-// answerReadiness answers 200 while the program is serving, otherwise 503.
+// answerReadiness answers 200 if the phase is Serving, otherwise 503.
 func answerReadiness(handler adminHandler) http1.Response {
 	return phaseResponse(handler.currentPhase(), Serving, statusServiceUnavailable)
 }
 
-// answerStats answers with all figures.
+// answerStats answers with all metrics.
 func answerStats(handler adminHandler) http1.Response {
 	return http1.Response{Status: statusOK, Body: handler.stats()}
 }
 
-// answerStartDrain answers 200 if the program is draining now, otherwise 409.
+// answerStartDrain starts a drain and answers 200 if the phase is then Draining, otherwise 409.
 func answerStartDrain(handler adminHandler) http1.Response {
 	return phaseResponse(handler.startDrain(), Draining, statusConflict)
 }
 
-// answerStopDrain answers 200 if the program is serving now, otherwise 409.
+// answerStopDrain stops a drain and answers 200 if the phase is then Serving, otherwise 409.
 func answerStopDrain(handler adminHandler) http1.Response {
 	return phaseResponse(handler.stopDrain(), Serving, statusConflict)
 }
 
-// phaseResponse names the phase, with status 200 if it is the wanted one and otherStatus if it is another.
+// phaseResponse returns an answer with the name of the phase; its status is 200 if phase is wanted, otherwise
+// otherStatus.
 func phaseResponse(phase, wanted Phase, otherStatus int) http1.Response {
 	status := otherStatus
 	if phase == wanted {
--- a/internal/proxy/adminserver.go
+++ b/internal/proxy/adminserver.go
@@ -1,6 +1,6 @@
 package proxy
 
-// This file holds the operators' HTTP server: its connections, their number and their timeouts.
+// This file holds the operators' HTTP server, with its connection limit and timeouts.
 
 import (
 	"errors"
@@ -11,30 +11,30 @@
 )
 
 const (
-	// maxAdminConns bounds the operators' connections. It is small, as their descriptors are not available to
+	// maxAdminConns bounds the operators' connections. It is small because their descriptors are not available to
 	// clients.
 	maxAdminConns = 16
 	// adminCallTimeout is how long a connection may stay open, from its accept to the end of the answer.
 	adminCallTimeout = 2 * time.Second
-	// adminCheckInterval is the time between checks of that timeout.
+	// adminCheckInterval is the time between checks for connections that exceed adminCallTimeout.
 	adminCheckInterval = adminCallTimeout / 10
-	// minAdminCallTime is how long a connection stays open at least, however many others wait to be accepted.
+	// minAdminCallTime is how long a connection may stay open even if others wait to be accepted.
 	minAdminCallTime = 50 * time.Millisecond
 )
 
-// errAdminCallTimeout closes a connection whose call has not been completed in time.
+// errAdminCallTimeout closes a connection whose call was not completed in time.
 var errAdminCallTimeout = errors.New("call was not completed in time")
 
-// AdminServer answers the operators' HTTP calls, on an address of their own. A connection carries one call.
+// AdminServer answers the operators' HTTP calls on a separate address. A connection carries one call.
 type AdminServer struct {
 	handler adminHandler
 	loop    *eventloop.Loop
 	conns   map[*adminConn]bool
 }
 
-// ensureCapacity reports whether one more connection can be accepted. When there are too many, the oldest is
-// closed for it, so that callers that send nothing don't keep out others; while none has had
-// minAdminCallTime, the new one waits to be accepted.
+// ensureCapacity reports whether one more connection can be accepted. At maxAdminConns it closes the oldest, so that
+// callers that send nothing don't block others. If none has been open for minAdminCallTime, it returns false and the
+// new connection waits to be accepted.
 func (a *AdminServer) ensureCapacity() bool {
 	if len(a.conns) < maxAdminConns {
 		return true
@@ -52,14 +52,14 @@
 	return true
 }
 
-// accept makes the handler of a new connection.
+// accept returns the handler of a new connection.
 func (a *AdminServer) accept(conn *eventloop.Conn) eventloop.Handler {
 	c := &adminConn{server: a, conn: conn, acceptedAt: a.loop.Now()}
 	a.conns[c] = true
 	return c
 }
 
-// closeOverdueConns closes the connections that have exceeded adminCallTimeout, and looks again after
+// closeOverdueConns closes the connections that have exceeded adminCallTimeout, and schedules the next check after
 // adminCheckInterval.
 func (a *AdminServer) closeOverdueConns() {
 	for c := range a.conns {
@@ -77,7 +77,7 @@
 	acceptedAt eventloop.Timestamp
 }
 
-// age is the time since the connection was accepted.
+// age returns the time since the connection was accepted.
 func (c *adminConn) age() time.Duration { return c.server.loop.Now() - c.acceptedAt }
 
 // closeOverdue closes the connection without an answer.
@@ -102,11 +102,11 @@
 	return len(data), nil
 }
 
-// respond writes the answer and closes the connection after it.
+// respond writes the answer and closes the connection after it has been sent.
 func (c *adminConn) respond(r http1.Response) {
 	c.conn.Write(http1.AppendResponse(nil, r))
 	c.conn.CloseAfterFlush()
 }
 
-// Closed forgets the connection.
+// Closed removes the connection from the open ones.
 func (c *adminConn) Closed(error) { delete(c.server.conns, c) }
