--- a/internal/proxy/coordinatorclock_test.go
+++ b/internal/proxy/coordinatorclock_test.go
@@ -10,7 +10,7 @@
 	"cloverdoor/policy"
 )
 
-// newEventProxy returns a proxy that has just what purges need.
+// newEventProxy returns a proxy with only the parts that purges need.
 func newEventProxy(loop *eventloop.Loop) *Proxy {
 	log := slog.New(slog.DiscardHandler)
 	p := &Proxy{loop: loop, log: log}
@@ -19,11 +19,11 @@
 	return p
 }
 
-// clockTest is a proxy whose wall clock is wrong, set by hand.
+// clockTest is a proxy with a wrong wall clock that the test advances.
 type clockTest struct {
 	p            *Proxy
 	clock        *handClock
-	correctStart eventloop.Timestamp // the correct time at the test's start
+	correctStart eventloop.Timestamp // correct time at the start of the test
 }
 
 func newClockTest(t *testing.T, clockError time.Duration) *clockTest {
@@ -37,15 +37,15 @@
 	return &clockTest{p: newEventProxy(loop), clock: clock, correctStart: correctStart}
 }
 
-// report has the coordinator report a purge that took place the given time before the test's start, and
-// returns as how old it counts.
+// report delivers a purge that took place ago before the start of the test, and returns its age as passed to the
+// decision module.
 func (c *clockTest) report(ago time.Duration) time.Duration {
 	c.p.inbox = nil
 	c.p.applyEvent(watch.Event{Purge: &watch.Purge{Object: "x", At: (c.correctStart - ago).Milliseconds()}}, c.p.loop.Now())
 	return c.p.inbox[len(c.p.inbox)-1].(policy.Purge).Age
 }
 
-// advance moves the clock on.
+// advance advances the clock.
 func (c *clockTest) advance(t *testing.T, by time.Duration) {
 	t.Helper()
 	c.clock.now += by
@@ -54,39 +54,39 @@
 	}
 }
 
-// However wrong the clock is, a purge never counts as older than it is, and counts as about as old once one
-// has been reported in time.
+// TestPurgeAgeWithWrongClock checks that, however wrong the clock is, a purge never counts as older than it is, and
+// counts as at most maxReportDelay newer once a purge has been reported without delay.
 func TestPurgeAgeWithWrongClock(t *testing.T) {
 	for _, clockError := range []time.Duration{0, time.Hour, -time.Hour, 3 * time.Second, -3 * time.Second} {
 		c := newClockTest(t, clockError)
 		for _, ago := range []time.Duration{400 * time.Millisecond, 100 * time.Millisecond, 2 * time.Second, 0} {
 			got := c.report(ago)
 			if got > ago {
-				t.Errorf("%v wrong: %v ago counts as %v", clockError, ago, got)
+				t.Errorf("clock wrong by %v: a purge %v ago counts as %v old", clockError, ago, got)
 			}
 			if ago == 2*time.Second && got < ago-maxReportDelay {
-				t.Errorf("%v wrong: %v ago counts as only %v", clockError, ago, got)
+				t.Errorf("clock wrong by %v: a purge %v ago counts as only %v old", clockError, ago, got)
 			}
 		}
 	}
 }
 
-// One wrong time from the coordinator is forgotten.
+// TestWrongReportedTimeExpires checks that one wrong time from the coordinator has no effect after maxBoundAge.
 func TestWrongReportedTimeExpires(t *testing.T) {
 	c := newClockTest(t, 0)
 	c.report(-time.Hour)
 	if c.p.clock.offset == 0 {
-		t.Error("the wrong time had no effect at all")
+		t.Error("the wrong time had no effect")
 	}
 	c.advance(t, maxBoundAge+time.Second)
-	c.report(-maxBoundAge - time.Second) // what is right by now
+	c.report(-maxBoundAge - time.Second) // the correct time by now
 	if c.p.clock.offset != 0 {
-		t.Errorf("off by %v", c.p.clock.offset)
+		t.Errorf("offset %v, want 0", c.p.clock.offset)
 	}
 }
 
-// Before anything has been reported live, purges of the initial state are certain only against the latest of
-// them.
+// TestInitialPurgeAgesWithWrongClock checks that purges of the initial state count their age from the newest of
+// them, as nothing else is certain before the first event of the watch.
 func TestInitialPurgeAgesWithWrongClock(t *testing.T) {
 	c := newClockTest(t, time.Hour)
 	purge := func(ago time.Duration) watch.Event {
@@ -95,16 +95,16 @@
 	c.p.applyInitialState([]watch.Event{purge(5 * time.Second), purge(2 * time.Second)})
 	for i, want := range []time.Duration{3 * time.Second, 0} {
 		if age := c.p.inbox[i].(policy.Purge).Age; age > want || age < want-time.Second {
-			t.Errorf("the %d. counts as %v old, want %v", i+1, age, want)
+			t.Errorf("purge %d counts as %v old, want %v", i+1, age, want)
 		}
 	}
 }
 
-// After a pause many purges are reported at once, the oldest first: late reports say nothing of the clock,
-// and no purge counts as older than it is once the last of them has been reported.
+// TestPurgeAgesAfterReportingPause reports many purges at once after a pause, the oldest first. Late reports must not
+// move the clock, and no purge may count as older than it is once the last of them has been reported.
 func TestPurgeAgesAfterReportingPause(t *testing.T) {
 	c := newClockTest(t, 0)
-	c.report(0) // in time
+	c.report(0) // reported without delay
 	loop := c.p.loop
 	router := policy.New(policy.Settings{
 		ParentKind: -1, OriginKind: 1,
@@ -113,7 +113,7 @@
 	}, 1)
 	router.Handle(loop.Now(), policy.EndpointUpdate{Full: true, Endpoints: []policy.Endpoint{
 		{ID: "c", State: policy.Ready, Weight: 10}, {ID: "o", State: policy.Ready, Kind: 1}}})
-	c.advance(t, 3*time.Second) // nothing is reported meanwhile
+	c.advance(t, 3*time.Second) // nothing is reported during the pause
 	const last = 950 * time.Millisecond
 	for ago := 3 * time.Second; ago >= 0; ago -= 50 * time.Millisecond {
 		object := "another"
@@ -128,7 +128,7 @@
 	}
 	for _, a := range router.Handle(loop.Now(), policy.Request{ID: 1, Object: "x", Remaining: time.Second}) {
 		if f, ok := a.(policy.Fetch); ok && (f.MaxAge <= 0 || f.MaxAge > last) {
-			t.Errorf("copies of %v are asked for, the purge was %v ago", f.MaxAge, last)
+			t.Errorf("a fetch allows copies of age %v, the purge was %v ago", f.MaxAge, last)
 		}
 	}
 }
--- a/internal/proxy/endpoints_test.go
+++ b/internal/proxy/endpoints_test.go
@@ -12,7 +12,7 @@
 	"cloverdoor/policy"
 )
 
-// recordedPools records what an endpoint table asks of the pools.
+// recordedPools records the calls of an endpoint table to the pools.
 type recordedPools struct{ calls []string }
 
 func (r *recordedPools) SetAddress(id string, addr netip.AddrPort) {
@@ -21,8 +21,8 @@
 func (r *recordedPools) DiscardConns(id string)   { r.calls = append(r.calls, "discard "+id) }
 func (r *recordedPools) RemoveEndpoint(id string) { r.calls = append(r.calls, "remove "+id) }
 
-// Each update reaches the pools and the decision module: new endpoints, restarts, entries that can't be
-// decoded, and those that a full list leaves out.
+// TestEndpointUpdates checks what the pools and the decision module are told of new endpoints, restarts, entries that
+// can't be decoded, and endpoints that a full list leaves out.
 func TestEndpointUpdates(t *testing.T) {
 	pools := &recordedPools{}
 	var events []policy.Event
@@ -61,10 +61,10 @@
 		events = nil
 		table.apply(&step.update)
 		if !slices.Equal(pools.calls, step.calls) {
-			t.Errorf("%s: pools were asked %q, want %q", step.name, pools.calls, step.calls)
+			t.Errorf("%s: calls to the pools %q, want %q", step.name, pools.calls, step.calls)
 		}
 		if len(events) != 1 {
-			t.Fatalf("%s: %d events", step.name, len(events))
+			t.Fatalf("%s: %d events, want 1", step.name, len(events))
 		}
 		update := events[0].(policy.EndpointUpdate)
 		var states []policy.State
@@ -72,7 +72,7 @@
 			states = append(states, e.State)
 		}
 		if update.Full != step.update.Full || !slices.Equal(states, step.states) {
-			t.Errorf("%s: %+v", step.name, update)
+			t.Errorf("%s: wrong update: %+v", step.name, update)
 		}
 		if table.count() != step.count {
 			t.Errorf("%s: %d endpoints in use, want %d", step.name, table.count(), step.count)
@@ -80,8 +80,9 @@
 	}
 }
 
-// Guards against an endpoint that counts as restarted as its list corrects the clock: all starts of a list are
-// converted with the offset that holds after it, whatever their order.
+// TestStartTimesOfOneListUseOneOffset guards against an endpoint that counts as restarted because a later entry of
+// its list corrects the clock: all start times of a list must be converted with the offset that the whole list
+// leads to, whatever their order.
 func TestStartTimesOfOneListUseOneOffset(t *testing.T) {
 	const behind = time.Hour
 	c := newClockTest(t, -behind)
@@ -103,6 +104,6 @@
 	before := starts[0].Started
 	table.apply(&watch.EndpointUpdate{Endpoints: []watch.Endpoint{first, entry("b", c.correctStart)}})
 	if want := before + corrected; corrected != -behind || starts[0].Started != want {
-		t.Errorf("corrected by %v; the start is at %v, want %v", corrected, starts[0].Started, want)
+		t.Errorf("corrected by %v; start time %v, want %v", corrected, starts[0].Started, want)
 	}
 }
