--- a/internal/proxy/watchplay_test.go
+++ b/internal/proxy/watchplay_test.go
@@ -1,6 +1,6 @@
 package proxy
 
-// This file holds the stand-in coordinator that the tests of the watch play against, by a clock of their own.
+// This file holds the test harness of the watch: a fake coordinator and a clock that the test advances.
 
 import (
 	"errors"
@@ -17,32 +17,32 @@
 )
 
 const (
-	// harnessStep is how far one step of a play moves the clock.
+	// harnessStep is how far one step advances the clock.
 	harnessStep = 50 * time.Millisecond
 	// heartbeatInterval is the time between the heartbeats of a healthy stream.
 	heartbeatInterval = time.Second
-	// maxEventDelay is the time after which the page counts an event as told, whether it arrived or not.
+	// maxEventDelay is how long after its publication an event must be obeyed, whether it has arrived or not.
 	maxEventDelay = 7 * time.Second
 )
 
-// watchHarness is a watch and its coordinator. Both run on the test's goroutine, and what the coordinator writes in a
-// step arrives in one piece, so that a play does not depend on the machine.
+// watchHarness runs a watch against a fake coordinator. Both run on the test's goroutine, and what the coordinator
+// writes in one step arrives in one piece, so the outcome does not depend on the machine.
 type watchHarness struct {
 	t         *testing.T
 	clock     *handClock
 	loop      *eventloop.Loop
 	watch     *coordinatorWatch
-	delivered *recordedEvents // what the watch has passed on, unless the test has a handler of its own
+	delivered *recordedEvents // what the watch has delivered; nil if the test provides its own handler
 
-	holdWrites bool // the network holds up what the coordinator writes
-	listener   int  // descriptor
-	lines      []string
+	holdWrites bool     // the network delays what the coordinator writes
+	listener   int      // descriptor
+	lines      []string // of all events, from index 1 on
 	streams    []*fakeStream
-	script     func(number int) streamScript // how the coordinator treats its streams, counted from 0
+	script     func(number int) streamScript // returns the script of each stream, numbered from 0
 }
 
-// streamScript writes what is due on a stream. It is called in each step once the stream's follow line has
-// arrived, until the stream is closed.
+// streamScript writes the output of one step to a stream. It is called in every step after the stream's follow line
+// has arrived, until the stream is closed.
 type streamScript func(s *fakeStream)
 
 // fakeStream is the coordinator's side of one stream.
@@ -51,15 +51,15 @@
 	fd              int
 	closed          bool
 	following       bool // the follow line has arrived
-	from            int  // index of the event that the stream follows
+	from            int  // index in the follow line
 	sent            int  // index of the last event that was written completely
 	lastHeartbeatAt eventloop.Timestamp
 	bytesWritten    int    // written by the script
-	unsent          string // of them, those that the system has not been given yet
+	unsent          string // output not yet written to the socket
 	script          streamScript
 }
 
-// newWatchHarness starts a coordinator that treats its streams by script, and a watch that has taken event 1.
+// newWatchHarness starts a coordinator that runs the scripts returned by script, and a watch that already has event 1.
 func newWatchHarness(t *testing.T, script func(number int) streamScript) *watchHarness {
 	t.Helper()
 	delivered := &recordedEvents{}
@@ -68,7 +68,8 @@
 	return h
 }
 
-// newWatchHarnessWithHandler starts a play with the handler that newHandler returns. The watch's clock is wrong by an offset.
+// newWatchHarnessWithHandler is newWatchHarness with the handler that newHandler returns, and with clockError as the
+// error of the watch's clock.
 func newWatchHarnessWithHandler(
 	t *testing.T, script func(number int) streamScript, clockError time.Duration, newHandler func(*eventloop.Loop) watchHandler,
 ) *watchHarness {
@@ -92,7 +93,7 @@
 	return h
 }
 
-// listen opens the coordinator's address.
+// listen opens the coordinator's listening socket and returns its address.
 func (h *watchHarness) listen() netip.AddrPort {
 	h.t.Helper()
 	fd, err1 := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
@@ -107,7 +108,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom4(bound.Addr), uint16(bound.Port))
 }
 
-// close closes what the play has opened.
+// close closes the coordinator's sockets.
 func (h *watchHarness) close() {
 	for _, s := range h.streams {
 		s.close()
@@ -115,12 +116,12 @@
 	unix.Close(h.listener) //nolint:errcheck // nothing was written to it
 }
 
-// publish adds the next event. %d in the format is its index.
+// publish publishes the next event. %d in format stands for its index.
 func (h *watchHarness) publish(format string) {
 	h.lines = append(h.lines, fmt.Sprintf(format, len(h.lines)+1))
 }
 
-// run plays for a time.
+// run runs steps for a duration of the test's clock.
 func (h *watchHarness) run(duration time.Duration) {
 	h.t.Helper()
 	for end := h.clock.now + duration; h.clock.now < end; {
@@ -128,8 +129,8 @@
 	}
 }
 
-// runUntil plays until the event with an index has been taken, and returns how long that took. It gives up at a
-// limit.
+// runUntil runs steps until the event at index has been delivered or limit has passed, and returns how long that
+// took.
 func (h *watchHarness) runUntil(index int64, limit time.Duration) time.Duration {
 	h.t.Helper()
 	start := h.clock.now
@@ -139,7 +140,7 @@
 	return h.clock.now - start
 }
 
-// step moves the clock on, first for the coordinator and then for the watch.
+// step advances the clock and runs first the coordinator and then the watch.
 func (h *watchHarness) step() {
 	h.t.Helper()
 	h.clock.now += harnessStep
@@ -147,7 +148,7 @@
 	for _, s := range h.streams {
 		s.advance()
 	}
-	for range 2 { // the second turn handles what the first has caused
+	for range 2 { // the second turn handles the effects of the first
 		if err := h.loop.Wait(0); err != nil {
 			h.t.Fatal(err)
 		}
@@ -155,7 +156,7 @@
 	}
 }
 
-// accept accepts the streams that wait.
+// accept accepts all waiting streams.
 func (h *watchHarness) accept() {
 	for {
 		fd, _, err := unix.Accept4(h.listener, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
@@ -167,7 +168,7 @@
 	}
 }
 
-// totalBytesWritten is how much the coordinator has written on all streams.
+// totalBytesWritten returns how many bytes the scripts of all streams have written.
 func (h *watchHarness) totalBytesWritten() int {
 	total := 0
 	for _, s := range h.streams {
@@ -176,14 +177,14 @@
 	return total
 }
 
-// advance reads what the watch has sent and follows the script.
+// advance reads what the watch has sent and runs one step of the script.
 func (s *fakeStream) advance() {
 	if s.closed {
 		return
 	}
 	var input [64]byte
 	n, err := unix.Read(s.fd, input[:])
-	if n == 0 && err == nil { // the watch has closed it
+	if n == 0 && err == nil { // the watch has closed the stream
 		s.close()
 		return
 	}
@@ -199,14 +200,14 @@
 	s.flush()
 }
 
-// write writes a text at the end of the step, in one piece with what else is written in it.
+// write adds text to the output of the step, which is written in one piece at its end.
 func (s *fakeStream) write(text string) {
 	s.bytesWritten += len(text)
 	s.unsent += text
 }
 
-// flush gives the system what has been written, unless the network holds it up. It closes a stream that the watch has
-// closed.
+// flush writes the output to the socket, unless the network delays it. It closes the stream if the watch has closed
+// its side.
 func (s *fakeStream) flush() {
 	if s.closed || s.harness.holdWrites || s.unsent == "" {
 		return
@@ -220,17 +221,17 @@
 	s.unsent = s.unsent[n:]
 }
 
-// close closes the stream after what was written on it.
+// close flushes the output and closes the stream.
 func (s *fakeStream) close() {
 	if s.closed {
 		return
 	}
 	s.flush()
 	s.closed = true
-	unix.Close(s.fd) //nolint:errcheck // what was written has been delivered
+	unix.Close(s.fd) //nolint:errcheck // the output has been flushed
 }
 
-// nextLine is the line of the next event that the stream has to bring; empty if there is none.
+// nextLine returns the line of the next event to send on the stream; empty: there is none.
 func (s *fakeStream) nextLine() string {
 	if s.sent >= len(s.harness.lines) {
 		return ""
@@ -238,7 +239,7 @@
 	return s.harness.lines[s.sent] + "\n"
 }
 
-// sendAll is the script of a healthy stream.
+// sendAll is the script of a healthy stream: it sends all events at once, and heartbeats.
 func sendAll(s *fakeStream) {
 	for line := s.nextLine(); line != "" && !s.closed; line = s.nextLine() {
 		s.write(line)
@@ -250,7 +251,7 @@
 	}
 }
 
-// sendEvenly returns the script of a stream that takes a time for each line, and brings it evenly.
+// sendEvenly returns a script that spreads each event evenly over lineTime.
 func sendEvenly(lineTime time.Duration) streamScript {
 	written := 0
 	return func(s *fakeStream) {
@@ -269,7 +270,7 @@
 	}
 }
 
-// failAtNextEvent returns a script that is healthy until an event is there to be brought, and then fails.
+// failAtNextEvent returns a script that is healthy until there is an event to send, and runs fail from then on.
 func failAtNextEvent(fail streamScript) streamScript {
 	failed := false
 	return func(s *fakeStream) {
@@ -282,8 +283,7 @@
 	}
 }
 
-// replaceEventLine returns a script that is healthy but for the line of one event, in place of which it writes another
-// text.
+// replaceEventLine returns a script that is healthy but writes text in place of the line of the event at index.
 func replaceEventLine(index int, text string) streamScript {
 	return func(s *fakeStream) {
 		for s.sent < len(s.harness.lines) && !s.closed {
@@ -298,7 +298,7 @@
 	}
 }
 
-// failureScripts are the ways in which a stream fails to bring an event.
+// failureScripts returns, by name, the ways in which a stream fails to deliver an event.
 func failureScripts() map[string]func() streamScript {
 	halfLine := func(s *fakeStream) {
 		line := s.nextLine()
@@ -306,22 +306,22 @@
 	}
 	return map[string]func() streamScript{
 		"silent": func() streamScript { return failAtNextEvent(func(*fakeStream) {}) },
-		"cut": func() streamScript {
+		"half a line, then closed": func() streamScript {
 			return failAtNextEvent(func(s *fakeStream) {
 				halfLine(s)
 				s.close()
 			})
 		},
-		"stopped short": func() streamScript {
-			begun := false
+		"half a line, then silent": func() streamScript {
+			written := false
 			return failAtNextEvent(func(s *fakeStream) {
-				if !begun {
+				if !written {
 					halfLine(s)
 				}
-				begun = true
+				written = true
 			})
 		},
-		"ended late": func() streamScript {
+		"closed after 0.4 s": func() streamScript {
 			var failedAt eventloop.Timestamp
 			return failAtNextEvent(func(s *fakeStream) {
 				if failedAt == 0 {
@@ -332,6 +332,6 @@
 				}
 			})
 		},
-		"trickling": func() streamScript { return failAtNextEvent(sendEvenly(time.Minute)) },
+		"evenly over one minute": func() streamScript { return failAtNextEvent(sendEvenly(time.Minute)) },
 	}
 }
--- a/internal/proxy/watchrecovery_test.go
+++ b/internal/proxy/watchrecovery_test.go
@@ -12,7 +12,7 @@
 	"cloverdoor/policy"
 )
 
-// followedIndices is the index that each stream of a play followed.
+// followedIndices returns the index that each stream followed.
 func (h *watchHarness) followedIndices() []int {
 	var from []int
 	for _, s := range h.streams {
@@ -21,28 +21,29 @@
 	return from
 }
 
-// Guards against a drain that is lost for good as its line was spoilt once in the middle of the input: what
-// follows it is taken at once, and it is requested again, as often as three bad lines in a row need.
+// TestCorruptEventIsRecovered guards against a drain that is lost for good because its line was corrupt once in the
+// middle of the input. The events that follow must be delivered at once, and the corrupt one must be requested again,
+// often enough to recover from three bad lines in a row.
 func TestCorruptEventIsRecovered(t *testing.T) {
 	corrupt := func(line string) string { return line[:len(line)/2] + line + "\n" }
 	for _, c := range []struct {
 		name        string
-		corruptLine func(stream int) string // what stands for event 2 on a stream; empty: its line
-		late        time.Duration           // the latest time of event 2
+		corruptLine func(stream int) string // text sent in place of event 2 on a stream; empty: the event's line
+		late        time.Duration           // longest allowed time from publication to delivery of event 2
 	}{
-		{"spoilt once", func(stream int) string {
+		{"corrupt once", func(stream int) string {
 			if stream == 0 {
 				return corrupt(`{"index":2,"x":1}`)
 			}
 			return ""
 		}, time.Second},
-		{"spoilt differently three times", func(stream int) string {
+		{"corrupt in three different ways", func(stream int) string {
 			if stream < 3 {
 				return strings.Repeat("{", stream+1) + "broken\n"
 			}
 			return ""
 		}, maxEventDelay},
-		{"spoilt alike three times", func(stream int) string {
+		{"corrupt in the same way three times", func(stream int) string {
 			if stream < 3 {
 				return "{broken\n"
 			}
@@ -69,25 +70,25 @@
 		h.publish(drainEvent)
 		h.runUntil(4, maxEventDelay)
 		if h.delivered.has(2) || !h.delivered.has(4) {
-			t.Errorf("%s: taken at first: %v", c.name, h.delivered.indices)
+			t.Errorf("%s: delivered at first: %v", c.name, h.delivered.indices)
 		}
 		h.runUntil(2, time.Minute)
 		if took := h.clock.now - published; took > c.late {
-			t.Errorf("%s: the event was taken after %v", c.name, took)
+			t.Errorf("%s: the event was delivered after %v", c.name, took)
 		}
 		h.run(30 * time.Second)
 		if got := fmt.Sprint(h.delivered.indices, h.delivered.late); got != "[3 4 2] [2]" {
-			t.Errorf("%s: taken: %s", c.name, got)
+			t.Errorf("%s: delivered: %s", c.name, got)
 		}
 		if last := h.followedIndices()[len(h.streams)-1]; last != 1 {
-			t.Errorf("%s: requested from %v", c.name, h.followedIndices())
+			t.Errorf("%s: the streams followed from %v", c.name, h.followedIndices())
 		}
 		h.close()
 	}
 }
 
-// Guards against an event that can never be read and is requested without end: it is given up after a few
-// requests, and all that follow it are taken as they come.
+// TestUnreadableEventIsGivenUp guards against endless requests for an event that can never be read. It must be given
+// up after maxRequestsForMissing requests, and the events that follow must be delivered as they arrive.
 func TestUnreadableEventIsGivenUp(t *testing.T) {
 	h := newWatchHarness(t, func(int) streamScript { return replaceEventLine(2, "{broken\n") })
 	h.run(2 * time.Second)
@@ -95,18 +96,19 @@
 	h.publish(drainEvent)
 	h.run(time.Minute)
 	if streams := len(h.streams); streams != 1+maxRequestsForMissing {
-		t.Errorf("streams followed from %v", h.followedIndices())
+		t.Errorf("the streams followed from %v", h.followedIndices())
 	}
 	if !h.watch.missing.isEmpty() || len(h.watch.streams) != 1 {
 		t.Errorf("missing: %v, %d streams", h.watch.missing.requests, len(h.watch.streams))
 	}
 	h.publish(drainEvent)
 	if took := h.runUntil(4, time.Minute); took > 2*harnessStep {
-		t.Errorf("the next event was taken after %v", took)
+		t.Errorf("the next event was delivered after %v", took)
 	}
 }
 
-// Guards against missing events that hold up new ones, or are forgotten, when the streams fail meanwhile.
+// TestMissingEventIsRecoveredThoughStreamsFail guards against missing events that delay new ones, or are never
+// delivered, when the next streams fail.
 func TestMissingEventIsRecoveredThoughStreamsFail(t *testing.T) {
 	for name, broken := range failureScripts() {
 		h := newWatchHarness(t, func(stream int) streamScript {
@@ -127,16 +129,16 @@
 		h.runUntil(4, time.Minute)
 		h.runUntil(2, time.Minute)
 		if took := h.clock.now - published; took >= maxEventDelay {
-			t.Errorf("%s: all events were taken after %v", name, took)
+			t.Errorf("%s: all events were delivered after %v", name, took)
 		}
 		h.close()
 	}
 }
 
-// recordedTable is an endpoint table with one kind and zone that records what the decision module is notified of.
+// recordedTable is an endpoint table with one kind and one zone that records the states passed to the decision module.
 type recordedTable struct {
 	endpointTable
-	states map[string]policy.State // as the module knows them
+	states map[string]policy.State // as notified, by endpoint id
 }
 
 func newRecordedTable(t *testing.T) *recordedTable {
@@ -158,8 +160,8 @@
 	return table
 }
 
-// Guards against a late event that undoes a newer one: whichever event of a series is late, the endpoints end in
-// the states that the whole series says.
+// TestLateEventKeepsNewerState guards against a late event that undoes a newer one. Whichever event of a series is
+// late, the endpoints must end in the states to which the series leads in order.
 func TestLateEventKeepsNewerState(t *testing.T) {
 	entries := func(states ...string) []watch.Endpoint {
 		var list []watch.Endpoint
@@ -179,7 +181,7 @@
 	}
 	want := "[a=2 b=1 d=1 e=2]"
 	if policy.Ready != 2 || policy.Draining != 1 {
-		t.Fatal("the states have other numbers")
+		t.Fatal("the numbers of the states in want are out of date")
 	}
 	for late := range series {
 		table := newRecordedTable(t)
@@ -208,12 +210,13 @@
 			t.Errorf("event %d late: %v, want %s", late, got, want)
 		}
 		if !missing.isEmpty() || missing.newestByEndpoint != nil {
-			t.Errorf("event %d late: %+v is remembered", late, missing)
+			t.Errorf("event %d late: missing events are not reset: %+v", late, missing)
 		}
 	}
 }
 
-// Guards against missing events that are never requested again as further ones keep being passed over.
+// TestRecoveryIsNotDelayedByFurtherMissingEvents guards against missing events that are never requested again because
+// further events keep going missing.
 func TestRecoveryIsNotDelayedByFurtherMissingEvents(t *testing.T) {
 	corruptEverySecond := func(s *fakeStream) {
 		for s.sent < len(s.harness.lines) {
@@ -239,6 +242,6 @@
 		h.run(200 * time.Millisecond)
 	}
 	if took := h.clock.now - published; took >= maxEventDelay {
-		t.Errorf("event 2 was not taken within %v; the streams followed from %v", took, h.followedIndices())
+		t.Errorf("event 2 was not delivered within %v; the streams followed from %v", took, h.followedIndices())
 	}
 }
--- a/internal/proxy/watchstalls_test.go
+++ b/internal/proxy/watchstalls_test.go
@@ -7,11 +7,12 @@
 	"time"
 )
 
-// drainEvent is the line of an event that a coordinator brings; %d is its index.
+// drainEvent is the line of an event that drains an endpoint; %d stands for its index.
 const drainEvent = `{"index":%d,"endpoints":{"version":2,"full":false,"servers":[{"id":"c1","state":"DRAINING"}]}}`
 
-// Guards against a drain that one process did not know for 13 s, as its timeouts doubled with each bad stream: an
-// event is taken within the page's 7 s whatever three streams in a row do instead of bringing it.
+// TestEventDeliveredAfterThreeFailedStreams guards against timeouts that double with each failed stream: one proxy
+// did not receive a drain for 13 s. An event must be delivered within maxEventDelay however three streams in a row
+// fail.
 func TestEventDeliveredAfterThreeFailedStreams(t *testing.T) {
 	for first, firstScript := range failureScripts() {
 		for second, secondScript := range failureScripts() {
@@ -27,7 +28,7 @@
 				h.publish(drainEvent)
 				took := h.runUntil(2, 60*time.Second)
 				if took >= maxEventDelay {
-					t.Errorf("%s, %s, %s: the event was taken after %v", first, second, third, took)
+					t.Errorf("%s; %s; %s: the event was delivered after %v", first, second, third, took)
 				}
 				h.close()
 			}
@@ -35,8 +36,8 @@
 	}
 }
 
-// checkSlowList has each stream take a time for a long list, evenly, and checks that the list arrives on the stream
-// that has begun it, at the price of less than one list more.
+// checkSlowList has each stream spread a long list evenly over lineTime. It checks that the list arrives on the stream
+// that began it, while the other streams send at most one more list in total.
 func checkSlowList(t *testing.T, lineTime time.Duration) {
 	t.Helper()
 	h := newWatchHarness(t, func(int) streamScript { return sendEvenly(lineTime) })
@@ -45,22 +46,24 @@
 	h.publish(list)
 	took := h.runUntil(2, 60*time.Second)
 	if took > lineTime+harnessStep {
-		t.Errorf("taken after %v", took)
+		t.Errorf("the list was delivered after %v", took)
 	}
 	if sent := h.totalBytesWritten(); sent > 2*len(list) {
-		t.Errorf("%d bytes were sent of a list of %d", sent, len(list))
+		t.Errorf("%d bytes were sent for a list of %d", sent, len(list))
 	}
 }
 
-// Guards against a list that never arrives as its streams are given up, though it comes within the page's 7 s.
+// TestSlowListArrivesOnFirstStream guards against a list that never arrives because its streams are closed too early,
+// although it takes less than maxEventDelay.
 func TestSlowListArrivesOnFirstStream(t *testing.T) { checkSlowList(t, 6*time.Second) }
 
-// Guards against a slow coordinator that is asked so often that it gets slower: while a list takes long, at most two
-// streams bring it at any time.
+// TestSlowCoordinatorIsNotFlooded guards against a slow coordinator that gets slower because it serves too many
+// streams: while a list takes long, at most two streams carry it at any time.
 func TestSlowCoordinatorIsNotFlooded(t *testing.T) { checkSlowList(t, 20*time.Second) }
 
-// Guards against a coordinator that hangs and is asked more and more often: over a minute in which it brings
-// nothing, there is less than one stream a second, and one again within the page's 7 s once it is back.
+// TestSilentCoordinatorGetsFewStreams guards against a hanging coordinator that is called more and more often. In a
+// minute in which it sends nothing, at most one stream a second is opened, and an event published once it is back is
+// delivered within maxEventDelay.
 func TestSilentCoordinatorGetsFewStreams(t *testing.T) {
 	const outage = time.Minute
 	hanging := true
@@ -72,17 +75,17 @@
 	})
 	h.run(outage)
 	if streams := len(h.streams); streams > int(outage/time.Second) {
-		t.Errorf("%d streams in %v", streams, outage)
+		t.Errorf("%d streams were opened in %v", streams, outage)
 	}
 	hanging = false
 	h.publish(drainEvent)
 	if took := h.runUntil(2, 60*time.Second); took >= maxEventDelay {
-		t.Errorf("taken after %v", took)
+		t.Errorf("the event was delivered after %v", took)
 	}
 }
 
-// Guards against an index that is lost where streams overlap: each event is passed on once and in order while
-// several streams bring the same ones.
+// TestOverlappingStreamsDeliverInOrder guards against events that are lost when streams overlap. Each event must be
+// delivered once and in order while several streams carry the same events.
 func TestOverlappingStreamsDeliverInOrder(t *testing.T) {
 	h := newWatchHarness(t, func(number int) streamScript { return sendEvenly(time.Duration(6-number) * time.Second) })
 	h.run(2 * time.Second)
@@ -91,12 +94,12 @@
 	}
 	h.runUntil(6, 2*time.Minute)
 	if got := fmt.Sprint(h.delivered.indices); got != "[2 3 4 5 6]" {
-		t.Errorf("taken: %s", got)
+		t.Errorf("delivered: %s", got)
 	}
 }
 
-// Guards against events that are never taken because the one before them says nothing: an event with an index alone
-// is no heartbeat that shows a gap.
+// TestEmptyEventIsNotHeartbeat guards against events that are never delivered because the event before them is empty.
+// An event with nothing but an index must not be treated as a heartbeat, which would show a gap.
 func TestEmptyEventIsNotHeartbeat(t *testing.T) {
 	for _, empty := range []string{`{"index":%d}`, `{"index":%d,"endpoints":null}`} {
 		h := newWatchHarness(t, func(int) streamScript { return sendAll })
@@ -104,7 +107,7 @@
 		h.publish(empty)
 		h.publish(drainEvent)
 		if took := h.runUntil(3, time.Minute); took >= maxEventDelay {
-			t.Errorf("%s: the event behind it was taken after %v, with %d streams", empty, took, len(h.streams))
+			t.Errorf("%s: the next event was delivered after %v, with %d streams", empty, took, len(h.streams))
 		}
 	}
 }
--- a/internal/proxy/watchstream_test.go
+++ b/internal/proxy/watchstream_test.go
@@ -10,10 +10,10 @@
 	"cloverdoor/internal/watch"
 )
 
-// recordedEvents records what a watch passes on.
+// recordedEvents is a watch handler that records what is delivered.
 type recordedEvents struct {
-	indices    []int64
-	late       []int64 // those of indices that were missing before
+	indices    []int64 // of all events, in the order of delivery
+	late       []int64 // of those that were delivered late
 	unreadable int
 }
 
@@ -26,13 +26,13 @@
 	r.late = append(r.late, ev.Index)
 }
 
-// has reports whether the event with an index has been passed on.
+// has reports whether the event at index has been delivered.
 func (r *recordedEvents) has(index int64) bool { return slices.Contains(r.indices, index) }
 
 func (r *recordedEvents) countUnreadable(parts int) { r.unreadable += parts }
 
-// Events are passed on in order and once. A gap closes the stream the first time, and is skipped the second
-// time once an event behind it arrives; skipped lines may have been the missing events.
+// TestEventOrder checks that events are delivered once and in order. A gap closes the stream the first time, and is
+// skipped the second time when an event after it arrives. Skipped lines may have been the missing events.
 func TestEventOrder(t *testing.T) {
 	event := func(index int64) watch.Event { return watch.Event{Index: index, Purge: &watch.Purge{Object: "x"}} }
 	heartbeat := func(index int64) watch.Event { return watch.Event{Index: index} }
@@ -46,19 +46,19 @@
 		skipped    int64 // lines
 		event      watch.Event
 		isGap      bool
-		passedOn   []int64
+		delivered  []int64
 		unreadable int
 	}{
-		{name: "next", event: event(6), passedOn: []int64{6}},
+		{name: "next", event: event(6), delivered: []int64{6}},
 		{name: "repeat", event: event(5)},
 		{name: "heartbeat", event: heartbeat(5)},
 		{name: "gap", event: event(7), isGap: true},
 		{name: "gap before a heartbeat", event: heartbeat(6), isGap: true},
 		{name: "another gap than before", lastGap: eventGap{5, 8}, event: event(7), isGap: true},
-		{name: "repeated gap", lastGap: eventGap{5, 7}, event: event(7), passedOn: []int64{7}, unreadable: 1},
+		{name: "repeated gap", lastGap: eventGap{5, 7}, event: event(7), delivered: []int64{7}, unreadable: 1},
 		{name: "repeated gap before a heartbeat", lastGap: eventGap{5, 6}, event: heartbeat(6)},
-		{name: "skipped line before an event", skipped: 1, event: event(7), passedOn: []int64{7}},
-		{name: "skipped line before a heartbeat", skipped: 1, event: heartbeat(6), passedOn: []int64{6}},
+		{name: "skipped line before an event", skipped: 1, event: event(7), delivered: []int64{7}},
+		{name: "skipped line before a heartbeat", skipped: 1, event: heartbeat(6), delivered: []int64{6}},
 		{name: "more missing than skipped lines", skipped: 1, event: event(8), isGap: true},
 	} {
 		handler := &recordedEvents{}
@@ -67,8 +67,8 @@
 		if err := s.handleEvent(c.event); errors.Is(err, errEventGap) != c.isGap {
 			t.Errorf("%s: error %v", c.name, err)
 		}
-		if !slices.Equal(handler.indices, c.passedOn) || handler.unreadable != c.unreadable {
-			t.Errorf("%s: passed on %v, %d parts unreadable", c.name, handler.indices, handler.unreadable)
+		if !slices.Equal(handler.indices, c.delivered) || handler.unreadable != c.unreadable {
+			t.Errorf("%s: delivered %v, %d parts unreadable", c.name, handler.indices, handler.unreadable)
 		}
 	}
 }
