--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -25,14 +25,15 @@
 // beginShutdown begins a graceful shutdown. It shortens the deadlines of open requests to the time that the platform
 // leaves to the process, because a request that is unanswered when the process is killed is lost.
 func (p *Proxy) beginShutdown() {
-	p.lifecycle.beginShutdown(p.config.MaxDeadline, p.isTakenOver(), p.openRequests)
+	p.lifecycle.beginShutdown(p.config.MaxDeadline, p.allSocketsShared(), p.openRequests)
 	for _, q := range p.requests {
 		p.shortenDeadline(q, p.lifecycle.answerBy)
 	}
 }
 
-// isTakenOver reports whether all listening sockets are shared, so that another process may accept from them.
-func (p *Proxy) isTakenOver() bool {
+// allSocketsShared reports whether all listening sockets are shared, so that another process may accept clients on
+// them.
+func (p *Proxy) allSocketsShared() bool {
 	return !slices.ContainsFunc(p.fastcgiServers, func(f *FastCGIServer) bool { return !f.sharedSocket })
 }
 
