--- a/internal/proxy/coordinatorclock.go
+++ b/internal/proxy/coordinatorclock.go
@@ -121,8 +121,8 @@
 
 // age returns a lower bound of the time from a purge, reported as a Unix time in milliseconds, to the start of the
 // loop's turn. A copy made within the reported millisecond may be older than the purge, so the age counts from the
-// end of that millisecond. While there is no lower bound of the offset, the process's own clock may be wrong, so the
-// newest purge of the initial state stands for the present time if it is earlier.
+// end of that millisecond. While there is no lower bound of the offset, the process's own clock may be wrong and only
+// the purge times of the initial state are certain, so the newest of them replaces the present time if it is earlier.
 func (c *coordinatorClock) age(unixMillis int64) time.Duration {
 	end := time.Duration(unixMillis+1) * time.Millisecond
 	now := c.toCoordinator(c.loop.Now())
--- a/internal/proxy/watch.go
+++ b/internal/proxy/watch.go
@@ -57,7 +57,7 @@
 	reconnectTimer *eventloop.Timer
 	backoff        time.Duration // before the next reconnect
 
-	lastIndex          int64               // index of the newest event that was delivered
+	lastIndex          int64               // index of the newest event that was delivered or skipped
 	lastReadableLineAt eventloop.Timestamp // when the last readable line arrived on any stream, or the watch started
 	lastUnreadable     unreadableLine
 	lastGap            eventGap
@@ -70,7 +70,7 @@
 	recoveryDue   eventloop.Timestamp
 }
 
-// eventGap is a range of missing events: those between the two indices, exclusive.
+// eventGap is a place where events are missing: after is the last index before it, before the next index received.
 type eventGap struct{ after, before int64 }
 
 // unreadableLine is a line that could not be decoded, and the last event delivered before it.
--- a/internal/proxy/watchstream_test.go
+++ b/internal/proxy/watchstream_test.go
@@ -43,7 +43,7 @@
 	for _, c := range []struct {
 		name       string
 		lastGap    eventGap
-		skipped    int64 // lines
+		skipped    int64 // lines skipped before the event
 		event      watch.Event
 		isGap      bool
 		delivered  []int64
