--- a/internal/proxy/watchplay_test.go
+++ b/internal/proxy/watchplay_test.go
@@ -1,6 +1,6 @@
 package proxy
 
-// This file holds the stand-in coordinator that the tests of the watch play against, by a clock of their own.
+// This file holds the test harness of the watch: a fake coordinator and a clock that the test advances.
 
 import (
 	"errors"
@@ -17,173 +17,174 @@
 )
 
 const (
-	// playStep is how far one step of a play moves the clock.
-	playStep = 50 * time.Millisecond
-	// playHeartbeatInterval is the time between the heartbeats of a healthy stream.
-	playHeartbeatInterval = time.Second
-	// reportLimit is the time after which the page counts an event as told, whether it arrived or not.
-	reportLimit = 7 * time.Second
+	// harnessStep is how far one step advances the clock.
+	harnessStep = 50 * time.Millisecond
+	// heartbeatInterval is the time between the heartbeats of a healthy stream.
+	heartbeatInterval = time.Second
+	// maxEventDelay is how long after its publication an event must be obeyed, whether it has arrived or not.
+	maxEventDelay = 7 * time.Second
 )
 
-// watchPlay is a watch and its coordinator. Both run on the test's goroutine, and what the coordinator writes in a
-// step arrives in one piece, so that a play does not depend on the machine.
-type watchPlay struct {
-	t     *testing.T
-	clock *manualClock
-	loop  *eventloop.Loop
-	watch *coordinatorWatch
-	taken *recordedEvents // what the watch has passed on, unless the test has a handler of its own
+// watchHarness runs a watch against a fake coordinator. Both run on the test's goroutine, and what the coordinator
+// writes in one step arrives in one piece, so the outcome does not depend on the machine.
+type watchHarness struct {
+	t         *testing.T
+	clock     *manualClock
+	loop      *eventloop.Loop
+	watch     *coordinatorWatch
+	delivered *recordedEvents // what the watch has delivered; nil if the test provides its own handler
 
-	held     bool // the network holds up what the coordinator writes
-	listener int  // descriptor
-	lines    []string
-	streams  []*playedStream
-	script   func(number int) streamScript // how the coordinator treats its streams, counted from 0
+	holdWrites bool     // the network delays what the coordinator writes
+	listener   int      // descriptor
+	lines      []string // of all events, from index 1 on
+	streams    []*fakeStream
+	script     func(number int) streamScript // returns the script of each stream, numbered from 0
 }
 
-// streamScript writes what is due on a stream. It is called in each step once the stream's follow line has
-// arrived, until the stream is closed.
-type streamScript func(s *playedStream)
+// streamScript writes the output of one step to a stream. It is called in every step after the stream's follow line
+// has arrived, until the stream is closed.
+type streamScript func(s *fakeStream)
 
-// playedStream is the coordinator's side of one stream.
-type playedStream struct {
-	play            *watchPlay
+// fakeStream is the coordinator's side of one stream.
+type fakeStream struct {
+	harness         *watchHarness
 	fd              int
 	closed          bool
 	following       bool // the follow line has arrived
-	from            int  // index of the event that the stream follows
+	from            int  // index in the follow line
 	sent            int  // index of the last event that was written completely
 	lastHeartbeatAt eventloop.Timestamp
-	bytes           int    // written by the script
-	unsent          string // of them, those that the system has not been given yet
+	bytesWritten    int    // written by the script
+	unsent          string // output not yet written to the socket
 	script          streamScript
 }
 
-// newWatchPlay starts a coordinator that treats its streams by script, and a watch that has taken event 1.
-func newWatchPlay(t *testing.T, script func(number int) streamScript) *watchPlay {
+// newWatchHarness starts a coordinator that runs the scripts returned by script, and a watch that already has event 1.
+func newWatchHarness(t *testing.T, script func(number int) streamScript) *watchHarness {
 	t.Helper()
-	taken := &recordedEvents{}
-	p := newWatchPlayFor(t, script, 0, func(*eventloop.Loop) watchHandler { return taken })
-	p.taken = taken
-	return p
+	delivered := &recordedEvents{}
+	h := newWatchHarnessWithHandler(t, script, 0, func(*eventloop.Loop) watchHandler { return delivered })
+	h.delivered = delivered
+	return h
 }
 
-// newWatchPlayFor starts a play with the handler that newHandler returns. The watch's clock is wrong by an offset.
-func newWatchPlayFor(
-	t *testing.T, script func(number int) streamScript, wrongBy time.Duration, newHandler func(*eventloop.Loop) watchHandler,
-) *watchPlay {
+// newWatchHarnessWithHandler is newWatchHarness with the handler that newHandler returns, and with clockError as the
+// error of the watch's clock.
+func newWatchHarnessWithHandler(
+	t *testing.T, script func(number int) streamScript, clockError time.Duration, newHandler func(*eventloop.Loop) watchHandler,
+) *watchHarness {
 	t.Helper()
-	right := eventloop.Timestamp(time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC).UnixNano())
-	clock := &manualClock{now: right + wrongBy}
+	correctStart := eventloop.Timestamp(time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC).UnixNano())
+	clock := &manualClock{now: correctStart + clockError}
 	loop, err := eventloop.NewLoop(clock)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &watchPlay{
+	h := &watchHarness{
 		t: t, clock: clock, loop: loop, lines: []string{`{"index":1,"evict":{"shard":1,"unix_ms":1}}`}, script: script,
 	}
-	addr := p.listen()
-	p.watch = &coordinatorWatch{
+	addr := h.listen()
+	h.watch = &coordinatorWatch{
 		handler: newHandler(loop), loop: loop, log: slog.New(slog.DiscardHandler), rng: rand.New(rand.NewPCG(1, 1)),
 		addr: addr, lastIndex: 1,
 	}
-	p.watch.start()
-	t.Cleanup(p.close)
-	return p
+	h.watch.start()
+	t.Cleanup(h.close)
+	return h
 }
 
-// listen opens the coordinator's address.
-func (p *watchPlay) listen() netip.AddrPort {
-	p.t.Helper()
+// listen opens the coordinator's listening socket and returns its address.
+func (h *watchHarness) listen() netip.AddrPort {
+	h.t.Helper()
 	fd, err1 := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	err2 := unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}})
 	err3 := unix.Listen(fd, 64)
 	name, err4 := unix.Getsockname(fd)
 	if err := errors.Join(err1, err2, err3, err4); err != nil {
-		p.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	p.listener = fd
+	h.listener = fd
 	bound := name.(*unix.SockaddrInet4)
 	return netip.AddrPortFrom(netip.AddrFrom4(bound.Addr), uint16(bound.Port))
 }
 
-// close closes what the play has opened.
-func (p *watchPlay) close() {
-	for _, s := range p.streams {
+// close closes the coordinator's sockets.
+func (h *watchHarness) close() {
+	for _, s := range h.streams {
 		s.close()
 	}
-	unix.Close(p.listener) //nolint:errcheck // nothing was written to it
+	unix.Close(h.listener) //nolint:errcheck // nothing was written to it
 }
 
-// publish adds the next event. %d in the format is its index.
-func (p *watchPlay) publish(format string) {
-	p.lines = append(p.lines, fmt.Sprintf(format, len(p.lines)+1))
+// publish publishes the next event. %d in format stands for its index.
+func (h *watchHarness) publish(format string) {
+	h.lines = append(h.lines, fmt.Sprintf(format, len(h.lines)+1))
 }
 
-// run plays for a time.
-func (p *watchPlay) run(duration time.Duration) {
-	p.t.Helper()
-	for end := p.clock.now + duration; p.clock.now < end; {
-		p.step()
+// run runs steps for a duration of the test's clock.
+func (h *watchHarness) run(duration time.Duration) {
+	h.t.Helper()
+	for end := h.clock.now + duration; h.clock.now < end; {
+		h.step()
 	}
 }
 
-// runUntil plays until the event with an index has been taken, and returns how long that took. It gives up at a
-// limit.
-func (p *watchPlay) runUntil(index int64, limit time.Duration) time.Duration {
-	p.t.Helper()
-	start := p.clock.now
-	for !p.taken.has(index) && p.clock.now-start < limit {
-		p.step()
+// runUntil runs steps until the event at index has been delivered or limit has passed, and returns how long that
+// took.
+func (h *watchHarness) runUntil(index int64, limit time.Duration) time.Duration {
+	h.t.Helper()
+	start := h.clock.now
+	for !h.delivered.has(index) && h.clock.now-start < limit {
+		h.step()
 	}
-	return p.clock.now - start
+	return h.clock.now - start
 }
 
-// step moves the clock on, first for the coordinator and then for the watch.
-func (p *watchPlay) step() {
-	p.t.Helper()
-	p.clock.now += playStep
-	p.accept()
-	for _, s := range p.streams {
+// step advances the clock and runs first the coordinator and then the watch.
+func (h *watchHarness) step() {
+	h.t.Helper()
+	h.clock.now += harnessStep
+	h.accept()
+	for _, s := range h.streams {
 		s.advance()
 	}
-	for range 2 { // the second turn handles what the first has caused
-		if err := p.loop.Wait(0); err != nil {
-			p.t.Fatal(err)
+	for range 2 { // the second turn handles the effects of the first
+		if err := h.loop.Wait(0); err != nil {
+			h.t.Fatal(err)
 		}
-		p.loop.Flush()
+		h.loop.Flush()
 	}
 }
 
-// accept accepts the streams that wait.
-func (p *watchPlay) accept() {
+// accept accepts all waiting streams.
+func (h *watchHarness) accept() {
 	for {
-		fd, _, err := unix.Accept4(p.listener, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
+		fd, _, err := unix.Accept4(h.listener, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 		if err != nil {
 			return
 		}
-		number := len(p.streams)
-		p.streams = append(p.streams, &playedStream{play: p, fd: fd, script: p.script(number)})
+		number := len(h.streams)
+		h.streams = append(h.streams, &fakeStream{harness: h, fd: fd, script: h.script(number)})
 	}
 }
 
-// bytesSent is how much the coordinator has written on all streams.
-func (p *watchPlay) bytesSent() int {
+// totalBytesWritten returns how many bytes the scripts of all streams have written.
+func (h *watchHarness) totalBytesWritten() int {
 	total := 0
-	for _, s := range p.streams {
-		total += s.bytes
+	for _, s := range h.streams {
+		total += s.bytesWritten
 	}
 	return total
 }
 
-// advance reads what the watch has sent and follows the script.
-func (s *playedStream) advance() {
+// advance reads what the watch has sent and runs one step of the script.
+func (s *fakeStream) advance() {
 	if s.closed {
 		return
 	}
 	var input [64]byte
 	n, err := unix.Read(s.fd, input[:])
-	if n == 0 && err == nil { // the watch has closed it
+	if n == 0 && err == nil { // the watch has closed the stream
 		s.close()
 		return
 	}
@@ -191,7 +192,7 @@
 		fmt.Sscanf(string(input[:n]), "follow %d\n", &s.from) //nolint:errcheck // the watch sends nothing else
 		s.sent = s.from
 		s.following = true
-		s.lastHeartbeatAt = s.play.clock.now
+		s.lastHeartbeatAt = s.harness.clock.now
 	}
 	if s.following {
 		s.script(s)
@@ -199,16 +200,16 @@
 	s.flush()
 }
 
-// write writes a text at the end of the step, in one piece with what else is written in it.
-func (s *playedStream) write(text string) {
-	s.bytes += len(text)
+// write adds text to the output of the step, which is written in one piece at its end.
+func (s *fakeStream) write(text string) {
+	s.bytesWritten += len(text)
 	s.unsent += text
 }
 
-// flush gives the system what has been written, unless the network holds it up. It closes a stream that the watch has
-// closed.
-func (s *playedStream) flush() {
-	if s.closed || s.play.held || s.unsent == "" {
+// flush writes the output to the socket, unless the network delays it. It closes the stream if the watch has closed
+// its side.
+func (s *fakeStream) flush() {
+	if s.closed || s.harness.holdWrites || s.unsent == "" {
 		return
 	}
 	n, err := unix.Write(s.fd, []byte(s.unsent))
@@ -220,46 +221,46 @@
 	s.unsent = s.unsent[n:]
 }
 
-// close closes the stream after what was written on it.
-func (s *playedStream) close() {
+// close flushes the output and closes the stream.
+func (s *fakeStream) close() {
 	if s.closed {
 		return
 	}
 	s.flush()
 	s.closed = true
-	unix.Close(s.fd) //nolint:errcheck // what was written has been delivered
+	unix.Close(s.fd) //nolint:errcheck // the output has been flushed
 }
 
-// nextLine is the line of the next event that the stream has to bring; empty if there is none.
-func (s *playedStream) nextLine() string {
-	if s.sent >= len(s.play.lines) {
+// nextLine returns the line of the next event to send on the stream; empty: there is none.
+func (s *fakeStream) nextLine() string {
+	if s.sent >= len(s.harness.lines) {
 		return ""
 	}
-	return s.play.lines[s.sent] + "\n"
+	return s.harness.lines[s.sent] + "\n"
 }
 
-// bringAll is the script of a healthy stream.
-func bringAll(s *playedStream) {
+// sendAll is the script of a healthy stream: it sends all events at once, and heartbeats.
+func sendAll(s *fakeStream) {
 	for line := s.nextLine(); line != "" && !s.closed; line = s.nextLine() {
 		s.write(line)
 		s.sent++
 	}
-	if s.play.clock.now-s.lastHeartbeatAt >= playHeartbeatInterval {
-		s.lastHeartbeatAt = s.play.clock.now
+	if s.harness.clock.now-s.lastHeartbeatAt >= heartbeatInterval {
+		s.lastHeartbeatAt = s.harness.clock.now
 		s.write(fmt.Sprintf("%d\n", s.sent))
 	}
 }
 
-// bringSteadily returns the script of a stream that takes a time for each line, and brings it evenly.
-func bringSteadily(lineTime time.Duration) streamScript {
+// sendEvenly returns a script that spreads each event evenly over lineTime.
+func sendEvenly(lineTime time.Duration) streamScript {
 	written := 0
-	return func(s *playedStream) {
+	return func(s *fakeStream) {
 		line := s.nextLine()
 		if line == "" {
-			bringAll(s)
+			sendAll(s)
 			return
 		}
-		end := min(len(line), written+1+len(line)*int(playStep)/int(lineTime))
+		end := min(len(line), written+1+len(line)*int(harnessStep)/int(lineTime))
 		s.write(line[written:end])
 		written = end
 		if written == len(line) {
@@ -269,24 +270,23 @@
 	}
 }
 
-// failing returns a script that is healthy until an event is there to be brought, and then fails.
-func failing(fail streamScript) streamScript {
+// failAtNextEvent returns a script that is healthy until there is an event to send, and runs fail from then on.
+func failAtNextEvent(fail streamScript) streamScript {
 	failed := false
-	return func(s *playedStream) {
+	return func(s *fakeStream) {
 		failed = failed || s.nextLine() != ""
 		if failed {
 			fail(s)
 			return
 		}
-		bringAll(s)
+		sendAll(s)
 	}
 }
 
-// spoiling returns a script that is healthy but for the line of one event, in place of which it writes another
-// text.
-func spoiling(index int, text string) streamScript {
-	return func(s *playedStream) {
-		for s.sent < len(s.play.lines) && !s.closed {
+// replaceEventLine returns a script that is healthy but writes text in place of the line of the event at index.
+func replaceEventLine(index int, text string) streamScript {
+	return func(s *fakeStream) {
+		for s.sent < len(s.harness.lines) && !s.closed {
 			line := s.nextLine()
 			if s.sent+1 == index {
 				line = text
@@ -294,44 +294,44 @@
 			s.write(line)
 			s.sent++
 		}
-		bringAll(s)
+		sendAll(s)
 	}
 }
 
-// brokenStreams are the ways in which a stream fails to bring an event.
-func brokenStreams() map[string]func() streamScript {
-	halfLine := func(s *playedStream) {
+// failureScripts returns, by name, the ways in which a stream fails to deliver an event.
+func failureScripts() map[string]func() streamScript {
+	halfLine := func(s *fakeStream) {
 		line := s.nextLine()
 		s.write(line[:len(line)/2])
 	}
 	return map[string]func() streamScript{
-		"silent": func() streamScript { return failing(func(*playedStream) {}) },
-		"cut": func() streamScript {
-			return failing(func(s *playedStream) {
+		"silent": func() streamScript { return failAtNextEvent(func(*fakeStream) {}) },
+		"half a line, then closed": func() streamScript {
+			return failAtNextEvent(func(s *fakeStream) {
 				halfLine(s)
 				s.close()
 			})
 		},
-		"stopped short": func() streamScript {
-			begun := false
-			return failing(func(s *playedStream) {
-				if !begun {
+		"half a line, then silent": func() streamScript {
+			written := false
+			return failAtNextEvent(func(s *fakeStream) {
+				if !written {
 					halfLine(s)
 				}
-				begun = true
+				written = true
 			})
 		},
-		"ended late": func() streamScript {
+		"closed after 0.4 s": func() streamScript {
 			var failedAt eventloop.Timestamp
-			return failing(func(s *playedStream) {
+			return failAtNextEvent(func(s *fakeStream) {
 				if failedAt == 0 {
-					failedAt = s.play.clock.now
+					failedAt = s.harness.clock.now
 				}
-				if s.play.clock.now-failedAt >= 400*time.Millisecond {
+				if s.harness.clock.now-failedAt >= 400*time.Millisecond {
 					s.close()
 				}
 			})
 		},
-		"trickling": func() streamScript { return failing(bringSteadily(time.Minute)) },
+		"evenly over one minute": func() streamScript { return failAtNextEvent(sendEvenly(time.Minute)) },
 	}
 }
--- a/internal/proxy/watchrecovery.go
+++ b/internal/proxy/watchrecovery.go
@@ -1,7 +1,7 @@
 package proxy
 
-// This file holds the recovery of events that the watch has passed over: they are requested again on a stream of
-// their own, while what is newer goes on arriving on the others.
+// This file recovers events that the watch has skipped: they are requested again on a separate stream, while newer
+// events keep arriving on the others.
 
 import (
 	"time"
@@ -9,13 +9,13 @@
 	"cloverdoor/internal/watch"
 )
 
-// firstRecoveryDelay is the time from passing over an event to requesting it again, so that events that are
-// passed over together are requested together. It doubles with each further request.
+// firstRecoveryDelay is the time from skipping an event to requesting it again. The delay lets events that are
+// skipped shortly after one another share a request. It doubles with each further request.
 const firstRecoveryDelay = 500 * time.Millisecond
 
-// passOver notes that the events from one index to another are missing and have been requested again as often as
-// requests says.
-func (w *coordinatorWatch) passOver(from, to int64, requests int) {
+// recordMissing records the events from index from to index to, inclusive, as missing and schedules their recovery.
+// requests is how often they have been requested again already.
+func (w *coordinatorWatch) recordMissing(from, to int64, requests int) {
 	if from > to {
 		return
 	}
@@ -23,8 +23,8 @@
 	w.scheduleRecovery()
 }
 
-// scheduleRecovery requests missing events again after the delay that is due for the least requested of them, or
-// earlier if that was scheduled before.
+// scheduleRecovery schedules the next request for the missing events. The delay is that of the event with the fewest
+// requests; a request that is already scheduled for an earlier time is not put off.
 func (w *coordinatorWatch) scheduleRecovery() {
 	due := w.loop.Now() + firstRecoveryDelay<<w.missing.fewestRequests()
 	if w.recoveryTimer != nil && w.recoveryDue <= due {
@@ -35,14 +35,14 @@
 	w.recoveryTimer = w.loop.At(due, w.recoverMissing)
 }
 
-// stopRecovery requests nothing again.
+// stopRecovery cancels the scheduled request.
 func (w *coordinatorWatch) stopRecovery() {
 	w.loop.Stop(w.recoveryTimer)
 	w.recoveryTimer = nil
 }
 
-// recoverMissing opens a stream that follows from before the first missing event, in place of the one that was
-// opened for this before. Events that were requested often enough are given up.
+// recoverMissing requests the missing events again: it opens a stream that starts at the first of them and closes
+// the previous recovery stream. Events that have reached maxRequestsForMissing are given up.
 func (w *coordinatorWatch) recoverMissing() {
 	w.recoveryTimer = nil
 	for _, s := range w.streams {
@@ -51,7 +51,7 @@
 			break
 		}
 	}
-	lost := w.missing.giveUp()
+	lost := w.missing.dropExhausted()
 	if lost > 0 {
 		w.log.Error("coordinator events lost, given up", "events", lost, "event", w.lastIndex)
 	}
@@ -60,18 +60,18 @@
 		return
 	}
 	w.missing.recordRequest()
-	w.openStreamAfter(w.missing.first()-1, true)
+	w.openStreamAfter(w.missing.lowest()-1, true)
 	w.scheduleRecovery()
 }
 
-// takeLate passes on an event that was missing. Any other event up to lastIndex is a repeat.
-func (w *coordinatorWatch) takeLate(ev watch.Event) {
+// deliverLate delivers an event that was missing. It drops any other, as a repeat.
+func (w *coordinatorWatch) deliverLate(ev watch.Event) {
 	if !w.missing.has(ev.Index) || ev.IsHeartbeat() {
 		return
 	}
 	superseded := func(endpoint string) bool { return w.missing.isSuperseded(ev.Index, endpoint) }
 	w.handler.applyLateEvent(ev, superseded)
-	w.missing.recordTaken(ev)
+	w.missing.recordDelivered(ev)
 	w.log.Warn("coordinator event recovered", "event", ev.Index)
 	if w.missing.isEmpty() {
 		w.stopRecovery()
