--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -46,8 +46,8 @@
 	target *endpointState
 	source *endpointState // fills a miss; the target itself if nothing is filled
 
-	decidedAt time.Duration // when the router created it
-	startedAt time.Duration // when its first byte was written; decidedAt until then
+	createdAt time.Duration // when the router created it
+	startedAt time.Duration // when its first byte was written; createdAt until then
 
 	links       []*link // that it loads
 	slowestLink *link
@@ -80,7 +80,7 @@
 func (r *Router) startAttempt(req *request, target, source *endpointState) {
 	a := &attempt{
 		request: req, number: len(req.attempts), target: target, source: source,
-		decidedAt: r.now, startedAt: r.now,
+		createdAt: r.now, startedAt: r.now,
 	}
 	r.estimate(a)
 	r.applyOriginLimit(a)
@@ -96,8 +96,8 @@
 	r.reserve(a)
 	req.attempts = append(req.attempts, a)
 	req.pendingAttempts++
-	if req.mayHaveRun == nil {
-		req.mayHaveRun = a
+	if req.firstPossibleRun == nil {
+		req.firstPossibleRun = a
 	}
 	r.emit(r.fetchAction(a), overdueTimer(a))
 }
@@ -112,7 +112,7 @@
 		r.originLimit.acquire()
 	}
 	if a.number > 0 {
-		r.spendRetry()
+		r.takeFromRetryBudget()
 	}
 }
 
@@ -166,12 +166,12 @@
 	a.releaseLinks(r.now)
 	switch a.state {
 	case attemptSucceeded:
-		a.target.latestAnsweredAttemptAt = max(a.target.latestAnsweredAttemptAt, a.decidedAt)
+		a.target.latestAnsweredAttemptAt = max(a.target.latestAnsweredAttemptAt, a.createdAt)
 	case attemptFailed:
 		req.failedAttempts++
 	case attemptNeverRan:
-		if req.mayHaveRun == a {
-			req.mayHaveRun = nil
+		if req.firstPossibleRun == a {
+			req.firstPossibleRun = nil
 		}
 	}
 }
--- a/policy/cacheindex_test.go
+++ b/policy/cacheindex_test.go
@@ -12,7 +12,7 @@
 		t.Fatalf("%d copy records", m.cacheIndex.Len())
 	}
 	h.do(EndpointUpdate{Endpoints: []Endpoint{{ID: home, State: Ready, Zone: 1, Weight: 5, Started: h.now}}})
-	if m.cacheIndex.Len() != 0 || m.misindication != (ratio{}) {
+	if m.cacheIndex.Len() != 0 || m.misindication != (misindicationRatio{}) {
 		t.Fatalf("%d copy records, ratio %+v after a restart", m.cacheIndex.Len(), m.misindication)
 	}
 }
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -26,8 +26,8 @@
 	link      link
 
 	// Fills.
-	firstByteSeconds mean  // its wait as a source
-	misindication    ratio // as a sibling that was believed to have an object
+	firstByteSeconds mean               // its wait as a source
+	misindication    misindicationRatio // as a sibling that was believed to have an object
 	cacheIndex       *simplelru.LRU[uint64, cacheRecord]
 
 	slowStartAttempts []*attempt // sent within the overload window of a slow start
@@ -40,8 +40,8 @@
 	latestAnsweredAttemptAt time.Duration // when the latest of its answered attempts was created
 }
 
-// acceptsNew reports whether an endpoint takes new attempts: it is listed and not draining.
-func (e *endpointState) acceptsNew() bool { return e.State == Ready }
+// acceptsAttempts reports whether an endpoint takes new attempts: it is listed and not draining.
+func (e *endpointState) acceptsAttempts() bool { return e.State == Ready }
 
 // isCache reports whether an endpoint is a cache, as opposed to a parent or an origin.
 func (r *Router) isCache(e *endpointState) bool {
@@ -60,7 +60,7 @@
 		if e == nil {
 			e = &endpointState{hash: xxhash.Sum64String(listed.ID), link: newLink()}
 			e.removedAt = r.now
-			e.resetContents()
+			e.resetContentsAndHealth()
 			r.endpoints[listed.ID] = e
 		}
 		e.update(listed, r.now)
@@ -88,7 +88,7 @@
 func (e *endpointState) update(listed Endpoint, now time.Duration) {
 	restarted := e.Started != listed.Started
 	if restarted || listed.State == Removed {
-		e.resetContents()
+		e.resetContentsAndHealth()
 	}
 	if restarted { // attempts of the last incarnation do not load this one
 		e.slowStartAttempts = nil
@@ -97,11 +97,11 @@
 	e.Endpoint = listed
 }
 
-// resetContents resets an endpoint's contents and health: it is empty, not ejected, and has not failed.
-func (e *endpointState) resetContents() {
+// resetContentsAndHealth marks an endpoint as empty, not ejected and without failures, as after a restart.
+func (e *endpointState) resetContentsAndHealth() {
 	// NewLRU fails only for a size below 1.
 	e.cacheIndex, _ = simplelru.NewLRU[uint64, cacheRecord](cacheIndexSize, nil)
-	e.misindication = ratio{}
+	e.misindication = misindicationRatio{}
 	e.link.slowdown = 0
 	e.ejections = 0
 	e.ejectedUntil = 0
@@ -116,7 +116,7 @@
 			e.Started += correction.Offset
 		}
 	}
-	r.purges.postpone(max(0, correction.Offset))
+	r.purges.shift(max(0, correction.Offset))
 }
 
 // updateTopology sorts the listed endpoints into tiers, by ID, and sets the capacity of their links.
--- a/policy/estimators.go
+++ b/policy/estimators.go
@@ -22,10 +22,10 @@
 	m.value += (value - m.value) / m.count
 }
 
-// ratio estimates the misindication ratio of a cache, 0 to 1: how often it misses an object that it was
-// believed to have (Section VIII-B of the paper). It is plain in the first epoch and smoothed over later
-// epochs.
-type ratio struct {
+// misindicationRatio estimates the misindication ratio of a cache, 0 to 1: how often it misses an object that
+// it was believed to have (Section VIII-B of the paper). It is the plain ratio in the first epoch, and is
+// smoothed exponentially at the end of each later epoch.
+type misindicationRatio struct {
 	fills  int // in this epoch
 	misses int // in this epoch
 	epochs int // completed
@@ -33,10 +33,10 @@
 }
 
 // known reports whether there is any observation.
-func (r *ratio) known() bool { return r.fills+r.epochs > 0 }
+func (r *misindicationRatio) known() bool { return r.fills+r.epochs > 0 }
 
 // add counts a fill, or a miss where there should have been a fill.
-func (r *ratio) add(missed bool) {
+func (r *misindicationRatio) add(missed bool) {
 	r.fills++
 	if missed {
 		r.misses++
--- a/policy/estimators_test.go
+++ b/policy/estimators_test.go
@@ -7,7 +7,7 @@
 
 // A ratio is plain in its first epoch, and changes only at the end of each later one.
 func TestRatioPlainThenSmoothed(t *testing.T) {
-	var r ratio
+	var r misindicationRatio
 	for i := 0; i < epochFills; i++ {
 		r.add(i < 5)
 	}
--- a/policy/fillsource_test.go
+++ b/policy/fillsource_test.go
@@ -59,7 +59,7 @@
 			transferSeconds: 0.1, objectiveAt: h.now + time.Second,
 		}
 		r.recordCached(r.endpoints["b"], req, true)
-		r.endpoints["b"].misindication = ratio{fills: 1, value: c.rho}
+		r.endpoints["b"].misindication = misindicationRatio{fills: 1, value: c.rho}
 		if got := r.chooseSibling(req, r.endpoints["a"]) != nil; got != c.want {
 			t.Errorf("rho %v: sibling named %v, want %v", c.rho, got, c.want)
 		}
--- a/policy/guard.go
+++ b/policy/guard.go
@@ -43,13 +43,13 @@
 		return Verdict{RuleClientDisconnected, ReasonClientDisconnected}
 	case info.Remaining <= 0:
 		return Verdict{RuleDeadline, ReasonDeadlineExceeded}
-	case !a.target.acceptsNew():
+	case !a.target.acceptsAttempts():
 		return Verdict{RuleDrain, ReasonTargetDraining}
-	case !a.source.acceptsNew():
+	case !a.source.acceptsAttempts():
 		return Verdict{RuleDrain, ReasonSourceDraining}
-	case !r.enterSlowStartBudgets(a):
+	case !r.reserveSlowStartBudgets(a):
 		return Verdict{RuleSlowStart, ReasonOverBudget}
-	case a.request.mayHaveRun == a:
+	case a.request.firstPossibleRun == a:
 		return Verdict{} // the first execution is no repeat
 	}
 	return r.repeatVerdict(a.request, a.target)
--- a/policy/idempotency.go
+++ b/policy/idempotency.go
@@ -12,7 +12,7 @@
 
 // repeatVerdict decides whether one more attempt is harmless at an endpoint.
 func (r *Router) repeatVerdict(req *request, e *endpointState) Verdict {
-	first := req.mayHaveRun
+	first := req.firstPossibleRun
 	if first == nil {
 		return Verdict{}
 	}
@@ -22,7 +22,7 @@
 	case NonIdempotent:
 		return Verdict{RuleDuplicate, ReasonMayHaveRun}
 	}
-	if r.now-first.decidedAt >= req.class.DeduplicationWindow {
+	if r.now-first.createdAt >= req.class.DeduplicationWindow {
 		return Verdict{RuleDuplicate, ReasonWindowExpired}
 	}
 	if !req.class.DeduplicationScope.covers(first.target, e) {
@@ -52,7 +52,7 @@
 
 // mayReject reports whether a request may get a Reject, which says that it may be sent again.
 func (r *Router) mayReject(req *request) bool {
-	if req.mayHaveRun == nil || req.class.Idempotency == Idempotent {
+	if req.firstPossibleRun == nil || req.class.Idempotency == Idempotent {
 		return true
 	}
 	return req.class.Idempotency == IdempotencyKey && req.class.DeduplicationScope == ScopeAll
--- a/policy/idempotency_test.go
+++ b/policy/idempotency_test.go
@@ -47,7 +47,7 @@
 		r := New(testSettings(), 1)
 		req := &request{class: &Class{Idempotency: IdempotencyKey, DeduplicationScope: c.scope,
 			DeduplicationWindow: 5 * time.Second}}
-		req.mayHaveRun = &attempt{target: first, decidedAt: time.Hour}
+		req.firstPossibleRun = &attempt{target: first, createdAt: time.Hour}
 		r.now = time.Hour + c.after
 		if got := r.mayRepeat(req, &endpointState{Endpoint: c.to}); got != c.want {
 			t.Errorf("%+v: %v", c, got)
--- a/policy/linkpace.go
+++ b/policy/linkpace.go
@@ -11,12 +11,12 @@
 import "math"
 
 const (
-	// minTimedSeconds is the shortest transfer whose time shows a slowdown.
-	minTimedSeconds = 0.02
+	// minSlowdownSampleSeconds is the shortest transfer whose time shows a slowdown.
+	minSlowdownSampleSeconds = 0.02
 
-	// unusualMultiple is the multiple of its expected time from which a transfer is held to be slow: few
+	// slowTransferMultiple is the multiple of its expected time from which a transfer is held to be slow: few
 	// objects are so much larger than the mean.
-	unusualMultiple = 3.0
+	slowTransferMultiple = 3.0
 )
 
 // transferSample compares an answer's transfer with its expected time.
@@ -53,7 +53,7 @@
 // the link.
 func (s transferSample) explainedBySize() bool {
 	return !s.sizeKnown && s.expectedSeconds < congestedMultiple*s.fullPaceSeconds &&
-		s.measuredSeconds < unusualMultiple*s.fullPaceSeconds
+		s.measuredSeconds < slowTransferMultiple*s.fullPaceSeconds
 }
 
 // showsCongestion reports whether congestion was expected in the transfer's time, or is seen in it.
@@ -93,7 +93,7 @@
 
 // updateSlowdown attributes a slow transfer without congestion to the endpoint that sent it.
 func (r *Router) updateSlowdown(a *attempt, sample transferSample) {
-	if sample.fullPaceSeconds < minTimedSeconds {
+	if sample.fullPaceSeconds < minSlowdownSampleSeconds {
 		return
 	}
 	sender := a.source
--- a/policy/originlimit.go
+++ b/policy/originlimit.go
@@ -113,6 +113,6 @@
 	}
 	missedObjective := r.now > a.request.objectiveAt
 	transferSeconds := (o.Elapsed - o.SourceFirstByte).Seconds()
-	slow := o.TransferTime > 0 && transferSeconds > unusualMultiple*o.TransferTime.Seconds()
+	slow := o.TransferTime > 0 && transferSeconds > slowTransferMultiple*o.TransferTime.Seconds()
 	return missedObjective && slow
 }
--- a/policy/outliers.go
+++ b/policy/outliers.go
@@ -69,7 +69,7 @@
 
 // precedesRestartOf reports whether an attempt was created before an endpoint's last start: a failure
 // concerns the process before.
-func (a *attempt) precedesRestartOf(e *endpointState) bool { return a.decidedAt < e.Started }
+func (a *attempt) precedesRestartOf(e *endpointState) bool { return a.createdAt < e.Started }
 
 // recordResponse ends an ejection and makes up for one earlier ejection.
 func (e *endpointState) recordResponse(now time.Duration) {
--- a/policy/overdue.go
+++ b/policy/overdue.go
@@ -37,12 +37,12 @@
 	if a == nil || a.request.finished {
 		return
 	}
-	lost := a.target.latestAnsweredAttemptAt > a.decidedAt
+	lost := a.target.latestAnsweredAttemptAt > a.createdAt
 	if lost {
 		a.releaseLinks(r.now)                            // its transfer is over
 		a.request.avoid[a.source] = a.source != a.target // it may be the source that does not answer
 	}
-	r.ejectSilent(a, lost)
+	r.ejectUnresponsive(a, lost)
 	if !r.mayHedge(a, lost) {
 		return
 	}
@@ -53,11 +53,11 @@
 	}
 }
 
-// ejectSilent ejects the endpoint that has not responded since an overdue attempt was created: the target, or
-// the source if that had to fill.
-func (r *Router) ejectSilent(a *attempt, lost bool) {
-	targetSilent := a.target.lastResponseAt <= a.decidedAt
-	sourceSilent := a.source.lastResponseAt <= a.decidedAt
+// ejectUnresponsive ejects the endpoint that has not responded since an overdue attempt was created: the
+// target, or the source if a miss was expected.
+func (r *Router) ejectUnresponsive(a *attempt, lost bool) {
+	targetSilent := a.target.lastResponseAt <= a.createdAt
+	sourceSilent := a.source.lastResponseAt <= a.createdAt
 	if !lost && targetSilent {
 		r.ejectAfter(a, a.target)
 	} else if sourceSilent && !a.expectHit {
@@ -70,7 +70,7 @@
 // idempotent requests are hedged, and only as long as they have attempts left.
 func (r *Router) mayHedge(a *attempt, lost bool) bool {
 	req := a.request
-	if req.class.Idempotency != Idempotent || r.attemptsExhausted(req) != "" {
+	if req.class.Idempotency != Idempotent || r.attemptLimitReason(req) != "" {
 		return false
 	}
 	if lost {
--- a/policy/purges.go
+++ b/policy/purges.go
@@ -29,8 +29,8 @@
 	maps.DeleteFunc(p.groups, func(_ int, at time.Duration) bool { return at < oldest })
 }
 
-// postpone moves all purges to later by an offset.
-func (p purgeTimes) postpone(offset time.Duration) {
+// shift adds an offset to the times of all purges.
+func (p purgeTimes) shift(offset time.Duration) {
 	for object := range p.objects {
 		p.objects[object] += offset
 	}
--- a/policy/request.go
+++ b/policy/request.go
@@ -28,11 +28,11 @@
 	objectiveAt time.Duration // when its latency objective ends
 	deadline    time.Duration // when its client stops waiting
 
-	attempts        []*attempt
-	pendingAttempts int
-	failedAttempts  int      // that ended as attemptFailed
-	mayHaveRun      *attempt // the first attempt that may have run, nil if none may
-	finished        bool     // it has its final answer, or needs none
+	attempts         []*attempt
+	pendingAttempts  int
+	failedAttempts   int      // that ended as attemptFailed
+	firstPossibleRun *attempt // the first attempt that may have run, nil if none may
+	finished         bool     // it has its final answer, or needs none
 
 	avoid map[*endpointState]bool // endpoints that lack the object, failed or did not answer
 }
@@ -64,7 +64,7 @@
 	r.requests[arrived.ID] = req
 	r.meanTransferSeconds.add(req.transferSeconds, requestSamples)
 	r.meanPriorityWeight.add(req.class.PriorityWeight, requestSamples)
-	r.earnRetries()
+	r.addToRetryBudget()
 	r.route(req)
 }
 
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -23,13 +23,13 @@
 	minRetryAfter = 300 * time.Millisecond
 )
 
-// earnRetries adds a request's part to the retry budget.
-func (r *Router) earnRetries() {
+// addToRetryBudget adds a request's part to the retry budget.
+func (r *Router) addToRetryBudget() {
 	r.retryBudget = min(r.retryBudget+retriesPerRequest, maxRetryBudget)
 }
 
-// spendRetry takes a retry from the budget.
-func (r *Router) spendRetry() { r.retryBudget-- }
+// takeFromRetryBudget takes a retry from the budget.
+func (r *Router) takeFromRetryBudget() { r.retryBudget-- }
 
 // hasRetryBudget reports whether one more retry is within the budget.
 func (r *Router) hasRetryBudget() bool { return r.retryBudget >= 1 }
@@ -41,7 +41,7 @@
 		return
 	}
 	r.avoidAfter(a, o)
-	denied := r.retryDenied(req, a.target)
+	denied := r.retryDenialReason(req, a.target)
 	if denied != "" {
 		r.rejectOrFail(req, denied)
 		return
@@ -66,22 +66,22 @@
 	}
 }
 
-// retryDenied is why a request may not have another attempt; empty: it may. Target is the last attempt's: a
-// repeat that is harmful there is harmful anywhere.
-func (r *Router) retryDenied(req *request, target *endpointState) Reason {
+// retryDenialReason returns why a request may not be retried, or "" if it may. Target is that of the last
+// attempt: a repeat that is harmful there is harmful anywhere.
+func (r *Router) retryDenialReason(req *request, target *endpointState) Reason {
 	answerAt := r.now + durationOf(req.transferSeconds)
 	if answerAt >= req.deadline {
 		return ReasonDeadlineExceeded
 	}
-	exhausted := r.attemptsExhausted(req)
+	exhausted := r.attemptLimitReason(req)
 	if exhausted != "" {
 		return exhausted
 	}
 	return r.repeatVerdict(req, target).Reason
 }
 
-// attemptsExhausted is which limit leaves a request no other attempt; empty: none does.
-func (r *Router) attemptsExhausted(req *request) Reason {
+// attemptLimitReason returns the reason if a limit allows a request no further attempt, or "" otherwise.
+func (r *Router) attemptLimitReason(req *request) Reason {
 	maxAttempts := r.settings.MaxAttempts
 	if maxAttempts == 0 {
 		maxAttempts = defaultMaxAttempts
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -25,7 +25,7 @@
 
 // eligible reports whether an endpoint may receive a request at all.
 func (r *Router) eligible(e *endpointState, req *request) bool {
-	return e != nil && e.acceptsNew() && r.withinSlowStartBudget(e, req)
+	return e != nil && e.acceptsAttempts() && r.withinSlowStartBudget(e, req)
 }
 
 // firstWithCapacity returns the first candidate that is in rotation and has capacity. If none has, it returns
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -69,10 +69,10 @@
 	return r.slowStartFraction(e) < 1 && (e == a.target || e.Kind == r.settings.ParentKind)
 }
 
-// enterSlowStartBudgets counts an attempt that is about to be sent in the budgets of its endpoints, and
+// reserveSlowStartBudgets counts an attempt that is about to be sent in the budgets of its endpoints, and
 // reports whether it fits them. It is already counted unless an endpoint has restarted since the attempt was
 // created, or the attempt has waited for a connection for longer than the window.
-func (r *Router) enterSlowStartBudgets(a *attempt) bool {
+func (r *Router) reserveSlowStartBudgets(a *attempt) bool {
 	for _, e := range []*endpointState{a.target, a.source} {
 		alreadyCounted := slices.Contains(e.slowStartAttempts, a)
 		if alreadyCounted || !r.countsInSlowStart(e, a) {
