--- a/policy/actions.go
+++ b/policy/actions.go
@@ -1,46 +1,46 @@
 package policy
 
-// Actions are the results of a Router. This file holds types only.
+// Actions are the outputs of a Router. This file holds types only.
 
 import "time"
 
 // Action is one of Fetch, Reject, Fail, Cancel and StartTimer.
 type Action interface{ action() }
 
-// Fetch sends a request's next attempt to Target. The other fields say how Target serves it (fillorders.go);
-// for an uncacheable request they are zero.
+// Fetch sends a request's next attempt to Target. The fields from RetentionRank on are fetch options, which
+// tell Target how to serve it (fillorders.go); for an uncacheable request they are zero.
 type Fetch struct {
 	ID                   int64 // of the request
 	Target               string
 	Source               string        // fills a miss; Target itself if nothing is filled
 	RetentionRank        int           // of the filled copy, see fillorders.go; 0: it is not cached
-	MaxAge               time.Duration // greatest age of a copy; 0: as the class has it
+	MaxAge               time.Duration // maximum age of a copy; 0: that of the class
 	CoalesceFill         bool          // a miss may wait for a fill that is in progress
-	CachedOnly           bool          // the source gives only what it has cached
+	CachedOnly           bool          // the source answers only with what it has cached
 	StaleWhileRevalidate bool          // a stale copy is served and refreshed in the background
 }
 
-// Reject is a final answer that says that sending the request again is harmless: it was not carried out, or
-// may be carried out again (idempotency.go).
+// Reject is a final answer which says that sending the request again is harmless: the request was not carried
+// out, or may be carried out again (idempotency.go).
 type Reject struct {
 	ID         int64         // of the request
 	RetryAfter time.Duration // how long the client should wait
 	Reason     Reason
 }
 
-// Fail is a final answer that says nothing of the request's effect.
+// Fail is a final answer that does not say whether the request was carried out.
 type Fail struct {
 	ID     int64 // of the request
 	Reason Reason
 }
 
-// Cancel ends a pending attempt. Its Outcome still has to be reported.
+// Cancel ends a pending attempt. The caller still has to report its Outcome.
 type Cancel struct {
 	ID      int64 // of the request
 	Attempt int
 }
 
-// StartTimer requests a TimerFired with Token after In.
+// StartTimer asks the caller for a TimerFired event with Token after In.
 type StartTimer struct {
 	In    time.Duration
 	Token uint64
