--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -2,17 +2,18 @@
 
 // An attempt sends a request to a target, which fills a miss from a source.
 //
-// Starting one estimates how long it will take, in seconds. A request that load shedding (loadshedding.go) or
-// the origin's concurrency limit (originlimit.go) does not admit is rejected instead. Ending one classifies
-// its result: it never ran, may have run, or succeeded. That decides whether the request may be retried
-// (retry.go, idempotency.go) and whether the target counts as failing (outliers.go).
+// When an attempt starts, its duration is estimated in seconds. A request that load shedding
+// (loadshedding.go) or the origin's concurrency limit (originlimit.go) does not admit is rejected instead.
+// When an attempt ends, its result is classified: it never ran, may have run, or succeeded. That decides
+// whether the request may be retried (retry.go, idempotency.go) and whether the target counts as failing
+// (outliers.go).
 
 import "time"
 
-// attemptState says whether an attempt has run, as far as is known.
+// attemptState says whether an attempt has run, as far as this router knows.
 type attemptState int
 
-// The states of an attempt. It changes once, from pending to one of the others.
+// The states of an attempt. The state changes once, from pending to one of the others.
 const (
 	attemptPending   attemptState = iota // no result yet: it may run
 	attemptSucceeded                     // answered
@@ -22,7 +23,8 @@
 	attemptCancelled                     // this proxy stopped waiting: it may have run
 )
 
-// stateAfter classifies the result of an attempt. Unless a result shows that it never ran, it may have run.
+// stateAfter returns the state of an attempt that ended with a result. Unless the result shows that the
+// attempt never ran, it may have run.
 func stateAfter(result Result) attemptState {
 	switch result {
 	case ResultOK:
@@ -37,7 +39,7 @@
 	return attemptTimedOut
 }
 
-// attempt is one attempt of a request, with the expectations from when it was created.
+// attempt is one attempt of a request, with the estimates made when it was created.
 type attempt struct {
 	request *request
 	number  int // among the request's attempts, from 0
@@ -49,7 +51,7 @@
 	createdAt time.Duration // when the router created it
 	startedAt time.Duration // when its first byte was written; createdAt until then
 
-	links       []*link // that it loads
+	links       []*link // the links that it loads
 	slowestLink *link
 	congested   bool // one of the links was congested when the attempt was created
 
@@ -59,11 +61,11 @@
 	missProbability  float64 // of a fill, 0 to 1
 
 	expectHit      bool // the target probably has the object cached
-	cachedOnly     bool // the source may give only what it has cached
-	countsAtOrigin bool // it is counted by the origin's concurrency limit
+	cachedOnly     bool // the source may answer only with what it has cached
+	countsAtOrigin bool // it counts against the origin's concurrency limit
 }
 
-// pendingAttempt returns the attempt of a request that has this number and no result yet, or nil.
+// pendingAttempt returns a request's attempt with the given number if it has no result yet, otherwise nil.
 func (r *Router) pendingAttempt(id int64, number int) *attempt {
 	req := r.requests[id]
 	if req == nil || number < 0 || number >= len(req.attempts) {
@@ -76,7 +78,8 @@
 	return a
 }
 
-// startAttempt sends a request to a target, or rejects it if the origin or the links have no capacity for it.
+// startAttempt sends a request to a target, or gives it a final answer if the origin or the links have no
+// capacity for it.
 func (r *Router) startAttempt(req *request, target, source *endpointState) {
 	a := &attempt{
 		request: req, number: len(req.attempts), target: target, source: source,
@@ -102,7 +105,8 @@
 	r.emit(r.fetchAction(a), overdueTimer(a))
 }
 
-// reserve counts an attempt wherever its load is counted.
+// reserve counts an attempt on its links, in the slow-start budgets, in the origin's concurrency limit and,
+// if it is a retry, in the retry budget.
 func (r *Router) reserve(a *attempt) {
 	for _, l := range a.links {
 		l.add(a, r.now)
@@ -116,8 +120,8 @@
 	}
 }
 
-// estimate sets which links an attempt loads, how long it takes on each, and how long a fill's first byte
-// takes. An expected hit loads the target's link only.
+// estimate sets which links an attempt loads, its expected transfer times on them, and the expected wait for
+// a fill's first byte. An expected hit loads the target's link only.
 func (r *Router) estimate(a *attempt) {
 	a.slowestLink = &a.target.link
 	a.targetSeconds = a.addLink(&a.target.link, r.now, r.slowStartFraction(a.target))
@@ -142,8 +146,8 @@
 	}
 }
 
-// addLink adds a link to an attempt's path and returns the expected transfer time on it, in seconds. Fraction
-// is the part of its capacity that the link's endpoint has in slow start.
+// addLink adds a link to those that an attempt loads and returns the expected transfer time on it, in
+// seconds. Fraction is the fraction of its capacity that the link's endpoint has now (slow start).
 func (a *attempt) addLink(l *link, now time.Duration, fraction float64) float64 {
 	transferSeconds := a.request.transferSeconds
 	a.links = append(a.links, l)
@@ -158,7 +162,7 @@
 	return seconds
 }
 
-// endAttempt records the result of an attempt and releases its links.
+// endAttempt records the result of an attempt and removes it from its links.
 func (r *Router) endAttempt(a *attempt, result Result) {
 	req := a.request
 	a.state = stateAfter(result)
