--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -1,9 +1,9 @@
 package policy
 
-// Endpoints are the caches, parents and origins of the endpoint list, with this router's knowledge of each.
+// Endpoints are the caches, parents and origins of the endpoint list, with what this router knows about each.
 //
-// Inputs: full lists and changes of them. Result: the caches of this router's zone, the parents and the
-// origin. A restart resets the contents and the health of an endpoint, but not the capacity of its link.
+// Inputs: full endpoint lists and changes to them. Result: the caches of this router's zone, the parents and
+// the origin. A restart resets the contents and the health of an endpoint, but not the capacity of its link.
 
 import (
 	"maps"
@@ -14,11 +14,11 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// removedRetention is how long a removed endpoint is remembered, in case it returns: longer than any request
-// lives.
+// removedRetention is how long a removed endpoint is kept in case it returns. It is longer than any request
+// lives, so that no attempt in flight outlives its endpoint.
 const removedRetention = 11 * time.Minute
 
-// endpointState is an endpoint of the list, with this router's knowledge of it.
+// endpointState is an endpoint of the list, with what this router knows about it.
 type endpointState struct {
 	Endpoint
 	hash      uint64        // of its ID
@@ -27,13 +27,13 @@
 
 	// Fills.
 	firstByteSeconds mean               // its wait as a source
-	misindication    misindicationRatio // as a sibling that was believed to have an object
+	misindication    misindicationRatio // as a sibling that probably had an object
 	cacheIndex       *simplelru.LRU[uint64, cacheRecord]
 
 	slowStartAttempts []*attempt // sent within the overload window of a slow start
 
 	// Outlier detection.
-	ejections               int // that its responses have not made up for
+	ejections               int // counted ejections; each response lowers the count by one
 	ejectedUntil            time.Duration
 	consecutiveFailures     int // requests that it failed and another endpoint answered
 	lastResponseAt          time.Duration
@@ -48,7 +48,7 @@
 	return e.Kind != r.settings.ParentKind && e.Kind != r.settings.OriginKind
 }
 
-// apply updates the endpoints. One that a full list does not name is removed.
+// apply updates the endpoints. An endpoint that is missing from a full list is removed.
 func (update EndpointUpdate) apply(r *Router) {
 	if update.Full {
 		for _, e := range r.endpoints {
@@ -69,7 +69,7 @@
 	r.updateTopology()
 }
 
-// forgetRemoved forgets the endpoints that were removed longer than the retention time ago.
+// forgetRemoved deletes the endpoints that were removed longer than removedRetention ago.
 func (r *Router) forgetRemoved() {
 	maps.DeleteFunc(r.endpoints, func(_ string, e *endpointState) bool {
 		return e.State == Removed && r.now-e.removedAt > removedRetention
@@ -90,7 +90,7 @@
 	if restarted || listed.State == Removed {
 		e.resetContentsAndHealth()
 	}
-	if restarted { // attempts of the last incarnation do not load this one
+	if restarted { // attempts sent to the previous incarnation do not load this one
 		e.slowStartAttempts = nil
 	}
 	e.setState(listed.State, now)
@@ -108,8 +108,8 @@
 	e.consecutiveFailures = 0
 }
 
-// apply moves the start times by the offset. A purge never moves to earlier: it must not count as older than
-// it is.
+// apply adds the offset to the start times. Purge times are never moved earlier: a purge must not count as
+// older than it is.
 func (correction ClockCorrection) apply(r *Router) {
 	for _, e := range r.endpoints {
 		if e.Started != 0 {
