--- a/policy/estimators.go
+++ b/policy/estimators.go
@@ -1,18 +1,19 @@
 package policy
 
 // Estimators summarize a series of observations in one number: a mean that follows recent values, and the
-// ratio of misses that the fill-source rule is based on. 'The paper' is named in fillsource.go.
+// misindication ratio, on which the choice of the fill source is based. 'The paper' is cited in
+// fillsource.go.
 
 const (
-	requestSamples   = 100 // requests over which means of sizes and weights extend
-	firstByteSamples = 10  // fills over which means of first-byte times extend
-	missSamples      = 10  // answers over which the fraction of unexpected misses extends
+	requestSamples   = 100 // window of the means of transfer times and priority weights, in requests
+	firstByteSamples = 10  // window of the means of first-byte times, in fills
+	missSamples      = 10  // window of the fraction of misses, in answers
 
-	epochFills  = 20  // fills in an epoch of a ratio; the paper has 100, which are rarely reached
-	epochWeight = 0.3 // of a new epoch; the paper has 0.1, for more epochs
+	epochFills  = 20  // fills per epoch of a misindication ratio; the paper uses 100, which is rarely reached
+	epochWeight = 0.3 // weight of a new epoch; the paper uses 0.1, over more epochs
 )
 
-// mean is the plain mean of the first values and an exponentially weighted one of later values, so that a
+// mean is the arithmetic mean of the first values and an exponentially weighted mean of later ones, so that a
 // single early value does not dominate.
 type mean struct{ value, count float64 }
 
@@ -32,10 +33,10 @@
 	value  float64
 }
 
-// known reports whether there is any observation.
+// known reports whether there has been any observation.
 func (r *misindicationRatio) known() bool { return r.fills+r.epochs > 0 }
 
-// add counts a fill, or a miss where there should have been a fill.
+// add counts a fill from the cache, or a miss of an object that the cache was believed to have.
 func (r *misindicationRatio) add(missed bool) {
 	r.fills++
 	if missed {
