--- a/policy/events.go
+++ b/policy/events.go
@@ -36,7 +36,8 @@
 	Endpoints []Endpoint
 }
 
-// ClockCorrection says that all starts and purges reported so far were later by Offset on the router's clock.
+// ClockCorrection says that all starts and purges reported so far happened later by Offset on the router's
+// clock than was reported. A negative Offset means earlier.
 type ClockCorrection struct{ Offset time.Duration }
 
 // Request is a client's request that has arrived.
@@ -50,19 +51,19 @@
 	Remaining time.Duration // to the client's deadline
 }
 
-// Result is how an attempt ended.
+// Result says how an attempt ended.
 type Result int
 
-// The results of an attempt. After an unknown one the request may have run, as after ResultTimeout.
+// The results of an attempt. An unknown value counts as ResultTimeout: the request may have run.
 const (
 	ResultError         Result = iota // an error response
 	ResultOK                          // an answer
 	ResultRejected                    // the target rejected it without processing it
 	ResultTimeout                     // no answer in time
-	ResultConnectFailed               // not executed: no connection, or cut before the last byte
-	ResultReset                       // the connection broke while it was in flight
+	ResultConnectFailed               // not executed: no connection, or the call was not written completely
+	ResultReset                       // the connection broke while the attempt was in flight
 	ResultCancelled                   // the proxy stopped waiting
-	ResultNotSent                     // not executed, for a reason that says nothing against the target
+	ResultNotSent                     // not executed, for a reason that is not the target's
 	ResultNotFound                    // the target has no copy and filled none
 )
 
@@ -78,7 +79,7 @@
 	return resultNames[r]
 }
 
-// CacheStatus is what a cache reports of an answer or a failed fill.
+// CacheStatus is what a cache reports about an answer or a failed fill.
 type CacheStatus int
 
 // The cache status of an outcome.
@@ -90,7 +91,7 @@
 	CacheStatusCoalesced                         // waited for a fill that was in progress
 	CacheStatusStale                             // the target had a stale copy
 	CacheStatusSourceRejected                    // the source rejected the fill
-	CacheStatusSourceFailed                      // the source did not answer, or with an error
+	CacheStatusSourceFailed                      // the source did not answer, or answered with an error
 	CacheStatusSourceMissing                     // the source does not have the object
 	CacheStatusNoFillCapacity                    // the target had no capacity for a fill
 	CacheStatusOriginFailed                      // the origin failed behind the source
@@ -104,11 +105,11 @@
 	CacheStatus     CacheStatus
 	Elapsed         time.Duration // from the start of the attempt to its end
 	SourceFirstByte time.Duration // the target's wait for the source's first byte; 0: unknown
-	TransferTime    time.Duration // of the answer's bytes at full pace; 0: unknown
+	TransferTime    time.Duration // of the answer's bytes at full pace (transfertime.go); 0: unknown
 	RequestFinished bool          // no retry follows
 }
 
-// StreamStarted says that a streamed answer has begun. The request is finished; the attempt continues.
+// StreamStarted says that a streamed answer has started. The request is finished; the attempt continues.
 type StreamStarted struct {
 	ID      int64 // of the request
 	Attempt int
@@ -121,7 +122,8 @@
 	Age    time.Duration // since the purge
 }
 
-// RequestEnded says that a client has disconnected. Its request is finished.
+// RequestEnded says that the client of a request has disconnected, or that its deadline has passed. The
+// request is finished.
 type RequestEnded struct{ ID int64 }
 
 // TimerFired says that a timer has expired.
