--- a/policy/fillorders.go
+++ b/policy/fillorders.go
@@ -1,21 +1,21 @@
 package policy
 
-// Fill orders determine how a cache serves a request: how old a copy may be, whether a miss may wait for a
+// Fetch options tell a cache how to serve a request: how old a copy may be, whether a miss may wait for a
 // fill that is in progress, and how long the new copy is retained.
 //
 // Inputs: the request's class, the attempt's number and source, which caches had the object, and recent
-// purges. Result: a Fetch. It is worked out when the attempt is created and again when its first byte is
-// sent, as a purge may have come in between.
+// purges. Result: a Fetch. It is determined when the attempt is created and again when its first byte is
+// sent, as a purge may have arrived in between.
 
 import "slices"
 
-// Retention ranks: a cache evicts copies of a lower rank first.
+// Retention ranks. A cache evicts copies of a lower rank first.
 const (
 	retentionFirstRequest  = 1
 	retentionRepeatRequest = 2 // an object that was requested before is likely to be requested again
 )
 
-// fetchAction returns the order that sends an attempt. An uncacheable request has no fill orders.
+// fetchAction returns the Fetch that sends an attempt. An uncacheable request has no fetch options.
 func (r *Router) fetchAction(a *attempt) Fetch {
 	req := a.request
 	fetch := Fetch{ID: req.ID, Target: a.target.ID, Source: a.source.ID}
@@ -35,7 +35,7 @@
 	return fetch
 }
 
-// retentionRank ranks a request's object by whether a cache of the zone had it already.
+// retentionRank returns the rank of a request's object: the higher one if a cache of the zone had it already.
 func (r *Router) retentionRank(req *request) int {
 	cached := func(e *endpointState) bool { return e.cacheIndex.Contains(req.key) }
 	if slices.ContainsFunc(r.caches, cached) {
@@ -44,9 +44,9 @@
 	return retentionFirstRequest
 }
 
-// limitAgeAfterPurge lowers the oldest age of a copy to the time since a recent purge. The first attempt
-// still joins a fill in progress, as many requests miss at once; a retry does not, as the fill may have begun
-// before the purge.
+// limitAgeAfterPurge lowers the maximum age of a copy to the time since a recent purge. The first attempt may
+// still wait for a fill in progress, as many requests miss at once after a purge. A retry may not, as that
+// fill may have begun before the purge.
 func (r *Router) limitAgeAfterPurge(fetch *Fetch, a *attempt) {
 	sincePurge, recent := r.recentPurge(a.request)
 	if !recent {
