--- a/policy/fillsource.go
+++ b/policy/fillsource.go
@@ -3,19 +3,19 @@
 // The fill source is where a cache fetches an object that it misses: a sibling cache that probably has it, or
 // a parent, or the origin.
 //
-// Inputs: which siblings are believed to have the object, their misindication ratios (rho, 0 to 1), and the
-// mean waits for the first byte of a parent and of a sibling, whose quotient is the miss penalty (beta).
-// Result: the sibling with the lowest rho if 1 + beta*rho < beta, as a miss there costs both waits;
-// otherwise a parent. The rule is that of Cohen, Einziger, Friedman and Scalosub, 'Access Strategies for
-// Network Caching', IEEE/ACM Transactions on Networking 29(2), 2021 ('the paper' here and in
+// Inputs: which siblings probably have the object, their misindication ratios (rho, 0 to 1), and the mean
+// waits for the first byte of a parent and of a sibling. The first wait divided by the second is the miss
+// penalty (beta). Result: the sibling with the lowest rho if 1 + beta*rho < beta, as a miss there costs both
+// waits; otherwise a parent. The rule is that of Cohen, Einziger, Friedman and Scalosub, 'Access Strategies
+// for Network Caching', IEEE/ACM Transactions on Networking 29(2), 2021 ('the paper' here and in
 // estimators.go).
 
 import "math"
 
-// initialMissPenalty is the paper's beta, until first-byte times of both tiers have been measured.
+// initialMissPenalty is the paper's beta until the first-byte times of parents and siblings are known.
 const initialMissPenalty = 100.0
 
-// chooseSource returns the endpoint that fills a miss of the target; the target itself if there is none.
+// chooseSource returns the endpoint that fills a miss of the target, or the target itself if there is none.
 func (r *Router) chooseSource(req *request, target *endpointState) *endpointState {
 	sibling := r.chooseSibling(req, target)
 	parent := r.chooseParent(req)
@@ -28,14 +28,15 @@
 	return target
 }
 
-// chooseParent returns the first of the ranked parents, and then of the origin, that has capacity; nil if
-// none may be used.
+// chooseParent returns the first endpoint with capacity among the ranked parents, followed by the origin. It
+// returns nil if none may be used.
 func (r *Router) chooseParent(req *request) *endpointState {
 	candidates := append(r.ranked(r.parents, req), r.origin)
 	return r.firstWithCapacity(req, candidates)
 }
 
-// chooseSibling returns the cache of the zone that should be tried before a parent, or nil.
+// chooseSibling returns the cache of the zone that should fill a miss of the target instead of a parent, or
+// nil.
 func (r *Router) chooseSibling(req *request, target *endpointState) *endpointState {
 	if r.settings.Siblings == SiblingsNone {
 		return nil
@@ -64,8 +65,8 @@
 	return best
 }
 
-// maySiblingFill reports whether a cache of the zone probably has a request's object and the capacity to send
-// it. The other routers rank siblings alike: without the latter all of them would use a full one.
+// maySiblingFill reports whether a cache of the zone probably has a request's object and has the capacity to
+// send it. The capacity is checked because all routers rank siblings alike and would all use a full one.
 func (r *Router) maySiblingFill(req *request, e *endpointState) bool {
 	if req.avoid[e] || !r.likelyCached(e, req) || !r.eligible(e, req) || r.isEjected(e) {
 		return false
@@ -74,12 +75,12 @@
 	return !hasNoCapacity
 }
 
-// hasSiblingSource reports whether a cache of the zone is to fill a miss of an attempt.
+// hasSiblingSource reports whether the source of an attempt is a cache of the zone other than the target.
 func (r *Router) hasSiblingSource(a *attempt) bool {
 	return a.source != a.target && r.isCache(a.source)
 }
 
-// meanMisindication is the mean ratio of the caches that have one, 0 if none has.
+// meanMisindication is the mean misindication ratio of the caches with a known one, 0 if there are none.
 func (r *Router) meanMisindication() float64 {
 	sum := 0.0
 	count := 0.0
@@ -92,7 +93,7 @@
 	return sum / max(count, 1)
 }
 
-// missPenalty is the paper's beta: the wait for a parent's first byte in units of the wait for a sibling's.
+// missPenalty is the paper's beta: the wait for a parent's first byte divided by the wait for a sibling's.
 func (r *Router) missPenalty() float64 {
 	if r.parentFirstByteSeconds.value == 0 || r.siblingFirstByteSeconds.value == 0 {
 		return initialMissPenalty
@@ -108,8 +109,8 @@
 	}
 }
 
-// updateFirstByteTimes learns how long a source takes for its first byte. If a parent had to ask the origin,
-// the time is the origin's.
+// updateFirstByteTimes updates the mean first-byte times of an attempt's source and of the source's tier. If
+// a parent had to ask the origin, the time counts as the origin's.
 func (r *Router) updateFirstByteTimes(a *attempt, o Outcome) {
 	if !o.filled() || o.SourceFirstByte <= 0 {
 		return
@@ -118,10 +119,10 @@
 	if o.CacheStatus == CacheStatusFilledByOrigin && r.origin != nil {
 		source = r.origin
 	}
-	ofTier := &r.parentFirstByteSeconds
+	tierMean := &r.parentFirstByteSeconds
 	if r.hasSiblingSource(a) {
-		ofTier = &r.siblingFirstByteSeconds
+		tierMean = &r.siblingFirstByteSeconds
 	}
 	source.firstByteSeconds.add(o.SourceFirstByte.Seconds(), firstByteSamples)
-	ofTier.add(o.SourceFirstByte.Seconds(), firstByteSamples)
+	tierMean.add(o.SourceFirstByte.Seconds(), firstByteSamples)
 }
