--- a/policy/guard.go
+++ b/policy/guard.go
@@ -1,11 +1,11 @@
 package policy
 
-// The guards decide at the last instant whether an action may still be carried out. Time passes between a
-// decision and its first byte, while an attempt waits for a connection or a request for its body: an endpoint
-// may drain or restart, a client may disconnect, a window may end.
+// The guards check right before an action whether it may still be carried out. Time passes between a decision
+// and its first byte, while an attempt waits for a connection or a request for its body: an endpoint may
+// drain or restart, a client may disconnect, a deduplication window may expire.
 //
-// Inputs: the router's present knowledge, and what only the caller can see (the Info types). Result: a
-// Verdict. The guards have no rules of their own for attempts: they ask those of the other files again.
+// Inputs: the router's present state, and what only the caller can see (the Info types). Result: a Verdict.
+// The guards have no rules of their own for attempts: they check those of the other files again.
 
 import "time"
 
@@ -17,9 +17,9 @@
 	ClientDisconnected bool
 }
 
-// MaySend decides whether an attempt may start now, and returns its fill orders as of now. It is called
-// directly before the first byte is written. A denied attempt ends as ResultNotSent, after which its request
-// is routed again or rejected.
+// MaySend decides whether an attempt may start now, and returns its Fetch as of now. The caller calls it
+// directly before it writes the first byte. It reports a denied attempt as ResultNotSent, after which the
+// request is routed again or gets its final answer.
 func (r *Router) MaySend(now time.Duration, info SendInfo) (Fetch, Verdict) {
 	r.now = now
 	a := r.pendingAttempt(info.ID, info.Attempt)
@@ -31,8 +31,8 @@
 	return r.fetchAction(a), Verdict{}
 }
 
-// sendVerdict checks an attempt, which is nil if it has ended. The slow-start budget comes after the other
-// checks of the endpoints, as it counts the attempt.
+// sendVerdict checks an attempt, which is nil if it has ended. The slow-start budgets are checked after the
+// state of the endpoints, as that check also counts the attempt.
 func (r *Router) sendVerdict(a *attempt, info SendInfo) Verdict {
 	switch {
 	case a == nil:
@@ -50,7 +50,7 @@
 	case !r.reserveSlowStartBudgets(a):
 		return Verdict{RuleSlowStart, ReasonOverBudget}
 	case a.request.firstPossibleRun == a:
-		return Verdict{} // the first execution is no repeat
+		return Verdict{} // a first execution is not a repeat
 	}
 	return r.repeatVerdict(a.request, a.target)
 }
@@ -60,7 +60,7 @@
 	ClientDisconnected bool
 	RejectingNew       bool          // in a drain or a shutdown, once clients have had time to disconnect
 	Remaining          time.Duration // to the client's deadline
-	UnreleasedRequests int           // answered ones with open attempts included
+	UnreleasedRequests int           // not released yet, including answered ones with open attempts
 	MaxOpenRequests    int
 	MemoryFull         bool // the memory limit for requests is reached
 }
@@ -82,20 +82,20 @@
 	return Verdict{}
 }
 
-// CloseInfo describes a client's connection that might be closed. A field that is left zero is not checked,
-// but for HasUnreadInput, which is required: after a timeout, a client may lose a request that it has sent
-// in part.
+// CloseInfo describes a client's connection that might be closed. A field that is left zero is not checked.
+// HasUnreadInput is required: without it a client may lose a request that it has sent in part when its
+// connection is closed after a timeout.
 type CloseInfo struct {
 	OpenRequests   int  // that arrived completely and are not answered
 	PartialRequest bool // a request has arrived in part
 	QueuedBytes    int  // not yet written
 	InUse          bool // used so recently that a request may be on its way
 
-	// HasUnreadInput reports input that has arrived and was not read. It is called last, as it makes a system
-	// call.
+	// HasUnreadInput reports whether input has arrived that was not read. It is called last, as it makes a
+	// system call.
 	HasUnreadInput func() bool
 
-	// UnackedBytes returns the bytes that were written and not acknowledged. Nil: they are not checked.
+	// UnackedBytes returns the number of bytes that were written and not acknowledged. Nil: not checked.
 	UnackedBytes func() int
 }
 
