--- a/policy/idempotency.go
+++ b/policy/idempotency.go
@@ -1,16 +1,17 @@
 package policy
 
-// Idempotency decides whether a request may be sent again, and whether it may be rejected, which invites its
-// client to send it again.
+// Idempotency decides whether a request may be sent again, and whether it may be rejected, as a rejection
+// invites its client to send it again.
 //
 // Inputs: the class's idempotency, deduplication scope and window, the first attempt that may have run, and
-// the endpoint that would receive the repeat. Result: a verdict on the repeat, and whether a rejection may
-// say that nothing happened.
+// the endpoint that would receive the repeat. Result: a verdict on the repeat, and whether the request may
+// get a Reject.
 //
-// A request with an idempotency key is deduplicated by a group of endpoints for a limited time: a repeat is
-// harmless only there and then. An idempotent one may be repeated anywhere.
+// A request with an idempotency key is deduplicated by a group of endpoints (the deduplication scope) for a
+// limited time (the deduplication window): a repeat is harmless only within both. An idempotent request may
+// be repeated anywhere.
 
-// repeatVerdict decides whether one more attempt is harmless at an endpoint.
+// repeatVerdict decides whether another attempt is harmless at an endpoint.
 func (r *Router) repeatVerdict(req *request, e *endpointState) Verdict {
 	first := req.firstPossibleRun
 	if first == nil {
@@ -31,7 +32,7 @@
 	return Verdict{}
 }
 
-// covers reports whether two endpoints share what they know of idempotency keys.
+// covers reports whether two endpoints deduplicate requests together, that is, share their idempotency keys.
 func (scope DeduplicationScope) covers(first, second *endpointState) bool {
 	sameZone := first.Zone == second.Zone
 	switch scope {
@@ -45,7 +46,7 @@
 	return false
 }
 
-// mayRepeat reports whether one more attempt is harmless at an endpoint.
+// mayRepeat reports whether another attempt is harmless at an endpoint.
 func (r *Router) mayRepeat(req *request, e *endpointState) bool {
 	return r.repeatVerdict(req, e).Allowed()
 }
