--- a/policy/linkpace.go
+++ b/policy/linkpace.go
@@ -1,35 +1,35 @@
 package policy
 
 // The pace of answers shows the capacity of links. An answer over a congested link that came faster or slower
-// than expected changes the link's learned capacity. One that was slow over a link without congestion shows a
-// slow endpoint, and changes its slowdown.
+// than expected changes the link's learned capacity. An answer that was slow over a link without congestion
+// shows that the endpoint is slow, and changes its slowdown.
 //
-// Inputs: the times of an answer and of its first byte, its transfer time at full pace where known, and what
-// the attempt was expected to take, in seconds. Result: updates of links (links.go) and of the fraction of
-// unexpected misses.
+// Inputs: the times of an answer and of its first byte, its transfer time at full pace (transfertime.go)
+// where known, and what the attempt was expected to take, in seconds. Result: updates of links (links.go) and
+// of the fraction of misses.
 
 import "math"
 
 const (
-	// minSlowdownSampleSeconds is the shortest transfer whose time shows a slowdown.
+	// minSlowdownSampleSeconds is the shortest transfer time at full pace that is used to detect a slowdown.
 	minSlowdownSampleSeconds = 0.02
 
-	// slowTransferMultiple is the multiple of its expected time from which a transfer is held to be slow: few
+	// slowTransferMultiple is the multiple of its full-pace time from which a transfer counts as slow: few
 	// objects are so much larger than the mean.
 	slowTransferMultiple = 3.0
 )
 
-// transferSample compares an answer's transfer with its expected time.
+// transferSample compares the measured transfer time of an answer with the expected one.
 type transferSample struct {
 	hit             bool    // served from the target's cache
-	bytesReported   bool    // fullPaceSeconds is that of the answer's bytes
+	bytesReported   bool    // fullPaceSeconds follows from the answer's bytes
 	sizeKnown       bool    // fullPaceSeconds is that of the part, not the mean of its class
 	fullPaceSeconds float64 // transfer time without congestion
 	expectedSeconds float64 // transfer time with the congestion that was expected
 	measuredSeconds float64 // from the source's first byte to the end
 }
 
-// newTransferSample returns the sample of an attempt that was answered.
+// newTransferSample returns the sample of an answered attempt.
 func newTransferSample(a *attempt, o Outcome) transferSample {
 	sample := transferSample{
 		hit:             o.servedFromCache(),
@@ -49,19 +49,20 @@
 	return sample
 }
 
-// explainedBySize reports whether an unknown size may explain the time of an answer: it then says nothing of
-// the link.
+// explainedBySize reports whether an unknown size may explain the time of an answer, which then says nothing
+// about the link.
 func (s transferSample) explainedBySize() bool {
 	return !s.sizeKnown && s.expectedSeconds < congestedMultiple*s.fullPaceSeconds &&
 		s.measuredSeconds < slowTransferMultiple*s.fullPaceSeconds
 }
 
-// showsCongestion reports whether congestion was expected in the transfer's time, or is seen in it.
+// showsCongestion reports whether the expected or the measured transfer time includes congestion.
 func (s transferSample) showsCongestion() bool {
 	return math.Max(s.measuredSeconds, s.expectedSeconds) >= congestedMultiple*s.fullPaceSeconds
 }
 
-// updateLinks learns from the pace of an answer. A coalesced one shows nothing: it waited for another's fill.
+// updateLinks learns from the pace of an answer. A coalesced answer shows nothing, as it waited for the fill
+// of another request.
 func (r *Router) updateLinks(a *attempt, o Outcome) {
 	if o.Result != ResultOK || o.CacheStatus == CacheStatusCoalesced {
 		return
@@ -79,7 +80,7 @@
 	}
 }
 
-// updateMissFraction counts hits and misses of caches that were not expected to have the object cached.
+// updateMissFraction counts the hits and misses of caches that were not expected to have the object.
 func (r *Router) updateMissFraction(a *attempt, o Outcome) {
 	if a.expectHit || o.CacheStatus == CacheStatusNone || !r.isCache(a.target) {
 		return
@@ -103,8 +104,9 @@
 	sender.link.updateSlowdown(r.now, sample.measuredSeconds/sample.fullPaceSeconds)
 }
 
-// updateLinkCapacity attributes the pace of a transfer under congestion to the slowest link. A configured
-// capacity is not changed by an answer of unknown size: the unknown is then more likely the load of others.
+// updateLinkCapacity attributes the pace of a transfer under congestion to the slowest link, or to the
+// target's link after a hit. An answer whose bytes are not reported does not change a configured capacity:
+// the load of other routers is then the more likely cause.
 func updateLinkCapacity(a *attempt, sample transferSample) {
 	slowest := a.slowestLink
 	if sample.hit {
