--- a/policy/links.go
+++ b/policy/links.go
@@ -1,12 +1,14 @@
 package policy
 
-// A link is the network path to one endpoint, or the one into this router's zone, as this router sees it. Its
-// capacity is a number of concurrent transfers at full pace; more of them make each one slower (congestion).
+// A link is the network path to one endpoint, or the path into this router's zone, as this router sees it.
+// Its capacity is a number of concurrent transfers at full pace (transfertime.go); more of them make each one
+// slower (congestion).
 //
 // Inputs: the configured capacity, the attempts in flight, the number of routers that share the link, and the
 // pace of answers (linkpace.go). Result: how many seconds one more transfer takes.
 //
-// The other routers cannot be observed. Each is assumed to load a link as much as this one does on average.
+// A router cannot observe the others. It assumes that each of them loads a link as much as it does itself on
+// average.
 
 import (
 	"maps"
@@ -19,23 +21,22 @@
 	defaultLinkCapacity = 4.0  // transfers, until a capacity is known
 	minLinkCapacity     = 1e-6 // transfers; avoids a division by 0
 
-	// fillFraction is the assumed fraction of a tier's load that the tier above it has to fill: one miss in
-	// three.
+	// fillFraction is the assumed fraction of a tier's load that the tier above it has to fill: one request
+	// in three misses.
 	fillFraction = 0.33
 
-	capacityWeight = 0.1 // of a new observation of the capacity
-	capacityRange  = 4.0 // the learned capacity stays within this factor of the configured one
-	maxPaceChange  = 2.0 // one observation counts for no more than this factor
+	capacityWeight = 0.1 // weight of a new observation of the capacity
+	capacityRange  = 4.0 // the learned capacity stays within this factor of the nominal one
+	maxPaceChange  = 2.0 // the pace of one observation is limited to this factor, up or down
 
-	slowdownWeight    = 0.3             // of a new observation of the slowdown
+	slowdownWeight    = 0.3             // weight of a new observation of the slowdown
 	minSlowdown       = 0.5             // smaller slowdowns are ignored
-	maxSlowdownFactor = 10.0            // one observation counts for no more than this factor
-	slowdownDecayTime = 5 * time.Second // in which a slowdown decays to 1/e without new observations
+	maxSlowdownFactor = 10.0            // one observation is limited to this factor
+	slowdownDecayTime = 5 * time.Second // after which a slowdown without new observations has decayed to 1/e
 
 	loadAverageTime = 5 * time.Second // time constant of the average load
 
-	// congestedMultiple is the multiple of its full-pace time from which a transfer counts as slowed by
-	// congestion.
+	// congestedMultiple is the multiple of its full-pace time from which a transfer counts as congested.
 	congestedMultiple = 1.2
 )
 
@@ -50,16 +51,16 @@
 	meanLoad      float64 // of this router, transfers
 	loadUpdatedAt time.Duration
 
-	// slowdown is the time that transfers take beyond what congestion explains, in multiples of that time. It
-	// shows that the endpoint itself is slow.
+	// slowdown is the extra time of transfers that congestion does not explain, as a multiple of the time
+	// that it does. It shows that the endpoint itself is slow.
 	slowdown          float64
 	slowdownUpdatedAt time.Duration
 }
 
-// newLink returns a link of capacity 1, to be configured.
+// newLink returns a link of capacity 1. The caller configures it.
 func newLink() link { return link{nominalCapacity: 1, capacity: 1} }
 
-// configure sets a link's nominal capacity and scales the learned capacity with it.
+// configure sets a link's nominal capacity and scales the learned capacity by the same factor.
 func (l *link) configure(nominal, routers float64, configured bool) {
 	l.capacity = l.capacity * nominal / l.nominalCapacity
 	l.nominalCapacity = nominal
@@ -67,17 +68,17 @@
 	l.configured = configured
 }
 
-// updateCapacity learns from a transfer over a congested link: pace is the expected time over the measured
-// time.
+// updateCapacity learns from a transfer over a congested link. Pace is the expected time divided by the
+// measured time.
 func (l *link) updateCapacity(pace float64) {
 	limitedPace := min(max(pace, 1/maxPaceChange), maxPaceChange)
 	learned := l.capacity * math.Pow(limitedPace, capacityWeight)
 	l.capacity = min(max(learned, l.nominalCapacity/capacityRange), l.nominalCapacity*capacityRange)
 }
 
-// congestion is the multiple of its full-pace time that one more transfer takes, at least 1. Transfers that
-// end sooner than the new one count for the part of its time. Fraction is the part of the capacity that is
-// available (slow start).
+// congestion is the multiple of its full-pace time that one more transfer takes, at least 1. A shorter
+// transfer in flight counts for the fraction of the new one's time that it takes. Fraction is the fraction of
+// the capacity that is available (slow start).
 func (l *link) congestion(now time.Duration, transferSeconds, fraction float64) float64 {
 	load := 1 + (l.routers-1)*l.load(now)
 	for _, a := range l.inFlight {
@@ -95,14 +96,14 @@
 	return transferSeconds * l.congestion(now, transferSeconds, fraction) * (1 + slowdown)
 }
 
-// currentSlowdown is the slowdown after its decay since the last observation.
+// currentSlowdown is the slowdown, decayed since the last observation.
 func (l *link) currentSlowdown(now time.Duration) float64 {
 	age := now - l.slowdownUpdatedAt
 	return l.slowdown * math.Exp(-age.Seconds()/slowdownDecayTime.Seconds())
 }
 
-// updateSlowdown learns from a transfer over a link without congestion: factor is the measured time over the
-// time at full pace.
+// updateSlowdown learns from a transfer over a link without congestion. Factor is the measured time divided
+// by the full-pace time.
 func (l *link) updateSlowdown(now time.Duration, factor float64) {
 	current := l.currentSlowdown(now)
 	observed := min(max(factor, 1), maxSlowdownFactor) - 1
@@ -149,8 +150,7 @@
 	return a.missProbability
 }
 
-// linkCapacity is an endpoint's configured weight, in transfers, or a default where weights are not
-// capacities.
+// linkCapacity is an endpoint's configured weight, in transfers, or defaultCapacity if none is configured.
 func (r *Router) linkCapacity(e *endpointState, defaultCapacity float64) float64 {
 	if r.settings.WeightsConfigured && e.Weight > 0 {
 		return e.Weight
@@ -158,8 +158,8 @@
 	return defaultCapacity
 }
 
-// configureLinks sets the capacity of all links. Where it is not configured, a tier has the capacity to fill
-// its part of the tier below.
+// configureLinks sets the nominal capacity of all links. Where none is configured, a tier is assumed to have
+// the capacity that the fills of the tier below need.
 func (r *Router) configureLinks() {
 	routers := float64(max(1, r.settings.Routers))
 	zoneRouters := routers
@@ -168,23 +168,23 @@
 	}
 	weightsConfigured := r.settings.WeightsConfigured
 
-	zoneFills := 0.0
+	zoneFillLoad := 0.0
 	for _, e := range r.caches {
 		capacity := r.linkCapacity(e, defaultLinkCapacity)
 		e.link.configure(capacity, zoneRouters, weightsConfigured)
-		zoneFills += capacity * fillFraction
+		zoneFillLoad += capacity * fillFraction
 	}
 	cacheCapacity := r.capacityOfAllCaches()
 	for _, e := range r.parents {
-		even := max(fillFraction*cacheCapacity/float64(len(r.parents)), defaultLinkCapacity)
-		e.link.configure(r.linkCapacity(e, even), routers, weightsConfigured)
+		evenShare := max(fillFraction*cacheCapacity/float64(len(r.parents)), defaultLinkCapacity)
+		e.link.configure(r.linkCapacity(e, evenShare), routers, weightsConfigured)
 	}
 	if r.origin != nil {
 		capacity := max(fillFraction*fillFraction*cacheCapacity, defaultLinkCapacity)
 		r.origin.link.configure(capacity, routers, false)
 		r.originLimit.minimum = min(1, capacity/routers)
 	}
-	zoneCapacity := zoneFills
+	zoneCapacity := zoneFillLoad
 	if r.settings.ZoneLinkTransfers != 0 {
 		zoneCapacity = r.settings.ZoneLinkTransfers
 	}
@@ -192,10 +192,10 @@
 	r.zoneLink.configure(max(zoneCapacity, 1), zoneRouters, zoneConfigured)
 }
 
-// capacityOfAllCaches is the capacity of the caches of all zones that are listed, in transfers.
+// capacityOfAllCaches is the total capacity of the listed caches of all zones, in transfers.
 func (r *Router) capacityOfAllCaches() float64 {
 	total := 0.0
-	for _, id := range slices.Sorted(maps.Keys(r.endpoints)) { // in a fixed order, for the same rounding
+	for _, id := range slices.Sorted(maps.Keys(r.endpoints)) { // a fixed order gives the same rounding
 		e := r.endpoints[id]
 		if e.State != Removed && r.isCache(e) {
 			total += r.linkCapacity(e, defaultLinkCapacity)
