--- a/policy/loadshedding.go
+++ b/policy/loadshedding.go
@@ -1,7 +1,7 @@
 package policy
 
-// Load shedding rejects requests that congestion makes late, so that the links stay free for those that
-// matter most.
+// Load shedding rejects requests that congestion makes late, so that the links stay free for the most
+// valuable ones.
 //
 // Inputs: an attempt's expected transfer time in seconds, the time that remains to its latency objective, and
 // the request's priority weight per transfer second relative to the mean of all requests (its value). Result:
@@ -12,8 +12,8 @@
 
 import "math"
 
-// shouldShed reports whether to reject a request instead of starting an attempt. Without congestion nothing
-// is shed, and neither is a request that must not be rejected because it may have run.
+// shouldShed reports whether to reject a request instead of starting an attempt. It is false without
+// congestion, and for a request that must not be rejected because it may have run.
 func (r *Router) shouldShed(a *attempt) bool {
 	req := a.request
 	delayed := a.congested && a.expectedSeconds > congestedMultiple*req.transferSeconds
