--- a/policy/originlimit.go
+++ b/policy/originlimit.go
@@ -5,11 +5,11 @@
 // multiplicative decrease).
 //
 // Inputs: the outcomes of attempts whose source is a parent or the origin. Result: whether an attempt may
-// load the origin. One that may not receives from a parent only what that has cached; if its source is the
-// origin itself, the request is rejected.
+// load the origin. An attempt that may not gets from a parent only what the parent has cached; if its source
+// is the origin itself, the request is rejected.
 //
-// A limit under 1 admits attempts at random with that probability: with many routers one attempt of each may
-// be too many. The limit never falls below this router's part of what the origin's link carries.
+// A limit below 1 admits attempts at random with that probability, as one attempt from each of many routers
+// may be too many. The limit never falls below this router's share of the capacity of the origin's link.
 
 import (
 	"math"
@@ -17,26 +17,27 @@
 )
 
 const (
-	// maxOriginLimit is the limit at the start, in attempts: in practice none until the origin fails.
+	// maxOriginLimit is the highest and the initial limit, in attempts. In practice it admits everything
+	// until the origin fails.
 	maxOriginLimit = 128.0
 
-	// The limit decreases by a factor when the origin fails or rejects, and when it misses an objective.
+	// Factors on the limit when the origin fails or rejects, and when it misses an objective.
 	failureDecreaseFactor         = 0.7
 	missedObjectiveDecreaseFactor = 0.85
 
-	// minDecreaseInterval is the shortest time between decreases: failures of one burst count once.
+	// minDecreaseInterval is the shortest time between decreases, so that a burst of failures counts once.
 	minDecreaseInterval = 100 * time.Millisecond
 )
 
-// originConcurrencyLimit is the present limit and what counts against it.
+// originConcurrencyLimit holds the current limit and the number of attempts that count against it.
 type originConcurrencyLimit struct {
 	limit        float64 // attempts
-	minimum      float64 // attempts, at most 1
-	inFlight     int     // attempts that count
+	minimum      float64 // lowest limit, at most 1
+	inFlight     int     // attempts that count against the limit
 	lastDecrease time.Duration
 }
 
-// admits reports whether one more attempt may load the origin. Random returns a number from 0 to 1.
+// admits reports whether one more attempt may load the origin. Random returns a number in [0, 1).
 func (l *originConcurrencyLimit) admits(random func() float64) bool {
 	return float64(l.inFlight) < l.limit && random() < l.limit
 }
@@ -44,17 +45,17 @@
 // acquire counts an attempt that may load the origin.
 func (l *originConcurrencyLimit) acquire() { l.inFlight++ }
 
-// release ends the count of an attempt.
+// release stops counting an attempt.
 func (l *originConcurrencyLimit) release() { l.inFlight-- }
 
-// increase raises the limit by 1/sqrt(limit), at most to its double.
+// increase raises the limit by 1/sqrt(limit), but at most doubles it.
 func (l *originConcurrencyLimit) increase() {
 	step := min(1/math.Sqrt(l.limit), l.limit)
 	l.limit = min(l.limit+step, maxOriginLimit)
 }
 
-// decrease lowers the limit by a factor. It starts from the attempts in flight if they are fewer than the
-// limit.
+// decrease sets the limit to factor times its value, or to factor times the number of attempts in flight,
+// including the one that has just ended, if that is lower.
 func (l *originConcurrencyLimit) decrease(now time.Duration, factor float64) {
 	if now-l.lastDecrease <= minDecreaseInterval {
 		return
@@ -64,8 +65,8 @@
 	l.lastDecrease = now
 }
 
-// applyOriginLimit applies the limit to an attempt whose miss may load the origin. Hits, fills from siblings
-// and uncacheable requests are not limited.
+// applyOriginLimit applies the limit to an attempt whose miss may load the origin. Expected hits, fills from
+// siblings and uncacheable requests are not limited.
 func (r *Router) applyOriginLimit(a *attempt) {
 	mayLoadOrigin := !r.isCache(a.source) && !a.expectHit && !a.request.class.Uncacheable
 	if !mayLoadOrigin {
@@ -105,8 +106,8 @@
 	return fillFailed || rejected
 }
 
-// originMissedObjective reports whether the origin took longer for its first byte than the latency objective,
-// or made the answer miss its objective by sending far slower than at full pace.
+// originMissedObjective reports whether the origin's first byte took longer than the latency objective, or
+// the answer missed its objective and its transfer took far longer than at full pace.
 func (r *Router) originMissedObjective(a *attempt, o Outcome) bool {
 	if o.SourceFirstByte > a.request.class.LatencyObjective {
 		return true
