--- a/policy/outliers.go
+++ b/policy/outliers.go
@@ -1,21 +1,24 @@
 package policy
 
-// Outlier detection takes an endpoint out of rotation (ejects it) while it does not answer.
+// Outlier detection takes an endpoint out of rotation (ejects it) for a time when it fails or does not
+// answer.
 //
 // Inputs: the result and cache status of each attempt, and overdue timers. An endpoint is ejected when an
-// attempt ends as ResultConnectFailed, when it stays silent, or when it fails consecutive requests that
-// another endpoint then answers: a request that fails everywhere is at fault itself. Attempts from before a
-// restart do not count against the new process. Result: isEjected, and the time until which it holds.
+// attempt ends as ResultConnectFailed, when the endpoint fails as a source or stays silent, or when it fails
+// consecutive requests that another endpoint then answers: a request that fails everywhere is at fault
+// itself. Attempts from before a restart do not count against the new process. Result: isEjected, and the
+// time until which it holds.
 //
-// An ejection lasts baseEjectionTime, twice as long for each earlier one that no response has made up for.
-// Afterwards the endpoint receives one attempt at a time until its responses have made up for all of them.
+// Ejections are counted, and each response lowers the count by one. An ejection lasts baseEjectionTime,
+// doubled for each earlier ejection still counted. Afterwards the endpoint receives one attempt at a time
+// until the count is 0.
 
 import "time"
 
 const (
-	failuresToEject  = 2                      // consecutive requests that another endpoint then answered
-	baseEjectionTime = 500 * time.Millisecond // of the first ejection
-	maxEjections     = 5                      // ejections that count: the longest lasts 32 times the base
+	failuresToEject  = 2                      // consecutive failed requests that another endpoint answered
+	baseEjectionTime = 500 * time.Millisecond // duration of the first ejection
+	maxEjections     = 5                      // highest count: the longest ejection lasts 32 times the base
 )
 
 // updateOutliers updates the health of an attempt's target and source from its outcome.
@@ -36,7 +39,7 @@
 	}
 }
 
-// targetResponded reports whether the target itself sent a response, of whatever kind.
+// targetResponded reports whether the target itself sent a response of any kind.
 func (o Outcome) targetResponded() bool {
 	switch o.Result {
 	case ResultOK, ResultNotFound, ResultRejected:
@@ -45,8 +48,8 @@
 	return o.CacheStatus != CacheStatusNone
 }
 
-// countFailures counts a request's failed attempts against their targets once another endpoint has answered
-// it. Successive failures of one target in one request count once.
+// countFailures counts the failed attempts of an answered request against their targets, other than the
+// endpoint that answered. Successive failures of one target in one request count once.
 func (r *Router) countFailures(req *request, answeredBy *endpointState) {
 	for i, a := range req.attempts {
 		repeated := i > 0 && a.target == req.attempts[i-1].target
@@ -60,18 +63,18 @@
 	}
 }
 
-// ejectAfter ejects an endpoint for what an attempt has shown of it.
+// ejectAfter ejects an endpoint because of an attempt, unless it has restarted since.
 func (r *Router) ejectAfter(a *attempt, e *endpointState) {
 	if !a.precedesRestartOf(e) {
 		e.eject(r.now)
 	}
 }
 
-// precedesRestartOf reports whether an attempt was created before an endpoint's last start: a failure
-// concerns the process before.
+// precedesRestartOf reports whether an attempt was created before an endpoint's last start. Its failure then
+// says nothing about the new process.
 func (a *attempt) precedesRestartOf(e *endpointState) bool { return a.createdAt < e.Started }
 
-// recordResponse ends an ejection and makes up for one earlier ejection.
+// recordResponse ends an ejection and lowers the count of ejections by one.
 func (e *endpointState) recordResponse(now time.Duration) {
 	e.ejections = max(0, e.ejections-1)
 	e.ejectedUntil = 0
@@ -79,7 +82,7 @@
 	e.lastResponseAt = now
 }
 
-// eject takes an endpoint out of rotation. While it is ejected, further reports do not prolong the ejection.
+// eject takes an endpoint out of rotation. It does not prolong an ejection that has not ended.
 func (e *endpointState) eject(now time.Duration) {
 	if now < e.ejectedUntil {
 		return
@@ -88,8 +91,8 @@
 	e.ejections = min(e.ejections+1, maxEjections)
 }
 
-// isEjected reports whether an endpoint should receive nothing now. One that returns from an ejection counts
-// as ejected while an attempt is in flight to it.
+// isEjected reports whether an endpoint should receive nothing now. After the time of an ejection, it still
+// counts as ejected while an attempt is in flight to it, until its count of ejections is 0.
 func (r *Router) isEjected(e *endpointState) bool {
 	if r.now < e.ejectedUntil {
 		return true
@@ -97,7 +100,7 @@
 	return e.ejections > 0 && len(e.link.inFlight) > 0
 }
 
-// OutOfRotation returns how many listed endpoints are draining or ejected at time now. An ejected one is
+// OutOfRotation returns how many listed endpoints are draining or ejected at time now. An ejected endpoint is
 // still used where no other is left.
 func (r *Router) OutOfRotation(now time.Duration) (count int) {
 	for _, e := range r.endpoints {
