--- a/policy/overdue.go
+++ b/policy/overdue.go
@@ -1,22 +1,22 @@
 package policy
 
-// Each attempt has a timer; one that is still pending when it fires is overdue.
+// An attempt is overdue if it is still pending when its timer fires.
 //
-// Inputs: when the target and the source last responded, and whether the target has answered attempts that
-// were created later (then this one's answer is lost). Result: a silent endpoint is ejected, and an
-// idempotent request is hedged, or its attempt cancelled, which leads to a retry. An attempt that is merely
-// slow continues: large objects are slow, and a second transfer would add to the load.
+// Inputs: when the target and the source last responded, and whether the target has answered an attempt that
+// was created later, in which case the answer to this one is taken to be lost. Result: a silent endpoint is
+// ejected, and an idempotent request is hedged, or its attempt is cancelled, which leads to a retry. An
+// attempt that is merely slow continues: large objects are slow, and a second transfer would add to the load.
 
 import "time"
 
-// An attempt is overdue after overdueFactor times its expected time and overdueMargin. The factor is large as
-// sizes are often unknown.
+// An attempt is overdue after overdueFactor times its expected time plus overdueMargin. The factor is large
+// because sizes are often unknown.
 const (
 	overdueFactor = 8.0
 	overdueMargin = 200 * time.Millisecond
 )
 
-// A timer's token holds the request's ID and, in the lowest bits, the attempt's number.
+// A timer's token holds the request's ID and, in its lowest bits, the attempt's number.
 const (
 	attemptNumberBits = 8
 	attemptNumberMask = 1<<attemptNumberBits - 1
@@ -31,7 +31,7 @@
 	}
 }
 
-// apply handles an overdue attempt. Nothing is to be done if it has ended or its request is finished.
+// apply handles an overdue attempt. It does nothing if the attempt has ended or its request is finished.
 func (timer TimerFired) apply(r *Router) {
 	a := r.pendingAttempt(int64(timer.Token>>attemptNumberBits), int(timer.Token&attemptNumberMask))
 	if a == nil || a.request.finished {
@@ -39,8 +39,8 @@
 	}
 	lost := a.target.latestAnsweredAttemptAt > a.createdAt
 	if lost {
-		a.releaseLinks(r.now)                            // its transfer is over
-		a.request.avoid[a.source] = a.source != a.target // it may be the source that does not answer
+		a.releaseLinks(r.now)                            // nothing is being transferred any more
+		a.request.avoid[a.source] = a.source != a.target // the source may be what does not answer
 	}
 	r.ejectUnresponsive(a, lost)
 	if !r.mayHedge(a, lost) {
@@ -65,9 +65,9 @@
 	}
 }
 
-// mayHedge reports whether an overdue attempt's request should be sent again. Unless its answer is lost, one
-// of its endpoints must be ejected, and the second attempt must be able to meet the objective. Only
-// idempotent requests are hedged, and only as long as they have attempts left.
+// mayHedge reports whether the request of an overdue attempt may be sent again: it must be idempotent and
+// have attempts left. Unless the attempt's answer is lost, its target or source must also be ejected, and
+// another attempt must be able to meet the objective.
 func (r *Router) mayHedge(a *attempt, lost bool) bool {
 	req := a.request
 	if req.class.Idempotency != Idempotent || r.attemptLimitReason(req) != "" {
