--- a/policy/purges.go
+++ b/policy/purges.go
@@ -1,18 +1,18 @@
 package policy
 
 // A purge invalidates all copies of an object, or of a group of objects, that were filled before it. Caches
-// remove them within a known time, so that a copy from before the purge may be found until then.
+// remove them within a known time; until then, a copy from before the purge may still be served.
 //
-// Inputs: the purge's age, when it was reported, and the settings' time to complete one. Result: the time
-// since a purge that may be incomplete, which bounds the age of a copy, and whether a believed copy is older
-// than a purge.
+// Inputs: a purge's age when it is reported, and the time that the settings give a purge to complete. Result:
+// the time since a purge that may be incomplete, which bounds the age of a copy, and whether a copy in the
+// cache index is older than a purge.
 
 import (
 	"maps"
 	"time"
 )
 
-// purgeTimes holds when objects and groups were last purged, on the router's clock.
+// purgeTimes holds the times at which objects and groups were last purged, on the router's clock.
 type purgeTimes struct {
 	objects map[string]time.Duration
 	groups  map[int]time.Duration
@@ -23,7 +23,7 @@
 	return purgeTimes{objects: map[string]time.Duration{}, groups: map[int]time.Duration{}}
 }
 
-// removeBefore removes purges from before a time.
+// removeBefore removes the purges that are older than a time.
 func (p purgeTimes) removeBefore(oldest time.Duration) {
 	maps.DeleteFunc(p.objects, func(_ string, at time.Duration) bool { return at < oldest })
 	maps.DeleteFunc(p.groups, func(_ int, at time.Duration) bool { return at < oldest })
@@ -39,8 +39,8 @@
 	}
 }
 
-// apply remembers a purge for as long as an older copy, or a record of one, may exist. An earlier time never
-// replaces a later one.
+// apply records a purge for as long as an older copy, or a cache record of one, may exist. An earlier purge
+// never replaces a later one.
 func (purge Purge) apply(r *Router) {
 	lifetime := max(cacheRecordLifetime, r.purgeCompletion())
 	r.purges.removeBefore(r.now - lifetime)
@@ -52,20 +52,21 @@
 	}
 }
 
-// purgeCompletion is how long after a purge an older copy may be found.
+// purgeCompletion is how long after a purge a cache may still have an older copy.
 func (r *Router) purgeCompletion() time.Duration {
 	return r.settings.PurgeCompletedWithin + r.settings.PurgeGrace
 }
 
-// purgedAt returns when a request's object or its group was last purged, if a purge is remembered.
+// purgedAt returns when a request's object or its group was last purged, and whether such a purge is
+// recorded.
 func (r *Router) purgedAt(req *request) (at time.Duration, purged bool) {
 	object, objectPurged := r.purges.objects[req.Object]
 	group, groupPurged := r.purges.groups[req.Group]
 	return max(object, group), objectPurged || groupPurged
 }
 
-// recentPurge returns the time since a purge of a request's object that may be incomplete. It is never 0,
-// which would mean no bound in a Fetch.
+// recentPurge returns the time since the last purge of a request's object, and whether that purge may still
+// be incomplete. The time is then never 0, as a Fetch with a MaxAge of 0 has no bound of its own.
 func (r *Router) recentPurge(req *request) (since time.Duration, recent bool) {
 	at, purged := r.purgedAt(req)
 	since = r.now - at
