--- a/policy/request.go
+++ b/policy/request.go
@@ -1,8 +1,8 @@
 package policy
 
-// A request lives from its arrival until it has its final answer and its last attempt has ended. It is
-// finished when an attempt answers it, when a streamed answer begins, when it is rejected or failed, or when
-// its client disconnects. Attempts that are still pending then are cancelled where the settings allow it.
+// A request is kept from its arrival until it has its final answer and its last attempt has ended. It is
+// finished when an attempt answers it, when a streamed answer starts, when it is rejected or failed, or when
+// its client disconnects. Its pending attempts are then cancelled if the settings allow it.
 
 import (
 	"time"
@@ -10,34 +10,34 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// clientDeliveryTime is subtracted from the latency objective: the answer still has to reach the client.
+// clientDeliveryTime is subtracted from the latency objective, as the answer still has to reach the client.
 const clientDeliveryTime = 30 * time.Millisecond
 
 // partHashFactor spreads the parts of an object over the key space (2^64 divided by the golden ratio).
 const partHashFactor = 0x9e3779b97f4a7c15
 
-// request is a request that has arrived and is not removed yet.
+// request is a request that has arrived and has not been removed yet.
 type request struct {
 	Request
 	class *Class // as it was when the request arrived
 	key   uint64 // hash of object and part
 
 	transferSeconds float64 // expected transfer time at full pace
-	sizeKnown       bool    // transferSeconds is of this part, not the mean of its class
+	sizeKnown       bool    // transferSeconds is that of this part, not the mean of its class
 
-	objectiveAt time.Duration // when its latency objective ends
+	objectiveAt time.Duration // when its latency objective is missed
 	deadline    time.Duration // when its client stops waiting
 
 	attempts         []*attempt
 	pendingAttempts  int
-	failedAttempts   int      // that ended as attemptFailed
-	firstPossibleRun *attempt // the first attempt that may have run, nil if none may
+	failedAttempts   int      // attempts that ended as attemptFailed
+	firstPossibleRun *attempt // the first attempt that may have run, or nil
 	finished         bool     // it has its final answer, or needs none
 
 	avoid map[*endpointState]bool // endpoints that lack the object, failed or did not answer
 }
 
-// newRequest returns a request that has arrived now, with its expected transfer time.
+// newRequest returns the state of a request that has arrived now, with its expected transfer time.
 func (r *Router) newRequest(arrived Request) *request {
 	class := &r.settings.Classes[arrived.Class]
 	req := &request{
@@ -53,8 +53,8 @@
 	return req
 }
 
-// apply starts a request's first attempt. A request of an unknown class fails: whether it may be repeated,
-// which a rejection would say, is unknown.
+// apply starts a request's first attempt. A request of an unknown class fails: it is not rejected, as a
+// rejection would say that it may be repeated, which is unknown.
 func (arrived Request) apply(r *Router) {
 	if arrived.Class < 0 || arrived.Class >= len(r.settings.Classes) {
 		r.emit(Fail{ID: arrived.ID, Reason: ReasonUnknownClass})
@@ -68,7 +68,7 @@
 	r.route(req)
 }
 
-// apply ends an attempt, updates all that is learned from answers, and finishes or retries the request.
+// apply ends an attempt, updates what the router learns from outcomes, and finishes or retries the request.
 func (o Outcome) apply(r *Router) {
 	a := r.pendingAttempt(o.ID, o.Attempt)
 	if a == nil {
@@ -91,14 +91,14 @@
 	}
 }
 
-// apply finishes a request whose streamed answer has begun.
+// apply finishes a request whose streamed answer has started.
 func (started StreamStarted) apply(r *Router) { r.finishRequest(started.ID) }
 
-// apply finishes a request whose client has disconnected.
+// apply finishes a request that the proxy has ended.
 func (disconnected RequestEnded) apply(r *Router) { r.finishRequest(disconnected.ID) }
 
-// finishRequest marks a request as finished and cancels its pending attempts. It is removed with its last
-// attempt. A streamed answer belongs to the client and is not cancelled.
+// finishRequest marks a request as finished and cancels its pending attempts, except those of streams, whose
+// answers the client still receives. The request is removed once no attempt is pending.
 func (r *Router) finishRequest(id int64) {
 	req := r.requests[id]
 	if req == nil {
