--- a/policy/retry.go
+++ b/policy/retry.go
@@ -3,35 +3,35 @@
 // Retries send a request again after an attempt that brought no answer.
 //
 // Inputs: the ended attempt and its outcome, the time to the request's deadline, the attempts made so far and
-// the router's retry budget (in attempts). Result: another attempt, routed around the endpoints that failed,
-// or the final answer: Reject with a Retry-After where repeating the request is harmless, Fail where its
-// effect is unknown.
+// the router's retry budget (in attempts). Result: another attempt that avoids the endpoints that failed, or
+// the final answer: Reject with a Retry-After where repeating the request is harmless, Fail where its effect
+// is unknown.
 //
-// What may have run is retried only where a repeat is harmless (idempotency.go). The budget bounds what
-// retries add to the load in an overload. It allows for a third of all attempts failing.
+// A request that may have run is retried only where a repeat is harmless (idempotency.go). The budget bounds
+// the load that retries add in an overload. It allows for a third of all attempts failing.
 
 import "time"
 
 const (
 	retriesPerRequest  = 0.6  // retries that each request adds to the budget
 	maxRetryBudget     = 10.0 // retries
-	maxFailedAttempts  = 3    // of one request: one that makes caches fail must not reach all of them
-	defaultMaxAttempts = 2    // of one request, where Settings.MaxAttempts is 0
+	maxFailedAttempts  = 3    // per request: one that makes caches fail must not reach all of them
+	defaultMaxAttempts = 2    // per request, where Settings.MaxAttempts is 0
 
-	// minRetryAfter is the router's shortest Retry-After. Each rejection adds a random part of as much
-	// again, so that clients which were rejected together do not return together.
+	// minRetryAfter is the shortest Retry-After. Each rejection adds a random time of up to as much again, so
+	// that clients that were rejected together do not return together.
 	minRetryAfter = 300 * time.Millisecond
 )
 
-// addToRetryBudget adds a request's part to the retry budget.
+// addToRetryBudget adds what a request contributes to the retry budget.
 func (r *Router) addToRetryBudget() {
 	r.retryBudget = min(r.retryBudget+retriesPerRequest, maxRetryBudget)
 }
 
-// takeFromRetryBudget takes a retry from the budget.
+// takeFromRetryBudget takes one retry from the budget.
 func (r *Router) takeFromRetryBudget() { r.retryBudget-- }
 
-// hasRetryBudget reports whether one more retry is within the budget.
+// hasRetryBudget reports whether the budget allows one more retry.
 func (r *Router) hasRetryBudget() bool { return r.retryBudget >= 1 }
 
 // retry decides what follows an attempt that did not answer its request.
@@ -49,9 +49,9 @@
 	r.route(req)
 }
 
-// avoidAfter excludes the endpoint that caused a failure from the request's later attempts: the source where
-// the fill failed, otherwise the target. A first error or lost answer does not exclude a target: its cached
-// copy is still there.
+// avoidAfter excludes the endpoint that caused a failure from the request's later attempts: the source if the
+// fill failed, otherwise the target. An error, broken connection or cancellation of the first attempt does
+// not exclude its target, unless that is ejected, as the target still has its cached copy.
 func (r *Router) avoidAfter(a *attempt, o Outcome) {
 	switch o.CacheStatus {
 	case CacheStatusSourceMissing:
@@ -95,7 +95,7 @@
 	return ""
 }
 
-// rejectOrFail gives a request its final answer, unless another attempt may still bring one.
+// rejectOrFail gives a request its final answer, unless a pending attempt may still bring one.
 func (r *Router) rejectOrFail(req *request, reason Reason) {
 	if req.pendingAttempts > 0 {
 		return
@@ -108,7 +108,7 @@
 	r.finishRequest(req.ID)
 }
 
-// retryAfter draws how long a rejected client should wait, up to the settings' maximum.
+// retryAfter returns a random time for a rejected client to wait, up to Settings.MaxRetryAfter.
 func (r *Router) retryAfter() time.Duration {
 	wait := minRetryAfter + time.Duration(r.rng.Int64N(int64(minRetryAfter)))
 	return min(wait, max(r.settings.MaxRetryAfter, minRetryAfter))
