--- a/policy/router.go
+++ b/policy/router.go
@@ -5,12 +5,13 @@
 // starts no goroutine: the same settings, seed and events give the same actions. Each rule is in a file of
 // its own:
 //
-//   - a request: request.go (its life), attempt.go, routing.go (the way it takes), selection.go (the endpoint
-//     of a tier), fillsource.go and fillorders.go (misses), retry.go, overdue.go, idempotency.go
-//   - limits on load: loadshedding.go (load shedding), slowstart.go, originlimit.go, outliers.go
+//   - requests: request.go (their life cycle), attempt.go, routing.go (cache, parent or origin), selection.go
+//     (which endpoint of a tier), fillsource.go and fillorders.go (misses), retry.go, overdue.go,
+//     idempotency.go
+//   - limits on load: loadshedding.go, slowstart.go, originlimit.go, outliers.go
 //   - state and estimates: endpoints.go, links.go, linkpace.go, transfertime.go, cacheindex.go, purges.go,
 //     estimators.go
-//   - guard.go checks these rules again at the last instant before a proxy acts.
+//   - guards: guard.go and verdict.go, which check these rules again right before the proxy acts.
 package policy
 
 import (
@@ -24,17 +25,17 @@
 type Router struct {
 	settings  Settings
 	rng       *rand.Rand
-	now       time.Duration // time of the present event
+	now       time.Duration // time of the current event
 	startedAt time.Duration // time of the first event
-	actions   []Action      // of the present event
+	actions   []Action      // of the current event
 
-	endpoints map[string]*endpointState // by ID, also those that were removed lately
+	endpoints map[string]*endpointState // by ID, including recently removed ones
 	caches    []*endpointState          // of this router's zone, by ID
 	parents   []*endpointState          // by ID
 	origin    *endpointState            // nil while none is listed
 
 	requests    map[int64]*request
-	retryBudget float64 // retries that may still be made
+	retryBudget float64 // retries that are still allowed
 	originLimit originConcurrencyLimit
 	zoneLink    link // the zone's inbound link
 	purges      purgeTimes
@@ -45,12 +46,12 @@
 	meanTransferSeconds mean // of all requests
 	meanPriorityWeight  mean // of all requests
 
-	missFraction            mean // of answers of caches that were not expected to have the object cached
+	missFraction            mean // of answers of caches that were not expected to have the object
 	parentFirstByteSeconds  mean // of fills from parents and the origin
 	siblingFirstByteSeconds mean // of fills from caches of the zone
 }
 
-// New returns a router that knows nothing but its settings. The seed determines its random choices.
+// New returns a router with the given settings and no endpoints. The seed determines its random choices.
 func New(settings Settings, seed uint64) *Router {
 	// NewLRU fails only for a size below 1.
 	partTransferSeconds, _ := simplelru.NewLRU[uint64, float64](partTableSize, nil)
@@ -69,8 +70,8 @@
 	return r
 }
 
-// Handle processes one event at time now, on any clock that never goes backwards, and returns the actions to
-// carry out, in order.
+// Handle processes one event and returns the actions to carry out, in order. Now is the time of the event, on
+// any clock that never goes backwards.
 func (r *Router) Handle(now time.Duration, event Event) []Action {
 	r.now = now
 	if r.startedAt == 0 {
@@ -81,11 +82,11 @@
 	return r.actions
 }
 
-// emit adds actions to those of the present event.
+// emit adds actions to those of the current event.
 func (r *Router) emit(actions ...Action) { r.actions = append(r.actions, actions...) }
 
-// apply replaces the settings. A request keeps the class it arrived with. The transfer times of a class stay
-// with its name, as class numbers may be reassigned.
+// apply replaces the settings. A request keeps the class it arrived with. Learned transfer times are kept by
+// class name, as class numbers may be reassigned.
 func (settings Settings) apply(r *Router) {
 	r.settings = settings
 	for _, class := range settings.Classes {
