--- a/policy/routing.go
+++ b/policy/routing.go
@@ -1,20 +1,20 @@
 package policy
 
-// Routing decides which way a request takes: to a cache of the zone, past the caches to a parent, or to the
+// Routing decides whether a request goes to a cache of the zone, past the caches to a parent, or to the
 // origin.
 //
 // Inputs: the request's class, which endpoints are eligible, and whether parents and the origin accept
-// requests directly. Result: an attempt with its target and fill source, or the final answer if there is no
-// way.
+// requests directly. Result: an attempt with its target and fill source, or the final answer if no endpoint
+// can be used.
 
-// route starts an attempt for a request, or rejects or fails it.
+// route starts an attempt for a request, or gives the request its final answer.
 func (r *Router) route(req *request) {
 	cache := r.firstWithCapacity(req, r.ranked(r.caches, req))
 	if req.class.Uncacheable {
 		r.routeUncacheable(req, cache)
 		return
 	}
-	// With direct requests, an ejected cache is not needed: parents serve the zone instead.
+	// Where parents accept direct requests, they serve the zone instead of an ejected cache.
 	if cache != nil && (!r.isEjected(cache) || !r.settings.DirectRequests) {
 		r.startAttempt(req, cache, r.chooseSource(req, cache))
 		return
@@ -22,8 +22,7 @@
 	r.routePastCaches(req)
 }
 
-// routeUncacheable sends a request to the origin, through a cache where the origin accepts no direct
-// requests.
+// routeUncacheable sends a request to the origin, through a cache if the origin accepts no direct requests.
 func (r *Router) routeUncacheable(req *request, cache *endpointState) {
 	switch {
 	case !r.eligible(r.origin, req):
@@ -37,8 +36,8 @@
 	}
 }
 
-// routePastCaches sends a request to a parent that fills from the origin, or to the origin itself, as no
-// cache of the zone can be used.
+// routePastCaches sends a request to a parent that fills from the origin, or to the origin itself. It is used
+// when no cache of the zone can serve the request.
 func (r *Router) routePastCaches(req *request) {
 	if !r.settings.DirectRequests {
 		r.rejectOrFail(req, ReasonNoEndpoint)
