--- a/policy/selection.go
+++ b/policy/selection.go
@@ -1,11 +1,11 @@
 package policy
 
-// Selection picks one endpoint of a tier for a request: rendezvous hashing with bounded load.
+// Selection picks one endpoint of a tier for a request by weighted rendezvous hashing with bounded load.
 //
-// Inputs: the hash of the request's object and part, the endpoints' weights, and how long a transfer over
-// each link would take compared with the time that remains to the latency objective, in seconds. Result: the
-// first endpoint in hash order that has capacity. All routers rank an object's endpoints alike, so that it is
-// cached in few places.
+// Inputs: the hash of the request's object and part, the endpoints' weights, the expected transfer time over
+// each link and the time that remains to the latency objective, in seconds. Result: the first endpoint in
+// hash order that has capacity. All routers rank the endpoints of an object alike, so that it is cached in
+// few places.
 
 import (
 	"cmp"
@@ -14,23 +14,24 @@
 )
 
 const (
-	// objectiveFraction is the fraction of the time that remains to the objective which a transfer may take
-	// before its endpoint is passed over.
+	// objectiveFraction is the fraction of the time remaining to the objective that a transfer may take. An
+	// endpoint whose transfer would take longer is passed over.
 	objectiveFraction = 0.7
 
-	// hubDistanceWeight is the factor on a parent's weight for each step between its hub and this zone's hub:
-	// distant ones cost more and take longer.
+	// hubDistanceWeight is the factor on a parent's weight for each step around the ring of hubs between its
+	// hub and this zone's hub: distant parents cost more and take longer.
 	hubDistanceWeight = 0.25
 )
 
-// eligible reports whether an endpoint may receive a request at all.
+// eligible reports whether an endpoint may receive a request: it is listed, not draining, and within its
+// slow-start budget. E may be nil, which is not eligible.
 func (r *Router) eligible(e *endpointState, req *request) bool {
 	return e != nil && e.acceptsAttempts() && r.withinSlowStartBudget(e, req)
 }
 
 // firstWithCapacity returns the first candidate that is in rotation and has capacity. If none has, it returns
-// the one whose transfer exceeds the objective least; if all are ejected or avoided, the first that is
-// eligible, or nil.
+// the candidate in rotation whose transfer exceeds the objective least. If all are ejected or avoided, it
+// returns the first that is eligible, or nil.
 func (r *Router) firstWithCapacity(req *request, candidates []*endpointState) *endpointState {
 	var best, fallback *endpointState
 	leastExcess := math.Inf(1)
@@ -59,8 +60,9 @@
 	return best
 }
 
-// secondsOverObjective is by how much a transfer from an endpoint, with the wait for its first byte, exceeds
-// the time that it may take. That time is never less than the transfer takes at full pace.
+// secondsOverObjective is by how many seconds a transfer from an endpoint, including a parent's or the
+// origin's wait for the first byte, exceeds the time that it may take. That time is at least the transfer
+// time at full pace.
 func (r *Router) secondsOverObjective(e *endpointState, req *request) float64 {
 	seconds := e.link.expectedSeconds(r.now, req.transferSeconds, r.slowStartFraction(e))
 	if !r.isCache(e) {
@@ -70,7 +72,7 @@
 	return seconds - max(objectiveFraction*remaining, req.transferSeconds)
 }
 
-// ranked returns endpoints by descending score for a request.
+// ranked returns endpoints in order of descending score for a request (hash order).
 func (r *Router) ranked(list []*endpointState, req *request) []*endpointState {
 	return slices.SortedStableFunc(slices.Values(list), func(a, b *endpointState) int {
 		return cmp.Compare(r.rendezvousScore(b, req), r.rendezvousScore(a, req))
@@ -85,8 +87,8 @@
 	return -weight / math.Log(uniform)
 }
 
-// hubWeight is the factor on a parent's weight for its distance, counted in hubs around their ring; 1 if
-// unknown.
+// hubWeight is the factor on a parent's weight for the distance of its hub from this zone's, in steps around
+// the ring of hubs. It is 1 if the distance is unknown, and for endpoints that are not parents.
 func (r *Router) hubWeight(e *endpointState) float64 {
 	hubs := r.settings.ZoneHubs
 	zone := r.settings.Zone
