--- a/policy/settings.go
+++ b/policy/settings.go
@@ -7,14 +7,14 @@
 // Idempotency says whether a request may be carried out more than once.
 type Idempotency int
 
-// The idempotency of a class. Any unknown value counts as NonIdempotent where it is configured.
+// The idempotency of a class.
 const (
-	NonIdempotent  Idempotency = iota // must not run twice
+	NonIdempotent  Idempotency = iota // must not run twice; unknown values in a configuration mean this
 	IdempotencyKey                    // carries a key by which endpoints drop repeats, see DeduplicationScope
 	Idempotent                        // may be repeated freely
 )
 
-// DeduplicationScope is the group of endpoints that share what they know of idempotency keys.
+// DeduplicationScope is the group of endpoints that deduplicate requests together by their idempotency keys.
 type DeduplicationScope int
 
 // The scopes of a class with idempotency keys.
@@ -34,26 +34,27 @@
 	// An answer is in time within LatencyObjective plus LatencyObjectiveStretch times its transfer time.
 	LatencyObjective        time.Duration
 	LatencyObjectiveStretch float64
-	PriorityWeight          float64 // value of an answer in time, relative to other classes
+	PriorityWeight          float64 // value of an answer that is in time, relative to other classes
 
 	FreshFor    time.Duration // age up to which a copy is fresh; 0: until it is purged
-	StaleFor    time.Duration // how much longer it may be served stale
+	StaleFor    time.Duration // how long after that it may be served stale
 	Uncacheable bool          // runs at the origin, and its answer is not cached
 	Stream      bool          // the answer is streamed to the client as it comes
 }
 
-// Siblings says which caches may fill the misses of other caches.
+// Siblings says which caches may fill the misses of a cache.
 type Siblings int
 
-// The caches that may fill.
+// The caches that may fill a miss.
 const (
-	SiblingsNone Siblings = iota
-	SiblingsZone          // those of the same zone
-	SiblingsAny           // all; this package uses those of the same zone
+	SiblingsNone Siblings = iota // no other cache
+	SiblingsZone                 // caches of the same zone
+	SiblingsAny                  // all caches; this package uses only those of the same zone
 )
 
-// Settings configures a Router at its start and, as an event, whenever operators change it. A zero value
-// means 'not configured' unless its field says otherwise. A request keeps the class that it arrived with.
+// Settings configures a Router at its start and, as an event, whenever operators change the configuration. A
+// zero value means 'not configured' unless its field says otherwise. A request keeps the class that it
+// arrived with.
 type Settings struct {
 	Zone       int     // of this router
 	Classes    []Class // by the class number of a Request
@@ -63,7 +64,7 @@
 	Routers            int // routers of this tier in all zones; 0: 1
 	RouterIndex        int // this router's number among them, from 0
 	RoutersInZone      int // routers of this tier in this zone; 0: as Routers
-	ProcessesPerRouter int // that run at once during a takeover; 0: 1
+	ProcessesPerRouter int // processes of one router that run at once during a takeover; 0: 1
 
 	// ZoneHubs holds, for each zone, the position of its hub in the ring of hubs. Empty: unknown.
 	ZoneHubs []int
@@ -76,19 +77,19 @@
 	CoalesceFills  bool // a miss may wait for a fill of the same object that is in progress
 	Siblings       Siblings
 
-	MaxAttempts   int           // of one request, after which it is not retried; hedges go beyond it; 0: 2
+	MaxAttempts   int           // of one request, retries and hedges included; 0: 2
 	MayCancel     bool          // attempts may be cancelled
 	Hedging       bool          // an overdue attempt may be repeated while it is pending
-	MaxRetryAfter time.Duration // longest Retry-After of a rejection; at least 300 ms
+	MaxRetryAfter time.Duration // longest Retry-After of a rejection; less than 300 ms counts as 300 ms
 
-	// Slow start of a cache. It fails when it receives OverloadMultiple times its present capacity for
+	// Slow start of a cache. It fails when it receives OverloadMultiple times its current capacity for
 	// OverloadWindow.
-	SlowStartCapacity float64       // fraction of its capacity at its start
+	SlowStartCapacity float64       // fraction of its capacity that it has at its start
 	SlowStartDuration time.Duration // until it has its full capacity; 0: no slow start
 	OverloadMultiple  float64
 	OverloadWindow    time.Duration
 
-	// Slow start of a parent; its overload window is that of caches.
+	// Slow start of a parent. Its overload window is that of caches.
 	ParentSlowStartCapacity float64
 	ParentSlowStartDuration time.Duration
 	ParentOverloadMultiple  float64
