--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -1,15 +1,17 @@
 package policy
 
-// Slow start limits the load on an endpoint that has just started: an empty cache or parent has only a part
-// of its capacity, and fails when it receives more than a multiple of that part within a window.
+// Slow start limits the load on an endpoint that has just started: an empty cache or parent has only a
+// fraction of its capacity, and fails when it receives more than a multiple of that within a window.
 //
 // Inputs: the endpoint's start time, its kind's rules (see slowStartRules) and the attempts that this router
 // has sent to it within the window. Result: the fraction of its capacity that an endpoint has now (0 to 1),
-// and whether one more attempt fits this router's quota. Quotas are in transfer seconds, the time that one
-// transfer takes at full pace.
+// and whether one more attempt fits this router's budget.
 //
-// Routers do not coordinate. Each keeps to an equal quota of what the endpoint can take, so that all of them
-// together stay within it. Where a quota is smaller than one request, the routers take turns.
+// Routers do not coordinate. Each keeps to a quota, an equal share of what the endpoint can take at full
+// capacity, so that all of them together do not overload it. A quota is in transfer seconds per second: a
+// transfer second is the load of a transfer that takes one second at full pace. A router's budget for a
+// window is its quota times the fraction times the window. Where a budget is smaller than one request, the
+// routers take turns.
 
 import (
 	"math"
@@ -18,25 +20,26 @@
 )
 
 const (
-	// slowStartUtilization is the fraction of the quota that is used. The rest absorbs simultaneous bursts.
+	// slowStartUtilization is the fraction of an equal share that is the quota. The rest absorbs simultaneous
+	// bursts.
 	slowStartUtilization = 0.9
 
-	// rotationUtilization is the fraction of the quota that is used in rotation. Turns of two windows may
-	// overlap.
+	// rotationUtilization is the fraction of the quota that is used when routers take turns, as the turns of
+	// two windows may overlap.
 	rotationUtilization = 0.33
 
-	// minOverloadWindow replaces an OverloadWindow that is shorter or not configured.
+	// minOverloadWindow replaces a Settings.OverloadWindow that is shorter or not configured.
 	minOverloadWindow = time.Second
 )
 
 // slowStartRules are the limits that apply to endpoints of one kind after a start.
 type slowStartRules struct {
 	initialCapacity  float64       // fraction of its capacity that an endpoint has at its start
-	duration         time.Duration // until it has its full capacity; 0: there is no slow start
-	overloadMultiple float64       // multiple of its present capacity at which it fails
+	duration         time.Duration // until it has its full capacity; 0: no slow start
+	overloadMultiple float64       // multiple of its current capacity at which it fails
 }
 
-// slowStartRulesOf returns the rules of the endpoint's kind.
+// slowStartRulesOf returns the rules for an endpoint's kind.
 func (r *Router) slowStartRulesOf(e *endpointState) slowStartRules {
 	if e.Kind == r.settings.ParentKind {
 		return slowStartRules{
@@ -53,7 +56,7 @@
 }
 
 // slowStartFraction is the fraction of its capacity that an endpoint has now. It rises linearly from the
-// initial capacity to 1; the origin has no slow start.
+// initial capacity to 1. The origin has no slow start.
 func (r *Router) slowStartFraction(e *endpointState) float64 {
 	rules := r.slowStartRulesOf(e)
 	age := r.now - e.Started
@@ -63,15 +66,16 @@
 	return rules.initialCapacity + (1-rules.initialCapacity)*max(0, age.Seconds())/rules.duration.Seconds()
 }
 
-// countsInSlowStart reports whether an attempt loads an endpoint that is in slow start: as the target, or as
-// the parent that fills. A sibling that fills sends what it has cached already.
+// countsInSlowStart reports whether an attempt counts in the budget of an endpoint that is its target or
+// source: the endpoint is in slow start, and is the target or a parent. A sibling that fills is not counted,
+// as it sends what it already has cached.
 func (r *Router) countsInSlowStart(e *endpointState, a *attempt) bool {
 	return r.slowStartFraction(e) < 1 && (e == a.target || e.Kind == r.settings.ParentKind)
 }
 
 // reserveSlowStartBudgets counts an attempt that is about to be sent in the budgets of its endpoints, and
-// reports whether it fits them. It is already counted unless an endpoint has restarted since the attempt was
-// created, or the attempt has waited for a connection for longer than the window.
+// reports whether it fits them. An attempt is counted when it is created; it has to be counted again if an
+// endpoint has restarted since, or if it has waited for a connection for longer than the window.
 func (r *Router) reserveSlowStartBudgets(a *attempt) bool {
 	for _, e := range []*endpointState{a.target, a.source} {
 		alreadyCounted := slices.Contains(e.slowStartAttempts, a)
@@ -95,7 +99,7 @@
 	}
 }
 
-// withinSlowStartBudget reports whether one more attempt of a request fits this router's quota at an
+// withinSlowStartBudget reports whether one more attempt of a request fits this router's budget at an
 // endpoint.
 func (r *Router) withinSlowStartBudget(e *endpointState, req *request) bool {
 	fraction := r.slowStartFraction(e)
@@ -123,12 +127,12 @@
 }
 
 // knowsOwnLoad reports whether this router knows all that it has sent to an endpoint within the window. After
-// a restart of its own it does not, until a window has passed.
+// its own restart it does so if the endpoint has started since, or once a window has passed.
 func (r *Router) knowsOwnLoad(e *endpointState, window time.Duration) bool {
 	return e.Started >= r.startedAt || r.now-r.startedAt >= window
 }
 
-// slowStartQuota is the part of an endpoint's full capacity that this process may use, in transfer seconds
+// slowStartQuota is the load that this process may put on an endpoint at full capacity, in transfer seconds
 // per second.
 func (r *Router) slowStartQuota(e *endpointState) float64 {
 	processes := e.link.routers * float64(max(1, r.settings.ProcessesPerRouter))
@@ -136,9 +140,9 @@
 	return slowStartUtilization * r.slowStartRulesOf(e).overloadMultiple * capacity / processes
 }
 
-// hasQuotaTurn rotates the quotas where one request takes several windows of a quota. A turn comes each time
-// the endpoint has offered turnSeconds of its full capacity since its start; routers start at different
-// points of a turn.
+// hasQuotaTurn reports whether this router's turn came within the window that ends now. Routers take turns
+// where one request costs more than a budget. A turn comes each time the endpoint has offered turnSeconds of
+// its full capacity since its start; routers start at different points of a turn.
 func (r *Router) hasQuotaTurn(e *endpointState, window time.Duration, turnSeconds float64) bool {
 	rules := r.slowStartRulesOf(e)
 	offset := math.Mod(float64(r.settings.RouterIndex)*math.Phi, 1)
@@ -148,16 +152,16 @@
 	return turnsAt(r.now) > turnsAt(r.now-window)
 }
 
-// offeredSeconds is the integral of the slow-start fraction from the start to an age: how many seconds at
-// full capacity would have offered as much.
+// offeredSeconds is the integral of the slow-start fraction from the start to an age: the number of seconds
+// at full capacity that would have offered as much.
 func (rules slowStartRules) offeredSeconds(age time.Duration) float64 {
 	seconds := max(age, 0).Seconds()
 	risen := (1 - rules.initialCapacity) * seconds / rules.duration.Seconds() / 2
 	return seconds * (rules.initialCapacity + risen)
 }
 
-// slowStartCostSeconds is what a request takes of a quota: its own transfer time, or the mean of its class if
-// that is longer.
+// slowStartCostSeconds is what a request takes of a budget, in transfer seconds: its own transfer time, or
+// the mean of its class if that is longer.
 func (r *Router) slowStartCostSeconds(req *request) float64 {
 	return max(req.transferSeconds, r.classTransferSeconds[req.class.Name].value)
 }
