--- a/policy/verdict.go
+++ b/policy/verdict.go
@@ -1,7 +1,7 @@
 package policy
 
-// Verdicts are the answers of the guards (guard.go): whether an action may be carried out, and if not, which
-// rule it would break and why. The names of rules and reasons are label values of the figure svc_denied and
+// Verdicts are the results of the guards (guard.go): whether an action may be carried out, and if not, which
+// rule it would break and why. The names of rules and reasons are label values of the metric svc_denied and
 // fields of log messages, so they must not change.
 
 // Rule is a guarantee that an action could break.
@@ -11,8 +11,8 @@
 const (
 	RuleNone               Rule = iota // no rule is broken
 	RuleAnswer                         // each accepted request gets one final answer
-	RuleDuplicate                      // a request that must not be repeated runs once
-	RuleDrain                          // an endpoint that drains or is removed receives nothing new
+	RuleDuplicate                      // a request that must not be repeated runs at most once
+	RuleDrain                          // an endpoint that drains or is removed receives no new attempts
 	RuleSlowStart                      // an endpoint that has just started is not overloaded
 	RuleClientDisconnected             // nothing is started for a client that has disconnected
 	RuleDeadline                       // nothing is started after a request's deadline
@@ -23,10 +23,10 @@
 	"none", "answer", "duplicate", "drain", "cold_start", "client_left", "deadline", "limits",
 }
 
-// String returns the rule's name in figures and the log.
+// String returns the rule's name in metrics and the log.
 func (r Rule) String() string { return ruleNames[r] }
 
-// Reason says why an action is denied.
+// Reason says why an action is denied, or why a request gets a final answer without being served.
 type Reason string
 
 // The reasons of the guards.
@@ -50,7 +50,7 @@
 	ReasonInUse              Reason = "in_use"           // a request may be on its way
 )
 
-// The reasons of answers that serve nothing, beside those of the guards.
+// The reasons, besides those of the guards, for a final answer that does not serve the request.
 const (
 	ReasonNoEndpoint    Reason = "no_endpoint"     // no endpoint can be used
 	ReasonCongestion    Reason = "congestion"      // load shedding
@@ -65,8 +65,8 @@
 
 // Verdict says whether an action may be carried out. The zero value allows it.
 type Verdict struct {
-	Rule   Rule   // that the action would break
-	Reason Reason // why
+	Rule   Rule   // the rule that the action would break
+	Reason Reason // why the action is denied
 }
 
 // Allowed reports whether no rule would be broken.
