--- a/policy/cacheindex_test.go
+++ b/policy/cacheindex_test.go
@@ -6,34 +6,36 @@
 func TestRestartClearsCacheIndex(t *testing.T) {
 	h := newHarness(t)
 	home := h.serve(1, "x", CacheStatusFilled).Target
-	m := h.router.endpoints[home]
-	m.misindication.add(true)
-	if m.cacheIndex.Len() != 1 {
-		t.Fatalf("%d copy records", m.cacheIndex.Len())
+	e := h.router.endpoints[home]
+	e.misindication.add(true)
+	if e.cacheIndex.Len() != 1 {
+		t.Fatalf("%d copy records", e.cacheIndex.Len())
 	}
-	h.do(EndpointUpdate{Endpoints: []Endpoint{{ID: home, State: Ready, Zone: 1, Weight: 5, Started: h.now}}})
-	if m.cacheIndex.Len() != 0 || m.misindication != (misindicationRatio{}) {
-		t.Fatalf("%d copy records, ratio %+v after a restart", m.cacheIndex.Len(), m.misindication)
+	h.handle(EndpointUpdate{Endpoints: []Endpoint{
+		{ID: home, State: Ready, Zone: 1, Weight: 5, Started: h.now},
+	}})
+	if e.cacheIndex.Len() != 0 || e.misindication != (misindicationRatio{}) {
+		t.Fatalf("%d copy records, ratio %+v after a restart", e.cacheIndex.Len(), e.misindication)
 	}
 }
 
 // The cache index is bounded, and a record ends with its class's freshness.
 func TestCacheIndexIsBounded(t *testing.T) {
 	h := newHarness(t)
-	m := h.router.endpoints["a"]
+	e := h.router.endpoints["a"]
 	for i := uint64(0); i < cacheIndexSize+100; i++ {
-		h.router.recordCached(m, &request{key: i, class: &h.router.settings.Classes[0]}, true)
+		h.router.recordCached(e, &request{key: i, class: &h.router.settings.Classes[0]}, true)
 	}
-	if m.cacheIndex.Len() != cacheIndexSize {
-		t.Fatalf("%d copy records, want %d", m.cacheIndex.Len(), cacheIndexSize)
+	if e.cacheIndex.Len() != cacheIndexSize {
+		t.Fatalf("%d copy records, want %d", e.cacheIndex.Len(), cacheIndexSize)
 	}
 	req := &request{key: cacheIndexSize + 99, class: &h.router.settings.Classes[1]}
 	h.router.now = h.now
-	h.router.recordCached(m, req, true)
-	if !h.router.likelyCached(m, req) {
+	h.router.recordCached(e, req, true)
+	if !h.router.likelyCached(e, req) {
 		t.Fatal("a new record must count")
 	}
-	if h.router.now += req.class.FreshFor; h.router.likelyCached(m, req) {
+	if h.router.now += req.class.FreshFor; h.router.likelyCached(e, req) {
 		t.Fatal("a copy that is no longer fresh is believed to be cached")
 	}
 }
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Guards against memory that grows with each endpoint that was ever listed: 10,000 caches that are replaced one
-// after another under new ids leave no more behind than those of the retention time.
+// Guards against memory that grows with each endpoint that was ever listed: 10,000 caches that are replaced
+// one after another under new ids leave no more behind than those of the retention time.
 func TestReplacedEndpointsAreForgotten(t *testing.T) {
 	const replaced, interval = 10_000, time.Second
 	h := newHarness(t)
@@ -16,7 +16,7 @@
 	heapBefore := heapBytes()
 	for i := range replaced {
 		h.now += interval
-		h.do(EndpointUpdate{Endpoints: []Endpoint{
+		h.handle(EndpointUpdate{Endpoints: []Endpoint{
 			{ID: fmt.Sprint("new", i-1), State: Removed, Zone: 1},
 			{ID: fmt.Sprint("new", i), State: Ready, Zone: 1, Weight: 5, Started: h.now},
 		}})
@@ -41,8 +41,8 @@
 	return int(stats.HeapAlloc)
 }
 
-// Guards against an endpoint that is forgotten while it is only away for a while, or with attempts in flight: one
-// that returns within the retention time has the capacity that was learned of its link.
+// Guards against an endpoint that is forgotten while it is only away for a while, or with attempts in flight:
+// one that returns within the retention time has the capacity that was learned of its link.
 func TestEndpointThatReturnsIsKnown(t *testing.T) {
 	h := newHarness(t)
 	home := h.serve(1, "x", CacheStatusFilled).Target
@@ -51,22 +51,22 @@
 	f := fetchOf(h.request(2, "x", 0))
 	setState := func(state State) {
 		entry.State = state
-		h.do(EndpointUpdate{Endpoints: []Endpoint{entry}})
+		h.handle(EndpointUpdate{Endpoints: []Endpoint{entry}})
 	}
 	setState(Removed)
 	h.now += removedRetention
-	h.do(EndpointUpdate{})
+	h.handle(EndpointUpdate{})
 	setState(Ready)
 	if got := h.router.endpoints[home].link.capacity; got != 7 {
 		t.Errorf("its capacity is %v", got)
 	}
 	setState(Removed)
 	h.now += removedRetention + time.Second
-	h.do(EndpointUpdate{})
+	h.handle(EndpointUpdate{})
 	if h.router.endpoints[home] != nil {
 		t.Error("it is kept for longer than the retention time")
 	}
-	h.do(Outcome{ID: 2, Result: ResultReset}) // of an attempt to the one that was forgotten
+	h.handle(Outcome{ID: 2, Result: ResultReset}) // of an attempt to the one that was forgotten
 	setState(Ready)
 	if f.Target != home || h.router.endpoints[home] == nil {
 		t.Errorf("%s has not returned", home)
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -26,7 +26,8 @@
 	for _, action := range router.Handle(now, request) {
 		switch a := action.(type) {
 		case policy.Fetch:
-			fmt.Printf("fetch from %s, fill from %s, retention rank %d\n", a.Target, a.Source, a.RetentionRank)
+			fmt.Printf("fetch from %s, fill from %s, retention rank %d\n",
+				a.Target, a.Source, a.RetentionRank)
 		case policy.StartTimer:
 			fmt.Println("timer is set:", a.In > 0)
 		}
--- a/policy/fillorders_test.go
+++ b/policy/fillorders_test.go
@@ -13,9 +13,9 @@
 	for object := range 20 {
 		targets, sources := map[string]bool{}, map[string]bool{}
 		for i := range routers {
-			set := testSettings()
-			set.Routers, set.RoutersInZone, set.RouterIndex = routers, routers, i
-			r := New(set, uint64(i))
+			settings := testSettings()
+			settings.Routers, settings.RoutersInZone, settings.RouterIndex = routers, routers, i
+			r := New(settings, uint64(i))
 			r.Handle(time.Hour, allEndpoints())
 			for group := range 32 {
 				r.Handle(time.Hour, Purge{Group: group, Age: 50 * ms})
--- a/policy/fillsource_test.go
+++ b/policy/fillsource_test.go
@@ -32,21 +32,23 @@
 func TestReturnedCacheIsFilledFromSibling(t *testing.T) {
 	h := newHarness(t)
 	home := h.serve(1, "x", CacheStatusFilled).Target
-	h.do(EndpointUpdate{Endpoints: []Endpoint{{ID: home, State: Removed, Zone: 1, Weight: 5}}})
+	h.handle(EndpointUpdate{Endpoints: []Endpoint{{ID: home, State: Removed, Zone: 1, Weight: 5}}})
 	next := h.serve(2, "x", CacheStatusFilled).Target
-	h.do(EndpointUpdate{Endpoints: []Endpoint{{ID: home, State: Ready, Zone: 1, Weight: 5}}})
+	h.handle(EndpointUpdate{Endpoints: []Endpoint{{ID: home, State: Ready, Zone: 1, Weight: 5}}})
 	f := fetchOf(h.request(3, "x", 0))
 	if f.Target != home || f.Source != next {
 		t.Fatalf("want %s filled from %s, got %+v", home, next, f)
 	}
-	acts := h.do(Outcome{ID: 3, Result: ResultNotFound, CacheStatus: CacheStatusSourceMissing, Elapsed: 10 * ms})
-	if f = fetchOf(acts); f == nil || f.Source != "p" && f.Source != "q" {
-		t.Fatalf("after 'lacks it' want the parent, got %+v", acts)
+	actions := h.handle(Outcome{
+		ID: 3, Result: ResultNotFound, CacheStatus: CacheStatusSourceMissing, Elapsed: 10 * ms,
+	})
+	if f = fetchOf(actions); f == nil || f.Source != "p" && f.Source != "q" {
+		t.Fatalf("after 'lacks it' want the parent, got %+v", actions)
 	}
 }
 
 // A sibling is the source when 1 + beta*rho < beta: with beta 4 that is rho < 0.75.
-func TestChoiceRule(t *testing.T) {
+func TestSiblingIsSourceOnlyBelowMissPenalty(t *testing.T) {
 	for _, c := range []struct {
 		rho  float64
 		want bool
--- a/policy/guard_test.go
+++ b/policy/guard_test.go
@@ -8,12 +8,12 @@
 // The deduplication window is checked again at a retry's first byte: it may have waited for its connection.
 func TestRetryDoesNotStartAfterWindow(t *testing.T) {
 	for _, late := range []bool{false, true} {
-		set := testSettings()
-		set.Classes[0] = Class{
+		settings := testSettings()
+		settings.Classes[0] = Class{
 			Idempotency: IdempotencyKey, DeduplicationScope: ScopeAll, DeduplicationWindow: time.Second,
 			LatencyObjective: 2 * time.Second, PriorityWeight: 1,
 		}
-		h := newHarnessWith(t, set)
+		h := newHarnessWith(t, settings)
 		if fetchOf(h.request(1, "x", 0)) == nil {
 			t.Fatal("not sent")
 		}
@@ -22,7 +22,7 @@
 			t.Fatal("the first attempt may start at any time")
 		}
 		h.now += 900 * ms
-		if fetchOf(h.do(Outcome{ID: 1, Attempt: 0, Result: ResultReset})) == nil {
+		if fetchOf(h.handle(Outcome{ID: 1, Attempt: 0, Result: ResultReset})) == nil {
 			t.Fatal("not repeated within its window")
 		}
 		if late {
@@ -62,7 +62,7 @@
 		h := newHarness(t)
 		f := fetchOf(h.request(1, "x", 0))
 		h.now += 10 * ms
-		h.do(c.event(*f))
+		h.handle(c.event(*f))
 		now, verdict := h.router.MaySend(h.now+20*ms, SendInfo{ID: 1, Remaining: time.Second})
 		if verdict != c.want || now.MaxAge != c.maxAge || now.CoalesceFill != c.coalesceFill {
 			t.Errorf("%s: %v %+v", name, verdict, now)
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -12,7 +12,8 @@
 func testSettings() Settings {
 	return Settings{
 		Zone: 1, ParentKind: 1, OriginKind: 2, Routers: 1, RoutersInZone: 1, WeightsConfigured: true,
-		TransferKBPerSecond: 1000, ZoneLinkTransfers: 100, DirectRequests: true, CoalesceFills: true, Siblings: SiblingsZone,
+		TransferKBPerSecond: 1000, ZoneLinkTransfers: 100, DirectRequests: true, CoalesceFills: true,
+		Siblings: SiblingsZone,
 		Classes: []Class{
 			{
 				Idempotency: Idempotent, PriorityWeight: 1,
@@ -26,7 +27,8 @@
 			{Idempotency: NonIdempotent, LatencyObjective: 500 * ms, PriorityWeight: 3, Uncacheable: true},
 		},
 		MaxAttempts: 6, MayCancel: true, MaxRetryAfter: time.Second,
-		SlowStartCapacity: 0.2, SlowStartDuration: 10 * time.Second, OverloadMultiple: 2, OverloadWindow: 2 * time.Second,
+		SlowStartCapacity: 0.2, SlowStartDuration: 10 * time.Second, OverloadMultiple: 2,
+		OverloadWindow:          2 * time.Second,
 		ParentSlowStartCapacity: 0.1, ParentSlowStartDuration: 20 * time.Second, ParentOverloadMultiple: 2,
 		PurgeGrace: 500 * ms, PurgeCompletedWithin: 6 * time.Second,
 	}
@@ -59,21 +61,21 @@
 func newHarnessWith(tb testing.TB, settings Settings) *harness {
 	tb.Helper()
 	h := &harness{t: tb, router: New(settings, 1), now: time.Hour}
-	h.do(allEndpoints())
+	h.handle(allEndpoints())
 	return h
 }
 
-// do passes an event to the router at the harness's time.
-func (h *harness) do(ev Event) []Action { return h.router.Handle(h.now, ev) }
+// handle passes an event to the router at the harness's time.
+func (h *harness) handle(ev Event) []Action { return h.router.Handle(h.now, ev) }
 
 // request sends a request of 100 KB, which takes 0.1 s at full pace.
 func (h *harness) request(id int64, object string, class int) []Action {
-	return h.do(Request{ID: id, Object: object, Class: class, SizeKB: 100, Remaining: 3 * time.Second})
+	return h.handle(Request{ID: id, Object: object, Class: class, SizeKB: 100, Remaining: 3 * time.Second})
 }
 
 // fetchOf returns the first Fetch among actions, or nil.
-func fetchOf(acts []Action) *Fetch {
-	for _, a := range acts {
+func fetchOf(actions []Action) *Fetch {
+	for _, a := range actions {
 		if f, ok := a.(Fetch); ok {
 			return &f
 		}
@@ -82,8 +84,8 @@
 }
 
 // countFinalAnswers counts the final answers among actions.
-func countFinalAnswers(acts []Action) (n int) {
-	for _, a := range acts {
+func countFinalAnswers(actions []Action) (n int) {
+	for _, a := range actions {
 		switch a.(type) {
 		case Reject, Fail:
 			n++
@@ -100,7 +102,7 @@
 		h.t.Fatalf("request %d was not sent", id)
 	}
 	h.now += 150 * ms
-	h.do(Outcome{
+	h.handle(Outcome{
 		ID: id, Result: ResultOK, CacheStatus: status, RequestFinished: true,
 		Elapsed: 150 * ms, SourceFirstByte: 20 * ms,
 	})
--- a/policy/idempotency_test.go
+++ b/policy/idempotency_test.go
@@ -16,13 +16,13 @@
 		if f := fetchOf(h.request(1, "w", 2)); f == nil || f.Target != "o" {
 			t.Fatalf("a write goes to the origin, got %+v", f)
 		}
-		acts := h.do(Outcome{ID: 1, Result: c.result, Elapsed: 10 * ms})
-		if again := fetchOf(acts) != nil; again != c.again {
+		actions := h.handle(Outcome{ID: 1, Result: c.result, Elapsed: 10 * ms})
+		if again := fetchOf(actions) != nil; again != c.again {
 			t.Errorf("result %v: sent again %v", c.result, again)
 		}
 		if !c.again {
-			if len(acts) != 1 || acts[0] != (Fail{ID: 1, Reason: ReasonMayHaveRun}) {
-				t.Errorf("result %v: %+v, want one Fail", c.result, acts)
+			if len(actions) != 1 || actions[0] != (Fail{ID: 1, Reason: ReasonMayHaveRun}) {
+				t.Errorf("result %v: %+v, want one Fail", c.result, actions)
 			}
 		}
 	}
--- a/policy/linkpace_test.go
+++ b/policy/linkpace_test.go
@@ -13,14 +13,14 @@
 		sending    time.Duration
 		moves      bool
 	}{{true, 0, false}, {true, 100 * ms, true}, {false, 0, true}} {
-		set := testSettings()
-		set.WeightsConfigured = c.configured
+		settings := testSettings()
+		settings.WeightsConfigured = c.configured
 		if !c.configured {
-			set.ZoneLinkTransfers = 0
+			settings.ZoneLinkTransfers = 0
 		}
-		h := newHarnessWith(t, set)
+		h := newHarnessWith(t, settings)
 		for id := range int64(60) { // a burst: every link is taken for congested
-			h.do(Request{ID: id + 1, Object: string(rune('a' + id)), Remaining: 3 * time.Second})
+			h.handle(Request{ID: id + 1, Object: string(rune('a' + id)), Remaining: 3 * time.Second})
 		}
 		var full *link
 		for id := range int64(60) {
@@ -30,7 +30,7 @@
 			}
 			full = req.attempts[0].slowestLink
 			h.now += ms
-			h.do(Outcome{ID: id + 1, Result: ResultOK, CacheStatus: CacheStatusFilled,
+			h.handle(Outcome{ID: id + 1, Result: ResultOK, CacheStatus: CacheStatusFilled,
 				Elapsed: 2 * time.Second, TransferTime: c.sending, RequestFinished: true})
 			break
 		}
--- a/policy/links_test.go
+++ b/policy/links_test.go
@@ -8,10 +8,10 @@
 // With many routers, one router's quota of a link is below one transfer; an idle link must not look congested
 // for it. Incident i0f9a26.
 func TestManyRoutersShareALink(t *testing.T) {
-	set := testSettings()
-	set.Routers, set.RoutersInZone = 200, 5
-	h := newHarnessWith(t, set)
-	f := fetchOf(h.do(Request{ID: 1, Object: "x", SizeKB: 300, Remaining: 3 * time.Second}))
+	settings := testSettings()
+	settings.Routers, settings.RoutersInZone = 200, 5
+	h := newHarnessWith(t, settings)
+	f := fetchOf(h.handle(Request{ID: 1, Object: "x", SizeKB: 300, Remaining: 3 * time.Second}))
 	if f == nil || f.Source == "o" {
 		t.Fatalf("nothing is under way and the first miss is not filled from a parent: %+v", f)
 	}
@@ -29,13 +29,15 @@
 // The capacity that was learned of a link bounds the slow-start budget after a restart too.
 func TestLearnedCapacitySurvivesRestart(t *testing.T) {
 	h := newHarness(t)
-	m := h.router.endpoints["a"]
+	e := h.router.endpoints["a"]
 	for i := 0; i < 20; i++ {
-		m.link.updateCapacity(0.5)
+		e.link.updateCapacity(0.5)
 	}
-	learned := m.link.capacity
-	h.do(EndpointUpdate{Endpoints: []Endpoint{{ID: "a", State: Ready, Zone: 1, Weight: 5, Started: h.now}}})
-	if m.link.capacity != learned || learned >= m.link.nominalCapacity {
-		t.Fatalf("share %v after the restart, %v before", m.link.capacity, learned)
+	learned := e.link.capacity
+	h.handle(EndpointUpdate{Endpoints: []Endpoint{
+		{ID: "a", State: Ready, Zone: 1, Weight: 5, Started: h.now},
+	}})
+	if e.link.capacity != learned || learned >= e.link.nominalCapacity {
+		t.Fatalf("share %v after the restart, %v before", e.link.capacity, learned)
 	}
 }
--- a/policy/loadshedding_test.go
+++ b/policy/loadshedding_test.go
@@ -8,15 +8,15 @@
 // A congested link sheds long requests before short ones of the same weight.
 func TestSheddingByWeightPerTransferTime(t *testing.T) {
 	h := newHarness(t)
-	ask := func(id int64, kb float64) *Fetch {
-		return fetchOf(h.do(Request{ID: id, Object: "x", SizeKB: kb, Remaining: 5 * time.Second}))
+	send := func(id int64, kb float64) *Fetch {
+		return fetchOf(h.handle(Request{ID: id, Object: "x", SizeKB: kb, Remaining: 5 * time.Second}))
 	}
 	short, long := 0, 0
 	for i := int64(1); i < 400; i++ {
-		if ask(i*2, 100) == nil {
+		if send(i*2, 100) == nil {
 			short++
 		}
-		if ask(i*2+1, 2000) == nil {
+		if send(i*2+1, 2000) == nil {
 			long++
 		}
 	}
--- a/policy/originlimit_test.go
+++ b/policy/originlimit_test.go
@@ -13,7 +13,7 @@
 			t.Fatal("the limit is reached before any failure")
 		}
 	}
-	h.do(Outcome{ID: 1, Result: ResultError, CacheStatus: CacheStatusOriginFailed, Elapsed: 20 * ms})
+	h.handle(Outcome{ID: 1, Result: ResultError, CacheStatus: CacheStatusOriginFailed, Elapsed: 20 * ms})
 	if f := fetchOf(h.request(20, "new", 0)); f == nil || !f.CachedOnly {
 		t.Fatalf("the origin failed and may still be loaded: %+v", f)
 	}
@@ -28,14 +28,14 @@
 	}
 	before := h.router.originLimit.limit
 	h.now += 700 * ms
-	h.do(Outcome{ID: 1, Result: ResultOK, CacheStatus: CacheStatusFilledByOrigin, Elapsed: 700 * ms,
+	h.handle(Outcome{ID: 1, Result: ResultOK, CacheStatus: CacheStatusFilledByOrigin, Elapsed: 700 * ms,
 		SourceFirstByte: 600 * ms,
 		RequestFinished: true})
 	if h.router.originLimit.limit >= before {
 		t.Fatalf("limit %v after a slow answer, %v before", h.router.originLimit.limit, before)
 	}
 	after := h.router.originLimit.limit
-	h.do(Outcome{ID: 2, Result: ResultOK, CacheStatus: CacheStatusFilledByOrigin, Elapsed: 700 * ms,
+	h.handle(Outcome{ID: 2, Result: ResultOK, CacheStatus: CacheStatusFilledByOrigin, Elapsed: 700 * ms,
 		SourceFirstByte: 50 * ms,
 		RequestFinished: true})
 	if h.router.originLimit.limit <= after {
@@ -50,19 +50,20 @@
 		instances int
 		below     bool
 	}{{300, true}, {1, false}} {
-		set := testSettings()
-		set.Routers = c.instances
-		h := newHarnessWith(t, set)
+		settings := testSettings()
+		settings.Routers = c.instances
+		h := newHarnessWith(t, settings)
 		for id := int64(1); id < 20; id++ {
 			h.request(id, string(rune('a'+id)), 0)
 			h.now += 200 * ms
-			h.do(Outcome{ID: id, Result: ResultError, CacheStatus: CacheStatusOriginFailed, Elapsed: 20 * ms})
+			h.handle(Outcome{ID: id, Result: ResultError, CacheStatus: CacheStatusOriginFailed,
+				Elapsed: 20 * ms})
 		}
 		shut := h.router.originLimit.limit
 		if (shut < 1) != c.below || shut <= 0 {
 			t.Fatalf("%d routers: the limit is %v", c.instances, shut)
 		}
-		a := &attempt{request: &request{class: &set.Classes[0]}, source: h.router.endpoints["p"],
+		a := &attempt{request: &request{class: &settings.Classes[0]}, source: h.router.endpoints["p"],
 			target: h.router.endpoints["a"]}
 		for range 20 {
 			h.router.updateOriginLimit(a, Outcome{Result: ResultOK, CacheStatus: CacheStatusFilledByOrigin})
@@ -93,7 +94,7 @@
 		}
 		before := h.router.originLimit.limit
 		h.now += c.elapsed
-		h.do(Outcome{ID: 1, Result: ResultOK, CacheStatus: CacheStatusFilledByOrigin, Elapsed: c.elapsed,
+		h.handle(Outcome{ID: 1, Result: ResultOK, CacheStatus: CacheStatusFilledByOrigin, Elapsed: c.elapsed,
 			SourceFirstByte: 50 * ms, TransferTime: c.transferTime, RequestFinished: true})
 		if lowered := h.router.originLimit.limit < before; lowered != c.lowers {
 			t.Errorf("%+v: limit %v, %v before", c, h.router.originLimit.limit, before)
--- a/policy/outliers_test.go
+++ b/policy/outliers_test.go
@@ -14,22 +14,22 @@
 		if f := fetchOf(h.request(id, "x", 0)); f.Target != home {
 			t.Fatalf("request %d goes to %s, not %s", id, f.Target, home)
 		}
-		f := fetchOf(h.do(Outcome{ID: id, Result: ResultError, Elapsed: ms}))
+		f := fetchOf(h.handle(Outcome{ID: id, Result: ResultError, Elapsed: ms}))
 		if f == nil || f.Target != home {
 			t.Fatalf("after one error want %s again, got %+v", home, f)
 		}
-		f = fetchOf(h.do(Outcome{ID: id, Attempt: 1, Result: ResultError, Elapsed: ms}))
+		f = fetchOf(h.handle(Outcome{ID: id, Attempt: 1, Result: ResultError, Elapsed: ms}))
 		if f == nil || f.Target == home {
 			t.Fatalf("after a second error: %+v", f)
 		}
-		h.do(Outcome{ID: id, Attempt: 2, Result: ResultOK, CacheStatus: CacheStatusFilled,
+		h.handle(Outcome{ID: id, Attempt: 2, Result: ResultOK, CacheStatus: CacheStatusFilled,
 			Elapsed: 150 * ms, RequestFinished: true})
 	}
 	f := fetchOf(h.request(4, "x", 0))
 	if f.Target == home {
 		t.Fatalf("%s failed two requests that others answered, and receives a third", home)
 	}
-	h.do(Outcome{ID: 4, Result: ResultOK, CacheStatus: CacheStatusHit, Elapsed: 100 * ms,
+	h.handle(Outcome{ID: 4, Result: ResultOK, CacheStatus: CacheStatusHit, Elapsed: 100 * ms,
 		RequestFinished: true})
 	h.now += baseEjectionTime
 	h.serve(5, "x", CacheStatusHit)
@@ -38,15 +38,15 @@
 	}
 
 	h.request(6, "y", 0)
-	attempts, acts := 1, []Action(nil)
-	for ; countFinalAnswers(acts) == 0; attempts++ {
-		acts = h.do(Outcome{ID: 6, Attempt: attempts - 1, Result: ResultError, Elapsed: ms})
+	attempts, actions := 1, []Action(nil)
+	for ; countFinalAnswers(actions) == 0; attempts++ {
+		actions = h.handle(Outcome{ID: 6, Attempt: attempts - 1, Result: ResultError, Elapsed: ms})
 	}
 	if attempts-1 != maxFailedAttempts {
 		t.Errorf("%d attempts", attempts-1)
 	}
-	for id, m := range h.router.endpoints {
-		if h.router.isEjected(m) {
+	for id, e := range h.router.endpoints {
+		if h.router.isEjected(e) {
 			t.Errorf("%s is ejected for a request that fails everywhere", id)
 		}
 	}
@@ -55,19 +55,19 @@
 // Each response of an endpoint makes up for one ejection, not for all at once. Incident ia695e1.
 func TestEjectionsDecayOneByOne(t *testing.T) {
 	h := newHarness(t)
-	m := h.router.endpoints["p"]
+	e := h.router.endpoints["p"]
 	for i := 0; i < 3; i++ {
-		m.eject(h.now)
-		h.now = m.ejectedUntil
+		e.eject(h.now)
+		h.now = e.ejectedUntil
 	}
-	m.recordResponse(h.now)
-	m.link.inFlight = []*attempt{{request: &request{}}}
-	if !h.router.isEjected(m) {
+	e.recordResponse(h.now)
+	e.link.inFlight = []*attempt{{request: &request{}}}
+	if !h.router.isEjected(e) {
 		t.Fatal("one response must not make up for three ejections")
 	}
-	m.recordResponse(h.now)
-	m.recordResponse(h.now)
-	if h.router.isEjected(m) {
+	e.recordResponse(h.now)
+	e.recordResponse(h.now)
+	if h.router.isEjected(e) {
 		t.Fatal("three responses must make up for three ejections")
 	}
 }
@@ -76,7 +76,7 @@
 func (h *harness) restart(id string) {
 	listed := h.router.endpoints[id].Endpoint
 	listed.Started = h.now
-	h.do(EndpointUpdate{Endpoints: []Endpoint{listed}})
+	h.handle(EndpointUpdate{Endpoints: []Endpoint{listed}})
 }
 
 // failOnce has one request fail at an endpoint, twice in a row, and be answered by another one.
@@ -88,16 +88,16 @@
 			h.t.Fatalf("request %d was given up", id)
 		}
 		if f.Target != endpoint {
-			h.do(Outcome{ID: id, Attempt: attempt, Result: ResultOK, CacheStatus: CacheStatusFilled,
+			h.handle(Outcome{ID: id, Attempt: attempt, Result: ResultOK, CacheStatus: CacheStatusFilled,
 				Elapsed: 150 * ms, RequestFinished: true})
 			return
 		}
-		f = fetchOf(h.do(Outcome{ID: id, Attempt: attempt, Result: ResultError, Elapsed: ms}))
+		f = fetchOf(h.handle(Outcome{ID: id, Attempt: attempt, Result: ResultError, Elapsed: ms}))
 	}
 }
 
-// Guards against a new process that is ejected for the failures of the one before: those of requests that were
-// sent before its restart do not count, whenever they are answered.
+// Guards against a new process that is ejected for the failures of the one before: those of requests that
+// were sent before its restart do not count, whenever they are answered.
 func TestFailuresEndWithARestart(t *testing.T) {
 	h := newHarness(t)
 	home := h.serve(1, "x", CacheStatusFilled).Target
@@ -114,19 +114,19 @@
 	h.serve(4, "x", CacheStatusHit)
 	for id := int64(5); id < 7; id++ {
 		h.request(id, "x", 0)
-		h.do(Outcome{ID: id, Result: ResultError, Elapsed: ms})
+		h.handle(Outcome{ID: id, Result: ResultError, Elapsed: ms})
 	}
 	h.now += ms
 	h.restart(home)
 	for id := int64(5); id < 7; id++ { // the second attempts end after the restart
-		f := fetchOf(h.do(Outcome{ID: id, Attempt: 1, Result: ResultError, Elapsed: ms}))
+		f := fetchOf(h.handle(Outcome{ID: id, Attempt: 1, Result: ResultError, Elapsed: ms}))
 		for attempt := 2; f != nil; attempt++ {
 			result := ResultOK
 			if f.Target == home {
 				result = ResultError
 			}
-			f = fetchOf(h.do(Outcome{ID: id, Attempt: attempt, Result: result, CacheStatus: CacheStatusFilled,
-				Elapsed: ms, RequestFinished: result == ResultOK}))
+			f = fetchOf(h.handle(Outcome{ID: id, Attempt: attempt, Result: result,
+				CacheStatus: CacheStatusFilled, Elapsed: ms, RequestFinished: result == ResultOK}))
 		}
 	}
 	if ejected() {
@@ -135,7 +135,7 @@
 	h.request(7, "x", 0)
 	h.now += ms
 	h.restart(home)
-	h.do(Outcome{ID: 7, Result: ResultConnectFailed})
+	h.handle(Outcome{ID: 7, Result: ResultConnectFailed})
 	if ejected() {
 		t.Error("ejected for a connect to the process before")
 	}
--- a/policy/overdue_test.go
+++ b/policy/overdue_test.go
@@ -9,24 +9,24 @@
 // same cache, as a hedged request where the settings allow it.
 func TestLostAnswerIsRetried(t *testing.T) {
 	for _, second := range []bool{true, false} {
-		set := testSettings()
-		set.Hedging = second
-		h := newHarnessWith(t, set)
+		settings := testSettings()
+		settings.Hedging = second
+		h := newHarnessWith(t, settings)
 		home := h.serve(1, "x", CacheStatusFilled).Target
-		acts := h.request(2, "x", 0)
-		due := acts[1].(StartTimer)
+		actions := h.request(2, "x", 0)
+		due := actions[1].(StartTimer)
 		h.now += ms
 		h.serve(3, "x", CacheStatusHit)
 		h.now += due.In
-		acts = h.do(TimerFired{Token: due.Token})
+		actions = h.handle(TimerFired{Token: due.Token})
 		if !second {
-			if len(acts) != 1 || acts[0] != (Cancel{ID: 2}) {
-				t.Fatalf("want the wait ended first, got %+v", acts)
+			if len(actions) != 1 || actions[0] != (Cancel{ID: 2}) {
+				t.Fatalf("want the wait ended first, got %+v", actions)
 			}
-			acts = h.do(Outcome{ID: 2, Result: ResultCancelled})
+			actions = h.handle(Outcome{ID: 2, Result: ResultCancelled})
 		}
-		if f := fetchOf(acts); f == nil || f.Target != home {
-			t.Fatalf("want a second attempt at %s, got %+v", home, acts)
+		if f := fetchOf(actions); f == nil || f.Target != home {
+			t.Fatalf("want a second attempt at %s, got %+v", home, actions)
 		}
 		if n := len(h.router.endpoints[home].link.inFlight); n != 1 {
 			t.Fatalf("%d on the link: the lost one must not make it look full", n)
@@ -38,16 +38,16 @@
 // have arrived: it would be transferred twice.
 func TestLargeObjectIsNotOverdue(t *testing.T) {
 	h := newHarness(t)
-	ask := func(id int64, object string) []Action {
-		return h.do(Request{ID: id, Object: object, Remaining: 6 * time.Second})
+	send := func(id int64, object string) []Action {
+		return h.handle(Request{ID: id, Object: object, Remaining: 6 * time.Second})
 	}
 	for id := range int64(20) {
-		ask(id+1, "small")
+		send(id+1, "small")
 		h.now += 100 * ms
-		h.do(Outcome{ID: id + 1, Result: ResultOK, CacheStatus: CacheStatusHit, Elapsed: 100 * ms,
+		h.handle(Outcome{ID: id + 1, Result: ResultOK, CacheStatus: CacheStatusHit, Elapsed: 100 * ms,
 			RequestFinished: true})
 	}
-	due := ask(30, "large")[1].(StartTimer)
+	due := send(30, "large")[1].(StartTimer)
 	if due.In < 700*ms {
 		t.Errorf("one seven times as large as most is taken for lost after %v", due.In)
 	}
@@ -59,37 +59,37 @@
 	due := h.request(1, "w", 2)[1].(StartTimer)
 	h.now += ms
 	h.request(2, "w", 2)
-	h.do(Outcome{ID: 2, Result: ResultOK, Elapsed: ms, RequestFinished: true})
+	h.handle(Outcome{ID: 2, Result: ResultOK, Elapsed: ms, RequestFinished: true})
 	h.now += due.In
-	if acts := h.do(TimerFired{Token: due.Token}); len(acts) != 0 {
-		t.Fatalf("%+v", acts)
+	if actions := h.handle(TimerFired{Token: due.Token}); len(actions) != 0 {
+		t.Fatalf("%+v", actions)
 	}
 }
 
-// Guards against requests that are hedged beyond the settings' limit of attempts, and against an attempt that is
-// cancelled although no other may follow it: the last one that is allowed goes on until it is answered.
+// Guards against requests that are hedged beyond the settings' limit of attempts, and against an attempt that
+// is cancelled although no other may follow it: the last one that is allowed goes on until it is answered.
 func TestHedgesStayWithinMaxAttempts(t *testing.T) {
 	for _, hedging := range []bool{true, false} {
-		set := testSettings()
-		set.Hedging = hedging
-		set.MaxAttempts = 2
-		h := newHarnessWith(t, set)
+		settings := testSettings()
+		settings.Hedging = hedging
+		settings.MaxAttempts = 2
+		h := newHarnessWith(t, settings)
 		h.serve(1, "x", CacheStatusFilled)
-		acts := h.request(2, "x", 0)
+		actions := h.request(2, "x", 0)
 		attempts := 0
-		for id := int64(3); fetchOf(acts) != nil; id++ {
+		for id := int64(3); fetchOf(actions) != nil; id++ {
 			attempts++
-			due := acts[len(acts)-1].(StartTimer)
+			due := actions[len(actions)-1].(StartTimer)
 			h.now += ms
 			h.serve(id, "x", CacheStatusHit) // the cache answers others: the answer to request 2 is lost
 			h.now += due.In
-			acts = h.do(TimerFired{Token: due.Token})
-			if len(acts) == 1 && acts[0] == (Cancel{ID: 2, Attempt: attempts - 1}) {
-				acts = h.do(Outcome{ID: 2, Attempt: attempts - 1, Result: ResultCancelled})
+			actions = h.handle(TimerFired{Token: due.Token})
+			if len(actions) == 1 && actions[0] == (Cancel{ID: 2, Attempt: attempts - 1}) {
+				actions = h.handle(Outcome{ID: 2, Attempt: attempts - 1, Result: ResultCancelled})
 			}
 		}
-		if attempts != set.MaxAttempts || len(acts) != 0 {
-			t.Errorf("hedging %v: %d attempts, then %+v", hedging, attempts, acts)
+		if attempts != settings.MaxAttempts || len(actions) != 0 {
+			t.Errorf("hedging %v: %d attempts, then %+v", hedging, attempts, actions)
 		}
 	}
 }
--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -9,12 +9,12 @@
 		ResultCancelled, ResultNotSent, ResultNotFound} {
 		for class := 0; class < 3; class++ {
 			h := newHarness(t)
-			acts := h.request(1, "x", class)
-			ends := countFinalAnswers(acts)
-			for try := 0; fetchOf(acts) != nil; try++ {
+			actions := h.request(1, "x", class)
+			ends := countFinalAnswers(actions)
+			for try := 0; fetchOf(actions) != nil; try++ {
 				h.now += 600 * ms
-				acts = h.do(Outcome{ID: 1, Attempt: try, Result: result, Elapsed: 600 * ms})
-				ends += countFinalAnswers(acts)
+				actions = h.handle(Outcome{ID: 1, Attempt: try, Result: result, Elapsed: 600 * ms})
+				ends += countFinalAnswers(actions)
 			}
 			if ends != 1 || len(h.router.requests) != 0 {
 				t.Errorf("result %v class %d: %d final answers, %d open", result, class, ends,
@@ -27,7 +27,8 @@
 // A request of an unknown class gets its one final answer.
 func TestUnknownClassIsAnswered(t *testing.T) {
 	h := newHarness(t)
-	if acts := h.request(1, "x", 9); len(acts) != 1 || acts[0] != (Fail{ID: 1, Reason: ReasonUnknownClass}) {
-		t.Fatalf("%+v", acts)
+	if actions := h.request(1, "x", 9); len(actions) != 1 ||
+		actions[0] != (Fail{ID: 1, Reason: ReasonUnknownClass}) {
+		t.Fatalf("%+v", actions)
 	}
 }
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -12,11 +12,11 @@
 	h := newHarness(t)
 	home := h.serve(1, "x", CacheStatusFilled).Target
 	h.request(2, "x", 0)
-	f := fetchOf(h.do(Outcome{ID: 2, Result: ResultReset, Elapsed: 20 * ms}))
+	f := fetchOf(h.handle(Outcome{ID: 2, Result: ResultReset, Elapsed: 20 * ms}))
 	if f == nil || f.Target != home {
 		t.Fatalf("after one reset want %s again, got %+v", home, f)
 	}
-	f = fetchOf(h.do(Outcome{ID: 2, Attempt: 1, Result: ResultReset, Elapsed: 20 * ms}))
+	f = fetchOf(h.handle(Outcome{ID: 2, Attempt: 1, Result: ResultReset, Elapsed: 20 * ms}))
 	if f == nil || f.Target == home {
 		t.Fatalf("after a second reset want another cache, got %+v", f)
 	}
@@ -32,13 +32,13 @@
 			attempts++
 			number := len(h.router.requests[id+1].attempts) - 1
 			if attempts%3 != 0 {
-				h.do(Outcome{ID: id + 1, Attempt: number, Result: ResultOK, CacheStatus: CacheStatusHit,
+				h.handle(Outcome{ID: id + 1, Attempt: number, Result: ResultOK, CacheStatus: CacheStatusHit,
 					RequestFinished: true})
 				break
 			}
-			acts := h.do(Outcome{ID: id + 1, Attempt: number, Result: ResultError})
-			if f = fetchOf(acts); f == nil {
-				t.Fatalf("request %d was given up after %d attempts in all: %+v", id+1, attempts, acts)
+			actions := h.handle(Outcome{ID: id + 1, Attempt: number, Result: ResultError})
+			if f = fetchOf(actions); f == nil {
+				t.Fatalf("request %d was given up after %d attempts in all: %+v", id+1, attempts, actions)
 			}
 		}
 	}
@@ -50,16 +50,16 @@
 	const routers, each, bin = 300, 5, 20 * time.Millisecond
 	returning := map[time.Duration]int{}
 	for i := range routers {
-		set := testSettings()
-		set.Routers, set.RoutersInZone, set.RouterIndex = routers, routers, i
-		r := New(set, uint64(i))
+		settings := testSettings()
+		settings.Routers, settings.RoutersInZone, settings.RouterIndex = routers, routers, i
+		r := New(settings, uint64(i))
 		r.Handle(time.Hour, EndpointUpdate{Full: true})
 		for id := range int64(each) {
-			acts := r.Handle(time.Hour, Request{ID: id + 1, Object: fmt.Sprint(id),
+			actions := r.Handle(time.Hour, Request{ID: id + 1, Object: fmt.Sprint(id),
 				Remaining: 3 * time.Second})
-			rejection, ok := acts[len(acts)-1].(Reject)
+			rejection, ok := actions[len(actions)-1].(Reject)
 			if !ok || rejection.RetryAfter < minRetryAfter || rejection.RetryAfter >= 2*minRetryAfter {
-				t.Fatalf("router %d: %+v", i, acts)
+				t.Fatalf("router %d: %+v", i, actions)
 			}
 			returning[rejection.RetryAfter/bin]++
 		}
--- a/policy/router_test.go
+++ b/policy/router_test.go
@@ -14,7 +14,7 @@
 			all = append(all, h.request(i, string(rune('a'+i%40)), int(i%3)))
 			h.now += 3 * ms
 			if i > 20 {
-				all = append(all, h.do(Outcome{ID: i - 20, Result: Result(i % 9), Elapsed: 60 * ms,
+				all = append(all, h.handle(Outcome{ID: i - 20, Result: Result(i % 9), Elapsed: 60 * ms,
 					RequestFinished: i%9 == 1}))
 			}
 		}
@@ -28,22 +28,23 @@
 // New settings may give a class's number to another class. Requests keep the class they arrived with, what
 // was learned stays with a class's name, and a lower number of attempts applies at once.
 func TestNewSettings(t *testing.T) {
-	set := testSettings()
+	settings := testSettings()
 	for i, name := range []string{"old", "fresh", "write"} {
-		set.Classes[i].Name = name
+		settings.Classes[i].Name = name
 	}
-	h := newHarnessWith(t, set)
+	h := newHarnessWith(t, settings)
 	h.serve(1, "x", CacheStatusHit)
 	learned := h.router.classTransferSeconds["old"].value
 	write := fetchOf(h.request(2, "y", 2))
 
-	later := set
+	later := settings
 	writeClass := Class{
-		Name: "write", Idempotency: NonIdempotent, Uncacheable: true, PriorityWeight: 3, LatencyObjective: 500 * ms,
+		Name: "write", Idempotency: NonIdempotent, Uncacheable: true, PriorityWeight: 3,
+		LatencyObjective: 500 * ms,
 	}
-	later.Classes = []Class{writeClass, set.Classes[0]}
+	later.Classes = []Class{writeClass, settings.Classes[0]}
 	later.MaxAttempts = 1
-	h.do(later)
+	h.handle(later)
 	if f := fetchOf(h.request(3, "z", 0)); f == nil || f.Target != "o" || f.Target != write.Target {
 		t.Errorf("the write, by its new number: %+v", f)
 	}
@@ -56,13 +57,13 @@
 	if f == nil || f.Target == "o" {
 		t.Fatalf("the read, by its new number: %+v", f)
 	}
-	acts := h.do(Outcome{ID: 4, Result: ResultRejected})
-	if fetchOf(acts) != nil || countFinalAnswers(acts) != 1 {
-		t.Errorf("after the one attempt: %+v", acts)
+	actions := h.handle(Outcome{ID: 4, Result: ResultRejected})
+	if fetchOf(actions) != nil || countFinalAnswers(actions) != 1 {
+		t.Errorf("after the one attempt: %+v", actions)
 	}
-	if acts := h.request(5, "x", 2); countFinalAnswers(acts) != 1 { // a class that was removed
-		t.Errorf("%+v", acts)
+	if actions := h.request(5, "x", 2); countFinalAnswers(actions) != 1 { // a class that was removed
+		t.Errorf("%+v", actions)
 	}
 	// Of the former class 2.
-	h.do(Outcome{ID: 2, Result: ResultOK, TransferTime: time.Second, RequestFinished: true})
+	h.handle(Outcome{ID: 2, Result: ResultOK, TransferTime: time.Second, RequestFinished: true})
 }
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -22,7 +22,7 @@
 func TestDrainingCacheIsNeitherTargetNorSource(t *testing.T) {
 	h := newHarness(t)
 	home := h.serve(1, "x", CacheStatusFilled).Target
-	h.do(EndpointUpdate{Endpoints: []Endpoint{{ID: home, State: Draining, Zone: 1, Weight: 5}}})
+	h.handle(EndpointUpdate{Endpoints: []Endpoint{{ID: home, State: Draining, Zone: 1, Weight: 5}}})
 	f := fetchOf(h.request(2, "x", 0))
 	if f.Target == home || f.Source == home {
 		t.Fatalf("%s is draining and is used: %+v", home, f)
@@ -33,10 +33,10 @@
 func TestFullCacheIsPassedOver(t *testing.T) {
 	h := newHarness(t)
 	home := h.serve(1, "x", CacheStatusFilled).Target
-	m := h.router.endpoints[home]
+	e := h.router.endpoints[home]
 	for i := 0; i < 40; i++ {
-		inFlight := &attempt{request: &request{transferSeconds: 0.1}, target: m}
-		m.link.inFlight = append(m.link.inFlight, inFlight)
+		inFlight := &attempt{request: &request{transferSeconds: 0.1}, target: e}
+		e.link.inFlight = append(e.link.inFlight, inFlight)
 	}
 	if f := fetchOf(h.request(2, "x", 0)); f == nil || f.Target == home {
 		t.Fatalf("%s is full: %+v", home, f)
@@ -49,12 +49,12 @@
 		hubs       []int
 		near, most int
 	}{{[]int{0, 0, 2}, 60, 100}, {nil, 20, 80}, {[]int{-7, 0, 99}, 0, 100}, {[]int{0}, 20, 80}} {
-		set := testSettings()
-		set.ZoneHubs = c.hubs
-		h := &harness{t: t, router: New(set, 1), now: time.Hour}
+		hubSettings := testSettings()
+		hubSettings.ZoneHubs = c.hubs
+		h := &harness{t: t, router: New(hubSettings, 1), now: time.Hour}
 		list := allEndpoints()
 		list.Endpoints[4].Zone = 2
-		h.do(list)
+		h.handle(list)
 		near := 0
 		for i := range 100 {
 			req := &request{Request: Request{Object: "x"}, class: &h.router.settings.Classes[0],
@@ -67,7 +67,7 @@
 		if near < c.near || near > c.most {
 			t.Errorf("hubs %v: %d of 100 from the near parent", c.hubs, near)
 		}
-		h.do(EndpointUpdate{Endpoints: []Endpoint{{ID: "p", State: Removed, Kind: 1}}})
+		h.handle(EndpointUpdate{Endpoints: []Endpoint{{ID: "p", State: Removed, Kind: 1}}})
 		if f := fetchOf(h.request(1, "x", 0)); f.Source != "q" {
 			t.Errorf("hubs %v: with the near hub lost %q fills", c.hubs, f.Source)
 		}
@@ -80,7 +80,7 @@
 	h, object, id := newHarness(t), "", int64(0)
 	fill := func() string {
 		id++
-		f := fetchOf(h.do(Request{ID: id, Object: object, Remaining: 6 * time.Second}))
+		f := fetchOf(h.handle(Request{ID: id, Object: object, Remaining: 6 * time.Second}))
 		if f == nil {
 			t.Fatalf("request %d was not sent", id)
 		}
@@ -89,9 +89,9 @@
 			elapsed = 900 * ms
 		}
 		h.now += 100 * ms
-		h.do(Outcome{ID: id, Result: ResultOK, CacheStatus: CacheStatusFilled, Elapsed: elapsed,
+		h.handle(Outcome{ID: id, Result: ResultOK, CacheStatus: CacheStatusFilled, Elapsed: elapsed,
 			TransferTime: 200 * ms, RequestFinished: true})
-		h.do(Purge{Object: object}) // so that no sibling is believed to have it cached
+		h.handle(Purge{Object: object}) // so that no sibling is believed to have it cached
 		return f.Source
 	}
 	for object = "x"; fill() != "p"; { // an object that p fills by its hash
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -10,7 +10,9 @@
 func TestSlowStartBudgetOfCache(t *testing.T) {
 	h := newHarness(t)
 	home := h.serve(1, "x", CacheStatusFilled).Target
-	h.do(EndpointUpdate{Endpoints: []Endpoint{{ID: home, State: Ready, Zone: 1, Weight: 5, Started: h.now}}})
+	h.handle(EndpointUpdate{Endpoints: []Endpoint{
+		{ID: home, State: Ready, Zone: 1, Weight: 5, Started: h.now},
+	}})
 	sent := 0
 	for i := int64(2); i < 60; i++ {
 		if f := fetchOf(h.request(i, "x", 0)); f != nil && f.Target == home {
@@ -26,14 +28,14 @@
 // The assumed capacity of a parent does not grow with the number of routers: their slow-start budgets
 // together stay within what it can take. Incident iddf016.
 func TestSlowStartBudgetOfParentAcrossRouters(t *testing.T) {
-	set := testSettings()
-	set.Routers, set.RoutersInZone, set.WeightsConfigured = 100, 5, false
+	settings := testSettings()
+	settings.Routers, settings.RoutersInZone, settings.WeightsConfigured = 100, 5, false
 	sent := 0
-	for i := range set.Routers {
-		h := &harness{t: t, router: New(set, uint64(i)), now: time.Hour}
+	for i := range settings.Routers {
+		h := &harness{t: t, router: New(settings, uint64(i)), now: time.Hour}
 		list := allEndpoints()
 		list.Endpoints[3].Started, list.Endpoints[4].State = h.now, Removed
-		h.do(list)
+		h.handle(list)
 		for id := int64(1); id < 20; id++ {
 			if f := fetchOf(h.request(id, string(rune('a'+id)), 0)); f != nil && f.Source == "p" {
 				sent++
@@ -204,16 +206,16 @@
 // checked again when it is sent.
 func TestDelayedAttemptsKeepSlowStartBudget(t *testing.T) {
 	for _, restarts := range []bool{false, true} {
-		set := testSettings()
-		set.SlowStartCapacity, set.OverloadWindow = 0.05, time.Second
-		h := newHarnessWith(t, set)
+		settings := testSettings()
+		settings.SlowStartCapacity, settings.OverloadWindow = 0.05, time.Second
+		h := newHarnessWith(t, settings)
 		home := h.serve(1, "x", CacheStatusFilled).Target
 		h.now += time.Minute
 		restart := EndpointUpdate{Endpoints: []Endpoint{
 			{ID: home, State: Ready, Zone: 1, Weight: 5, Started: h.now},
 		}}
 		if !restarts {
-			h.do(restart)
+			h.handle(restart)
 		}
 		var waiting []int64
 		for id := int64(2); id < 100; id++ {
@@ -224,7 +226,7 @@
 		}
 		if restarts {
 			restart.Endpoints[0].Started = h.now
-			h.do(restart)
+			h.handle(restart)
 		}
 		sent := 0
 		for _, id := range waiting {
@@ -246,22 +248,22 @@
 func TestTwoProcessesShareSlowStartBudget(t *testing.T) {
 	sent := map[int]int{}
 	for _, processes := range []int{1, 2} {
-		set := testSettings()
-		set.ProcessesPerRouter = processes
+		settings := testSettings()
+		settings.ProcessesPerRouter = processes
 		for i := range processes {
-			h := &harness{t: t, router: New(set, uint64(i)), now: time.Hour}
-			h.do(allEndpoints())
+			h := &harness{t: t, router: New(settings, uint64(i)), now: time.Hour}
+			h.handle(allEndpoints())
 			home := h.serve(1, "x", CacheStatusFilled).Target
 			h.now += time.Minute
-			h.do(EndpointUpdate{Endpoints: []Endpoint{
+			h.handle(EndpointUpdate{Endpoints: []Endpoint{
 				{ID: home, State: Ready, Zone: 1, Weight: 5, Started: h.now},
 			}})
 			for id := int64(2); id < 60; id++ {
 				if f := fetchOf(h.request(id, "x", 0)); f != nil && f.Target == home {
 					sent[processes]++
 				}
-				h.do(RequestEnded{ID: id})
-				h.do(Outcome{ID: id, Result: ResultCancelled, RequestFinished: true})
+				h.handle(RequestEnded{ID: id})
+				h.handle(Outcome{ID: id, Result: ResultCancelled, RequestFinished: true})
 			}
 		}
 	}
--- a/policy/transfertime_test.go
+++ b/policy/transfertime_test.go
@@ -15,18 +15,18 @@
 		if id%2 == 1 {
 			object, sending = "large", 750*ms
 		}
-		h.do(Request{ID: id + 1, Object: object, Remaining: 6 * time.Second})
+		h.handle(Request{ID: id + 1, Object: object, Remaining: 6 * time.Second})
 		h.now += 2 * sending
-		h.do(Outcome{ID: id + 1, Result: ResultOK, CacheStatus: CacheStatusHit, Elapsed: 2 * sending,
+		h.handle(Outcome{ID: id + 1, Result: ResultOK, CacheStatus: CacheStatusHit, Elapsed: 2 * sending,
 			TransferTime: sending, RequestFinished: true})
 	}
 	for object, want := range map[string]float64{"small": 0.05, "large": 0.75, "unknown": 0.4} {
-		h.do(Request{ID: 99, Object: object, Remaining: 6 * time.Second})
+		h.handle(Request{ID: 99, Object: object, Remaining: 6 * time.Second})
 		if got := h.router.requests[99].transferSeconds; math.Abs(got-want) > 0.01 {
 			t.Errorf("%s is expected to take %v s, want %v", object, got, want)
 		}
-		h.do(RequestEnded{ID: 99})
-		h.do(Outcome{ID: 99, Result: ResultCancelled})
+		h.handle(RequestEnded{ID: 99})
+		h.handle(Outcome{ID: 99, Result: ResultCancelled})
 	}
 }
 
@@ -35,28 +35,28 @@
 func TestUnknownSizesAreLearned(t *testing.T) {
 	h := newHarness(t)
 	guess := newHarness(t).router.classTransferSeconds[""].value
-	ask := func(id int64, elapsed time.Duration) *endpointState {
-		f := fetchOf(h.do(Request{ID: id, Object: "x", Class: 0, Remaining: 3 * time.Second}))
+	send := func(id int64, elapsed time.Duration) *endpointState {
+		f := fetchOf(h.handle(Request{ID: id, Object: "x", Class: 0, Remaining: 3 * time.Second}))
 		if f == nil {
 			t.Fatalf("request %d was not sent", id)
 		}
 		h.now += elapsed
-		h.do(Outcome{ID: id, Result: ResultOK, CacheStatus: CacheStatusHit, Elapsed: elapsed,
+		h.handle(Outcome{ID: id, Result: ResultOK, CacheStatus: CacheStatusHit, Elapsed: elapsed,
 			RequestFinished: true})
 		return h.router.endpoints[f.Target]
 	}
-	var m *endpointState
+	var e *endpointState
 	for id := range int64(50) {
-		m = ask(id+1, 300*ms)
+		e = send(id+1, 300*ms)
 	}
 	if got := h.router.classTransferSeconds[""].value; guess != 0 || math.Abs(got-0.3) > 0.01 {
 		t.Errorf("%v s learned from answers of 0.3 s, %v before", got, guess)
 	}
-	if m.link.capacity != m.link.nominalCapacity {
-		t.Errorf("the link is taken for %v of %v transfers", m.link.capacity, m.link.nominalCapacity)
+	if e.link.capacity != e.link.nominalCapacity {
+		t.Errorf("the link is taken for %v of %v transfers", e.link.capacity, e.link.nominalCapacity)
 	}
-	ask(60, 2500*ms) // far longer than any size explains
-	if m.link.currentSlowdown(h.now) < minSlowdown {
-		t.Errorf("one far slower than usual is held to be slower by %v", m.link.currentSlowdown(h.now))
+	send(60, 2500*ms) // far longer than any size explains
+	if e.link.currentSlowdown(h.now) < minSlowdown {
+		t.Errorf("one far slower than usual is held to be slower by %v", e.link.currentSlowdown(h.now))
 	}
 }
