--- a/policy/attempt_test.go
+++ b/policy/attempt_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A result shows that an attempt never ran only where the target cannot have carried it out; unknown results
-// do not.
+// Only results after which the target cannot have carried out the request mean that an attempt never ran. An
+// unknown result does not.
 func TestStateAfterResult(t *testing.T) {
 	for result, want := range map[Result]attemptState{
 		ResultOK:            attemptSucceeded,
