--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -27,13 +27,13 @@
 	}
 	heapAfter := heapBytes()
 	kept := len(h.router.endpoints)
-	t.Logf("%d endpoints are kept; the heap grew by %d KB", kept, (heapAfter-heapBefore)/1024)
+	t.Logf("%d endpoints kept, the heap grew by %d KB", kept, (heapAfter-heapBefore)/1024)
 	if limit := listed + 2 + int(removedRetention/interval); kept > limit {
-		t.Errorf("%d endpoints are kept, want %d at most", kept, limit)
+		t.Errorf("%d endpoints kept, want at most %d", kept, limit)
 	}
 }
 
-// heapBytes is the size of what the heap holds.
+// heapBytes returns the size of the heap after a garbage collection.
 func heapBytes() int {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -58,17 +58,17 @@
 	h.handle(EndpointUpdate{})
 	setState(Ready)
 	if got := h.router.endpoints[home].link.capacity; got != 7 {
-		t.Errorf("its capacity is %v", got)
+		t.Errorf("capacity %v after the endpoint returned, want 7", got)
 	}
 	setState(Removed)
 	h.now += removedRetention + time.Second
 	h.handle(EndpointUpdate{})
 	if h.router.endpoints[home] != nil {
-		t.Error("it is kept for longer than the retention time")
+		t.Error("the removed endpoint is kept longer than the retention time")
 	}
-	h.handle(Outcome{ID: 2, Result: ResultReset}) // of an attempt to the one that was forgotten
+	h.handle(Outcome{ID: 2, Result: ResultReset}) // of an attempt at the endpoint that was deleted
 	setState(Ready)
 	if f.Target != home || h.router.endpoints[home] == nil {
-		t.Errorf("%s has not returned", home)
+		t.Errorf("%s is not listed again, or was not the target", home)
 	}
 }
