--- a/policy/estimators_test.go
+++ b/policy/estimators_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A ratio is plain in its first epoch, and changes only at the end of each later one.
+// A misindication ratio is the plain ratio in its first epoch, and changes only at the end of each later one.
 func TestRatioPlainThenSmoothed(t *testing.T) {
 	var r misindicationRatio
 	for i := 0; i < epochFills; i++ {
@@ -19,7 +19,7 @@
 		r.add(true)
 	}
 	if math.Abs(r.value-plain) > 1e-9 {
-		t.Fatalf("moved within an epoch: %v", r.value)
+		t.Fatalf("value changed within an epoch, to %v", r.value)
 	}
 	r.add(true)
 	if want := plain + epochWeight*(1-plain); math.Abs(r.value-want) > 1e-9 {
@@ -27,13 +27,14 @@
 	}
 }
 
-// Means start plain: one large first request must not dominate its class. Incident iddf016.
+// A mean starts as the arithmetic mean: one large first request must not dominate its class. Incident
+// iddf016.
 func TestMeanStartsPlain(t *testing.T) {
 	var m mean
 	for _, v := range []float64{1, 3, 5} {
 		m.add(v, requestSamples)
 	}
 	if m.value != 3 {
-		t.Fatalf("mean of 1, 3 and 5 is %v", m.value)
+		t.Fatalf("mean of 1, 3 and 5 is %v, want 3", m.value)
 	}
 }
