--- a/policy/fillorders_test.go
+++ b/policy/fillorders_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// After a purge of everything, many routers request the same objects at once. Their first attempts join the
-// fill that is in progress at the cache that all of them select: one cache and one parent for each object.
+// After a purge of everything, many routers request the same objects at once. Their first attempts wait for
+// the fill in progress at the cache that all of them select: one cache and one parent for each object.
 func TestFleetCoalescesFillsAfterPurge(t *testing.T) {
 	const routers = 80
 	for object := range 20 {
@@ -23,12 +23,12 @@
 			f := fetchOf(r.Handle(time.Hour+ms, Request{ID: 1, Object: fmt.Sprint(object), Group: object,
 				SizeKB: 10, Remaining: 3 * time.Second}))
 			if f == nil || !f.CoalesceFill || f.MaxAge != 51*ms {
-				t.Fatalf("router %d, object %d: %+v", i, object, f)
+				t.Fatalf("router %d, object %d: got %+v, want CoalesceFill and MaxAge 51ms", i, object, f)
 			}
 			targets[f.Target], sources[f.Source] = true, true
 		}
 		if len(targets) != 1 || len(sources) != 1 {
-			t.Errorf("object %d is filled at %v from %v", object, targets, sources)
+			t.Errorf("object %d: targets %v and sources %v, want one each", object, targets, sources)
 		}
 	}
 }
