--- a/policy/fillsource_test.go
+++ b/policy/fillsource_test.go
@@ -17,18 +17,18 @@
 	holder := r.endpoints["b"]
 	r.recordCached(holder, req, true)
 	if r.chooseSibling(req, r.endpoints["a"]) != holder {
-		t.Fatal("an idle holder is named")
+		t.Fatal("an idle sibling that has the object is not the source")
 	}
 	for i := 0; i < 30; i++ {
 		holder.link.inFlight = append(holder.link.inFlight, &attempt{request: req, target: holder})
 	}
 	if s := r.chooseSibling(req, r.endpoints["a"]); s != nil {
-		t.Fatalf("%s is full and is named", s.ID)
+		t.Fatalf("sibling %s is the source although it is full", s.ID)
 	}
 }
 
-// A cache that returns is the target again for its objects, and a sibling that still has them cached fills
-// them.
+// A cache that returns to the endpoint list is the target for its objects again, and a sibling that still has
+// them cached fills them.
 func TestReturnedCacheIsFilledFromSibling(t *testing.T) {
 	h := newHarness(t)
 	home := h.serve(1, "x", CacheStatusFilled).Target
@@ -43,7 +43,7 @@
 		ID: 3, Result: ResultNotFound, CacheStatus: CacheStatusSourceMissing, Elapsed: 10 * ms,
 	})
 	if f = fetchOf(actions); f == nil || f.Source != "p" && f.Source != "q" {
-		t.Fatalf("after 'lacks it' want the parent, got %+v", actions)
+		t.Fatalf("after CacheStatusSourceMissing got %+v, want a parent as the source", actions)
 	}
 }
 
@@ -63,16 +63,16 @@
 		r.recordCached(r.endpoints["b"], req, true)
 		r.endpoints["b"].misindication = misindicationRatio{fills: 1, value: c.rho}
 		if got := r.chooseSibling(req, r.endpoints["a"]) != nil; got != c.want {
-			t.Errorf("rho %v: sibling named %v, want %v", c.rho, got, c.want)
+			t.Errorf("rho %v: sibling is the source: %v, want %v", c.rho, got, c.want)
 		}
 	}
 }
 
-// The miss penalty is the quotient of both tiers' first-byte times, once both are known.
+// Once both are known, the miss penalty is the parents' first-byte time divided by the siblings'.
 func TestMissPenaltyFromFirstByteTimes(t *testing.T) {
 	h := newHarness(t)
 	if b := h.router.missPenalty(); b != initialMissPenalty {
-		t.Fatalf("beta starts at %v", b)
+		t.Fatalf("initial beta %v, want initialMissPenalty", b)
 	}
 	h.router.parentFirstByteSeconds.value, h.router.siblingFirstByteSeconds.value = 0.06, 0.02
 	if b := h.router.missPenalty(); math.Abs(b-3) > 1e-9 {
