--- a/policy/guard_test.go
+++ b/policy/guard_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// The deduplication window is checked again at a retry's first byte: it may have waited for its connection.
+// The deduplication window is checked again before a retry's first byte, as the retry may have waited for its
+// connection.
 func TestRetryDoesNotStartAfterWindow(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		settings := testSettings()
@@ -15,27 +16,27 @@
 		}
 		h := newHarnessWith(t, settings)
 		if fetchOf(h.request(1, "x", 0)) == nil {
-			t.Fatal("not sent")
+			t.Fatal("the request was not sent")
 		}
 		_, verdict := h.router.MaySend(h.now, SendInfo{ID: 1, Remaining: time.Second})
 		if !verdict.Allowed() {
-			t.Fatal("the first attempt may start at any time")
+			t.Fatal("the first attempt was denied")
 		}
 		h.now += 900 * ms
 		if fetchOf(h.handle(Outcome{ID: 1, Attempt: 0, Result: ResultReset})) == nil {
-			t.Fatal("not repeated within its window")
+			t.Fatal("not retried within the deduplication window")
 		}
 		if late {
 			h.now += 200 * ms
 		}
 		_, verdict = h.router.MaySend(h.now, SendInfo{ID: 1, Attempt: 1, Remaining: time.Second})
 		if verdict.Allowed() == late || late && verdict != (Verdict{RuleDuplicate, ReasonWindowExpired}) {
-			t.Errorf("late %v: %+v", late, verdict)
+			t.Errorf("retry after the window %v: %+v", late, verdict)
 		}
 	}
 }
 
-// MaySend checks an attempt again at its first byte, and returns the fill orders of that time.
+// MaySend checks an attempt again before its first byte, and returns its Fetch as of then.
 func TestMaySendChecksAtFirstByte(t *testing.T) {
 	drain := func(id string) Event {
 		return EndpointUpdate{Endpoints: []Endpoint{{ID: id, State: Draining, Zone: 1}}}
