--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -7,8 +7,8 @@
 
 const ms = time.Millisecond
 
-// testSettings describes a small deployment: three caches, two parents and an origin; two idempotent classes,
-// of which one expires, and one for writes.
+// testSettings returns the settings for a small deployment: three caches, two parents and an origin. Class 0
+// is idempotent, class 1 is idempotent with copies that expire, and class 2 is for writes.
 func testSettings() Settings {
 	return Settings{
 		Zone: 1, ParentKind: 1, OriginKind: 2, Routers: 1, RoutersInZone: 1, WeightsConfigured: true,
@@ -44,7 +44,7 @@
 	}}
 }
 
-// harness drives a router with events at times that the test sets.
+// harness passes events to a router at times that the test sets.
 type harness struct {
 	t      testing.TB
 	router *Router
@@ -57,7 +57,7 @@
 	return newHarnessWith(tb, testSettings())
 }
 
-// newHarnessWith returns a harness whose router has other settings and knows all endpoints.
+// newHarnessWith returns a harness whose router has the given settings and knows all endpoints.
 func newHarnessWith(tb testing.TB, settings Settings) *harness {
 	tb.Helper()
 	h := &harness{t: tb, router: New(settings, 1), now: time.Hour}
@@ -94,7 +94,7 @@
 	return n
 }
 
-// serve has a request of class 0 answered after 150 ms and returns its Fetch.
+// serve sends a request of class 0, answers it after 150 ms and returns its Fetch.
 func (h *harness) serve(id int64, object string, status CacheStatus) Fetch {
 	h.t.Helper()
 	f := fetchOf(h.request(id, object, 0))
