--- a/policy/idempotency_test.go
+++ b/policy/idempotency_test.go
@@ -14,11 +14,11 @@
 		{ResultConnectFailed, true}} {
 		h := newHarness(t)
 		if f := fetchOf(h.request(1, "w", 2)); f == nil || f.Target != "o" {
-			t.Fatalf("a write goes to the origin, got %+v", f)
+			t.Fatalf("got %+v, want the write sent to the origin", f)
 		}
 		actions := h.handle(Outcome{ID: 1, Result: c.result, Elapsed: 10 * ms})
 		if again := fetchOf(actions) != nil; again != c.again {
-			t.Errorf("result %v: sent again %v", c.result, again)
+			t.Errorf("result %v: sent again %v, want the opposite", c.result, again)
 		}
 		if !c.again {
 			if len(actions) != 1 || actions[0] != (Fail{ID: 1, Reason: ReasonMayHaveRun}) {
@@ -50,7 +50,7 @@
 		req.firstPossibleRun = &attempt{target: first, createdAt: time.Hour}
 		r.now = time.Hour + c.after
 		if got := r.mayRepeat(req, &endpointState{Endpoint: c.to}); got != c.want {
-			t.Errorf("%+v: %v", c, got)
+			t.Errorf("%+v: may repeat %v", c, got)
 		}
 		if got := r.mayReject(req); got != (c.scope == ScopeAll) {
 			t.Errorf("scope %v: may reject %v", c.scope, got)
