--- a/policy/linkpace_test.go
+++ b/policy/linkpace_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A configured link capacity is not changed by answers of unknown size, as the unknown may be the load of
-// others. An assumed capacity follows all answers, and a configured one those of known size.
+// A configured link capacity is not changed by answers of unknown size, as the load of other routers may have
+// slowed them. It is changed by answers of known size, and an assumed capacity by all answers.
 func TestConfiguredLinksIgnoreAnswersOfUnknownSize(t *testing.T) {
 	for _, c := range []struct {
 		configured bool
@@ -19,7 +19,7 @@
 			settings.ZoneLinkTransfers = 0
 		}
 		h := newHarnessWith(t, settings)
-		for id := range int64(60) { // a burst: every link is taken for congested
+		for id := range int64(60) { // a burst, which makes every link look congested
 			h.handle(Request{ID: id + 1, Object: string(rune('a' + id)), Remaining: 3 * time.Second})
 		}
 		var full *link
@@ -35,10 +35,10 @@
 			break
 		}
 		if full == nil {
-			t.Fatalf("%+v: no link was full", c)
+			t.Fatalf("%+v: no link was congested", c)
 		}
 		if moved := full.capacity != full.nominalCapacity; moved != c.moves {
-			t.Errorf("%+v: the link is taken for %v of %v transfers", c, full.capacity, full.nominalCapacity)
+			t.Errorf("%+v: link capacity %v, nominal %v", c, full.capacity, full.nominalCapacity)
 		}
 	}
 }
