--- a/policy/loadshedding_test.go
+++ b/policy/loadshedding_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A congested link sheds long requests before short ones of the same weight.
+// On a congested link, long requests are shed before short ones of the same weight.
 func TestSheddingByWeightPerTransferTime(t *testing.T) {
 	h := newHarness(t)
 	send := func(id int64, kb float64) *Fetch {
