--- a/policy/originlimit_test.go
+++ b/policy/originlimit_test.go
@@ -10,12 +10,12 @@
 	h := newHarness(t)
 	for i := int64(1); i < 8; i++ {
 		if fetchOf(h.request(i, string(rune('a'+i)), 0)).CachedOnly {
-			t.Fatal("the limit is reached before any failure")
+			t.Fatal("limited before any failure")
 		}
 	}
 	h.handle(Outcome{ID: 1, Result: ResultError, CacheStatus: CacheStatusOriginFailed, Elapsed: 20 * ms})
 	if f := fetchOf(h.request(20, "new", 0)); f == nil || !f.CachedOnly {
-		t.Fatalf("the origin failed and may still be loaded: %+v", f)
+		t.Fatalf("got %+v after the origin failed, want CachedOnly", f)
 	}
 }
 
@@ -39,19 +39,20 @@
 		SourceFirstByte: 50 * ms,
 		RequestFinished: true})
 	if h.router.originLimit.limit <= after {
-		t.Fatal("a quick answer of the origin must raise the limit")
+		t.Fatal("a quick answer of the origin did not raise the limit")
 	}
 }
 
-// With many routers one attempt of each is too much for a failing origin: the limit falls below one, to this
-// router's part, and rises again. With few routers one attempt is always admitted. Incident ic689c2.
+// With many routers, one attempt of each is too much for a failing origin: the limit falls below 1, down to
+// this router's share of the origin's capacity, and rises again. With few routers, one attempt is always
+// admitted. Incident ic689c2.
 func TestLimitFallsBelowOneWithManyRouters(t *testing.T) {
 	for _, c := range []struct {
-		instances int
-		below     bool
+		routers int
+		below   bool
 	}{{300, true}, {1, false}} {
 		settings := testSettings()
-		settings.Routers = c.instances
+		settings.Routers = c.routers
 		h := newHarnessWith(t, settings)
 		for id := int64(1); id < 20; id++ {
 			h.request(id, string(rune('a'+id)), 0)
@@ -59,17 +60,17 @@
 			h.handle(Outcome{ID: id, Result: ResultError, CacheStatus: CacheStatusOriginFailed,
 				Elapsed: 20 * ms})
 		}
-		shut := h.router.originLimit.limit
-		if (shut < 1) != c.below || shut <= 0 {
-			t.Fatalf("%d routers: the limit is %v", c.instances, shut)
+		lowestLimit := h.router.originLimit.limit
+		if (lowestLimit < 1) != c.below || lowestLimit <= 0 {
+			t.Fatalf("%d routers: limit %v after failures", c.routers, lowestLimit)
 		}
 		a := &attempt{request: &request{class: &settings.Classes[0]}, source: h.router.endpoints["p"],
 			target: h.router.endpoints["a"]}
 		for range 20 {
 			h.router.updateOriginLimit(a, Outcome{Result: ResultOK, CacheStatus: CacheStatusFilledByOrigin})
 		}
-		if h.router.originLimit.limit < shut+1 {
-			t.Fatalf("%d routers: answers raised the limit from %v to %v only", c.instances, shut,
+		if h.router.originLimit.limit < lowestLimit+1 {
+			t.Fatalf("%d routers: answers raised the limit only from %v to %v", c.routers, lowestLimit,
 				h.router.originLimit.limit)
 		}
 	}
