--- a/policy/outliers_test.go
+++ b/policy/outliers_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// A cache that fails requests which others answer is ejected, and returns with its next good answer. A
-// request that fails everywhere is given up, and ejects no cache.
+// A cache that fails requests which others answer is ejected until its next answer. A request that fails at
+// every cache gets its final answer, and no cache is ejected for it.
 func TestFailuresEjectOnceOthersAnswer(t *testing.T) {
 	h := newHarness(t)
 	home := h.serve(1, "x", CacheStatusFilled).Target
 	for id := int64(2); id < 4; id++ {
 		if f := fetchOf(h.request(id, "x", 0)); f.Target != home {
-			t.Fatalf("request %d goes to %s, not %s", id, f.Target, home)
+			t.Fatalf("request %d went to %s, want %s", id, f.Target, home)
 		}
 		f := fetchOf(h.handle(Outcome{ID: id, Result: ResultError, Elapsed: ms}))
 		if f == nil || f.Target != home {
@@ -20,21 +20,21 @@
 		}
 		f = fetchOf(h.handle(Outcome{ID: id, Attempt: 1, Result: ResultError, Elapsed: ms}))
 		if f == nil || f.Target == home {
-			t.Fatalf("after a second error: %+v", f)
+			t.Fatalf("after a second error got %+v, want another cache", f)
 		}
 		h.handle(Outcome{ID: id, Attempt: 2, Result: ResultOK, CacheStatus: CacheStatusFilled,
 			Elapsed: 150 * ms, RequestFinished: true})
 	}
 	f := fetchOf(h.request(4, "x", 0))
 	if f.Target == home {
-		t.Fatalf("%s failed two requests that others answered, and receives a third", home)
+		t.Fatalf("%s receives a third request after two that it failed and others answered", home)
 	}
 	h.handle(Outcome{ID: 4, Result: ResultOK, CacheStatus: CacheStatusHit, Elapsed: 100 * ms,
 		RequestFinished: true})
 	h.now += baseEjectionTime
 	h.serve(5, "x", CacheStatusHit)
 	if h.router.isEjected(h.router.endpoints[home]) {
-		t.Fatal("a good answer must end the ejection")
+		t.Fatal("an answer did not end the ejection")
 	}
 
 	h.request(6, "y", 0)
@@ -43,7 +43,7 @@
 		actions = h.handle(Outcome{ID: 6, Attempt: attempts - 1, Result: ResultError, Elapsed: ms})
 	}
 	if attempts-1 != maxFailedAttempts {
-		t.Errorf("%d attempts", attempts-1)
+		t.Errorf("%d attempts, want maxFailedAttempts", attempts-1)
 	}
 	for id, e := range h.router.endpoints {
 		if h.router.isEjected(e) {
@@ -52,7 +52,7 @@
 	}
 }
 
-// Each response of an endpoint makes up for one ejection, not for all at once. Incident ia695e1.
+// Each response of an endpoint lowers its count of ejections by one, not to 0 at once. Incident ia695e1.
 func TestEjectionsDecayOneByOne(t *testing.T) {
 	h := newHarness(t)
 	e := h.router.endpoints["p"]
@@ -63,29 +63,29 @@
 	e.recordResponse(h.now)
 	e.link.inFlight = []*attempt{{request: &request{}}}
 	if !h.router.isEjected(e) {
-		t.Fatal("one response must not make up for three ejections")
+		t.Fatal("one response cleared three ejections")
 	}
 	e.recordResponse(h.now)
 	e.recordResponse(h.now)
 	if h.router.isEjected(e) {
-		t.Fatal("three responses must make up for three ejections")
+		t.Fatal("three responses did not clear three ejections")
 	}
 }
 
-// restart has the endpoint list say that an endpoint has restarted now.
+// restart updates the endpoint list with an endpoint that has restarted now.
 func (h *harness) restart(id string) {
 	listed := h.router.endpoints[id].Endpoint
 	listed.Started = h.now
 	h.handle(EndpointUpdate{Endpoints: []Endpoint{listed}})
 }
 
-// failOnce has one request fail at an endpoint, twice in a row, and be answered by another one.
+// failOnce sends a request that fails at an endpoint each time and is answered by another endpoint.
 func (h *harness) failOnce(id int64, object, endpoint string) {
 	h.t.Helper()
 	f := fetchOf(h.request(id, object, 0))
 	for attempt := 0; ; attempt++ {
 		if f == nil {
-			h.t.Fatalf("request %d was given up", id)
+			h.t.Fatalf("request %d was not answered", id)
 		}
 		if f.Target != endpoint {
 			h.handle(Outcome{ID: id, Attempt: attempt, Result: ResultOK, CacheStatus: CacheStatusFilled,
@@ -137,6 +137,6 @@
 	h.restart(home)
 	h.handle(Outcome{ID: 7, Result: ResultConnectFailed})
 	if ejected() {
-		t.Error("ejected for a connect to the process before")
+		t.Error("ejected for a failed connection to the process before its restart")
 	}
 }
