--- a/policy/overdue_test.go
+++ b/policy/overdue_test.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// A cache that responds to others but not to an attempt has lost its answer. The attempt is repeated at the
-// same cache, as a hedged request where the settings allow it.
+// The answer to an attempt is lost if its cache has answered later attempts instead. The request is sent to
+// the same cache again: as a hedge where the settings allow it, otherwise after the first attempt is
+// cancelled.
 func TestLostAnswerIsRetried(t *testing.T) {
-	for _, second := range []bool{true, false} {
+	for _, hedging := range []bool{true, false} {
 		settings := testSettings()
-		settings.Hedging = second
+		settings.Hedging = hedging
 		h := newHarnessWith(t, settings)
 		home := h.serve(1, "x", CacheStatusFilled).Target
 		actions := h.request(2, "x", 0)
@@ -19,9 +20,9 @@
 		h.serve(3, "x", CacheStatusHit)
 		h.now += due.In
 		actions = h.handle(TimerFired{Token: due.Token})
-		if !second {
+		if !hedging {
 			if len(actions) != 1 || actions[0] != (Cancel{ID: 2}) {
-				t.Fatalf("want the wait ended first, got %+v", actions)
+				t.Fatalf("got %+v, want the first attempt cancelled", actions)
 			}
 			actions = h.handle(Outcome{ID: 2, Result: ResultCancelled})
 		}
@@ -29,12 +30,12 @@
 			t.Fatalf("want a second attempt at %s, got %+v", home, actions)
 		}
 		if n := len(h.router.endpoints[home].link.inFlight); n != 1 {
-			t.Fatalf("%d on the link: the lost one must not make it look full", n)
+			t.Fatalf("%d attempts on the link, want 1: the lost one no longer loads it", n)
 		}
 	}
 }
 
-// An object far larger than most is not taken for a lost answer when smaller ones that were requested later
+// An object far larger than most does not count as a lost answer when smaller ones that were requested later
 // have arrived: it would be transferred twice.
 func TestLargeObjectIsNotOverdue(t *testing.T) {
 	h := newHarness(t)
@@ -49,7 +50,7 @@
 	}
 	due := send(30, "large")[1].(StartTimer)
 	if due.In < 700*ms {
-		t.Errorf("one seven times as large as most is taken for lost after %v", due.In)
+		t.Errorf("overdue after %v, which an object seven times as large as most takes", due.In)
 	}
 }
 
@@ -62,7 +63,7 @@
 	h.handle(Outcome{ID: 2, Result: ResultOK, Elapsed: ms, RequestFinished: true})
 	h.now += due.In
 	if actions := h.handle(TimerFired{Token: due.Token}); len(actions) != 0 {
-		t.Fatalf("%+v", actions)
+		t.Fatalf("got %+v for the overdue write, want no action", actions)
 	}
 }
 
