--- a/policy/purges_test.go
+++ b/policy/purges_test.go
@@ -5,31 +5,33 @@
 	"time"
 )
 
-// After a purge no copy older than it is accepted, and a retry joins no fill that may have begun before.
+// After a purge no copy from before it is accepted, and a retry does not wait for a fill that may have begun
+// before it.
 func TestPurgeBoundsAge(t *testing.T) {
 	h := newHarness(t)
 	h.handle(Purge{Object: "x", Age: 100 * ms})
 	h.now += 50 * ms
 	f := fetchOf(h.request(1, "x", 0))
 	if f.MaxAge != 150*ms || !f.CoalesceFill {
-		t.Fatalf("want age 150 ms, and a join as all that miss at once would fill, got %+v", f)
+		t.Fatalf("got %+v, want MaxAge 150ms and CoalesceFill, as many requests miss at once", f)
 	}
-	// The fill that it joined may be too old.
+	// The fill that the first attempt waited for may have begun before the purge.
 	f = fetchOf(h.handle(Outcome{ID: 1, Result: ResultError, Elapsed: 20 * ms}))
 	if f == nil || f.MaxAge != 150*ms || f.CoalesceFill {
-		t.Fatalf("want age 150 ms and no join in a further attempt, got %+v", f)
+		t.Fatalf("got %+v, want MaxAge 150ms and no CoalesceFill in a retry", f)
 	}
 	h.now += 7 * time.Second
 	if f = fetchOf(h.request(2, "x", 0)); f.MaxAge != 0 || !f.CoalesceFill {
-		t.Fatalf("the purge is over, got %+v", f)
+		t.Fatalf("got %+v after the purge has completed, want no limit", f)
 	}
 	h.handle(Purge{Group: 0})
 	if f = fetchOf(h.request(3, "y", 1)); f.MaxAge <= 0 || f.MaxAge > ms {
-		t.Fatalf("age 0 would mean the default, got %v", f.MaxAge)
+		t.Fatalf("MaxAge %v, want over 0, which would mean the class's, and at most 1ms", f.MaxAge)
 	}
 }
 
-// A purge of an object, or of its group, ends the belief that it is cached; other records stay.
+// After a purge of an object, or of its group, the cache records of the object no longer count. Those of
+// other objects still do.
 func TestPurgeClearsCacheRecords(t *testing.T) {
 	for _, purge := range []Purge{{Object: "x", Group: 0}, {Group: 0}} {
 		h := newHarness(t)
@@ -40,17 +42,17 @@
 		h.handle(Purge{Object: "y", Group: 0})
 		h.handle(Purge{Group: 9})
 		if !h.router.likelyCached(e, req) {
-			t.Fatal("another purge removed the record")
+			t.Fatal("the record does not count after a purge of another object")
 		}
 		h.handle(purge)
 		h.now += 10 * time.Second
-		h.handle(Purge{Group: 7}) // another purge removes none that a record may predate
+		h.handle(Purge{Group: 7}) // must not drop a purge that is later than a record
 		if h.router.likelyCached(e, req) {
-			t.Fatalf("%+v left the record", purge)
+			t.Fatalf("the record still counts after %+v", purge)
 		}
 		h.router.recordCached(e, req, true)
 		if !h.router.likelyCached(e, req) {
-			t.Fatal("a copy filled after the purge is not expected to be there")
+			t.Fatal("the record of a copy filled after the purge does not count")
 		}
 	}
 }
