--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -17,7 +17,7 @@
 				ends += countFinalAnswers(actions)
 			}
 			if ends != 1 || len(h.router.requests) != 0 {
-				t.Errorf("result %v class %d: %d final answers, %d open", result, class, ends,
+				t.Errorf("result %v, class %d: %d final answers, %d open requests", result, class, ends,
 					len(h.router.requests))
 			}
 		}
@@ -29,6 +29,6 @@
 	h := newHarness(t)
 	if actions := h.request(1, "x", 9); len(actions) != 1 ||
 		actions[0] != (Fail{ID: 1, Reason: ReasonUnknownClass}) {
-		t.Fatalf("%+v", actions)
+		t.Fatalf("got %+v, want one Fail", actions)
 	}
 }
