--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// One reset is attributed to the connection, not to the cache: the next attempt goes to the same cache.
+// One reset counts against the connection, not against the cache: the next attempt goes to the same cache.
 // Incident i39a6ba.
 func TestOneResetDoesNotAvoidCache(t *testing.T) {
 	h := newHarness(t)
@@ -18,11 +18,11 @@
 	}
 	f = fetchOf(h.handle(Outcome{ID: 2, Attempt: 1, Result: ResultReset, Elapsed: 20 * ms}))
 	if f == nil || f.Target == home {
-		t.Fatalf("after a second reset want another cache, got %+v", f)
+		t.Fatalf("after a second reset got %+v, want another cache", f)
 	}
 }
 
-// Caches that fail a third of all attempts make no request fail: the retry budget is for overload.
+// When a third of all attempts fail, every request is still answered: the retry budget allows for that.
 func TestEveryThirdAttemptFails(t *testing.T) {
 	h, attempts := newHarness(t), 0
 	for id := range int64(300) {
@@ -38,14 +38,14 @@
 			}
 			actions := h.handle(Outcome{ID: id + 1, Attempt: number, Result: ResultError})
 			if f = fetchOf(actions); f == nil {
-				t.Fatalf("request %d was given up after %d attempts in all: %+v", id+1, attempts, actions)
+				t.Fatalf("request %d was not retried, after %d attempts in all: %+v", id+1, attempts, actions)
 			}
 		}
 	}
 }
 
-// When a zone is lost, all routers reject at once. Their Retry-After spreads the clients evenly: no 20 ms
-// bring more than twice the mean, and none returns too soon.
+// When a zone is lost, all routers reject at once. Their Retry-After spreads the clients evenly: in no 20 ms
+// do more than twice the mean return, and none returns before minRetryAfter.
 func TestFleetSpreadsRetryAfter(t *testing.T) {
 	const routers, each, bin = 300, 5, 20 * time.Millisecond
 	returning := map[time.Duration]int{}
@@ -64,10 +64,10 @@
 			returning[rejection.RetryAfter/bin]++
 		}
 	}
-	part := float64(routers*each) / float64(minRetryAfter/bin)
+	meanPerBin := float64(routers*each) / float64(minRetryAfter/bin)
 	for i, n := range returning {
-		if float64(n) > 2*part {
-			t.Errorf("%d come back in the 20 ms from %v on, %.1f are its part", n, i*bin, part)
+		if float64(n) > 2*meanPerBin {
+			t.Errorf("%d clients return in the 20 ms from %v on, the mean is %.1f", n, i*bin, meanPerBin)
 		}
 	}
 }
