--- a/policy/router_test.go
+++ b/policy/router_test.go
@@ -21,12 +21,12 @@
 		return all
 	}
 	if a, b := run(), run(); !reflect.DeepEqual(a, b) {
-		t.Fatal("the same events gave other actions")
+		t.Fatal("the same settings, seed and events gave different actions")
 	}
 }
 
-// New settings may give a class's number to another class. Requests keep the class they arrived with, what
-// was learned stays with a class's name, and a lower number of attempts applies at once.
+// New settings may give a class's number to another class. Requests keep the class they arrived with, learned
+// transfer times stay with a class's name, and a lower MaxAttempts applies at once.
 func TestNewSettings(t *testing.T) {
 	settings := testSettings()
 	for i, name := range []string{"old", "fresh", "write"} {
@@ -46,24 +46,24 @@
 	later.MaxAttempts = 1
 	h.handle(later)
 	if f := fetchOf(h.request(3, "z", 0)); f == nil || f.Target != "o" || f.Target != write.Target {
-		t.Errorf("the write, by its new number: %+v", f)
+		t.Errorf("write by the new class number: %+v", f)
 	}
 	inProgress := h.router.requests[2]
 	keptLearned := h.router.classTransferSeconds["old"].value == learned && learned != 0
 	if !keptLearned || inProgress.class.Name != "write" || inProgress.Class != 2 {
-		t.Error("what was learned is gone, or a request has changed its class")
+		t.Error("learned transfer times were lost, or a request has changed its class")
 	}
 	f := fetchOf(h.request(4, "x", 1))
 	if f == nil || f.Target == "o" {
-		t.Fatalf("the read, by its new number: %+v", f)
+		t.Fatalf("read by the new class number: %+v", f)
 	}
 	actions := h.handle(Outcome{ID: 4, Result: ResultRejected})
 	if fetchOf(actions) != nil || countFinalAnswers(actions) != 1 {
-		t.Errorf("after the one attempt: %+v", actions)
+		t.Errorf("got %+v after the only attempt, want one final answer", actions)
 	}
 	if actions := h.request(5, "x", 2); countFinalAnswers(actions) != 1 { // a class that was removed
-		t.Errorf("%+v", actions)
+		t.Errorf("got %+v for a removed class, want one final answer", actions)
 	}
-	// Of the former class 2.
+	// Request 2 is still of the removed class 2.
 	h.handle(Outcome{ID: 2, Result: ResultOK, TransferTime: time.Second, RequestFinished: true})
 }
