--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -11,10 +11,10 @@
 	first := h.serve(1, "x", CacheStatusFilled)
 	second := h.serve(2, "x", CacheStatusHit)
 	if first.Target != second.Target || first.Source != second.Source {
-		t.Fatalf("%+v then %+v", first, second)
+		t.Fatalf("got %+v, then %+v, want the same target and source", first, second)
 	}
 	if first.Source != "p" && first.Source != "q" {
-		t.Fatalf("a miss nobody is expected to hold is filled from %q, not a parent", first.Source)
+		t.Fatalf("a miss of an object that no sibling has is filled from %q, want a parent", first.Source)
 	}
 }
 
@@ -25,7 +25,7 @@
 	h.handle(EndpointUpdate{Endpoints: []Endpoint{{ID: home, State: Draining, Zone: 1, Weight: 5}}})
 	f := fetchOf(h.request(2, "x", 0))
 	if f.Target == home || f.Source == home {
-		t.Fatalf("%s is draining and is used: %+v", home, f)
+		t.Fatalf("%s is used although it is draining: %+v", home, f)
 	}
 }
 
@@ -39,7 +39,7 @@
 		e.link.inFlight = append(e.link.inFlight, inFlight)
 	}
 	if f := fetchOf(h.request(2, "x", 0)); f == nil || f.Target == home {
-		t.Fatalf("%s is full: %+v", home, f)
+		t.Fatalf("%s is full, want another cache, got %+v", home, f)
 	}
 }
 
@@ -69,13 +69,14 @@
 		}
 		h.handle(EndpointUpdate{Endpoints: []Endpoint{{ID: "p", State: Removed, Kind: 1}}})
 		if f := fetchOf(h.request(1, "x", 0)); f.Source != "q" {
-			t.Errorf("hubs %v: with the near hub lost %q fills", c.hubs, f.Source)
+			t.Errorf("hubs %v: %q fills after the near parent was removed, want q", c.hubs, f.Source)
 		}
 	}
 }
 
 // A parent whose fills take several times as long as their bytes explain is slow, even with few transfers in
-// flight. Others fill what it would make late, nothing is rejected, and it is used again after a while.
+// flight. Other parents fill what it would make late, nothing is rejected, and it is used again after a
+// while.
 func TestSlowParentIsPassedOver(t *testing.T) {
 	h, object, id := newHarness(t), "", int64(0)
 	fill := func() string {
@@ -91,7 +92,7 @@
 		h.now += 100 * ms
 		h.handle(Outcome{ID: id, Result: ResultOK, CacheStatus: CacheStatusFilled, Elapsed: elapsed,
 			TransferTime: 200 * ms, RequestFinished: true})
-		h.handle(Purge{Object: object}) // so that no sibling is believed to have it cached
+		h.handle(Purge{Object: object}) // so that no sibling counts as having it cached
 		return f.Source
 	}
 	for object = "x"; fill() != "p"; { // an object that p fills by its hash
@@ -101,14 +102,14 @@
 		fill()
 	}
 	if got := fill(); got != "q" {
-		t.Errorf("filled from %s, which takes four times as long", got)
+		t.Errorf("filled from %s, want q, as p takes four times as long", got)
 	}
 	if h.router.zoneLink.capacity != h.router.zoneLink.nominalCapacity {
-		t.Errorf("the link is taken for congested: %v of %v", h.router.zoneLink.capacity,
+		t.Errorf("zone link capacity %v, want the nominal %v", h.router.zoneLink.capacity,
 			h.router.zoneLink.nominalCapacity)
 	}
 	h.now += 6 * slowdownDecayTime
 	if got := fill(); got != "p" {
-		t.Errorf("%s: the slow one is not used again", got)
+		t.Errorf("filled from %s, want the formerly slow p again", got)
 	}
 }
