--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -21,7 +21,7 @@
 	}
 	// 0.1 s each; 2 times a fifth of 5 transfers for 2 s is 4 transfer seconds.
 	if sent == 0 || float64(sent)*0.1 > 4 {
-		t.Fatalf("%d sent to a cache in slow start", sent)
+		t.Fatalf("%d attempts sent to a cache in slow start, want 1 to 40", sent)
 	}
 }
 
@@ -44,14 +44,14 @@
 	}
 	// 0.1 s each; the parent for three caches of unknown capacity starts at a tenth; twice that for 2 s.
 	if most := fillFraction * 3 * defaultLinkCapacity * 0.1 * 2 * 2; float64(sent)*0.1 > most {
-		t.Fatalf("%d sent to a parent in slow start by 100 routers", sent)
+		t.Fatalf("%d attempts sent to a parent in slow start by 100 routers, want fewer", sent)
 	}
 }
 
 // fleetStart is the time at which a fleet's routers start.
 const fleetStart = time.Hour
 
-// fleet is many routers that receive requests all the time for objects of one endpoint in slow start.
+// fleet is a number of routers that keep receiving requests for objects of one endpoint in slow start.
 type fleet struct {
 	settings Settings
 	list     EndpointUpdate
@@ -61,13 +61,13 @@
 	starting  string        // ID of the endpoint in slow start
 	startedAt time.Duration // a second after the routers
 	duration  time.Duration // of its slow start
-	fraction  float64       // of its capacity at its start
+	fraction  float64       // of its capacity that it has at its start
 	capacity  float64       // transfers
 
-	sentAt []time.Duration // when an attempt was sent to it
+	sentAt []time.Duration // times at which attempts were sent to it
 }
 
-// newFleet returns a fleet whose routers know an endpoint list without the slow start.
+// newFleet returns a fleet whose routers know an endpoint list without an endpoint in slow start.
 func newFleet(routers int, starting string) *fleet {
 	f := &fleet{
 		settings: testSettings(), list: allEndpoints(), routers: make([]*Router, routers), now: fleetStart,
@@ -89,7 +89,7 @@
 	return f
 }
 
-// restart replaces a router by a new one that knows the endpoint list only.
+// restart replaces a router by a new one that knows only the endpoint list.
 func (f *fleet) restart(i int) {
 	f.routers[i] = New(f.settingsOf(i), uint64(i))
 	f.routers[i].Handle(f.now, f.list)
@@ -115,7 +115,7 @@
 	}
 }
 
-// disturb applies what happens to the routers at a time since their start.
+// disturb passes the event that is due at a time since the routers' start, if any.
 func (f *fleet) disturb(at time.Duration) {
 	switch at {
 	case 2 * time.Second: // the endpoint's start is reported a second late
@@ -152,15 +152,15 @@
 	}
 }
 
-// allowed is the number of attempts of 0.1 s that the endpoint takes in the window that ends at a time.
+// allowed is the number of attempts of 0.1 s that the endpoint can take in the window that ends at a time.
 func (f *fleet) allowed(at time.Duration) float64 {
 	risen := (1 - f.fraction) * float64(at-f.startedAt) / float64(f.duration)
 	transfers := f.settings.OverloadMultiple * f.capacity * (f.fraction + risen)
 	return transfers * f.settings.OverloadWindow.Seconds() / 0.1
 }
 
-// maxExcess returns by how many attempts the worst window exceeds what is allowed at its end, which is
-// n + 2*sqrt(n) + 2 where the endpoint takes n.
+// maxExcess returns by how many attempts the worst window exceeds the tolerated number at its end, which is
+// n + 2*sqrt(n) + 2 where the endpoint can take n.
 func (f *fleet) maxExcess() float64 {
 	excess := math.Inf(-1)
 	for i, at := range f.sentAt {
@@ -176,9 +176,9 @@
 	return excess
 }
 
-// However many routers there are, an endpoint in slow start receives some work, and all of them together do
-// not overload it: also when its start is reported late, settings change, and routers restart and do not know
-// what they sent.
+// However many routers there are, an endpoint in slow start receives some attempts, and all routers together
+// do not overload it, even when its start is reported late, settings change, and routers restart and do not
+// know what they sent before.
 func TestSlowStartBudgetAcrossFleet(t *testing.T) {
 	for _, routers := range []int{3, 20, 30, 300} {
 		for _, starting := range []string{"a", "p"} {
@@ -201,8 +201,8 @@
 	}
 }
 
-// Attempts that wait for a connection stay within the budget, however long that takes, as all may be sent
-// at once. One that has waited for longer than a window, or was created before its endpoint restarted, is
+// Attempts that wait for a connection stay within the budget, however long they wait, as all may be sent at
+// once. An attempt that has waited for longer than a window, or was created before its endpoint restarted, is
 // checked again when it is sent.
 func TestDelayedAttemptsKeepSlowStartBudget(t *testing.T) {
 	for _, restarts := range []bool{false, true} {
@@ -244,7 +244,7 @@
 	}
 }
 
-// Two processes, of which one takes over from the other, together send what one may.
+// Two processes, of which one takes over from the other, together send no more than one may.
 func TestTwoProcessesShareSlowStartBudget(t *testing.T) {
 	sent := map[int]int{}
 	for _, processes := range []int{1, 2} {
@@ -268,6 +268,6 @@
 		}
 	}
 	if sent[2] == 0 || sent[2] > sent[1] {
-		t.Errorf("one process sends %d, two send %d", sent[1], sent[2])
+		t.Errorf("one process sent %d attempts, two sent %d, want some but no more", sent[1], sent[2])
 	}
 }
