--- a/policy/transfertime_test.go
+++ b/policy/transfertime_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// The bytes of an answer show the transfer time of a part, which is remembered. Slow answers make neither the
-// part nor its class look larger: a congested link would look free.
+// The transfer time of a part is learned from the bytes of an answer. A slow answer makes neither the part
+// nor its class look larger, as a congested link would then look free.
 func TestSizesAreRememberedByPart(t *testing.T) {
 	h := newHarness(t)
 	for id := range int64(20) {
@@ -23,7 +23,7 @@
 	for object, want := range map[string]float64{"small": 0.05, "large": 0.75, "unknown": 0.4} {
 		h.handle(Request{ID: 99, Object: object, Remaining: 6 * time.Second})
 		if got := h.router.requests[99].transferSeconds; math.Abs(got-want) > 0.01 {
-			t.Errorf("%s is expected to take %v s, want %v", object, got, want)
+			t.Errorf("%s: expected transfer time %v s, want %v", object, got, want)
 		}
 		h.handle(RequestEnded{ID: 99})
 		h.handle(Outcome{ID: 99, Result: ResultCancelled})
@@ -31,10 +31,10 @@
 }
 
 // Unknown transfer times are learned from hits over links without congestion. A large object over such a link
-// must not look like congestion: small requests would be shed.
+// must not look like congestion, as small requests would then be shed.
 func TestUnknownSizesAreLearned(t *testing.T) {
 	h := newHarness(t)
-	guess := newHarness(t).router.classTransferSeconds[""].value
+	initial := newHarness(t).router.classTransferSeconds[""].value
 	send := func(id int64, elapsed time.Duration) *endpointState {
 		f := fetchOf(h.handle(Request{ID: id, Object: "x", Class: 0, Remaining: 3 * time.Second}))
 		if f == nil {
@@ -49,14 +49,14 @@
 	for id := range int64(50) {
 		e = send(id+1, 300*ms)
 	}
-	if got := h.router.classTransferSeconds[""].value; guess != 0 || math.Abs(got-0.3) > 0.01 {
-		t.Errorf("%v s learned from answers of 0.3 s, %v before", got, guess)
+	if got := h.router.classTransferSeconds[""].value; initial != 0 || math.Abs(got-0.3) > 0.01 {
+		t.Errorf("learned %v s from answers of 0.3 s, starting from %v", got, initial)
 	}
 	if e.link.capacity != e.link.nominalCapacity {
-		t.Errorf("the link is taken for %v of %v transfers", e.link.capacity, e.link.nominalCapacity)
+		t.Errorf("link capacity %v, want the nominal %v", e.link.capacity, e.link.nominalCapacity)
 	}
 	send(60, 2500*ms) // far longer than any size explains
 	if e.link.currentSlowdown(h.now) < minSlowdown {
-		t.Errorf("one far slower than usual is held to be slower by %v", e.link.currentSlowdown(h.now))
+		t.Errorf("slowdown %v after a transfer far slower than usual", e.link.currentSlowdown(h.now))
 	}
 }
