--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -22,7 +22,8 @@
 	}
 }
 
-// When a third of all attempts fail, every request is still answered: the retry budget allows for that.
+// When a third of all attempts fail, every request is still answered: the retry budget limits retries only in
+// an overload.
 func TestEveryThirdAttemptFails(t *testing.T) {
 	h, attempts := newHarness(t), 0
 	for id := range int64(300) {
