--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Guards against memory that grows with each endpoint that was ever listed: 10,000 caches that are replaced
-// one after another under new ids leave no more behind than those of the retention time.
+// Guards against memory that grows with each endpoint that was ever listed. When 10,000 caches are replaced one
+// after another by caches with new IDs, only those removed within the retention time are kept.
 func TestReplacedEndpointsAreForgotten(t *testing.T) {
 	const replaced, interval = 10_000, time.Second
 	h := newHarness(t)
@@ -41,8 +41,8 @@
 	return int(stats.HeapAlloc)
 }
 
-// Guards against an endpoint that is forgotten while it is only away for a while, or with attempts in flight:
-// one that returns within the retention time has the capacity that was learned of its link.
+// Guards against an endpoint that is deleted too early, while it is removed only for a short time or has
+// attempts in flight. One that returns within the retention time keeps the learned capacity of its link.
 func TestEndpointThatReturnsIsKnown(t *testing.T) {
 	h := newHarness(t)
 	home := h.serve(1, "x", CacheStatusFilled).Target
--- a/policy/originlimit.go
+++ b/policy/originlimit.go
@@ -32,7 +32,7 @@
 // originConcurrencyLimit holds the current limit and the number of attempts that count against it.
 type originConcurrencyLimit struct {
 	limit        float64 // attempts
-	minimum      float64 // lowest limit, at most 1
+	minimum      float64 // lowest limit, in attempts; at most 1
 	inFlight     int     // attempts that count against the limit
 	lastDecrease time.Duration
 }
--- a/policy/outliers_test.go
+++ b/policy/outliers_test.go
@@ -96,8 +96,8 @@
 	}
 }
 
-// Guards against a new process that is ejected for the failures of the one before: those of requests that
-// were sent before its restart do not count, whenever they are answered.
+// Guards against a new process that is ejected for the failures of the process before it. The failures of
+// requests that were sent before a restart do not count, whenever the requests are answered.
 func TestFailuresEndWithARestart(t *testing.T) {
 	h := newHarness(t)
 	home := h.serve(1, "x", CacheStatusFilled).Target
