--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Guards against memory that grows with each endpoint that was ever listed. When 10,000 caches are replaced one
-// after another by caches with new IDs, only those removed within the retention time are kept.
+// Guards against memory that grows with each endpoint that was ever listed. When 10,000 caches are replaced
+// one after another by caches with new IDs, only those removed within the retention time are kept.
 func TestReplacedEndpointsAreForgotten(t *testing.T) {
 	const replaced, interval = 10_000, time.Second
 	h := newHarness(t)
--- a/policy/overdue_test.go
+++ b/policy/overdue_test.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// Guards against requests that are hedged beyond MaxAttempts, and against an attempt that is cancelled although
-// no other may follow it: the last attempt that is allowed continues until it is answered.
+// Guards against requests that are hedged beyond MaxAttempts, and against an attempt that is cancelled
+// although no other may follow it: the last attempt that is allowed continues until it is answered.
 func TestHedgesStayWithinMaxAttempts(t *testing.T) {
 	for _, hedging := range []bool{true, false} {
 		settings := testSettings()
