--- a/policy/linkpace_test.go
+++ b/policy/linkpace_test.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// A configured link capacity is not changed by answers of unknown size, as the unknown may be the load of
-// others. An assumed capacity follows all answers, and a configured one those of known size.
+// A configured link capacity is not changed by answers of unknown size, as the load of other routers may have
+// slowed them. It is changed by answers of known size, and an assumed capacity by all answers.
 func TestConfiguredLinksIgnoreAnswersOfUnknownSize(t *testing.T) {
 	for _, c := range []struct {
 		configured bool
 		sending    time.Duration
 		moves      bool
 	}{{true, 0, false}, {true, 100 * ms, true}, {false, 0, true}} {
-		set := testSettings()
-		set.WeightsConfigured = c.configured
+		settings := testSettings()
+		settings.WeightsConfigured = c.configured
 		if !c.configured {
-			set.ZoneLinkTransfers = 0
+			settings.ZoneLinkTransfers = 0
 		}
-		h := newHarnessWith(t, set)
-		for id := range int64(60) { // a burst: every link is taken for congested
-			h.do(Request{ID: id + 1, Object: string(rune('a' + id)), Remaining: 3 * time.Second})
+		h := newHarnessWith(t, settings)
+		for id := range int64(60) { // a burst, which makes every link look congested
+			h.handle(Request{ID: id + 1, Object: string(rune('a' + id)), Remaining: 3 * time.Second})
 		}
 		var full *link
 		for id := range int64(60) {
@@ -30,15 +30,15 @@
 			}
 			full = req.attempts[0].slowestLink
 			h.now += ms
-			h.do(Outcome{ID: id + 1, Result: ResultOK, CacheStatus: CacheStatusFilled,
+			h.handle(Outcome{ID: id + 1, Result: ResultOK, CacheStatus: CacheStatusFilled,
 				Elapsed: 2 * time.Second, TransferTime: c.sending, RequestFinished: true})
 			break
 		}
 		if full == nil {
-			t.Fatalf("%+v: no link was full", c)
+			t.Fatalf("%+v: no link was congested", c)
 		}
 		if moved := full.capacity != full.nominalCapacity; moved != c.moves {
-			t.Errorf("%+v: the link is taken for %v of %v transfers", c, full.capacity, full.nominalCapacity)
+			t.Errorf("%+v: link capacity %v, nominal %v", c, full.capacity, full.nominalCapacity)
 		}
 	}
 }
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -6,23 +6,24 @@
 	"time"
 )
 
-// One reset is attributed to the connection, not to the cache: the next attempt goes to the same cache.
+// One reset counts against the connection, not against the cache: the next attempt goes to the same cache.
 // Incident i39a6ba.
 func TestOneResetDoesNotAvoidCache(t *testing.T) {
 	h := newHarness(t)
 	home := h.serve(1, "x", CacheStatusFilled).Target
 	h.request(2, "x", 0)
-	f := fetchOf(h.do(Outcome{ID: 2, Result: ResultReset, Elapsed: 20 * ms}))
+	f := fetchOf(h.handle(Outcome{ID: 2, Result: ResultReset, Elapsed: 20 * ms}))
 	if f == nil || f.Target != home {
 		t.Fatalf("after one reset want %s again, got %+v", home, f)
 	}
-	f = fetchOf(h.do(Outcome{ID: 2, Attempt: 1, Result: ResultReset, Elapsed: 20 * ms}))
+	f = fetchOf(h.handle(Outcome{ID: 2, Attempt: 1, Result: ResultReset, Elapsed: 20 * ms}))
 	if f == nil || f.Target == home {
-		t.Fatalf("after a second reset want another cache, got %+v", f)
+		t.Fatalf("after a second reset got %+v, want another cache", f)
 	}
 }
 
-// Caches that fail a third of all attempts make no request fail: the retry budget is for overload.
+// When a third of all attempts fail, every request is still answered: the retry budget limits retries only in
+// an overload.
 func TestEveryThirdAttemptFails(t *testing.T) {
 	h, attempts := newHarness(t), 0
 	for id := range int64(300) {
@@ -32,42 +33,42 @@
 			attempts++
 			number := len(h.router.requests[id+1].attempts) - 1
 			if attempts%3 != 0 {
-				h.do(Outcome{ID: id + 1, Attempt: number, Result: ResultOK, CacheStatus: CacheStatusHit,
+				h.handle(Outcome{ID: id + 1, Attempt: number, Result: ResultOK, CacheStatus: CacheStatusHit,
 					RequestFinished: true})
 				break
 			}
-			acts := h.do(Outcome{ID: id + 1, Attempt: number, Result: ResultError})
-			if f = fetchOf(acts); f == nil {
-				t.Fatalf("request %d was given up after %d attempts in all: %+v", id+1, attempts, acts)
+			actions := h.handle(Outcome{ID: id + 1, Attempt: number, Result: ResultError})
+			if f = fetchOf(actions); f == nil {
+				t.Fatalf("request %d was not retried, after %d attempts in all: %+v", id+1, attempts, actions)
 			}
 		}
 	}
 }
 
-// When a zone is lost, all routers reject at once. Their Retry-After spreads the clients evenly: no 20 ms
-// bring more than twice the mean, and none returns too soon.
+// When a zone is lost, all routers reject at once. Their Retry-After spreads the clients evenly: in no 20 ms
+// do more than twice the mean return, and none returns before minRetryAfter.
 func TestFleetSpreadsRetryAfter(t *testing.T) {
 	const routers, each, bin = 300, 5, 20 * time.Millisecond
 	returning := map[time.Duration]int{}
 	for i := range routers {
-		set := testSettings()
-		set.Routers, set.RoutersInZone, set.RouterIndex = routers, routers, i
-		r := New(set, uint64(i))
+		settings := testSettings()
+		settings.Routers, settings.RoutersInZone, settings.RouterIndex = routers, routers, i
+		r := New(settings, uint64(i))
 		r.Handle(time.Hour, EndpointUpdate{Full: true})
 		for id := range int64(each) {
-			acts := r.Handle(time.Hour, Request{ID: id + 1, Object: fmt.Sprint(id),
+			actions := r.Handle(time.Hour, Request{ID: id + 1, Object: fmt.Sprint(id),
 				Remaining: 3 * time.Second})
-			rejection, ok := acts[len(acts)-1].(Reject)
+			rejection, ok := actions[len(actions)-1].(Reject)
 			if !ok || rejection.RetryAfter < minRetryAfter || rejection.RetryAfter >= 2*minRetryAfter {
-				t.Fatalf("router %d: %+v", i, acts)
+				t.Fatalf("router %d: %+v", i, actions)
 			}
 			returning[rejection.RetryAfter/bin]++
 		}
 	}
-	part := float64(routers*each) / float64(minRetryAfter/bin)
+	meanPerBin := float64(routers*each) / float64(minRetryAfter/bin)
 	for i, n := range returning {
-		if float64(n) > 2*part {
-			t.Errorf("%d come back in the 20 ms from %v on, %.1f are its part", n, i*bin, part)
+		if float64(n) > 2*meanPerBin {
+			t.Errorf("%d clients return in the 20 ms from %v on, the mean is %.1f", n, i*bin, meanPerBin)
 		}
 	}
 }
