--- a/internal/eventloop/conn_test.go
+++ b/internal/eventloop/conn_test.go
@@ -30,7 +30,7 @@
 func (discarder) Closed(error)                     {}
 
 // What a peer has sent counts as unread until it is read.
-func TestUnread(t *testing.T) {
+func TestHasUnreadInput(t *testing.T) {
 	l, err := NewLoop(SystemClock())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/eventloop/errors.go
+++ b/internal/eventloop/errors.go
@@ -20,9 +20,9 @@
 // memory. They say nothing about the peer.
 var ErrLocalResources = errors.New("local resources exhausted")
 
-// startError wraps an error of setting up the loop or a listener with ErrLocalResources if it may be
+// wrapSetupError wraps an error of setting up the loop or a listener with ErrLocalResources if it may be
 // temporary.
-func startError(err error) error {
+func wrapSetupError(err error) error {
 	if isExhausted(err) {
 		return fmt.Errorf("%w: %w", ErrLocalResources, err)
 	}
--- a/internal/eventloop/input.go
+++ b/internal/eventloop/input.go
@@ -71,11 +71,11 @@
 // handleInputEnd handles the end of the peer's input, after the last of it has been passed on.
 func (c *Conn) handleInputEnd() {
 	if c.closing && len(c.outputQueue) > 0 { // the peer still gets its output
-		c.stopAtInputEnd()
+		c.markInputEnded()
 		return
 	}
 	if c.notifyInputEnd() {
-		c.stopAtInputEnd()
+		c.markInputEnded()
 		return
 	}
 	c.Fail(io.EOF) // nothing, if a callback has closed the connection
@@ -92,8 +92,8 @@
 	return !c.closed && handler.PeerClosed()
 }
 
-// stopAtInputEnd leaves the connection open for output alone.
-func (c *Conn) stopAtInputEnd() {
+// markInputEnded leaves the connection open for output alone.
+func (c *Conn) markInputEnded() {
 	c.inputEnded = true
 	c.scheduleFlush() // which updates the interest
 }
--- a/internal/eventloop/listen.go
+++ b/internal/eventloop/listen.go
@@ -27,11 +27,11 @@
 func (l *Loop) Listen(addr netip.AddrPort, ensureCapacity func() bool, accept func(*Conn) Handler) (*Listener, error) {
 	fd, err := newSocket(addr)
 	if err != nil {
-		return nil, fmt.Errorf("listen on %s: %w", addr, startError(err))
+		return nil, fmt.Errorf("listen on %s: %w", addr, wrapSetupError(err))
 	}
 	if err := bindAndListen(fd, addr); err != nil {
 		unix.Close(fd) //nolint:errcheck // the first error is returned
-		return nil, fmt.Errorf("listen on %s: %w", addr, startError(err))
+		return nil, fmt.Errorf("listen on %s: %w", addr, wrapSetupError(err))
 	}
 	ln, err := l.newListener(fd, ensureCapacity, accept)
 	if err != nil {
@@ -54,7 +54,7 @@
 // processes. The functions are those of Listen.
 func (l *Loop) ListenOn(fd int, ensureCapacity func() bool, accept func(*Conn) Handler) (*Listener, error) {
 	if err := prepareInherited(fd); err != nil {
-		return nil, fmt.Errorf("listen on descriptor %d: %w", fd, startError(err))
+		return nil, fmt.Errorf("listen on descriptor %d: %w", fd, wrapSetupError(err))
 	}
 	unix.CloseOnExec(fd)
 	ln, err := l.newListener(fd, ensureCapacity, accept)
@@ -79,7 +79,7 @@
 func (l *Loop) newListener(fd int, ensureCapacity func() bool, accept func(*Conn) Handler) (*Listener, error) {
 	ln := &Listener{loop: l, fd: fd, ensureCapacity: ensureCapacity, accept: accept}
 	if err := l.register(fd, unix.EPOLLIN, ln); err != nil {
-		return nil, startError(err)
+		return nil, wrapSetupError(err)
 	}
 	return ln, nil
 }
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -23,8 +23,8 @@
 	// requests that arrived with it.
 	maxEventsPerPoll = 4096
 
-	// pollOverrun is how much longer than its timeout a poll may take without counting as delayed.
-	pollOverrun = 10 * time.Millisecond
+	// maxPollOverrun is how much longer than its timeout a poll may take without counting as delayed.
+	maxPollOverrun = 10 * time.Millisecond
 
 	// maxPollFailures is the number of consecutive failed polls at which Wait returns an error.
 	maxPollFailures = 100
@@ -58,7 +58,7 @@
 func NewLoop(clock TimeSource) (*Loop, error) {
 	epollFD, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
-		return nil, startError(fmt.Errorf("epoll_create: %w", err))
+		return nil, wrapSetupError(fmt.Errorf("epoll_create: %w", err))
 	}
 	l := &Loop{
 		epollFD:       epollFD,
@@ -126,7 +126,7 @@
 	pollStart := l.now
 	l.updateTime()
 	l.pollEnd = l.now
-	if l.now-pollStart > l.pollTimeout+pollOverrun {
+	if l.now-pollStart > l.pollTimeout+maxPollOverrun {
 		l.pollEnd = pollStart
 	}
 	l.pollComplete = count >= 0 && count < len(l.eventBuffer)
--- a/internal/eventloop/system_test.go
+++ b/internal/eventloop/system_test.go
@@ -106,7 +106,7 @@
 // failingCall is a system call that a test lets fail at first.
 type failingCall struct {
 	name     string
-	codes    []unix.Errno
+	errnos   []unix.Errno
 	minCalls int // that must have been made when a client has its answer
 
 	// install replaces the call. nextError is asked before each call and returns the error to fail with, or
@@ -120,7 +120,7 @@
 var failingCalls = []failingCall{
 	{
 		name: "accept",
-		codes: []unix.Errno{
+		errnos: []unix.Errno{
 			unix.ECONNABORTED, unix.EINTR, unix.EPROTO, unix.ENETDOWN, unix.ENETUNREACH, unix.EHOSTUNREACH,
 			unix.ETIMEDOUT, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EPERM,
 		},
@@ -137,7 +137,7 @@
 	},
 	{
 		name:     "setsockopt",
-		codes:    []unix.Errno{unix.ENOBUFS, unix.ENOMEM},
+		errnos:   []unix.Errno{unix.ENOBUFS, unix.ENOMEM},
 		minCalls: 1, // attempted again while the connection is served
 		install: func(s *SystemCalls, nextError func() error) {
 			original := s.SetOption
@@ -151,7 +151,7 @@
 	},
 	{
 		name:     "epoll_ctl",
-		codes:    []unix.Errno{unix.ENOMEM, unix.ENOSPC},
+		errnos:   []unix.Errno{unix.ENOMEM, unix.ENOSPC},
 		minCalls: 1, // attempted again while the connection is served
 		install: func(s *SystemCalls, nextError func() error) {
 			original := s.Control
@@ -165,7 +165,7 @@
 	},
 	{
 		name:     "read",
-		codes:    []unix.Errno{unix.EINTR, unix.ENOBUFS, unix.ENOMEM},
+		errnos:   []unix.Errno{unix.EINTR, unix.ENOBUFS, unix.ENOMEM},
 		minCalls: failuresInARow + 1,
 		install: func(s *SystemCalls, nextError func() error) {
 			original := s.Read
@@ -179,7 +179,7 @@
 	},
 	{
 		name:     "write",
-		codes:    []unix.Errno{unix.EINTR, unix.ENOBUFS, unix.ENOMEM},
+		errnos:   []unix.Errno{unix.EINTR, unix.ENOBUFS, unix.ENOMEM},
 		minCalls: failuresInARow + 1,
 		install: func(s *SystemCalls, nextError func() error) {
 			original := s.Write
@@ -197,7 +197,7 @@
 // spin meanwhile.
 func TestClientIsServedThoughCallsFail(t *testing.T) {
 	for _, call := range failingCalls {
-		for _, code := range call.codes {
+		for _, code := range call.errnos {
 			t.Run(call.name+" "+code.Error(), func(t *testing.T) { testServedThoughCallFails(t, call, code) })
 		}
 	}
@@ -250,7 +250,7 @@
 
 // A listener that paused, also because accept fails repeatedly, accepts again although epoll refuses that at
 // first.
-func TestListenerComesBack(t *testing.T) {
+func TestListenerResumesAfterFailures(t *testing.T) {
 	var server *echo
 	ensureCapacity := false
 	p := newTestListener(t, func() bool { return ensureCapacity }, func(c *Conn) Handler {
