--- a/internal/connpool/acquire.go
+++ b/internal/connpool/acquire.go
@@ -49,7 +49,7 @@
 // else a new one. The caller releases the overdue one, which serves other uses once it is established.
 func (ps *Pools) Reassign(overdue *PooledConn, accepts func(*PooledConn) bool) (*PooledConn, error) {
 	pool := overdue.pool
-	existing := pool.pickProvenSince(overdue, accepts)
+	existing := pool.pickActiveSince(overdue, accepts)
 	if existing != nil {
 		return existing.startUse(), nil
 	}
@@ -97,9 +97,9 @@
 	return best
 }
 
-// pickProvenSince returns the most suitable connection that accepts a use and was established, or has received
+// pickActiveSince returns the most suitable connection that accepts a use and was established, or has received
 // something, since the overdue one was dialed, nil if there is none.
-func (p *endpointPool) pickProvenSince(overdue *PooledConn, accepts func(*PooledConn) bool) *PooledConn {
+func (p *endpointPool) pickActiveSince(overdue *PooledConn, accepts func(*PooledConn) bool) *PooledConn {
 	var best *PooledConn
 	for _, conn := range p.conns {
 		proven := conn.Connected() && conn.LastReceived() > overdue.CreatedAt()
--- a/internal/connpool/conn.go
+++ b/internal/connpool/conn.go
@@ -17,8 +17,8 @@
 	// overdueFactor is the multiple of the median connect time after which a connection is overdue.
 	overdueFactor = 3
 
-	// minConnectPatience is the least time after which a connection is overdue.
-	minConnectPatience = 5 * time.Millisecond
+	// minOverdueAfter is the least time after which a connection is overdue.
+	minOverdueAfter = 5 * time.Millisecond
 )
 
 // PooledConn is one pooled connection.
@@ -32,15 +32,15 @@
 	connectRecorded bool                // the connect time has been counted
 	lastReleasedAt  eventloop.Timestamp // when a use last ended; 0: none has
 
-	trialBucket  idleBucket          // bucket of the first of the uses in progress until its loss or success is counted
-	useStartedAt eventloop.Timestamp // when that use began
+	pendingBucket idleBucket          // bucket of the first of the uses in progress until its loss or success is counted
+	useStartedAt  eventloop.Timestamp // when that use began
 }
 
 // startUse counts one more use and returns the connection.
 func (c *PooledConn) startUse() *PooledConn {
 	c.InUse++
 	if c.InUse == 1 {
-		c.trialBucket = c.idleBucket()
+		c.pendingBucket = c.idleBucket()
 		c.useStartedAt = c.now()
 	}
 	return c
@@ -51,9 +51,9 @@
 
 // MarkAlive records that input has arrived since the last use began: the connection was not lost.
 func (c *PooledConn) MarkAlive() {
-	if c.trialBucket != noBucket {
-		c.pool.pools.idleLoss.recordSuccess(c.trialBucket)
-		c.trialBucket = noBucket
+	if c.pendingBucket != noBucket {
+		c.pool.pools.idleLoss.recordSuccess(c.pendingBucket)
+		c.pendingBucket = noBucket
 	}
 }
 
@@ -62,7 +62,7 @@
 	c.InUse--
 	c.lastReleasedAt = c.now()
 	if c.InUse == 0 && !c.Ended() {
-		c.trialBucket = noBucket // a use that was abandoned shows neither loss nor success
+		c.pendingBucket = noBucket // a use that was abandoned shows neither loss nor success
 	}
 	c.closeIfStaleAndUnused()
 }
@@ -70,9 +70,9 @@
 // RemoveFromPool removes an ended connection from its pool. A connection that ends immediately after its use
 // began counts as lost before.
 func (c *PooledConn) RemoveFromPool() {
-	inTrial := c.Connected() && c.InUse > 0 && c.trialBucket != noBucket
-	if inTrial && c.now()-c.useStartedAt < immediateLoss {
-		c.pool.pools.idleLoss.recordLoss(c.trialBucket)
+	outcomePending := c.Connected() && c.InUse > 0 && c.pendingBucket != noBucket
+	if outcomePending && c.now()-c.useStartedAt < lossDetectionWindow {
+		c.pool.pools.idleLoss.recordLoss(c.pendingBucket)
 	}
 	before := len(c.pool.conns)
 	c.pool.conns = slices.DeleteFunc(c.pool.conns, func(other *PooledConn) bool { return other == c })
@@ -81,7 +81,7 @@
 
 // ConnectPatience is how long a connection to this server may take to be established before it is overdue.
 func (c *PooledConn) ConnectPatience() time.Duration {
-	return max(minConnectPatience, overdueFactor*c.pool.medianConnectTime)
+	return max(minOverdueAfter, overdueFactor*c.pool.medianConnectTime)
 }
 
 // overdue reports whether the connection has not been established within ConnectPatience.
--- a/internal/connpool/idleloss.go
+++ b/internal/connpool/idleloss.go
@@ -10,9 +10,9 @@
 	// the time.
 	firstBucketEnd = 20 * time.Millisecond
 
-	// immediateLoss is how soon after the start of a use a connection that ends counts as lost before the
+	// lossDetectionWindow is how soon after the start of a use a connection that ends counts as lost before the
 	// use.
-	immediateLoss = 100 * time.Millisecond
+	lossDetectionWindow = 100 * time.Millisecond
 
 	// maxLossFraction is the fraction of lost uses above which a connection is not used any more. By
 	// newestWeight, one loss (0.1) does not exceed it; two do with up to five successes between them (0.153),
--- a/internal/connpool/pools_test.go
+++ b/internal/connpool/pools_test.go
@@ -71,7 +71,7 @@
 			f.conns = append(f.conns, fd)
 			return fd
 		}
-		turn(t, l)
+		runTurn(t, l)
 	}
 	t.Fatal("nothing to accept")
 	return -1
@@ -100,8 +100,8 @@
 	return l, ps
 }
 
-// turn runs one turn of the loop.
-func turn(t *testing.T, l *eventloop.Loop) {
+// runTurn runs one turn of the loop.
+func runTurn(t *testing.T, l *eventloop.Loop) {
 	t.Helper()
 	if err := l.Wait(5 * time.Millisecond); err != nil {
 		t.Fatal(err)
@@ -109,14 +109,14 @@
 	l.Flush()
 }
 
-// turnUntil runs turns of the loop until the condition holds, and fails the test if it never does.
-func turnUntil(t *testing.T, l *eventloop.Loop, condition func() bool, failure string) {
+// runTurnsUntil runs turns of the loop until the condition holds, and fails the test if it never does.
+func runTurnsUntil(t *testing.T, l *eventloop.Loop, condition func() bool, failure string) {
 	t.Helper()
 	for range 1000 {
 		if condition() {
 			return
 		}
-		turn(t, l)
+		runTurn(t, l)
 	}
 	t.Fatal(failure)
 }
@@ -132,7 +132,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	turnUntil(t, l, overdue.overdue, "the connection never became overdue")
+	runTurnsUntil(t, l, overdue.overdue, "the connection never became overdue")
 	if overdue.Connected() {
 		t.Fatal("the server's queue was not full: nothing is overdue")
 	}
@@ -142,7 +142,7 @@
 		t.Fatal(err)
 	}
 	overdue.Release()
-	turnUntil(t, l, other.Connected, "the other connection was never established")
+	runTurnsUntil(t, l, other.Connected, "the other connection was never established")
 	if overdue.Connected() {
 		t.Fatal("the overdue connection is established too: nothing was tested")
 	}
@@ -156,7 +156,7 @@
 		t.Fatal(err)
 	}
 	hasReceived := func() bool { return other.LastReceived() > overdue.CreatedAt() && ps.connCount > 0 }
-	turnUntil(t, l, hasReceived, "nothing was received")
+	runTurnsUntil(t, l, hasReceived, "nothing was received")
 	if s, err := ps.Reassign(overdue, acceptsAll); err != nil || !s.Connected() {
 		t.Errorf("a new connection although one is established: %v", err)
 	}
