--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestLongLineIsCut(t *testing.T) {
+func TestLongLineIsTruncated(t *testing.T) {
 	var to bytes.Buffer
 	w := NewWriter(&to)
 	line := bytes.Repeat([]byte("x"), 2*maxLineBytes)
@@ -59,19 +59,19 @@
 	now := time.Unix(1, 0)
 	q := newQuotas(func() time.Time { return now })
 	logged := 0
-	for range 10 * maxPerInterval {
+	for range 10 * maxRecordsPerInterval {
 		if allowed, _ := q.take("again"); allowed {
 			logged++
 		}
 	}
-	if logged != maxPerInterval {
+	if logged != maxRecordsPerInterval {
 		t.Errorf("%d logged", logged)
 	}
 	if allowed, _ := q.take("another"); !allowed {
 		t.Error("another message was suppressed")
 	}
-	now = now.Add(interval)
-	if allowed, suppressed := q.take("again"); !allowed || suppressed != 9*maxPerInterval {
+	now = now.Add(quotaInterval)
+	if allowed, suppressed := q.take("again"); !allowed || suppressed != 9*maxRecordsPerInterval {
 		t.Errorf("%v, %d suppressed", allowed, suppressed)
 	}
 }
--- a/internal/logging/ratelimit.go
+++ b/internal/logging/ratelimit.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// maxPerInterval is how many records with the same message are logged in each interval: enough to see
+	// maxRecordsPerInterval is how many records with the same message are logged in each interval: enough to see
 	// which servers or requests are concerned, and far fewer than Writer queues.
-	maxPerInterval = 20
+	maxRecordsPerInterval = 20
 
-	// interval is how long one quota lasts. It begins with the first record after the previous one has ended.
-	interval = 10 * time.Second
+	// quotaInterval is how long one quota lasts. It begins with the first record after the previous one has ended.
+	quotaInterval = 10 * time.Second
 )
 
 // New returns a structured logger for level Info and above. Each line names the instance. Records whose
@@ -89,11 +89,11 @@
 		entry = &quota{intervalStart: now}
 		q.byMessage[message] = entry
 	}
-	if now.Sub(entry.intervalStart) >= interval {
+	if now.Sub(entry.intervalStart) >= quotaInterval {
 		entry.intervalStart = now
 		entry.logged = 0
 	}
-	if entry.logged >= maxPerInterval {
+	if entry.logged >= maxRecordsPerInterval {
 		entry.suppressed++
 		return false, 0
 	}
