--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -39,14 +39,14 @@
 	}
 }
 
-// valid is a settings object that TestCheck varies.
-const valid = `{"classes":[{"name":"a","deadline-us":1},{"name":"w","semantics":"non_idempotent","deadline-us":1}],
+// validSettings is a settings object that TestCheck varies.
+const validSettings = `{"classes":[{"name":"a","deadline-us":1},{"name":"w","semantics":"non_idempotent","deadline-us":1}],
 	"domain":{"pass-on":[false,true]},"limits":{"max-attempts":2},"areas":["hub","edge"]}`
 
 func TestCheck(t *testing.T) {
 	for _, tt := range []struct {
-		replaced, by string
-		want         bool
+		old, replacement string
+		want             bool
 	}{
 		{"", "", true},
 		{`"max-attempts":2`, `"max-attempts":0`, false},
@@ -66,12 +66,12 @@
 		{`"max-attempts":2`, `"max-open":-1`, false}, // would reject every request
 		{`"max-attempts":2`, `"connect-timeout-us":-1`, false},
 	} {
-		s, err := Decode([]byte(strings.Replace(valid, tt.replaced, tt.by, 1)))
+		s, err := Decode([]byte(strings.Replace(validSettings, tt.old, tt.replacement, 1)))
 		if err != nil {
 			t.Fatal(err)
 		}
 		if err := s.Check(); (err == nil) != tt.want {
-			t.Errorf("%s for %s: %v", tt.by, tt.replaced, err)
+			t.Errorf("%s for %s: %v", tt.replacement, tt.old, err)
 		}
 	}
 }
