--- a/internal/eventloop/clock.go
+++ b/internal/eventloop/clock.go
@@ -5,18 +5,18 @@
 // Timestamp is the time since the Unix epoch. All points in time of the program use this origin.
 type Timestamp = time.Duration
 
-// TimeSource is the clock of a loop.
+// TimeSource is the clock of a loop. Tests replace it by a manual clock.
 type TimeSource interface {
 	// Now returns the current time. It never decreases.
 	Now() Timestamp
-	// PollTimeout is called once in each turn, before the loop polls for readiness; everything due up to the
-	// previous turn has been carried out by then. It returns how long the poll may block in real time, at
-	// most wanted. In tests, a manual clock uses the call to advance.
+	// PollTimeout returns how long the next poll may block in real time, at most wanted. It is called once in
+	// each turn, before the loop polls for readiness; by then everything due up to the previous turn has been
+	// carried out, so that a manual clock may advance in this call.
 	PollTimeout(wanted time.Duration) time.Duration
 }
 
-// systemClock starts at the system's Unix time and then follows the monotonic clock: when somebody sets the
-// system's clock, deadlines must neither stop nor all expire at once.
+// systemClock starts at the system's Unix time and then follows the monotonic clock, so that setting the
+// system's clock neither holds up deadlines nor makes them all expire at once.
 type systemClock struct{ start time.Time }
 
 // SystemClock returns the time source for normal operation.
--- a/internal/eventloop/delay.go
+++ b/internal/eventloop/delay.go
@@ -7,25 +7,28 @@
 )
 
 const (
-	// acceptDelayThreshold is the scheduling delay from which an accepted connection counts as having waited.
+	// acceptDelayThreshold is the scheduling delay above which an accepted connection counts as having waited
+	// in the accept queue.
 	acceptDelayThreshold = 20 * time.Millisecond
 
-	// largeInputBytes is how much input in one turn suggests that the input after it has waited for as long.
+	// largeInputBytes is the amount of input in one turn from which the input after it is assumed to have
+	// waited for as long.
 	largeInputBytes = 64 << 10
 )
 
 // inputDelays estimates how long a connection's input has waited before it is read, so that the wait can be
 // subtracted from the time that a request has until its deadline.
 type inputDelays struct {
-	connectedAfter    Timestamp     // an accepted connection was established after this; 0: unknown
+	connectedAfter    Timestamp     // time after which an accepted connection was established; 0: unknown
 	waitedForAccept   bool          // the first input may have waited in the accept queue
 	delayBeforeAccept time.Duration // scheduling delay of the turn that accepted the connection
-	inputWaitingSince Timestamp     // since when the next input may have waited, as much came before it; 0: it is new
+	inputWaitingSince Timestamp     // when the next input may have arrived, behind much other input; 0: it has not waited
 	queueingDelay     time.Duration // see QueueingDelay
 }
 
-// SchedulingDelay is how much longer than expectedInterval ago the previous poll ended, at least 0. The
-// process does not always have a CPU; input that is read in this turn may have waited for as long.
+// SchedulingDelay returns by how much the time since the previous poll exceeds expectedInterval, at least 0.
+// The process does not always have a CPU; input that is read in this turn may have waited for as long as
+// that.
 func (l *Loop) SchedulingDelay(expectedInterval time.Duration) time.Duration {
 	if l.previousPollEnd == 0 {
 		return 0
@@ -33,8 +36,8 @@
 	return max(0, l.now-l.previousPollEnd-expectedInterval)
 }
 
-// QueueingDelay is how long the input that is passed to Receive may have waited, apart from the time between
-// two turns: in the accept queue, or behind earlier input of the same connection.
+// QueueingDelay returns how long the input that is passed to Receive may have waited in the accept queue or
+// behind earlier input of the same connection. It does not include the time between two turns.
 func (c *Conn) QueueingDelay() time.Duration { return c.delays.queueingDelay }
 
 // measureQueueingDelay sets the queueing delay of the input that is read next.
@@ -50,19 +53,19 @@
 	}
 }
 
-// timeSinceHandshake is how long ago an accepted connection on which nothing has been written was
-// established; its first input may have waited for as long. If the system does not report it, it is the
-// scheduling delay before the connection was accepted.
+// timeSinceHandshake returns how long ago an accepted connection on which nothing has been written was
+// established; its first input may have waited for as long. If the system does not report this time, the
+// result is the scheduling delay of the turn that accepted the connection.
 func (c *Conn) timeSinceHandshake() time.Duration {
 	info, err := unix.GetsockoptTCPInfo(c.fd, unix.IPPROTO_TCP, unix.TCP_INFO)
 	if err != nil {
 		return c.delays.delayBeforeAccept
 	}
-	return time.Duration(info.Last_data_sent) * time.Millisecond // the system counts it from the handshake
+	return time.Duration(info.Last_data_sent) * time.Millisecond // counted from the handshake while nothing was sent
 }
 
 // recordInputWaiting records after a turn's reads whether the next input may have been sent together with the
-// bytes that were read: after much input the rest may have waited in a buffer of either system.
+// bytes that were read: after much input, the rest may have waited in a socket buffer of either host.
 func (c *Conn) recordInputWaiting(bytesRead int) {
 	c.delays.inputWaitingSince = 0
 	if bytesRead >= largeInputBytes {
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,9 +1,10 @@
-// Package eventloop is an epoll event loop with timers and non-blocking TCP connections. It transfers bytes
-// and knows no protocol.
+// Package eventloop provides an epoll event loop with timers and non-blocking TCP connections. It transfers
+// bytes and is independent of the protocol.
 //
-// A Loop and all that belongs to it are used from a single goroutine; a callback must not block. One turn of
-// the loop is Wait, which polls for readiness and runs the callbacks, then whatever the program does with the
-// results, then Flush, which writes the output that was queued in the turn.
+// A Loop with its connections, listeners and timers is used from a single goroutine, and its callbacks must
+// not block. A turn of the loop consists of Wait, which polls for readiness and runs the callbacks, of
+// whatever the program does with the results, and of Flush, which writes the output that was queued in the
+// turn.
 package eventloop
 
 import (
@@ -15,15 +16,15 @@
 )
 
 const (
-	// readBufferBytes is how much one read returns at most.
+	// readBufferBytes is the size of the read buffer, and so the most that one read returns.
 	readBufferBytes = 128 << 10
 
 	// maxEventsPerPoll exceeds the number of descriptors that a process has under any usual limit, so that
-	// one poll reports all that is ready: the coordinator's watch event is then handled in the same turn as
+	// one poll reports all that are ready: the coordinator's watch event is then handled in the same turn as
 	// requests that arrived with it.
 	maxEventsPerPoll = 4096
 
-	// maxPollOverrun is how much longer than its timeout a poll may take without counting as delayed.
+	// maxPollOverrun is by how much a poll may exceed its timeout without counting as delayed.
 	maxPollOverrun = 10 * time.Millisecond
 
 	// maxPollFailures is the number of consecutive failed polls at which Wait returns an error.
@@ -40,7 +41,7 @@
 	registrationCount int32                // registrations so far, for generations
 	timers            timerHeap
 	clock             TimeSource
-	now               Timestamp // time of this turn
+	now               Timestamp // see Now
 
 	toFlush       []*Conn // connections whose flush is scheduled
 	bufferedBytes int     // in the input buffers and output queues of all connections
@@ -49,12 +50,13 @@
 
 	pollTimeout     time.Duration // of the last poll
 	pollFailures    int           // consecutive failed polls
-	pollComplete    bool          // the last poll reported all that was ready
+	pollComplete    bool          // the last poll reported all descriptors that were ready
 	pollEnd         Timestamp     // when the last poll returned; its start if it took too long
-	previousPollEnd Timestamp     // pollEnd of the last complete poll before this turn: new events are later
+	previousPollEnd Timestamp     // pollEnd of the last complete poll before this turn; this turn's events are later
 }
 
-// NewLoop returns an empty loop that takes its time from clock.
+// NewLoop returns an empty loop that reads its time from clock. The error wraps ErrLocalResources if it may
+// be temporary.
 func NewLoop(clock TimeSource) (*Loop, error) {
 	epollFD, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
@@ -71,23 +73,23 @@
 	return l, nil
 }
 
-// Now is the clock's time at the start of this turn's callbacks.
+// Now returns the time of this turn: the clock's time before its callbacks run.
 func (l *Loop) Now() Timestamp { return l.now }
 
-// EarliestArrival is a time before which nothing of what is read in this turn had arrived.
+// EarliestArrival returns a time before which none of the input that is read in this turn had arrived.
 func (l *Loop) EarliestArrival() Timestamp { return l.previousPollEnd }
 
-// CurrentTime reads the clock, for uses for which the time of the turn may be too old.
+// CurrentTime reads the clock. It is for uses for which the time of the turn may be too old.
 func (l *Loop) CurrentTime() Timestamp { return l.clock.Now() }
 
-// BufferedBytes is the size of all connections' buffers: input not consumed and output not written.
+// BufferedBytes returns the size of all connections' buffers: input not consumed and output not written.
 func (l *Loop) BufferedBytes() int { return l.bufferedBytes }
 
 func (l *Loop) updateTime() { l.now = l.clock.Now() }
 
 // Wait blocks until a descriptor is ready, the next timer is due or maxWait has passed, and runs the
-// callbacks of all descriptors that are ready and then of all timers that are due. An error means that
-// polling fails permanently.
+// callbacks of all descriptors that are ready and then of all timers that are due. It returns an error when
+// polls have failed too often in a row for the cause to be temporary.
 func (l *Loop) Wait(maxWait time.Duration) error {
 	if l.pollComplete {
 		l.previousPollEnd = l.pollEnd
@@ -118,10 +120,10 @@
 	return l.eventBuffer[:max(count, 0)], nil
 }
 
-// recordPoll updates the loop's time and notes when the poll ended and whether it was complete. A failed
-// poll, such as one that a signal interrupted, has a negative count. Of a poll that took too long it is
-// unknown whether the process was stopped before or after the system collected the result; the poll then
-// counts as ended when it started.
+// recordPoll updates the loop's time and records when the poll ended and whether it was complete. count is
+// negative for a failed poll, such as one that a signal interrupted. If a poll took too long, the process was
+// stopped either before or after the system collected the result; since it is unknown which, the poll counts
+// as having ended when it started.
 func (l *Loop) recordPoll(count int) {
 	pollStart := l.now
 	l.updateTime()
@@ -133,7 +135,7 @@
 }
 
 // checkPollError counts failed polls and returns an error when too many fail in a row. A single failure, such
-// as one for lack of memory, may be temporary. An interrupted poll is none.
+// as one for lack of memory, may be temporary. An interrupted poll does not count as a failure.
 func (l *Loop) checkPollError(err error) error {
 	if err == nil || errors.Is(err, unix.EINTR) {
 		l.pollFailures = 0
--- a/internal/eventloop/registration.go
+++ b/internal/eventloop/registration.go
@@ -6,17 +6,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// eventHandler is a descriptor's owner, which gets its epoll events.
+// eventHandler is the owner of a descriptor and handles its epoll events.
 type eventHandler interface{ handleEvents(events uint32) }
 
-// registration is the present owner of a descriptor. The system reuses descriptors, also within one turn; the
-// generation distinguishes its events from those of an earlier owner.
+// registration is the present owner of a descriptor. The system reuses descriptors, even within one turn; the
+// generation distinguishes the events of this owner from those of an earlier one.
 type registration struct {
 	owner      eventHandler
 	generation int32 // unique to each registration; epoll returns it with the event, in Pad
 }
 
-// register has epoll watch fd for events and deliver them to owner.
+// register registers fd with epoll for events and delivers them to owner.
 func (l *Loop) register(fd int, events uint32, owner eventHandler) error {
 	l.registrationCount++
 	event := &unix.EpollEvent{Events: events, Fd: int32(fd), Pad: l.registrationCount}
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// modify replaces the events that a registered descriptor is watched for.
+// modify replaces the events for which a registered descriptor is watched.
 func (l *Loop) modify(fd int, events uint32) error {
 	event := &unix.EpollEvent{Events: events, Fd: int32(fd), Pad: l.registrations[fd].generation}
 	return System.Control(l.epollFD, unix.EPOLL_CTL_MOD, fd, event)
--- a/internal/eventloop/system.go
+++ b/internal/eventloop/system.go
@@ -2,8 +2,8 @@
 
 import "golang.org/x/sys/unix"
 
-// SystemCalls are the calls on sockets and on epoll that the package makes and tests replace. They return the
-// errors that the manual pages list.
+// SystemCalls are the socket and epoll system calls that tests can replace. They return the errors that the
+// manual pages list.
 type SystemCalls struct {
 	Socket    func(family, kind, protocol int) (int, error)
 	Connect   func(fd int, to unix.Sockaddr) error
@@ -19,7 +19,7 @@
 	Wait      func(epoll int, events []unix.EpollEvent, millis int) (int, error)
 }
 
-// System holds the calls in use. Only tests replace them, by calls that fail, and never while a loop runs.
+// System holds the calls in use. Only tests replace them, with calls that fail, and never while a loop runs.
 var System = SystemCalls{
 	Socket:    unix.Socket,
 	Connect:   unix.Connect,
--- a/internal/eventloop/timers.go
+++ b/internal/eventloop/timers.go
@@ -5,14 +5,14 @@
 // notInHeap is the heap index of a timer that has fired or been stopped.
 const notInHeap = -1
 
-// Timer calls a function once.
+// Timer calls a function once, see Loop.At.
 type Timer struct {
 	due       Timestamp
 	callback  func()
 	heapIndex int
 }
 
-// At calls f in the first turn whose time is not before at. f must not block.
+// At calls f once, in the first turn whose time is not before at. f must not block.
 func (l *Loop) At(at Timestamp, f func()) *Timer {
 	t := &Timer{due: at, callback: f}
 	heap.Push(&l.timers, t)
