--- a/internal/eventloop/accept.go
+++ b/internal/eventloop/accept.go
@@ -8,30 +8,32 @@
 )
 
 const (
-	// acceptBackoff is how long a listener pauses when there is no capacity or accept fails: the connections
-	// that wait would otherwise wake the loop continuously.
+	// acceptBackoff is how long a listener pauses when there is no capacity or accept fails. Without a pause,
+	// the connections in the accept queue would wake the loop continuously.
 	acceptBackoff = 20 * time.Millisecond
 
-	// maxAbortedAccepts is how many connections may turn out to be aborted in one turn before the listener
-	// pauses.
+	// maxAbortedAccepts is the number of aborted connections in one turn at which a listener pauses.
 	maxAbortedAccepts = 64
 )
 
-// AcceptPending accepts the connections that wait now.
+// AcceptPending accepts the connections in the accept queue, as far as there is capacity.
 func (ln *Listener) AcceptPending() { ln.acceptAll() }
 
-// HasPending reports whether a connection waits to be accepted.
+// HasPending reports whether the listener is open and a connection waits in the accept queue.
 func (ln *Listener) HasPending() bool { return !ln.closed && ln.backlogNonEmpty() }
 
 // handleEvents accepts connections, whatever the events are.
 func (ln *Listener) handleEvents(uint32) { ln.acceptAll() }
 
-// acceptAll accepts the connections that wait, as far as there is capacity.
+// acceptAll accepts connections until the queue is empty or the listener pauses, and records whether any
+// remain in the queue.
 func (ln *Listener) acceptAll() {
 	ln.acceptWhilePossible()
 	ln.backlogRemains = ln.HasPending()
 }
 
+// acceptWhilePossible accepts connections until the queue is empty. It pauses the listener if there is no
+// capacity, accept fails or too many connections are aborted.
 func (ln *Listener) acceptWhilePossible() {
 	aborted := 0
 	for ln.HasPending() {
@@ -43,7 +45,7 @@
 		switch {
 		case err == nil:
 			ln.addConn(fd)
-		case errors.Is(err, unix.EAGAIN): // another process that shares the socket accepted the connection
+		case errors.Is(err, unix.EAGAIN): // accepted by another process that shares the socket
 			return
 		case isAborted(err):
 			aborted++
@@ -54,16 +56,16 @@
 	}
 }
 
-// backlogNonEmpty reports whether a connection waits to be accepted. It is checked before ensureCapacity, which
-// may evict another connection: a process that shares the socket may have accepted the one that woke this
-// process.
+// backlogNonEmpty reports whether a connection waits in the accept queue. It is checked before each call of
+// ensureCapacity, which may evict another connection: the eviction would be in vain if the connection that
+// woke this process has been accepted by another process that shares the socket.
 func (ln *Listener) backlogNonEmpty() bool {
 	fds := []unix.PollFd{{Fd: int32(ln.fd), Events: unix.POLLIN}}
 	n, err := unix.Poll(fds, 0)
 	return err == nil && n > 0
 }
 
-// pause leaves connections waiting until resume.
+// pause stops accepting for acceptBackoff. Connections wait in the accept queue meanwhile.
 func (ln *Listener) pause() {
 	ln.loop.modify(ln.fd, 0) //nolint:errcheck // the loop is only woken more often if it fails
 	if !ln.paused {
@@ -72,8 +74,8 @@
 	}
 }
 
-// resume watches the listener again. If epoll refuses that, another pause follows: no connection would be
-// accepted any more otherwise.
+// resume watches the listener again. If epoll refuses, the listener pauses and tries again later; otherwise
+// no connection would ever be accepted again.
 func (ln *Listener) resume() {
 	ln.paused = false
 	if ln.closed {
@@ -84,7 +86,7 @@
 	}
 }
 
-// addConn sets up an accepted connection.
+// addConn sets up an accepted connection and calls accept for its handler.
 func (ln *Listener) addConn(fd int) {
 	l := ln.loop
 	schedulingDelay := l.SchedulingDelay(l.pollTimeout)
@@ -109,8 +111,8 @@
 	c.registerAccepted()
 }
 
-// setAcceptedOptions has small answers sent without delay and vanished clients detected. It is attempted
-// again when it fails for lack of local resources; the connection is served meanwhile.
+// setAcceptedOptions sets TCP_NODELAY, which sends small answers without delay, and SO_KEEPALIVE, which
+// detects vanished clients. A failure for lack of local resources is retried while the connection is served.
 func (c *Conn) setAcceptedOptions() {
 	if c.closed {
 		return
@@ -123,7 +125,7 @@
 	}
 }
 
-// registerAccepted has epoll watch an accepted connection. It is attempted again until it succeeds.
+// registerAccepted registers an accepted connection with epoll, and retries until that succeeds.
 func (c *Conn) registerAccepted() {
 	if c.closed {
 		return
--- a/internal/eventloop/listen.go
+++ b/internal/eventloop/listen.go
@@ -8,10 +8,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// listenBacklog is how many connections the system queues for accept.
+// listenBacklog is the size of a listening socket's accept queue.
 const listenBacklog = 1024
 
-// Listener accepts connections.
+// Listener accepts connections on a socket. It pauses when it cannot accept, see acceptBackoff.
 type Listener struct {
 	loop           *Loop
 	fd             int
@@ -19,11 +19,12 @@
 	accept         func(*Conn) Handler
 	closed         bool
 	paused         bool // until a timer resumes accepting
-	backlogRemains bool // connections remained in the accept queue; since when is unknown
+	backlogRemains bool // connections were left in the accept queue, for an unknown time
 }
 
 // Listen accepts connections on addr. ensureCapacity is called before each accept; while it returns false,
-// connections wait in the system's queue. accept returns the handler of a new connection. Neither must block.
+// connections wait in the accept queue. accept returns the handler of a new connection. Neither must block.
+// The error wraps ErrLocalResources if it may be temporary.
 func (l *Loop) Listen(addr netip.AddrPort, ensureCapacity func() bool, accept func(*Conn) Handler) (*Listener, error) {
 	fd, err := newSocket(addr)
 	if err != nil {
@@ -51,7 +52,7 @@
 }
 
 // ListenOn accepts connections on a listening socket that the process inherited and may share with other
-// processes. The functions are those of Listen.
+// processes. ensureCapacity, accept and the error are as for Listen.
 func (l *Loop) ListenOn(fd int, ensureCapacity func() bool, accept func(*Conn) Handler) (*Listener, error) {
 	if err := prepareInherited(fd); err != nil {
 		return nil, fmt.Errorf("listen on descriptor %d: %w", fd, wrapSetupError(err))
