--- a/internal/eventloop/closing.go
+++ b/internal/eventloop/closing.go
@@ -9,15 +9,16 @@
 )
 
 const (
-	// lingerInterval is how long a connection waits after the shutdown of its output, and again for as long
-	// as the peer has not acknowledged all output.
+	// lingerInterval is how long a closing connection waits after the shutdown of its output before it checks
+	// whether the peer has acknowledged all of it, and the interval between further checks.
 	lingerInterval = 200 * time.Millisecond
 
-	// maxLinger bounds the wait in total.
+	// maxLinger is the time after the shutdown of the output from which a closing connection no longer waits
+	// for the peer's acknowledgements.
 	maxLinger = 10 * time.Second
 )
 
-// Close ends the connection at once. Its handler is not called any more.
+// Close closes the connection at once and drops the queued output. Its handler is not called any more.
 func (c *Conn) Close() {
 	if c.closed {
 		return
@@ -31,7 +32,8 @@
 	c.loop.closeDescriptor(c.fd)
 }
 
-// Fail closes the connection and passes err to its handler.
+// Fail closes the connection at once and passes err to its handler, wrapped in ErrNotConnected if the
+// connection was never established.
 func (c *Conn) Fail(err error) {
 	if c.closed {
 		return
@@ -43,9 +45,9 @@
 	c.handler.Closed(err)
 }
 
-// CloseAfterFlush ends the connection in an orderly way: it writes the queued output, shuts down the sending
-// side and waits for the peer to close. Closing at once with input unread would reset the connection, and the
-// peer would lose output that is still on its way.
+// CloseAfterFlush closes the connection gracefully: it writes the queued output, shuts down the sending side
+// and waits for the peer to close. Closing at once with input unread would reset the connection, and the peer
+// would lose output that is still in transit.
 func (c *Conn) CloseAfterFlush() {
 	if c.Ended() {
 		return
@@ -56,8 +58,8 @@
 	}
 }
 
-// shutdownOutput shuts down the sending side and starts the wait for the peer. It is called when the output
-// queue is empty: a peer that reads slowly would otherwise lose the rest of its output.
+// shutdownOutput shuts down the sending side and starts the wait for the peer. The output queue must be
+// empty: a peer that reads slowly would otherwise lose the rest of its output.
 func (c *Conn) shutdownOutput() {
 	if c.inputEnded { // no input is left that could reset the connection
 		c.Fail(io.EOF)
@@ -71,8 +73,8 @@
 	c.updateInterest()
 }
 
-// linger closes the connection once the peer has acknowledged all output, checked every lingerInterval, or at
-// the first check after the deadline.
+// linger checks every lingerInterval whether the peer has acknowledged all output, and closes the connection
+// once it has, or at the first check after the deadline.
 func (c *Conn) linger(deadline Timestamp) {
 	c.loop.At(c.loop.now+lingerInterval, func() {
 		switch {
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -6,13 +6,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// retryInterval is the pause before a call that failed for lack of memory is attempted again.
+// retryInterval is the pause before a system call that failed for lack of memory or another local resource is
+// repeated.
 const retryInterval = 20 * time.Millisecond
 
-// errorEvents are the epoll events of a connection that was reset or whose both directions have ended.
+// errorEvents are the epoll events of a connection that was reset or has ended in both directions.
 const errorEvents = unix.EPOLLHUP | unix.EPOLLERR
 
-// Conn is one non-blocking TCP connection.
+// Conn is a non-blocking TCP connection of a Loop.
 type Conn struct {
 	loop    *Loop
 	fd      int
@@ -23,19 +24,19 @@
 	closed         bool   // the descriptor is closed
 	registered     bool   // with epoll
 	readingStopped bool   // StopReading was called
-	peerHalfClosed bool   // the peer was seen to have shut down its sending side
-	inputEnded     bool   // and all its input has been read
-	flushScheduled bool   // the connection is in the loop's toFlush
+	peerHalfClosed bool   // a HalfCloser was notified that the peer has shut down its sending side
+	inputEnded     bool   // all input up to the peer's shutdown has been read
+	flushScheduled bool   // the connection is in Loop.toFlush
 	interest       uint32 // epoll events that are watched
 
-	unparsed    []byte   // input that the handler has not consumed
-	outputQueue []output // output that has not been written
+	unparsed    []byte   // received input that the handler has not consumed
+	outputQueue []output // output that has not been written completely
 	queuedBytes int      // in outputQueue
 
 	connectTimer    *Timer // fires at the connect timeout; nil for an accepted connection
 	createdAt       Timestamp
-	lastReceivedAt  Timestamp     // when the connection was established or input last arrived
-	lastWrittenAt   Timestamp     // when output was last written, or first queued after none was
+	lastReceivedAt  Timestamp     // see LastReceived
+	lastWrittenAt   Timestamp     // when output was last written, or first queued after the queue was empty
 	connectDuration time.Duration // see ConnectDuration
 
 	delays inputDelays
@@ -44,28 +45,29 @@
 // Connected reports whether the handshake is complete.
 func (c *Conn) Connected() bool { return c.connected }
 
-// Age is the time since the connection was dialed or accepted.
+// Age returns the time since the connection was dialed or accepted.
 func (c *Conn) Age() time.Duration { return c.loop.now - c.createdAt }
 
-// CreatedAt is when the connection was dialed or accepted.
+// CreatedAt returns when the connection was dialed or accepted.
 func (c *Conn) CreatedAt() Timestamp { return c.createdAt }
 
-// ConnectDuration is how long the handshake took; 0 for a connection that is not established or was accepted.
+// ConnectDuration returns how long the handshake took; 0 for a connection that is not established or was
+// accepted.
 func (c *Conn) ConnectDuration() time.Duration { return c.connectDuration }
 
 // Ended reports whether the connection is closed or closing.
 func (c *Conn) Ended() bool { return c.closed || c.closing }
 
-// LastReceived is when the connection was established or input last arrived.
+// LastReceived returns when input last arrived or, before any has, when the connection was established.
 func (c *Conn) LastReceived() Timestamp { return c.lastReceivedAt }
 
-// UnparsedBytes is how many bytes of input have been received and not consumed by the handler.
+// UnparsedBytes returns how many bytes of input have been received and not consumed by the handler.
 func (c *Conn) UnparsedBytes() int { return len(c.unparsed) }
 
 // open reports whether the connection can transfer data.
 func (c *Conn) open() bool { return c.connected && !c.closed }
 
-// handleEvents reacts to epoll events. Each step may close the connection.
+// handleEvents handles epoll events. Each step may close the connection.
 func (c *Conn) handleEvents(events uint32) {
 	if !c.connected {
 		c.finishConnect()
@@ -88,8 +90,9 @@
 	}
 }
 
-// isReset reports whether events end a connection whose remaining input is of no use: it has been read or is
-// not read any more, or the peer, which may half-close, wants no answer to it.
+// isReset reports whether events say that the connection has ended and its remaining input is of no use: all
+// of it has been read, reading was stopped, or the peer of a HalfCloser has reset the connection and so wants
+// no answer to it.
 func (c *Conn) isReset(events uint32) bool {
 	if (c.inputEnded || c.readingStopped) && events&errorEvents != 0 {
 		return true
@@ -98,7 +101,8 @@
 	return isHalfCloser && events&unix.EPOLLERR != 0
 }
 
-// wantsInput reports whether input is read. While closing it is read in order to be discarded.
+// wantsInput reports whether input is to be read. While the connection is closing, input is read and
+// discarded.
 func (c *Conn) wantsInput() bool { return !c.inputEnded && (!c.readingStopped || c.closing) }
 
 // notifyPeerClosing notifies a HalfCloser, once, that the peer has shut down its sending side.
@@ -111,8 +115,8 @@
 	handler.PeerClosing(c.peerClosedAfter())
 }
 
-// peerClosedAfter is a time after which the peer shut down its sending side; 0: unknown. The previous poll
-// would have reported an earlier shutdown, unless the connection is newer than that.
+// peerClosedAfter returns a time after which the peer shut down its sending side; 0: unknown. The previous
+// poll would have reported an earlier shutdown, unless the connection is newer than that poll.
 func (c *Conn) peerClosedAfter() Timestamp {
 	if c.createdAt >= c.loop.previousPollEnd {
 		return c.delays.connectedAfter
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -8,8 +8,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Dial starts a connection. Output may be queued at once; it is written when the connection is established. A
-// connection that is not established within timeout fails with ErrConnectTimeout.
+// Dial starts a connection to addr. Output may be queued at once; it is written when the connection is
+// established. A connection that is not established within timeout fails with ErrConnectTimeout. The error of
+// Dial wraps ErrNotConnected, and ErrLocalResources too if it says nothing about the peer.
 func (l *Loop) Dial(addr netip.AddrPort, timeout time.Duration, h Handler) (*Conn, error) {
 	fd, err := newSocket(addr)
 	if err != nil {
@@ -25,7 +26,7 @@
 		lastWrittenAt:  l.now,
 	}
 	err = System.Connect(fd, socketAddress(addr))
-	if err != nil && !isOneOf(err, unix.EINPROGRESS, unix.EINTR) { // an interrupted connect continues too
+	if err != nil && !isOneOf(err, unix.EINPROGRESS, unix.EINTR) { // an interrupted connect continues as well
 		unix.Close(fd) //nolint:errcheck // the connect's error is returned
 		return nil, connectError(addr, err)
 	}
@@ -38,8 +39,8 @@
 	return c, nil
 }
 
-// finishConnect checks the result of a connect. If it is still pending or unknown, the connection is left as
-// it is and the next event or the connect timeout decides.
+// finishConnect checks the result of a connect. If the connect is still pending or its result unknown, the
+// connection is left as it is, and the next event or the connect timeout decides.
 func (c *Conn) finishConnect() {
 	code, err := System.GetOption(c.fd, unix.SOL_SOCKET, unix.SO_ERROR)
 	if err == nil && code != 0 {
@@ -60,7 +61,7 @@
 	c.scheduleFlush()
 }
 
-// connectError wraps the error of a connection attempt to addr.
+// connectError wraps the error of connecting to addr.
 func connectError(addr netip.AddrPort, err error) error {
 	if isLocalError(err) {
 		err = fmt.Errorf("%w: %w", ErrLocalResources, err)
@@ -85,7 +86,7 @@
 	return fd, nil
 }
 
-// socketAddress converts addr for system calls.
+// socketAddress returns addr in the form that system calls take.
 func socketAddress(addr netip.AddrPort) unix.Sockaddr {
 	if addr.Addr().Is4() {
 		return &unix.SockaddrInet4{Port: int(addr.Port()), Addr: addr.Addr().As4()}
--- a/internal/eventloop/errors.go
+++ b/internal/eventloop/errors.go
@@ -13,11 +13,11 @@
 // ErrConnectTimeout is the error of a connection that was not established within its connect timeout.
 var ErrConnectTimeout = errors.New("connect timed out")
 
-// ErrWriteStalled is the error of a connection whose peer does not read what it is sent.
+// ErrWriteStalled is the error of a connection whose peer does not read its output.
 var ErrWriteStalled = errors.New("peer accepts no output")
 
-// ErrLocalResources wraps failures of this machine or process, such as a lack of descriptors, ports or
-// memory. They say nothing about the peer.
+// ErrLocalResources wraps failures of this host or process, such as a lack of descriptors, ports or memory.
+// They say nothing about the peer.
 var ErrLocalResources = errors.New("local resources exhausted")
 
 // wrapSetupError wraps an error of setting up the loop or a listener with ErrLocalResources if it may be
@@ -29,23 +29,23 @@
 	return err
 }
 
-// isLocalError reports errors that say nothing about the peer.
+// isLocalError reports whether err is a failure of this host or process, which says nothing about the peer.
 func isLocalError(err error) bool {
 	return isExhausted(err) || isOneOf(err, unix.EADDRNOTAVAIL, unix.EPERM, unix.EACCES)
 }
 
-// isExhausted reports a lack of descriptors or memory, which may be temporary.
+// isExhausted reports whether err is a lack of descriptors or memory, which may be temporary.
 func isExhausted(err error) bool {
 	return isOneOf(err, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.ENOSPC, unix.EAGAIN)
 }
 
-// isTransient reports errors after which the same call on the same connection may succeed. No data is lost.
+// isTransient reports whether the same call on the same connection may succeed after err. No data is lost.
 func isTransient(err error) bool {
 	return isOneOf(err, unix.EAGAIN, unix.EINTR, unix.ENOBUFS, unix.ENOMEM)
 }
 
-// isAborted reports errors of accept that concern a single connection, which no longer exists: the next one
-// may be accepted.
+// isAborted reports whether accept failed because of a single connection, which no longer exists. The next
+// one may be accepted.
 func isAborted(err error) bool {
 	return isOneOf(err, unix.ECONNABORTED, unix.EINTR, unix.EPROTO, unix.ENETDOWN, unix.ENOPROTOOPT,
 		unix.EHOSTDOWN, unix.ENONET, unix.EHOSTUNREACH, unix.EOPNOTSUPP, unix.ENETUNREACH, unix.ETIMEDOUT)
--- a/internal/eventloop/handler.go
+++ b/internal/eventloop/handler.go
@@ -3,12 +3,12 @@
 // Handler receives the input and the end of one connection. Its methods run on the loop's goroutine and must
 // not block.
 type Handler interface {
-	// Receive gets all input that has not been consumed yet and returns how many bytes it consumes now. The
-	// rest is buffered and passed again, together with what arrives next. data is valid during the call only.
-	// An error closes the connection.
+	// Receive is passed all input that has not been consumed yet and returns how many bytes it consumes now.
+	// The rest is buffered and passed again, together with what arrives next. data is valid during the call
+	// only. An error closes the connection.
 	Receive(data []byte) (used int, err error)
 	// Closed is called once, when the connection ends for any reason but a call of Close. err is io.EOF when
-	// the peer closed it in an orderly way, or when CloseAfterFlush has ended.
+	// the peer closed it gracefully, or when CloseAfterFlush has completed.
 	Closed(err error)
 }
 
@@ -20,20 +20,20 @@
 	// from before that may still be unread. The shutdown took place after the given time; 0: unknown.
 	PeerClosing(after Timestamp)
 	// PeerClosed is called once, when all input from before the shutdown has been passed to Receive. It
-	// reports whether output is still owed; the handler then closes the connection when all of it is written.
-	// Otherwise the connection is closed at once.
+	// reports whether the peer is still owed output; the handler then closes the connection when all of it is
+	// written. Otherwise the connection is closed at once.
 	PeerClosed() (owed bool)
 }
 
-// Message is output that is encoded only when its first byte is about to be written, so that its contents may
-// change or the message be dropped until then. Its methods run on the loop's goroutine and must not block.
+// Message is output that is encoded only when its first byte is about to be written, so that until then its
+// contents may change or it may be dropped. Its methods run on the loop's goroutine and must not block.
 // Encode may queue output on the connection or close it; Started and Written must do neither.
 type Message interface {
 	// Encode returns the bytes, or false when the message must not be sent any more. It is called again when
 	// the peer accepted no byte of it.
 	Encode() ([]byte, bool)
-	// Started is called once, when the first byte has been written. complete says that the last one has been
-	// too.
+	// Started is called once, when the first byte has been written. complete reports whether the last one has
+	// been written too.
 	Started(complete bool)
 	// Written is called once, when the last byte has been written.
 	Written()
--- a/internal/eventloop/input.go
+++ b/internal/eventloop/input.go
@@ -11,7 +11,7 @@
 // maxReadsPerTurn bounds the reads of one connection in one turn, so that it does not delay the others.
 const maxReadsPerTurn = 16
 
-// PollNow handles what has happened on the connection since the turn's poll.
+// PollNow polls this connection again and handles what has happened on it since the turn's poll.
 func (c *Conn) PollNow() {
 	if !c.open() {
 		return
@@ -29,8 +29,8 @@
 	c.loop.previousPollEnd = previousPollEnd
 }
 
-// receive reads the input that has arrived and passes it on. A connection with much input is read several
-// times, within bounds, since requests at its start may be aborted further on.
+// receive reads the input that has arrived and passes it on. It reads up to maxReadsPerTurn times, since
+// requests at the start of the input may be aborted further on.
 func (c *Conn) receive() {
 	c.measureQueueingDelay()
 	bytesRead := 0
@@ -45,7 +45,7 @@
 }
 
 // readOnce reads once and passes the input on. more reports whether there may be more input that is to be
-// read.
+// read in this turn.
 func (c *Conn) readOnce() (n int, more bool) {
 	buffer := c.loop.readBuffer
 	n, err := System.Read(c.fd, buffer)
@@ -78,11 +78,11 @@
 		c.markInputEnded()
 		return
 	}
-	c.Fail(io.EOF) // nothing, if a callback has closed the connection
+	c.Fail(io.EOF) // does nothing if a callback has closed the connection
 }
 
-// notifyInputEnd notifies a HalfCloser that its peer has ended its side and reports whether output is still
-// owed to it.
+// notifyInputEnd notifies a HalfCloser that its peer has shut down its sending side and reports whether the
+// peer is still owed output.
 func (c *Conn) notifyInputEnd() (owed bool) {
 	handler, isHalfCloser := c.handler.(HalfCloser)
 	if !isHalfCloser || c.closing {
@@ -92,10 +92,10 @@
 	return !c.closed && handler.PeerClosed()
 }
 
-// markInputEnded leaves the connection open for output alone.
+// markInputEnded records that no more input follows. The connection stays open for output.
 func (c *Conn) markInputEnded() {
 	c.inputEnded = true
-	c.scheduleFlush() // which updates the interest
+	c.scheduleFlush() // also updates the interest
 }
 
 // addInput appends data to the input that was not consumed before and passes all of it to the handler.
@@ -129,9 +129,9 @@
 	}
 }
 
-// HasUnreadInput reports whether the peer has sent something that has not been read. Closing would lose it:
-// a peer sends a request again only if it crossed the close on its way, and this one may have waited here
-// for long, as the process does not always have a CPU.
+// HasUnreadInput reports whether the peer has sent something that has not been read. Closing the connection
+// would lose it: a peer repeats a request only if the request crossed the close on the network, and this one
+// may have waited here for long, as the process does not always have a CPU.
 func (c *Conn) HasUnreadInput() bool {
 	var first [1]byte
 	n, err := System.Peek(c.fd, first[:])
@@ -143,7 +143,7 @@
 }
 
 // StopReading leaves further input unread and drops input that has not been consumed. The peer's half-close
-// is still noticed and queued output is still written.
+// is still noticed, and queued output is still written.
 func (c *Conn) StopReading() {
 	if c.Ended() {
 		return
@@ -151,5 +151,5 @@
 	c.readingStopped = true
 	c.loop.bufferedBytes -= len(c.unparsed)
 	c.unparsed = nil
-	c.scheduleFlush() // which updates the interest
+	c.scheduleFlush() // also updates the interest
 }
--- a/internal/eventloop/interest.go
+++ b/internal/eventloop/interest.go
@@ -2,14 +2,14 @@
 
 import "golang.org/x/sys/unix"
 
-// updateInterest sets the events that epoll reports for the connection. When epoll refuses the change for
-// lack of memory it is attempted again later; until then the events of before are reported.
+// updateInterest sets the events that epoll reports for the connection. If epoll refuses the change for lack
+// of memory, the change is retried later; until then epoll reports the previous events.
 func (c *Conn) updateInterest() {
 	events := c.inputInterest() | c.outputInterest()
 	if events == c.interest {
 		return
 	}
-	if !c.registered { // register will use it
+	if !c.registered { // the registration will use it
 		c.interest = events
 		return
 	}
@@ -26,8 +26,9 @@
 	}
 }
 
-// inputInterest is which events about input are wanted: input and the peer's half-close until each has been
-// seen. Input is watched also while the peer does not read its output, as it may send an abort or close.
+// inputInterest returns the events about input to watch for: input until it has ended, and the peer's
+// half-close until it has been noticed. Input is watched even while the peer does not read its output, as it
+// may send an abort or close the connection.
 func (c *Conn) inputInterest() uint32 {
 	switch {
 	case c.inputEnded:
@@ -44,8 +45,8 @@
 	return unix.EPOLLIN | unix.EPOLLRDHUP
 }
 
-// outputInterest is which events about output are wanted: writability while connecting and while output is
-// queued.
+// outputInterest returns the events about output to watch for: writability while connecting and while output
+// is queued.
 func (c *Conn) outputInterest() uint32 {
 	if !c.connected || len(c.outputQueue) > 0 {
 		return unix.EPOLLOUT
--- a/internal/eventloop/output.go
+++ b/internal/eventloop/output.go
@@ -7,10 +7,11 @@
 )
 
 const (
-	// MaxQueuedBytes is how much queued output a connection may have; beyond it the connection fails.
+	// MaxQueuedBytes is how much queued output a connection may have. With more it fails with
+	// ErrWriteStalled.
 	MaxQueuedBytes = 16 << 20
 
-	// maxJoinedBytes is the size up to which small outputs are joined in one buffer: each on its own would
+	// maxJoinedBytes is the size up to which small outputs are joined in one buffer: on its own, each would
 	// need more memory for its bookkeeping than for its contents.
 	maxJoinedBytes = 16 << 10
 )
@@ -19,16 +20,17 @@
 type output struct {
 	data    []byte
 	message Message // nil once it has been encoded
-	written func()  // Written of a message that has been encoded
+	written func()  // method Written of a message that has been encoded
 }
 
-// isPlainBytes reports that the output is no message, neither encoded nor to be encoded.
+// isPlainBytes reports whether the output was queued by Write, not as a message.
 func (o *output) isPlainBytes() bool { return o.message == nil && o.written == nil }
 
-// QueuedOutput is how many bytes wait to be written, and the time since which the peer has accepted none.
+// QueuedOutput returns how many bytes wait to be written, and the time since which the peer has accepted
+// none.
 func (c *Conn) QueuedOutput() (bytes int, since Timestamp) { return c.queuedBytes, c.lastWrittenAt }
 
-// Write queues bytes, which the caller must not change any more.
+// Write queues data, which the caller must not modify any more. It does nothing on an ended connection.
 func (c *Conn) Write(data []byte) {
 	if c.Ended() || len(data) == 0 {
 		return
@@ -36,7 +38,7 @@
 	c.enqueue(output{data: data})
 }
 
-// Send queues a message.
+// Send queues a message. It does nothing on an ended connection.
 func (c *Conn) Send(m Message) {
 	if !c.Ended() {
 		c.enqueue(output{message: m})
@@ -55,7 +57,8 @@
 	c.outputQueue = append(c.outputQueue, o)
 }
 
-// joinWithLast appends data to the last entry of the queue, if both are small and that is bytes too.
+// joinWithLast appends data to the last entry of the queue if that entry is plain bytes too and both are
+// small.
 func (c *Conn) joinWithLast(data []byte) (joined bool) {
 	if len(c.outputQueue) == 0 {
 		return false
@@ -68,8 +71,8 @@
 	return true
 }
 
-// scheduleFlush has the queue written and the interest updated at the end of the turn: by then all that
-// arrived in the turn is known, and a message may have become void.
+// scheduleFlush schedules the write of the queue and the update of the interest for the end of the turn: by
+// then all that arrived in the turn is known, and a message may no longer be wanted.
 func (c *Conn) scheduleFlush() {
 	if !c.flushScheduled {
 		c.flushScheduled = true
@@ -83,7 +86,7 @@
 	c.loop.bufferedBytes += n
 }
 
-// UnackedBytes is how many written bytes the peer's system has not acknowledged; 0 if that is unknown.
+// UnackedBytes returns how many written bytes the peer's system has not acknowledged; 0 if that is unknown.
 func (c *Conn) UnackedBytes() int {
 	n, err := unix.IoctlGetInt(c.fd, unix.SIOCOUTQ)
 	if err != nil {
@@ -93,14 +96,15 @@
 }
 
 // Flush writes queued output at once, as far as the peer accepts it. It is for connections without messages:
-// those are decided at the end of the turn.
+// whether a message is sent is decided at the end of the turn.
 func (c *Conn) Flush() {
 	if !c.closed {
 		c.flush()
 	}
 }
 
-// flush writes until the queue is empty or the peer accepts no more, and then updates the connection's state.
+// flush writes until the queue is empty or the peer accepts no more, and then shuts down, fails or updates
+// the interest of the connection as its state requires.
 func (c *Conn) flush() {
 	for c.open() && len(c.outputQueue) > 0 {
 		more, err := c.writeFirst()
@@ -124,9 +128,9 @@
 	}
 }
 
-// failWrite ends a connection on which writing failed. Input that arrived before is read first, since an
-// answer says more than the loss of its connection; not from a peer that may half-close, which has
-// disconnected and wants nothing more.
+// failWrite fails a connection on which a write failed. Input that arrived before is read first, since an
+// answer says more than the loss of its connection. It is not read from the peer of a HalfCloser, which has
+// disconnected and wants no answer any more.
 func (c *Conn) failWrite(err error) {
 	_, isHalfCloser := c.handler.(HalfCloser)
 	if !isHalfCloser && !c.closing && !c.inputEnded {
@@ -143,7 +147,7 @@
 	data := first.data
 	if first.message != nil {
 		encoded, wanted := first.message.Encode()
-		if c.closed { // encoding may end the last use of a connection that is then closed
+		if c.closed { // encoding may end the last use of a connection, which is then closed
 			return false, nil
 		}
 		if !wanted {
@@ -163,9 +167,9 @@
 }
 
 // recordWritten accounts for the first n bytes of data, the contents of the queue's first entry, as written.
-// It reports whether that was all of it.
+// It reports whether that is all of data.
 func (c *Conn) recordWritten(data []byte, n int) (complete bool) {
-	first := &c.outputQueue[0] // encoding may have queued output, which can move the queue
+	first := &c.outputQueue[0] // fetched again: output queued by Encode may have moved the queue
 	c.lastWrittenAt = c.loop.now
 	if first.message != nil {
 		message := first.message
