--- a/internal/eventloop/conn_test.go
+++ b/internal/eventloop/conn_test.go
@@ -9,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// closingMessage is a message that closes its connection when it is to be encoded.
+// closingMessage is a message that closes its connection while it is encoded.
 type closingMessage struct {
 	conn    **Conn
 	encoded *bool
@@ -29,7 +29,7 @@
 func (discarder) Receive(data []byte) (int, error) { return len(data), nil }
 func (discarder) Closed(error)                     {}
 
-// What a peer has sent counts as unread until it is read.
+// Input counts as unread from its arrival until it is read. The peer's close is no input.
 func TestHasUnreadInput(t *testing.T) {
 	l, err := NewLoop(SystemClock())
 	if err != nil {
@@ -42,17 +42,17 @@
 	c := &Conn{loop: l, fd: pair[0], handler: discarder{}, connected: true, interest: unix.EPOLLIN}
 	defer c.Close()
 	if c.HasUnreadInput() {
-		t.Error("nothing was sent")
+		t.Error("input counts as unread although nothing was sent")
 	}
 	if _, err := unix.Write(pair[1], []byte("x")); err != nil {
 		t.Fatal(err)
 	}
 	if !c.HasUnreadInput() {
-		t.Error("what was sent does not count as unread")
+		t.Error("input that has arrived does not count as unread")
 	}
 	c.receive()
 	if c.HasUnreadInput() {
-		t.Error("it was read")
+		t.Error("input counts as unread although it was read")
 	}
 	if err := unix.Close(pair[1]); err != nil {
 		t.Fatal(err)
@@ -62,8 +62,8 @@
 	}
 }
 
-// Encoding a message may end the last use of a connection, which is then closed. The rest of its queue is
-// dropped.
+// Encoding a message may end the last use of its connection, which is then closed. The rest of the
+// connection's queue is dropped.
 func TestConnClosedWhileAMessageIsEncoded(t *testing.T) {
 	l, err := NewLoop(SystemClock())
 	if err != nil {
@@ -75,11 +75,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	at, err := unix.Getsockname(ln.fd)
+	addr, err := unix.Getsockname(ln.fd)
 	if err != nil {
 		t.Fatal(err)
 	}
-	port := at.(*unix.SockaddrInet4).Port
+	port := addr.(*unix.SockaddrInet4).Port
 	c, err := l.Dial(netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(port)), time.Minute, discarder{})
 	if err != nil {
 		t.Fatal(err)
@@ -96,7 +96,7 @@
 		}
 	}
 	if !encoded || !c.Ended() || l.BufferedBytes() != 0 {
-		t.Error("never encoded, or still open")
+		t.Error("the message was not encoded, the connection is open or output is still buffered")
 	}
 }
 
@@ -115,8 +115,8 @@
 func (m *queueingMessage) Started(bool) {}
 func (m *queueingMessage) Written()     { m.written++ }
 
-// Output that is queued while a message is encoded does not replace the rest of a message of which the peer
-// accepts a part.
+// Output that is queued while a message is encoded does not replace the rest of the message if the peer
+// accepts only a part of it.
 func TestOutputQueuedWhileAMessageIsEncoded(t *testing.T) {
 	l, err := NewLoop(SystemClock())
 	if err != nil {
@@ -141,9 +141,9 @@
 	received := make([]byte, 100)
 	n, err := unix.Read(pair[1], received)
 	if err != nil || string(received[:n]) != "message later" {
-		t.Errorf("received %q, %v", received[:max(n, 0)], err)
+		t.Errorf("the peer received %q, error %v", received[:max(n, 0)], err)
 	}
 	if message.encoded != 1 || message.written != 1 || l.BufferedBytes() != 0 {
-		t.Errorf("%+v, %d bytes buffered", message, l.BufferedBytes())
+		t.Errorf("message %+v, want it encoded and written once; %d bytes buffered, want 0", message, l.BufferedBytes())
 	}
 }
--- a/internal/eventloop/system_test.go
+++ b/internal/eventloop/system_test.go
@@ -54,18 +54,18 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(ln.Close)
-	name, err := unix.Getsockname(ln.fd)
+	sockaddr, err := unix.Getsockname(ln.fd)
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(name.(*unix.SockaddrInet4).Port))
-	return &testListener{ln, loop, at.String()}
+	addr := netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(sockaddr.(*unix.SockaddrInet4).Port))
+	return &testListener{ln, loop, addr.String()}
 }
 
 // dial connects a client.
-func (p *testListener) dial(t *testing.T) net.Conn {
+func (ln *testListener) dial(t *testing.T) net.Conn {
 	t.Helper()
-	conn, err := net.Dial("tcp", p.addr)
+	conn, err := net.Dial("tcp", ln.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,14 +84,14 @@
 	})
 }
 
-// waitUntil polls a condition for a second at most, without running a loop.
+// waitUntil waits until the condition holds, for a second at most, without running a loop.
 func waitUntil(condition func() bool) {
 	for end := time.Now().Add(time.Second); !condition() && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// runTurns runs a loop until done, for a second at most, and returns the number of turns.
+// runTurns runs a loop until done holds, for a second at most, and returns the number of turns.
 func runTurns(t *testing.T, loop *Loop, done func() bool) (count int) {
 	t.Helper()
 	for end := time.Now().Add(time.Second); !done() && time.Now().Before(end); count++ {
@@ -103,18 +103,18 @@
 	return count
 }
 
-// failingCall is a system call that a test lets fail at first.
+// failingCall is a system call that fails at first.
 type failingCall struct {
 	name     string
 	errnos   []unix.Errno
-	minCalls int // that must have been made when a client has its answer
+	minCalls int // calls that must have been made when a client has its answer
 
 	// install replaces the call. nextError is asked before each call and returns the error to fail with, or
 	// nil.
 	install func(s *SystemCalls, nextError func() error)
 }
 
-// failuresInARow is how often a failingCall fails.
+// failuresInARow is how many times in a row a failingCall fails at first.
 const failuresInARow = 3
 
 var failingCalls = []failingCall{
@@ -193,8 +193,8 @@
 	},
 }
 
-// A client that connects while a system call fails is served once the call works again, and the loop does not
-// spin meanwhile.
+// A client that connects while a system call fails is served once the call succeeds again, and the loop does
+// not spin meanwhile.
 func TestClientIsServedThoughCallsFail(t *testing.T) {
 	for _, call := range failingCalls {
 		for _, code := range call.errnos {
@@ -229,17 +229,17 @@
 	go func() { answered <- readWithin(client, time.Second, 5) }()
 	turns := runTurns(t, listener.loop, func() bool { return len(answered) > 0 })
 	if err := <-answered; err != nil {
-		t.Errorf("%v; the connection ended with %v", err, server)
+		t.Errorf("no answer: %v; the server's connection: %v", err, server)
 	}
 	if calls < call.minCalls {
-		t.Errorf("%d calls", calls)
+		t.Errorf("the system call was made only %d times", calls)
 	}
 	if turns > maxTurns {
-		t.Errorf("%d turns", turns)
+		t.Errorf("%d turns: the loop spins", turns)
 	}
 }
 
-// readWithin reads up to size bytes.
+// readWithin reads up to size bytes once, and fails if none arrive within timeout.
 func readWithin(conn net.Conn, timeout time.Duration, size int) error {
 	if err := conn.SetReadDeadline(time.Now().Add(timeout)); err != nil {
 		return err
@@ -248,42 +248,42 @@
 	return err
 }
 
-// A listener that paused, also because accept fails repeatedly, accepts again although epoll refuses that at
-// first.
+// A listener that paused for lack of capacity, or because accept fails repeatedly, accepts again even if
+// epoll refuses at first to watch it. While accept fails, it is called only a few times.
 func TestListenerResumesAfterFailures(t *testing.T) {
 	var server *echo
 	ensureCapacity := false
-	p := newTestListener(t, func() bool { return ensureCapacity }, func(c *Conn) Handler {
+	listener := newTestListener(t, func() bool { return ensureCapacity }, func(c *Conn) Handler {
 		server = &echo{conn: c}
 		return server
 	})
-	p.dial(t)
+	listener.dial(t)
 	refused := 0
 	substitute(t, func(s *SystemCalls) {
 		original := s.Control
 		s.Control = func(epoll, operation, fd int, event *unix.EpollEvent) error {
-			if fd == p.fd && event.Events != 0 && refused < 3 {
+			if fd == listener.fd && event.Events != 0 && refused < 3 {
 				refused++
 				return unix.ENOMEM
 			}
 			return original(epoll, operation, fd, event)
 		}
 	})
-	runTurns(t, p.loop, func() bool { return refused > 0 })
+	runTurns(t, listener.loop, func() bool { return refused > 0 })
 	ensureCapacity = true
 	calls := 0
 	accept := System.Accept
 	System.Accept = func(int, int) (int, error) { calls++; return -1, unix.ENOBUFS }
 	for end := time.Now().Add(100 * time.Millisecond); time.Now().Before(end); {
-		runTurns(t, p.loop, func() bool { return !time.Now().Before(end) })
+		runTurns(t, listener.loop, func() bool { return !time.Now().Before(end) })
 	}
 	if calls > 10 {
-		t.Errorf("%d calls in 100 ms", calls)
+		t.Errorf("%d accept calls in 100 ms: the listener does not pause", calls)
 	}
 	System.Accept = accept
-	runTurns(t, p.loop, func() bool { return server != nil })
+	runTurns(t, listener.loop, func() bool { return server != nil })
 	if server == nil {
-		t.Error("no connection is accepted any more")
+		t.Error("the listener no longer accepts connections")
 	}
 }
 
@@ -294,23 +294,23 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		peer, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		closeAtEnd(t, peer)
+		closeAtEnd(t, listener)
 		caller := &echo{}
-		caller.conn, err = loop.Dial(netip.MustParseAddrPort(peer.Addr().String()), time.Second, caller)
+		caller.conn, err = loop.Dial(netip.MustParseAddrPort(listener.Addr().String()), time.Second, caller)
 		if err != nil {
 			t.Fatal(err)
 		}
 		runTurns(t, loop, caller.conn.Connected)
-		other, err := peer.Accept()
+		peer, err := listener.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		closeAtEnd(t, other)
-		if _, err := other.Write([]byte("answer")); err != nil {
+		closeAtEnd(t, peer)
+		if _, err := peer.Write([]byte("answer")); err != nil {
 			t.Fatal(err)
 		}
 		waitUntil(caller.conn.HasUnreadInput)
@@ -318,7 +318,7 @@
 		caller.conn.Write([]byte("another call"))
 		loop.Flush()
 		if string(caller.received) != "answer" || !errors.Is(caller.ended, code) {
-			t.Errorf("%v: %q was read before the end by %v", code, caller.received, caller.ended)
+			t.Errorf("write error %v: received %q before the connection ended with %v", code, caller.received, caller.ended)
 		}
 	}
 }
@@ -333,7 +333,7 @@
 func (h *halfEcho) PeerClosed() bool      { return false }
 
 // A connection that is evicted may have an event of its own in the same turn. The event is not delivered to
-// the connection that gets its descriptor.
+// the new connection that gets its descriptor.
 func TestEventOfAClosedDescriptor(t *testing.T) {
 	var servers []*halfEcho
 	evictFirst := func() bool {
@@ -342,35 +342,35 @@
 		}
 		return true
 	}
-	p := newTestListener(t, evictFirst, func(c *Conn) Handler {
+	listener := newTestListener(t, evictFirst, func(c *Conn) Handler {
 		servers = append(servers, &halfEcho{echo: echo{conn: c}})
 		return servers[len(servers)-1]
 	})
-	first := p.dial(t)
-	runTurns(t, p.loop, func() bool { return len(servers) == 1 })
-	p.dial(t) // the listener is ready first
+	first := listener.dial(t)
+	runTurns(t, listener.loop, func() bool { return len(servers) == 1 })
+	listener.dial(t) // before the close, so that the listener is ready before the connection
 	if err := first.Close(); err != nil {
 		t.Fatal(err)
 	}
 	waitUntil(func() bool { return hungUp(servers[0].conn.fd) })
 	fd := servers[0].conn.fd
-	for filler := -1; filler < fd; { // afterwards the lowest free descriptor is that of the old connection
+	for filler := -1; filler < fd; { // afterwards all descriptors below the old connection's are taken
 		var err error
 		if filler, err = unix.Open("/dev/null", unix.O_CLOEXEC, 0); err != nil {
 			t.Fatal(err)
 		}
 		closeAtEnd(t, os.NewFile(uintptr(filler), "/dev/null"))
 	}
-	runTurns(t, p.loop, func() bool { return len(servers) == 2 })
+	runTurns(t, listener.loop, func() bool { return len(servers) == 2 })
 	if servers[1].conn.fd != fd {
-		t.Fatalf("descriptor %d in place of %d", servers[1].conn.fd, fd)
+		t.Fatalf("the new connection has descriptor %d, want the old one's, %d", servers[1].conn.fd, fd)
 	}
 	if servers[1].closing || servers[1].ended != nil {
 		t.Errorf("the new connection was notified of the end of the old one: closing %v, ended %v", servers[1].closing, servers[1].ended)
 	}
 }
 
-// hungUp reports whether the peer has closed its side.
+// hungUp reports whether the peer has shut down its sending side.
 func hungUp(fd int) bool {
 	fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 	n, err := unix.Poll(fds, 0)
@@ -385,8 +385,8 @@
 	return min(wanted, time.Millisecond)
 }
 
-// The process is stopped just after a poll. Input that arrives until it continues counts as delayed, although
-// only the poll of the next turn reports it.
+// The process is stopped just after a poll has returned. Input that arrives until it continues counts as
+// delayed, although only the poll of the next turn reports it.
 func TestSchedulingDelayWhenStoppedAfterAPoll(t *testing.T) {
 	const stopped = 2 * time.Second
 	clock := &testClock{now: Timestamp(time.Now().UnixNano())}
@@ -417,7 +417,7 @@
 		conns = append(conns, conn)
 		peers = append(peers, peer)
 	}
-	sendInput := func(i int) { // and wait until it can be read
+	sendInput := func(i int) { // returns when the input can be read
 		if _, err := peers[i].Write([]byte("x")); err != nil {
 			t.Fatal(err)
 		}
@@ -440,12 +440,12 @@
 	runTurns(t, loop, func() bool { return len(delays) == 2 })
 	for i, delay := range delays {
 		if delay < stopped-expectedPollInterval {
-			t.Errorf("input %d counts as delayed by %v", i+1, delay)
+			t.Errorf("input %d counts as delayed by only %v", i+1, delay)
 		}
 	}
 }
 
-// expectedPollInterval is what a delayRecorder expects between two polls.
+// expectedPollInterval is the time between two polls that a delayRecorder expects.
 const expectedPollInterval = 50 * time.Millisecond
 
 // delayRecorder records the scheduling delay whenever it receives input.
