--- a/internal/connpool/acquire.go
+++ b/internal/connpool/acquire.go
@@ -6,16 +6,16 @@
 	"slices"
 )
 
-// ErrConnLimit says that a connection would exceed the limits on connections.
+// ErrConnLimit means that a new connection would exceed the limits on connections.
 var ErrConnLimit = errors.New("connection limit reached")
 
-// ErrEndpointRemoved says that a pool's server has been removed.
+// ErrEndpointRemoved means that a server has been removed from the pools.
 var ErrEndpointRemoved = errors.New("endpoint removed")
 
 // UseInfo describes a use that needs a connection.
 type UseInfo struct {
-	// NonIdempotent says that the use must not be repeated freely when its connection is lost. It is also set
-	// for a use with an idempotency key.
+	// NonIdempotent is set for a use that must not be repeated freely when its connection is lost. That
+	// includes a use with an idempotency key.
 	NonIdempotent bool
 
 	// Accepts reports whether the use may go on a connection. It must not block or change the pools.
@@ -23,7 +23,9 @@
 }
 
 // Acquire returns a connection to a server for one more use, which Release ends. It prefers an existing
-// connection that accepts the use and dials a new one if there is none or prefersNew says so.
+// connection that accepts the use and dials a new one if there is none or prefersNew says so. The error is
+// ErrEndpointRemoved for an unknown server, wraps ErrConnLimit if the limits allow no new connection, or is
+// that of the dial.
 func (ps *Pools) Acquire(id string, use UseInfo) (*PooledConn, error) {
 	pool := ps.endpoints[id]
 	if pool == nil {
@@ -44,9 +46,11 @@
 	}
 }
 
-// Reassign returns another connection for a use that waits for an overdue one: one that was established,
-// or has received something, since the overdue one was dialed, which shows that the server is reachable, or
-// else a new one. The caller releases the overdue one, which serves other uses once it is established.
+// Reassign returns another connection for a use that waits for an overdue one. It prefers a connection that
+// was established, or has received something, since the overdue one was dialed, which shows that the server
+// is reachable; if there is none, it dials a new one. It fails with ErrConnLimit if the overdue connection is
+// stale or if there are already DedicatedConns connections or more. The caller releases the overdue
+// connection, which serves other uses once it is established.
 func (ps *Pools) Reassign(overdue *PooledConn, accepts func(*PooledConn) bool) (*PooledConn, error) {
 	pool := overdue.pool
 	existing := pool.pickActiveSince(overdue, accepts)
@@ -64,10 +68,10 @@
 }
 
 // prefersNew reports whether a use gets a new connection although an existing one accepts it. While there are
-// fewer connections than DedicatedConns, uses share a connection only if they are idempotent and at most
-// SharedUses: whatever ends or corrupts a connection affects all its uses. A non-idempotent use also gets a
-// new connection if those have recently been lost less often than ones that were idle for as long as the
-// existing one.
+// fewer connections than DedicatedConns, uses share a connection only if they are idempotent, and at most
+// SharedUses of them: whatever ends or corrupts a connection affects all its uses. A non-idempotent use also
+// gets a new connection instead of an idle one if new connections have recently been lost less often than
+// connections that were idle for as long as the existing one.
 func (ps *Pools) prefersNew(existing *PooledConn, use UseInfo) bool {
 	if !ps.belowDedicatedConns() {
 		return false
@@ -81,7 +85,7 @@
 func (ps *Pools) belowDedicatedConns() bool { return ps.connCount < ps.limits.DedicatedConns }
 
 // pickExisting returns the most suitable of the pool's connections that accept a use, nil if none does. It
-// closes connections that have likely been lost.
+// closes idle connections that have likely been lost.
 func (p *endpointPool) pickExisting(use UseInfo) *PooledConn {
 	var best *PooledConn
 	for _, conn := range slices.Clone(p.conns) {
@@ -97,13 +101,13 @@
 	return best
 }
 
-// pickActiveSince returns the most suitable connection that accepts a use and was established, or has received
-// something, since the overdue one was dialed, nil if there is none.
+// pickActiveSince returns the most suitable connection that accepts a use and was established, or has
+// received something, since the overdue one was dialed; nil if there is none.
 func (p *endpointPool) pickActiveSince(overdue *PooledConn, accepts func(*PooledConn) bool) *PooledConn {
 	var best *PooledConn
 	for _, conn := range p.conns {
-		proven := conn.Connected() && conn.LastReceived() > overdue.CreatedAt()
-		if !proven || !conn.hasCapacity() || !accepts(conn) {
+		activeSince := conn.Connected() && conn.LastReceived() > overdue.CreatedAt()
+		if !activeSince || !conn.hasCapacity() || !accepts(conn) {
 			continue
 		}
 		if best == nil || conn.preferredTo(best) {
@@ -119,7 +123,7 @@
 }
 
 // preferredTo reports whether c is more suitable for a new use than other: an established connection rather
-// than one that is connecting, then the one with fewer uses, then the one used last.
+// than one that is connecting, then the one with fewer uses, then the one whose last use ended later.
 func (c *PooledConn) preferredTo(other *PooledConn) bool {
 	if c.Connected() != other.Connected() {
 		return c.Connected()
@@ -130,7 +134,7 @@
 	return c.lastReleasedAt > other.lastReleasedAt
 }
 
-// dial adds a new connection to the pool.
+// dial adds a new connection to the pool. The error wraps ErrConnLimit if there are already MaxConns.
 func (p *endpointPool) dial() (*PooledConn, error) {
 	ps := p.pools
 	if ps.connCount >= ps.limits.MaxConns {
--- a/internal/connpool/conn.go
+++ b/internal/connpool/conn.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	// initialConnectTime is the assumed median of a server's connect times before any has been seen.
+	// initialConnectTime is the assumed median of a server's connect times before any has been recorded.
 	initialConnectTime = 10 * time.Millisecond
 
-	// medianStepDivisor makes the step by which the estimated median moves a fraction of itself.
+	// medianStepDivisor sets the step of the median estimate: 1/medianStepDivisor of the estimate.
 	medianStepDivisor = 5
 
 	// overdueFactor is the multiple of the median connect time after which a connection is overdue.
 	overdueFactor = 3
 
-	// minOverdueAfter is the least time after which a connection is overdue.
+	// minOverdueAfter is the shortest time after which a connection is overdue.
 	minOverdueAfter = 5 * time.Millisecond
 )
 
-// PooledConn is one pooled connection.
+// PooledConn is a connection of a pool.
 type PooledConn struct {
 	*eventloop.Conn
 	Owner eventloop.Handler // the connection's handler, made by the function that New was given
@@ -29,10 +29,10 @@
 	Stale bool              // accepts no new use and is closed when the last one has ended
 
 	pool            *endpointPool
-	connectRecorded bool                // the connect time has been counted
+	connectRecorded bool                // recordConnect has counted the connect time
 	lastReleasedAt  eventloop.Timestamp // when a use last ended; 0: none has
 
-	pendingBucket idleBucket          // bucket of the first of the uses in progress until its loss or success is counted
+	pendingBucket idleBucket          // of the first use in progress; noBucket once its outcome is recorded
 	useStartedAt  eventloop.Timestamp // when that use began
 }
 
@@ -46,10 +46,11 @@
 	return c
 }
 
-// EndpointID is the id of the endpoint that the connection belongs to.
+// EndpointID returns the ID of the server that the connection belongs to.
 func (c *PooledConn) EndpointID() string { return c.pool.id }
 
-// MarkAlive records that input has arrived since the last use began: the connection was not lost.
+// MarkAlive records that input has arrived since the first use in progress began, which shows that the
+// connection had not been lost.
 func (c *PooledConn) MarkAlive() {
 	if c.pendingBucket != noBucket {
 		c.pool.pools.idleLoss.recordSuccess(c.pendingBucket)
@@ -62,13 +63,14 @@
 	c.InUse--
 	c.lastReleasedAt = c.now()
 	if c.InUse == 0 && !c.Ended() {
-		c.pendingBucket = noBucket // a use that was abandoned shows neither loss nor success
+		c.pendingBucket = noBucket // an abandoned use shows neither loss nor success
 	}
 	c.closeIfStaleAndUnused()
 }
 
-// RemoveFromPool removes an ended connection from its pool. A connection that ends immediately after its use
-// began counts as lost before.
+// RemoveFromPool removes an ended connection from its pool. If the connection ended within
+// lossDetectionWindow of the start of its first use in progress, and no input has arrived since, it counts as
+// lost before that use.
 func (c *PooledConn) RemoveFromPool() {
 	outcomePending := c.Connected() && c.InUse > 0 && c.pendingBucket != noBucket
 	if outcomePending && c.now()-c.useStartedAt < lossDetectionWindow {
@@ -79,7 +81,8 @@
 	c.pool.pools.connCount -= before - len(c.pool.conns)
 }
 
-// ConnectPatience is how long a connection to this server may take to be established before it is overdue.
+// ConnectPatience returns how long a connection to this server may take to be established before it is
+// overdue.
 func (c *PooledConn) ConnectPatience() time.Duration {
 	return max(minOverdueAfter, overdueFactor*c.pool.medianConnectTime)
 }
@@ -87,8 +90,9 @@
 // overdue reports whether the connection has not been established within ConnectPatience.
 func (c *PooledConn) overdue() bool { return !c.Connected() && c.Age() > c.ConnectPatience() }
 
-// recordConnect counts the connect time once. The estimate follows the median in small steps, so that a few
-// very long connect times do not raise it much.
+// recordConnect updates the estimated median with the connection's connect time, once. The estimate moves up
+// or down by a small step whatever the difference, so that a few very long connect times do not raise it
+// much.
 func (c *PooledConn) recordConnect() {
 	if !c.Connected() || c.connectRecorded {
 		return
@@ -102,7 +106,7 @@
 	}
 }
 
-// idleBucket is the bucket of the time for which a connection without uses has been idle.
+// idleBucket returns the bucket of the time for which a connection without uses has been idle.
 func (c *PooledConn) idleBucket() idleBucket {
 	if c.lastReleasedAt == 0 {
 		return newConnBucket
@@ -110,15 +114,15 @@
 	return bucketOfIdleTime(c.now() - c.lastReleasedAt)
 }
 
-// closeIfLikelyLost closes a connection that has been idle for so long that its next use would likely be
-// lost.
+// closeIfLikelyLost closes an unused connection that has been idle for so long that its next use would likely
+// be lost.
 func (c *PooledConn) closeIfLikelyLost() {
 	if c.InUse == 0 && c.Connected() && c.pool.pools.idleLoss.maxUpTo(c.idleBucket()) > maxLossFraction {
 		c.retire()
 	}
 }
 
-// retire gives the connection no new use and closes it once it has none.
+// retire excludes the connection from new uses and closes it once it has no use in progress.
 func (c *PooledConn) retire() {
 	c.Stale = true
 	c.closeIfStaleAndUnused()
--- a/internal/connpool/idleloss.go
+++ b/internal/connpool/idleloss.go
@@ -6,24 +6,24 @@
 )
 
 const (
-	// firstBucketEnd is the upper end of the shortest range of idle times; each further range ends at twice
-	// the time.
+	// firstBucketEnd is the upper end of the shortest range of idle times. Each further range ends at twice
+	// the end of the one before.
 	firstBucketEnd = 20 * time.Millisecond
 
-	// lossDetectionWindow is how soon after the start of a use a connection that ends counts as lost before the
-	// use.
+	// lossDetectionWindow is the time after the start of a use within which the end of its connection shows
+	// that the connection had been lost before the use.
 	lossDetectionWindow = 100 * time.Millisecond
 
-	// maxLossFraction is the fraction of lost uses above which a connection is not used any more. By
-	// newestWeight, one loss (0.1) does not exceed it; two do with up to five successes between them (0.153),
-	// not with six (0.148), if nothing has decayed.
+	// maxLossFraction is the estimated fraction of lost uses above which a connection is not used any more.
+	// With newestWeight, and if nothing has decayed, one loss (0.1) does not exceed it; two losses do with up
+	// to five successes between them (0.153) but not with six (0.148).
 	maxLossFraction = 0.15
 
-	// newestWeight is the weight of the last use in an estimate.
+	// newestWeight is the weight of the newest use in an estimate, an exponentially weighted moving average.
 	newestWeight = 0.1
 
-	// decayFactor is applied to the estimates once a second, so that idle times that were not used any more
-	// are tried again.
+	// decayFactor is applied to the estimates once a second, so that idle times after which connections were
+	// no longer used are tried again.
 	decayFactor = 0.97
 )
 
@@ -33,20 +33,20 @@
 const (
 	noBucket        idleBucket = -1
 	newConnBucket   idleBucket = 0 // connections that have not been used
-	firstIdleBucket idleBucket = 1 // idle for less than firstBucketEnd; each further one for up to twice the time
+	firstIdleBucket idleBucket = 1 // idle for less than firstBucketEnd; each further bucket ends at twice the time
 	idleBucketCount            = 12
 	lastIdleBucket  idleBucket = idleBucketCount - 1
 )
 
-// bucketOfIdleTime returns the bucket of a used connection that has been idle for the given time.
+// bucketOfIdleTime returns the bucket of a connection that has been used and then idle for the given time.
 func bucketOfIdleTime(idle time.Duration) idleBucket {
 	doublings := bits.Len64(uint64(idle / firstBucketEnd))
 	return min(firstIdleBucket+idleBucket(doublings), lastIdleBucket)
 }
 
-// idleLossEstimates holds for each idle bucket the fraction of recent uses that were lost because the
-// connection had ended unnoticed. Servers and middleboxes close idle connections sooner than announced, some
-// without sending anything; only the next use finds out.
+// idleLossEstimates holds, for each idle bucket, the estimated fraction of recent uses that were lost because
+// the connection had ended unnoticed. Servers and middleboxes close idle connections sooner than announced,
+// some without sending anything; only the next use finds out.
 type idleLossEstimates [idleBucketCount]float64
 
 // recordLoss counts a use that was lost.
@@ -55,17 +55,17 @@
 // recordSuccess counts a use that was not lost.
 func (e *idleLossEstimates) recordSuccess(bucket idleBucket) { e.record(bucket, 0) }
 
-// record counts one use of which the given fraction was lost.
+// record counts one use, of which the given fraction was lost: 0 or 1.
 func (e *idleLossEstimates) record(bucket idleBucket, lostFraction float64) {
 	e[bucket] += newestWeight * (lostFraction - e[bucket])
 }
 
-// maxUpTo is the largest estimate of the idle buckets up to the given one: a longer idle time is at least as
-// risky as a shorter one. The bucket of new connections does not count.
+// maxUpTo returns the largest estimate of the idle buckets up to the given one, since a longer idle time is
+// at least as risky as a shorter one. The bucket of new connections does not count.
 func (e *idleLossEstimates) maxUpTo(bucket idleBucket) float64 {
 	largest := 0.0
-	for _, share := range e[firstIdleBucket : bucket+1] {
-		largest = max(largest, share)
+	for _, fraction := range e[firstIdleBucket : bucket+1] {
+		largest = max(largest, fraction)
 	}
 	return largest
 }
--- a/internal/connpool/pools.go
+++ b/internal/connpool/pools.go
@@ -1,5 +1,5 @@
 // Package connpool keeps a pool of connections for each server and assigns uses, such as calls, to them. A
-// connection may carry several uses at once. Everything in it belongs to the event loop's goroutine.
+// connection may carry several uses at once. The package is used from the event loop's goroutine only.
 package connpool
 
 import (
@@ -10,13 +10,13 @@
 	"cloverdoor/internal/eventloop"
 )
 
-// Limits bound the connections of all pools.
+// Limits are the limits on the connections of all pools.
 type Limits struct {
 	MaxUsesPerConn int           // uses that one connection carries at once
 	MaxConns       int           // connections of all pools together
-	DedicatedConns int           // connections of all pools together up to which each use gets one of its own
-	SharedUses     int           // idempotent uses that share a connection even then; 0: none
-	ConnectTimeout time.Duration // after which a connect has failed
+	DedicatedConns int           // connections of all pools together up to which uses get connections of their own
+	SharedUses     int           // idempotent uses that may share a connection even then; 0: none share
+	ConnectTimeout time.Duration // after which a connect fails
 	IdleTimeout    time.Duration // after which an unused connection is closed
 }
 
@@ -31,13 +31,13 @@
 	idleLoss   idleLossEstimates
 }
 
-// endpointPool is the connections to one server.
+// endpointPool holds the connections to one server.
 type endpointPool struct {
 	pools             *Pools
 	id                string
 	addr              netip.AddrPort
 	conns             []*PooledConn
-	medianConnectTime time.Duration // estimate
+	medianConnectTime time.Duration // estimate, see recordConnect
 }
 
 // New returns pools without servers. newHandler makes the handler of each new connection; the handler calls
@@ -60,8 +60,9 @@
 	ps.endpoints[id] = &endpointPool{pools: ps, id: id, addr: addr, medianConnectTime: initialConnectTime}
 }
 
-// RemoveEndpoint removes a server. Its connections that are not established fail, as a server that takes over
-// the address must not receive requests for this one. Uses in progress on the others continue.
+// RemoveEndpoint removes a server. Its connections that are not established fail with ErrEndpointRemoved, as
+// a server that takes over the address must not receive requests for this one. Uses in progress on the others
+// continue.
 func (ps *Pools) RemoveEndpoint(id string) {
 	pool := ps.endpoints[id]
 	if pool == nil {
@@ -78,7 +79,7 @@
 	}
 }
 
-// DiscardConns retires all connections to a server that has restarted: they no longer reach it.
+// DiscardConns retires all connections to a server that has restarted, as they no longer reach it.
 func (ps *Pools) DiscardConns(id string) {
 	pool := ps.endpoints[id]
 	if pool == nil {
@@ -90,8 +91,9 @@
 }
 
 // CloseIdle closes connections that have been unused for the idle timeout, which is shorter than the
-// servers': a use that crosses a server's close would be lost. It also lets the estimates of losses decay,
-// by a factor for one second: it must be called once a second.
+// servers': a use that is sent while the server closes the connection would be lost. It also closes
+// connections that have likely been lost and lets the estimates of losses decay. It must be called once a
+// second, the interval that the decay assumes.
 func (ps *Pools) CloseIdle() {
 	for _, pool := range ps.endpoints {
 		for _, conn := range slices.Clone(pool.conns) {
@@ -104,8 +106,8 @@
 	ps.idleLoss.decay()
 }
 
-// idleTimeoutReached reports whether the connection has been unused for the idle timeout. One that never had
-// a use has none.
+// idleTimeoutReached reports whether the connection has been unused for the idle timeout. The timeout does
+// not apply to a connection that never had a use.
 func (c *PooledConn) idleTimeoutReached() bool {
 	hasBeenUsed := c.lastReleasedAt > 0
 	return c.InUse == 0 && hasBeenUsed && c.now()-c.lastReleasedAt >= c.pool.pools.limits.IdleTimeout
--- a/internal/connpool/pools_test.go
+++ b/internal/connpool/pools_test.go
@@ -29,7 +29,7 @@
 	conns []int // descriptors of the connections that fill the queue, and of accepted ones
 }
 
-// newFullServer starts one on loopback.
+// newFullServer starts a fullServer on loopback.
 func newFullServer(t *testing.T) *fullServer {
 	t.Helper()
 	fd, err := newSocket()
@@ -42,11 +42,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	at, err := unix.Getsockname(fd)
+	sockaddr, err := unix.Getsockname(fd)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &fullServer{fd: fd, addr: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(at.(*unix.SockaddrInet4).Port))}
+	f := &fullServer{fd: fd, addr: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(sockaddr.(*unix.SockaddrInet4).Port))}
 	t.Cleanup(func() {
 		for _, fd := range append(f.conns, f.fd) {
 			unix.Close(fd) //nolint:errcheck // the test is over
@@ -73,7 +73,7 @@
 		}
 		runTurn(t, l)
 	}
-	t.Fatal("nothing to accept")
+	t.Fatal("no connection to accept")
 	return -1
 }
 
@@ -122,7 +122,7 @@
 }
 
 // A use that waits for an overdue connection gets another one, and no new use gets the overdue one. This
-// matters since a lost packet of a handshake is retransmitted after a second only, when many requests have
+// matters because a lost packet of a handshake is retransmitted only after a second, when many requests have
 // reached their deadline.
 func TestReassignFromAnOverdueConnection(t *testing.T) {
 	server := newFullServer(t)
@@ -134,7 +134,7 @@
 	}
 	runTurnsUntil(t, l, overdue.overdue, "the connection never became overdue")
 	if overdue.Connected() {
-		t.Fatal("the server's queue was not full: nothing is overdue")
+		t.Fatal("the overdue connection is established: the server's queue was not full")
 	}
 	server.accept(t, l) // the queue has capacity for one more now
 	other, err := ps.Reassign(overdue, acceptsAll)
@@ -144,9 +144,9 @@
 	overdue.Release()
 	runTurnsUntil(t, l, other.Connected, "the other connection was never established")
 	if overdue.Connected() {
-		t.Fatal("the overdue connection is established too: nothing was tested")
+		t.Fatal("the overdue connection is established too: the test cannot tell which is preferred")
 	}
-	if s, err := ps.Acquire("s", idempotent); err != nil || s == overdue {
+	if conn, err := ps.Acquire("s", idempotent); err != nil || conn == overdue {
 		t.Errorf("a new use waits for the overdue connection: %v", err)
 	}
 	// A connection that has received something since shows that the server is reachable: no new one is
@@ -156,14 +156,14 @@
 		t.Fatal(err)
 	}
 	hasReceived := func() bool { return other.LastReceived() > overdue.CreatedAt() && ps.connCount > 0 }
-	runTurnsUntil(t, l, hasReceived, "nothing was received")
-	if s, err := ps.Reassign(overdue, acceptsAll); err != nil || !s.Connected() {
-		t.Errorf("a new connection although one is established: %v", err)
+	runTurnsUntil(t, l, hasReceived, "the other connection received nothing")
+	if conn, err := ps.Reassign(overdue, acceptsAll); err != nil || !conn.Connected() {
+		t.Errorf("a new connection was dialed although one is established: %v", err)
 	}
 }
 
 // Idempotent uses share a connection up to the limit. A non-idempotent use gets its own, and so does every
-// use if none are to share.
+// use if the limit is 0.
 func TestSharedConnections(t *testing.T) {
 	for _, tt := range []struct {
 		sharedUses    int
@@ -184,7 +184,7 @@
 			}
 		}
 		if ps.connCount != tt.wantConns {
-			t.Errorf("%+v: %d connections", tt, ps.connCount)
+			t.Errorf("%+v: got %d connections", tt, ps.connCount)
 		}
 	}
 }
