--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -18,11 +18,11 @@
 	return d.Buffer.Write(line)
 }
 
-// A destination that blocks does not block Write, dropped lines are counted, and Close returns at its
+// A destination that blocks does not block Write. Dropped lines are counted, and Close returns at its
 // timeout.
 func TestStalledDestination(t *testing.T) {
-	to := &blockedDestination{release: make(chan struct{})}
-	w := NewWriter(to)
+	dst := &blockedDestination{release: make(chan struct{})}
+	w := NewWriter(dst)
 	const lines = 3 * maxQueuedLines
 	for range lines {
 		if n, err := w.Write([]byte("line\n")); n != 5 || err != nil {
@@ -30,31 +30,31 @@
 		}
 	}
 	if dropped := w.Dropped(); dropped < lines-maxQueuedLines-1 || dropped > lines-maxQueuedLines {
-		t.Errorf("%d dropped", dropped)
+		t.Errorf("%d lines dropped", dropped)
 	}
 	w.Close(time.Millisecond)
-	close(to.release)
+	close(dst.release)
 	<-w.done
-	if text := to.String(); strings.Count(text, "line\n") < maxQueuedLines || !strings.Contains(text, "log lines dropped") {
-		t.Errorf("%d bytes written", len(text))
+	if text := dst.String(); strings.Count(text, "line\n") < maxQueuedLines || !strings.Contains(text, "log lines dropped") {
+		t.Errorf("queued lines or the warning are missing from %d bytes", len(text))
 	}
 }
 
 func TestLongLineIsTruncated(t *testing.T) {
-	var to bytes.Buffer
-	w := NewWriter(&to)
+	var dst bytes.Buffer
+	w := NewWriter(&dst)
 	line := bytes.Repeat([]byte("x"), 2*maxLineBytes)
 	if n, err := w.Write(line); n != len(line) || err != nil {
 		t.Fatal(n, err)
 	}
 	w.Close(time.Minute)
-	if to.Len() != maxLineBytes || !strings.HasSuffix(to.String(), "x\n") {
-		t.Errorf("%d bytes", to.Len())
+	if dst.Len() != maxLineBytes || !strings.HasSuffix(dst.String(), "x\n") {
+		t.Errorf("%d bytes written, or the end of the line is not as expected", dst.Len())
 	}
 }
 
-// A message that repeats is logged a few times, and the next one says how many were suppressed. Other
-// messages are not affected.
+// A message that repeats is logged a few times in each interval, and the first record of the next one says
+// how many were suppressed. Other messages are not affected.
 func TestRepeatedMessagesAreBounded(t *testing.T) {
 	now := time.Unix(1, 0)
 	q := newQuotas(func() time.Time { return now })
@@ -65,13 +65,13 @@
 		}
 	}
 	if logged != maxRecordsPerInterval {
-		t.Errorf("%d logged", logged)
+		t.Errorf("%d records logged", logged)
 	}
 	if allowed, _ := q.take("another"); !allowed {
-		t.Error("another message was suppressed")
+		t.Error("a message with another text was suppressed")
 	}
 	now = now.Add(quotaInterval)
 	if allowed, suppressed := q.take("again"); !allowed || suppressed != 9*maxRecordsPerInterval {
-		t.Errorf("%v, %d suppressed", allowed, suppressed)
+		t.Errorf("logged in the next interval: %v, with %d suppressed", allowed, suppressed)
 	}
 }
--- a/internal/logging/ratelimit.go
+++ b/internal/logging/ratelimit.go
@@ -9,19 +9,20 @@
 )
 
 const (
-	// maxRecordsPerInterval is how many records with the same message are logged in each interval: enough to see
-	// which servers or requests are concerned, and far fewer than Writer queues.
+	// maxRecordsPerInterval is how many records with the same message are logged in each interval: enough to
+	// see which servers or requests are concerned, and far fewer than Writer queues.
 	maxRecordsPerInterval = 20
 
-	// quotaInterval is how long one quota lasts. It begins with the first record after the previous one has ended.
+	// quotaInterval is how long one quota lasts. An interval begins with the first record after the previous
+	// one has ended.
 	quotaInterval = 10 * time.Second
 )
 
-// New returns a structured logger for level Info and above. Each line names the instance. Records whose
-// message repeats too often are suppressed; the next one that is logged says how many in its attribute
-// "suppressed".
-func New(to io.Writer, instance string) *slog.Logger {
-	text := slog.NewTextHandler(to, &slog.HandlerOptions{Level: slog.LevelInfo})
+// New returns a structured logger for level Info and above. Each line has the attribute "instance". Records
+// whose message repeats too often are suppressed; the next one that is logged says in its attribute
+// "suppressed" how many.
+func New(dst io.Writer, instance string) *slog.Logger {
+	text := slog.NewTextHandler(dst, &slog.HandlerOptions{Level: slog.LevelInfo})
 	limited := &rateLimiter{next: text, quotas: newQuotas(time.Now)}
 	return slog.New(limited).With("instance", instance)
 }
@@ -33,7 +34,7 @@
 	quotas *quotas
 }
 
-// Enabled reports whether records of the level are logged at all.
+// Enabled reports whether records of the level are logged.
 func (l *rateLimiter) Enabled(ctx context.Context, level slog.Level) bool {
 	return l.next.Enabled(ctx, level)
 }
@@ -60,26 +61,27 @@
 	return &rateLimiter{next: l.next.WithGroup(name), quotas: l.quotas}
 }
 
-// quotas counts records by message. Messages are constants of the program, so that the map is bounded.
+// quotas counts records by message. Messages are constants of the program, which bounds the map. It may be
+// used by several goroutines at once.
 type quotas struct {
 	now       func() time.Time
 	mu        sync.Mutex
 	byMessage map[string]*quota
 }
 
-// quota is the count of one message.
+// quota is the count of records with one message.
 type quota struct {
 	intervalStart time.Time
-	logged        int // in the interval
-	suppressed    int // since the last one that was logged
+	logged        int // records in the interval
+	suppressed    int // records since the last one that was logged
 }
 
 func newQuotas(now func() time.Time) *quotas {
 	return &quotas{now: now, byMessage: map[string]*quota{}}
 }
 
-// take reports whether a record with the message may be logged, and how many were suppressed since the last
-// one.
+// take reports whether a record with the message may be logged and, if so, how many have been suppressed
+// since the last one that was.
 func (q *quotas) take(message string) (allowed bool, suppressed int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/logging/writer.go
+++ b/internal/logging/writer.go
@@ -12,7 +12,7 @@
 
 const (
 	maxQueuedLines = 512     // lines waiting for the destination
-	maxLineBytes   = 4 << 10 // longer lines are truncated
+	maxLineBytes   = 4 << 10 // of a line with its newline; longer lines are truncated
 )
 
 // Writer forwards lines to a destination that may block, such as a pipe whose reader has stopped reading.
@@ -24,32 +24,32 @@
 
 // NewWriter returns a writer to a destination. Errors of the destination are ignored, as there is nowhere to
 // log them.
-func NewWriter(to io.Writer) *Writer {
+func NewWriter(dst io.Writer) *Writer {
 	w := &Writer{lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
-	go w.run(to)
+	go w.run(dst)
 	return w
 }
 
-// run writes queued lines until Close, and after each, if lines have been dropped since the last warning, a
-// warning with their number. The warning may come before the gap: the lines that were queued when it arose,
-// up to maxQueuedLines, still follow. It has neither a time nor the instance, unlike the lines of New's
-// logger.
-func (w *Writer) run(to io.Writer) {
+// run writes the queued lines until Close. If lines have been dropped since the last warning, it writes a
+// warning with their number after the current line. The warning may precede the gap, as up to maxQueuedLines
+// lines that were queued before the gap still follow. Unlike the lines of New's logger, it has neither a time
+// nor the instance.
+func (w *Writer) run(dst io.Writer) {
 	defer close(w.done)
-	reported := int64(0)
+	reported := int64(0) // dropped lines that warnings have counted
 	for line := range w.lines {
-		to.Write(line) //nolint:errcheck // there is nowhere to log it
+		dst.Write(line) //nolint:errcheck // there is nowhere to log it
 		dropped := w.Dropped()
 		if dropped > reported {
 			//nolint:errcheck // there is nowhere to log it
-			fmt.Fprintf(to, "level=WARN msg=\"log lines dropped\" lines=%d\n", dropped-reported)
+			fmt.Fprintf(dst, "level=WARN msg=\"log lines dropped\" lines=%d\n", dropped-reported)
 			reported = dropped
 		}
 	}
 }
 
-// Write queues a copy of one line. It never blocks and never fails; it drops and counts the line if the queue
-// is full.
+// Write queues a copy of one line, truncated to maxLineBytes. It never blocks and never fails; if the queue
+// is full, it drops and counts the line.
 func (w *Writer) Write(line []byte) (int, error) {
 	queued := make([]byte, min(len(line), maxLineBytes))
 	copy(queued, line)
@@ -65,7 +65,7 @@
 	return len(line), nil
 }
 
-// Dropped is how many lines have been dropped since the start.
+// Dropped returns how many lines have been dropped since the start.
 func (w *Writer) Dropped() int64 { return w.dropped.Load() }
 
 // Close waits until the queued lines have been written, for timeout at most. Write must not be called
