--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -20,7 +20,7 @@
 	Zone         int      `json:"zone"`          // index of this proxy's zone
 	Routers      int      `json:"group-size"`    // number of proxies
 	RouterIndex  int      `json:"index"`         // number of this proxy among them, from 0
-	WeightSource string   `json:"weight-source"` // meaning of the servers' weights, see isSizeWeight
+	WeightSource string   `json:"weight-source"` // meaning of the servers' weights, see weightIsCapacity
 
 	Classes []classDocument `json:"classes"`
 	Costs   costsDocument   `json:"costs"`
@@ -114,7 +114,7 @@
 	"any":      policy.SiblingsAny,
 }
 
-// isSizeWeight reports whether the servers' weights are their sizes, counted in transfers to one client.
-func isSizeWeight(weightSource string) bool {
+// weightIsCapacity reports whether the servers' weights are their sizes, counted in transfers to one client.
+func weightIsCapacity(weightSource string) bool {
 	return weightSource == "nominal" || weightSource == "rough"
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -66,7 +66,7 @@
 		RouterIndex:             d.RouterIndex,
 		RoutersInZone:           d.routersInZone(),
 		ZoneHubs:                d.Domain.ZoneHubs,
-		WeightsConfigured:       isSizeWeight(d.WeightSource),
+		WeightsConfigured:       weightIsCapacity(d.WeightSource),
 		TransferKBPerSecond:     d.Domain.TransferKBPerSecond,
 		ZoneLinkTransfers:       d.zoneLinkTransfers(),
 		DirectRequests:          d.Domain.DirectRequests,
