--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -5,14 +5,14 @@
 	"fmt"
 )
 
-// Check reports whether a proxy can serve by the settings.
+// Check returns an error if a proxy cannot serve requests with the settings.
 func (s Settings) Check() error {
 	if err := s.document.checkClasses(); err != nil {
 		return err
 	}
 	maxAttempts := s.document.Limits.MaxAttempts
 	if maxAttempts != nil && *maxAttempts <= 0 {
-		return fmt.Errorf("settings: max-attempts is %d; it must be over 0", *maxAttempts)
+		return fmt.Errorf("settings: max-attempts is %d; it must be greater than 0", *maxAttempts)
 	}
 	if err := s.document.checkNumbers(); err != nil {
 		return err
@@ -20,8 +20,8 @@
 	return s.document.checkListsByClass()
 }
 
-// checkClasses checks that there are classes, that their names are unique and that their durations are
-// possible.
+// checkClasses checks that there are classes, that their names are unique, and that their deadlines and
+// latency objectives are in range.
 func (d *document) checkClasses() error {
 	if len(d.Classes) == 0 {
 		return errors.New("settings: no classes")
@@ -29,7 +29,7 @@
 	names := map[string]bool{}
 	for _, class := range d.Classes {
 		if class.Name == "" || names[class.Name] {
-			return fmt.Errorf("settings: class %q is unnamed or named twice", class.Name)
+			return fmt.Errorf("settings: class %q has an empty or duplicate name", class.Name)
 		}
 		names[class.Name] = true
 		if class.Deadline != nil && *class.Deadline <= 0 || class.LatencyObjective < 0 {
@@ -39,10 +39,10 @@
 	return nil
 }
 
-// checkNumbers checks the numbers that would stop the proxy or keep it from serving any request.
+// checkNumbers checks the numbers that would make the proxy crash or keep it from serving any request.
 func (d *document) checkNumbers() error {
 	if d.Zone < 0 || d.Zone >= max(1, len(d.Zones)) {
-		return fmt.Errorf("settings: zone %d is not among the %d areas", d.Zone, len(d.Zones))
+		return fmt.Errorf("settings: zone is %d, out of range for %d areas", d.Zone, len(d.Zones))
 	}
 	for _, number := range []struct {
 		key   string
@@ -56,7 +56,7 @@
 		{"connect-timeout-us", int64(d.Limits.ConnectTimeout)},
 	} {
 		if number.value < 0 {
-			return fmt.Errorf("settings: %s is %d; it must not be under 0", number.key, number.value)
+			return fmt.Errorf("settings: %s is %d; it must not be negative", number.key, number.value)
 		}
 	}
 	return nil
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -6,21 +6,21 @@
 	"cloverdoor/policy"
 )
 
-// microseconds is a duration in the JSON object.
+// microseconds is a duration as it is given in the JSON object.
 type microseconds int64
 
 func (m microseconds) duration() time.Duration { return time.Duration(m) * time.Microsecond }
 
-// document is the JSON object. Unknown keys are ignored; a key that is absent has the zero value, which means
-// unknown unless a field says otherwise. A list by class or zone has its elements in the order of Classes or
-// Zones.
+// document is the JSON object. Unknown keys are ignored. A key that is absent has the zero value, which means
+// unknown unless the field's comment says otherwise. The elements of a list by class or by zone are in the
+// order of Classes or Zones.
 type document struct {
 	Zones        []string `json:"areas"`         // names
 	Kinds        []string `json:"host-types"`    // names of the kinds of servers
 	Zone         int      `json:"zone"`          // index of this proxy's zone
 	Routers      int      `json:"group-size"`    // number of proxies
 	RouterIndex  int      `json:"index"`         // number of this proxy among them, from 0
-	WeightSource string   `json:"weight-source"` // meaning of the servers' weights, see weightIsCapacity
+	WeightSource string   `json:"weight-source"` // what the servers' weights mean, see weightIsCapacity
 
 	Classes []classDocument `json:"classes"`
 	Costs   costsDocument   `json:"costs"`
@@ -34,20 +34,20 @@
 	Name                    string        `json:"name"`
 	Idempotency             string        `json:"semantics"` // see idempotencyOf
 	DeduplicationScope      string        `json:"key-scope"` // see scopeOf
-	DeduplicationWindow     microseconds  `json:"window-us"`
+	DeduplicationWindow     microseconds  `json:"window-us"` // how long a repeat with the same key is dropped
 	Deadline                *microseconds `json:"deadline-us"`
 	LatencyObjective        microseconds  `json:"promise-us"`
-	LatencyObjectiveStretch float64       `json:"aim-stretch"` // adds this multiple of the transfer time
+	LatencyObjectiveStretch float64       `json:"aim-stretch"` // multiple of the transfer time added to it
 	PriorityWeight          float64       `json:"gain"`
-	Stream                  bool          `json:"stream"` // answers are streamed
+	Stream                  bool          `json:"stream"` // its answers are streamed
 }
 
-// costsDocument has the prices of operations.
+// costsDocument holds the prices of operations.
 type costsDocument struct {
 	Handshake float64 `json:"handshake"` // of a new connection
 }
 
-// domainDocument describes the caches, their links and what they may do.
+// domainDocument describes the caches, the links between zones and the rules for fills and purges.
 type domainDocument struct {
 	OriginKind int  `json:"root-kind"`  // index in Kinds
 	ParentKind *int `json:"upper-kind"` // index in Kinds; -1 or absent: there are no parents
@@ -67,19 +67,19 @@
 
 	ParentSlowStartCapacity float64      `json:"parent-floor"`        // fraction of a parent's capacity at its start
 	ParentSlowStartDuration microseconds `json:"upper-cold-us"`       // until a parent has its full capacity
-	ParentOverloadMultiple  float64      `json:"parent-limit-factor"` // rules.fall-multiple of a parent
+	ParentOverloadMultiple  float64      `json:"parent-limit-factor"` // rules.fall-multiple, for a parent
 
-	PurgeGrace           microseconds `json:"purge-slack-us"`    // from which a known purge must be observed
-	PurgeCompletedWithin microseconds `json:"cleared-within-us"` // after which no cache has an older copy
+	PurgeGrace           microseconds `json:"purge-slack-us"`    // after which a known purge must be observed
+	PurgeCompletedWithin microseconds `json:"cleared-within-us"` // after which no cache has a copy from before the purge
 }
 
-// limitsDocument has limits on connections, requests and attempts.
+// limitsDocument holds the limits on connections, requests and attempts.
 type limitsDocument struct {
 	ServerIdleTimeout microseconds `json:"conn-idle-us"` // servers close connections that are idle for this long
 	ConnectTimeout    microseconds `json:"connect-timeout-us"`
 	MaxOpenRequests   int          `json:"max-open"`         // of one proxy; 0: no limit besides the proxy's own
 	MaxStreamsPerConn int          `json:"streams-per-conn"` // attempts on one connection at once; 0: unknown
-	MaxAttempts       *int         `json:"max-attempts"`     // of one request, after which it is not retried
+	MaxAttempts       *int         `json:"max-attempts"`     // of one request; after them it is not retried
 	RetryAfter        *bool        `json:"retry-after"`      // rejected clients get a Retry-After; absent: true
 	MaxRetryAfter     microseconds `json:"max-retry-after-us"`
 	MayCancel         bool         `json:"may-cancel"`    // attempts may be cancelled
@@ -88,8 +88,8 @@
 
 // rulesDocument describes the slow start of caches and when they fail from overload.
 type rulesDocument struct {
-	OverloadMultiple  float64      `json:"fall-multiple"`  // of the present capacity
-	OverloadWindow    microseconds `json:"fall-us"`        // for which OverloadMultiple is exceeded until a cache fails
+	OverloadMultiple  float64      `json:"fall-multiple"`  // of its present capacity, at which a cache is overloaded
+	OverloadWindow    microseconds `json:"fall-us"`        // how long a cache stays overloaded until it fails
 	SlowStartCapacity float64      `json:"start-capacity"` // fraction of a cache's capacity at its start
 	SlowStartDuration microseconds `json:"warm-within-us"` // until a cache has its full capacity
 }
@@ -114,7 +114,8 @@
 	"any":      policy.SiblingsAny,
 }
 
-// weightIsCapacity reports whether the servers' weights are their sizes, counted in transfers to one client.
+// weightIsCapacity reports whether a server's weight is its capacity, counted in transfers that each go to
+// one client at full rate.
 func weightIsCapacity(weightSource string) bool {
 	return weightSource == "nominal" || weightSource == "rough"
 }
--- a/internal/settings/reload.go
+++ b/internal/settings/reload.go
@@ -8,9 +8,9 @@
 	"slices"
 )
 
-// CheckAfter reports whether the settings may replace earlier ones while the proxy runs. The proxy's zone,
-// and the indices by which zones and kinds are known, must not change; further zones and kinds may be added
-// at the end.
+// CheckAfter returns an error if the settings may not replace earlier ones while the proxy runs. The proxy's
+// zone, and the indices by which zones and kinds are known, must not change; further zones and kinds may be
+// added at the end.
 func (s Settings) CheckAfter(earlier Settings) error {
 	switch {
 	case s.Policy.Zone != earlier.Policy.Zone:
@@ -28,9 +28,10 @@
 }
 
 // MissingKey returns the path of a value in an earlier JSON text that a later one lacks or has with another
-// type; "" if there is none. New keys, and lists that have become longer or shorter, are allowed. Each
-// element of a later list must have the keys that all elements of the earlier list have, as optional keys
-// differ between elements.
+// type; "" if there is none. New keys are allowed, and so are lists that have become longer or shorter. Each
+// element of a later list must have the keys that all elements of the earlier list have; keys that only some
+// of them have are optional. A path is made of ".key" and "[index]" elements and ends with ".". The error is
+// that of decoding one of the texts.
 func MissingKey(earlier, later json.RawMessage) (string, error) {
 	var earlierValue, laterValue any
 	if err := json.Unmarshal(earlier, &earlierValue); err != nil {
@@ -42,12 +43,12 @@
 	return missingPath(earlierValue, laterValue), nil
 }
 
-// missingPath is the path below two values of the first difference that MissingKey reports, "." for a
-// difference of the values themselves.
+// missingPath returns the path of the first difference that MissingKey reports, relative to the two values:
+// "." for a difference of the values themselves, "" if there is none.
 func missingPath(earlier, later any) string {
 	switch earlier := earlier.(type) {
 	case nil:
-		return "" // null allows any value, or none
+		return "" // a null may become any value or be left out
 	case map[string]any:
 		return missingInObject(earlier, later)
 	case []any:
@@ -88,8 +89,8 @@
 	return ""
 }
 
-// sharedKeys returns an object with the keys that all elements of a list have, and the first element's
-// values; nil unless the list has elements that are all objects.
+// sharedKeys returns an object with the keys that all elements of a list have and with the first element's
+// values. It returns nil if the list is empty or an element is not an object.
 func sharedKeys(list []any) any {
 	if len(list) == 0 {
 		return nil
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -11,10 +11,10 @@
 	"cloverdoor/policy"
 )
 
-// noParents is policy.Settings.ParentKind if there are no parents.
+// noParents is the value of policy.Settings.ParentKind if there are no parents.
 const noParents = -1
 
-// Settings is the decoded object.
+// Settings is the decoded settings object.
 type Settings struct {
 	Policy policy.Settings
 
@@ -33,6 +33,8 @@
 }
 
 // Decode decodes the settings object. Absent keys have the zero value, which package policy takes as unknown.
+// Empty text counts as {}. Decode fails only for text that is not JSON with the expected types; Check checks
+// the values.
 func Decode(raw json.RawMessage) (Settings, error) {
 	var doc document
 	if len(raw) > 0 {
@@ -55,7 +57,7 @@
 	}, nil
 }
 
-// policySettings is what package policy uses of the document.
+// policySettings returns the settings of package policy that the document holds.
 func (d *document) policySettings() policy.Settings {
 	return policy.Settings{
 		Zone:                    d.Zone,
@@ -88,7 +90,7 @@
 	}
 }
 
-// classes is the classes of requests, each with its elements of the lists by class.
+// classes returns the classes of requests, each with its elements of the lists by class.
 func (d *document) classes() []policy.Class {
 	var classes []policy.Class
 	for i, class := range d.Classes {
@@ -109,7 +111,7 @@
 	return classes
 }
 
-// maxDeadline is the longest deadline of a class, 0 if no class has one.
+// maxDeadline returns the longest deadline of a class, 0 if no class has one.
 func (d *document) maxDeadline() time.Duration {
 	var longest time.Duration
 	for _, class := range d.Classes {
@@ -118,7 +120,7 @@
 	return longest
 }
 
-// routersInZone is how many proxies this proxy's zone has, at least itself; 0: unknown.
+// routersInZone returns how many proxies this proxy's zone has, at least 1 for itself; 0: unknown.
 func (d *document) routersInZone() int {
 	if d.Zone < 0 || d.Zone >= len(d.Domain.RoutersByZone) {
 		return 0
@@ -126,8 +128,8 @@
 	return max(1, d.Domain.RoutersByZone[d.Zone])
 }
 
-// zoneLinkTransfers is how many transfers to one client the link into this proxy's zone carries at once; 0:
-// unknown.
+// zoneLinkTransfers returns how many transfers, each to one client, the link into this proxy's zone carries
+// at once; 0: unknown.
 func (d *document) zoneLinkTransfers() float64 {
 	if d.Domain.TransferKBPerSecond <= 0 {
 		return 0
@@ -135,7 +137,7 @@
 	return elementOrZero(d.Domain.LinkKBPerSecond, d.Zone) / d.Domain.TransferKBPerSecond
 }
 
-// elementOrZero is list[i], or the zero value if there is no such element.
+// elementOrZero returns list[i], or the zero value if there is no such element.
 func elementOrZero[T any](list []T, i int) T {
 	if i < 0 || i >= len(list) {
 		var zero T
@@ -144,10 +146,10 @@
 	return list[i]
 }
 
-// valueOr is *p, or the default if p is nil.
-func valueOr[T any](p *T, otherwise T) T {
+// valueOr returns *p, or fallback if p is nil.
+func valueOr[T any](p *T, fallback T) T {
 	if p == nil {
-		return otherwise
+		return fallback
 	}
 	return *p
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -8,7 +8,7 @@
 	"cloverdoor/policy"
 )
 
-// Hubs are given by zone; without them they are unknown.
+// Hubs are listed by zone. Without the key, or if it is null, they are unknown.
 func TestHubsAreDecoded(t *testing.T) {
 	for _, tt := range []struct {
 		json string
@@ -25,7 +25,7 @@
 	}
 }
 
-// A handshake has a price if the price is over 0.
+// Handshakes are priced only if their price is greater than 0.
 func TestHandshakePriceIsDecoded(t *testing.T) {
 	for json, want := range map[string]bool{
 		`{"costs":{"handshake":0.2}}`: true,
@@ -51,17 +51,17 @@
 		{"", "", true},
 		{`"max-attempts":2`, `"max-attempts":0`, false},
 		{`"max-attempts":2`, `"max-attempts":-1`, false},
-		{`"max-attempts":2`, `"max-open":2`, true}, // unknown
+		{`"max-attempts":2`, `"max-open":2`, true}, // max-attempts is unknown
 		{`"deadline-us":1}]`, `"deadline-us":0}]`, false},
 		{`"deadline-us":1}]`, `"deadline-us":-5}]`, false},
 		{`"name":"w"`, `"name":"a"`, false},
 		{`"name":"w"`, `"name":""`, false},
 		{`"classes"`, `"others"`, false},
-		{`"pass-on":[false,true]`, `"pass-on":[false]`, false}, // the write would be taken as cacheable
+		{`"pass-on":[false,true]`, `"pass-on":[false]`, false}, // the write would count as cacheable
 		{`"pass-on":[false,true]`, `"grace-for-us":[1,2,3]`, false},
 		{`"areas"`, `"zone":1,"areas"`, true},
 		{`"areas"`, `"zone":2,"areas"`, false},
-		{`"areas"`, `"zone":-1,"areas"`, false}, // would end in a panic
+		{`"areas"`, `"zone":-1,"areas"`, false}, // would cause a panic
 		{`"areas"`, `"index":-1,"areas"`, false},
 		{`"max-attempts":2`, `"max-open":-1`, false}, // would reject every request
 		{`"max-attempts":2`, `"connect-timeout-us":-1`, false},
@@ -71,12 +71,13 @@
 			t.Fatal(err)
 		}
 		if err := s.Check(); (err == nil) != tt.want {
-			t.Errorf("%s for %s: %v", tt.replacement, tt.old, err)
+			t.Errorf("with %s in place of %s: %v", tt.replacement, tt.old, err)
 		}
 	}
 }
 
-func TestMissing(t *testing.T) {
+// The test covers missing and new keys, values of other types, and lists and their elements.
+func TestMissingKey(t *testing.T) {
 	const earlier = `{"a":{"b":1,"c":null},"l":[{"n":"x","d":1,"o":2},{"n":"y","d":2}],"s":[1,2],"e":[]}`
 	for later, want := range map[string]string{
 		earlier: "",
@@ -96,11 +97,11 @@
 		}
 	}
 	if _, err := MissingKey([]byte(earlier), []byte(earlier[:20])); err == nil {
-		t.Error("a truncated text was accepted")
+		t.Error("truncated JSON was accepted")
 	}
 }
 
-// Package policy knows zones and kinds by index: those in use keep theirs.
+// Package policy knows zones and kinds by index, so those that are in use must keep theirs.
 func TestCheckAfter(t *testing.T) {
 	earlier := Settings{Zones: []string{"a", "b"}, Kinds: []string{"k"}}
 	extended := Settings{Zones: []string{"a", "b", "c"}, Kinds: []string{"k", "l"}}
