--- a/internal/connpool/acquire.go
+++ b/internal/connpool/acquire.go
@@ -9,7 +9,7 @@
 // ErrConnLimit means that a new connection would exceed the limits on connections.
 var ErrConnLimit = errors.New("connection limit reached")
 
-// ErrEndpointRemoved means that a server has been removed from the pools.
+// ErrEndpointRemoved means that an endpoint has been removed from the pools.
 var ErrEndpointRemoved = errors.New("endpoint removed")
 
 // UseInfo describes a use that needs a connection.
@@ -22,9 +22,9 @@
 	Accepts func(*PooledConn) bool
 }
 
-// Acquire returns a connection to a server for one more use, which Release ends. It prefers an existing
+// Acquire returns a connection to an endpoint for one more use, which Release ends. It prefers an existing
 // connection that accepts the use and dials a new one if there is none or prefersNew says so. The error is
-// ErrEndpointRemoved for an unknown server, wraps ErrConnLimit if the limits allow no new connection, or is
+// ErrEndpointRemoved for an unknown endpoint, wraps ErrConnLimit if the limits allow no new connection, or is
 // that of the dial.
 func (ps *Pools) Acquire(id string, use UseInfo) (*PooledConn, error) {
 	pool := ps.endpoints[id]
@@ -47,7 +47,7 @@
 }
 
 // Reassign returns another connection for a use that waits for an overdue one. It prefers a connection that
-// was established, or has received something, since the overdue one was dialed, which shows that the server
+// was established, or has received something, since the overdue one was dialed, which shows that the endpoint
 // is reachable; if there is none, it dials a new one. It fails with ErrConnLimit if the overdue connection is
 // stale or if there are already DedicatedConns connections or more. The caller releases the overdue
 // connection, which serves other uses once it is established.
--- a/internal/connpool/conn.go
+++ b/internal/connpool/conn.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// initialConnectTime is the assumed median of a server's connect times before any has been recorded.
+	// initialConnectTime is the assumed median of an endpoint's connect times before any has been recorded.
 	initialConnectTime = 10 * time.Millisecond
 
 	// medianStepDivisor sets the step of the median estimate: 1/medianStepDivisor of the estimate.
@@ -46,7 +46,7 @@
 	return c
 }
 
-// EndpointID returns the ID of the server that the connection belongs to.
+// EndpointID returns the ID of the endpoint that the connection belongs to.
 func (c *PooledConn) EndpointID() string { return c.pool.id }
 
 // MarkAlive records that input has arrived since the first use in progress began, which shows that the
@@ -81,7 +81,7 @@
 	c.pool.pools.connCount -= before - len(c.pool.conns)
 }
 
-// ConnectPatience returns how long a connection to this server may take to be established before it is
+// ConnectPatience returns how long a connection to this endpoint may take to be established before it is
 // overdue.
 func (c *PooledConn) ConnectPatience() time.Duration {
 	return max(minOverdueAfter, overdueFactor*c.pool.medianConnectTime)
--- a/internal/connpool/pools.go
+++ b/internal/connpool/pools.go
@@ -1,5 +1,6 @@
-// Package connpool keeps a pool of connections for each server and assigns uses, such as calls, to them. A
-// connection may carry several uses at once. The package is used from the event loop's goroutine only.
+// Package connpool keeps a pool of connections for each endpoint, an upstream server, and assigns uses, such
+// as calls, to them. A connection may carry several uses at once. The package is used from the event loop's
+// goroutine only.
 package connpool
 
 import (
@@ -20,8 +21,8 @@
 	IdleTimeout    time.Duration // after which an unused connection is closed
 }
 
-// Pools holds a pool for each server, by the server's ID. An address does not identify a server: a new server
-// may take it over and must get no use of a connection to the old one.
+// Pools holds a pool for each endpoint, by the endpoint's ID. An address does not identify an endpoint: a new
+// one may take over the address of an old one and must get no use of a connection to the old one.
 type Pools struct {
 	loop       *eventloop.Loop
 	limits     Limits
@@ -31,7 +32,7 @@
 	idleLoss   idleLossEstimates
 }
 
-// endpointPool holds the connections to one server.
+// endpointPool holds the connections to one endpoint.
 type endpointPool struct {
 	pools             *Pools
 	id                string
@@ -40,7 +41,7 @@
 	medianConnectTime time.Duration // estimate, see recordConnect
 }
 
-// New returns pools without servers. newHandler makes the handler of each new connection; the handler calls
+// New returns pools without endpoints. newHandler makes the handler of each new connection; the handler calls
 // RemoveFromPool when the connection has ended.
 func New(l *eventloop.Loop, limits Limits, newHandler func(*PooledConn) eventloop.Handler) *Pools {
 	return &Pools{loop: l, limits: limits, newHandler: newHandler, endpoints: map[string]*endpointPool{}}
@@ -50,7 +51,7 @@
 // reason.
 func (ps *Pools) SetLimits(limits Limits) { ps.limits = limits }
 
-// SetAddress adds a server or changes its address. Connections to an earlier address get no new use.
+// SetAddress adds an endpoint or changes its address. Connections to an earlier address get no new use.
 func (ps *Pools) SetAddress(id string, addr netip.AddrPort) {
 	pool := ps.endpoints[id]
 	if pool != nil && pool.addr == addr {
@@ -60,9 +61,9 @@
 	ps.endpoints[id] = &endpointPool{pools: ps, id: id, addr: addr, medianConnectTime: initialConnectTime}
 }
 
-// RemoveEndpoint removes a server. Its connections that are not established fail with ErrEndpointRemoved, as
-// a server that takes over the address must not receive requests for this one. Uses in progress on the others
-// continue.
+// RemoveEndpoint removes an endpoint. Its connections that are not established fail with ErrEndpointRemoved,
+// as an endpoint that takes over the address must not receive requests for this one. Uses in progress on the
+// others continue.
 func (ps *Pools) RemoveEndpoint(id string) {
 	pool := ps.endpoints[id]
 	if pool == nil {
@@ -79,7 +80,7 @@
 	}
 }
 
-// DiscardConns retires all connections to a server that has restarted, as they no longer reach it.
+// DiscardConns retires all connections to an endpoint that has restarted, as they no longer reach it.
 func (ps *Pools) DiscardConns(id string) {
 	pool := ps.endpoints[id]
 	if pool == nil {
--- a/internal/connpool/pools_test.go
+++ b/internal/connpool/pools_test.go
@@ -80,7 +80,7 @@
 // acceptsAll is UseInfo.Accepts of a use that may go on any connection.
 func acceptsAll(*PooledConn) bool { return true }
 
-// newTestPools returns pools with the server "s" at addr, and their loop.
+// newTestPools returns pools with the endpoint "s" at addr, and their loop.
 func newTestPools(t *testing.T, addr netip.AddrPort, sharedUses int) (*eventloop.Loop, *Pools) {
 	t.Helper()
 	l, err := eventloop.NewLoop(eventloop.SystemClock())
@@ -149,7 +149,7 @@
 	if conn, err := ps.Acquire("s", idempotent); err != nil || conn == overdue {
 		t.Errorf("a new use waits for the overdue connection: %v", err)
 	}
-	// A connection that has received something since shows that the server is reachable: no new one is
+	// A connection that has received something since shows that the endpoint is reachable: no new one is
 	// dialed.
 	fd := server.accept(t, l)
 	if _, err := unix.Write(fd, []byte("x")); err != nil {
