--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -31,12 +31,12 @@
 
 	unparsed    []byte   // received input that the handler has not consumed
 	outputQueue []output // output that has not been written completely
-	queuedBytes int      // in outputQueue
+	queuedBytes int      // in outputQueue; a message counts from when a part of it has been written
 
 	connectTimer    *Timer // fires at the connect timeout; nil for an accepted connection
 	createdAt       Timestamp
 	lastReceivedAt  Timestamp     // see LastReceived
-	lastWrittenAt   Timestamp     // when output was last written, or first queued after the queue was empty
+	lastWrittenAt   Timestamp     // when output was last written, or first queued while queuedBytes was 0
 	connectDuration time.Duration // see ConnectDuration
 
 	delays inputDelays
--- a/internal/eventloop/delay.go
+++ b/internal/eventloop/delay.go
@@ -11,8 +11,8 @@
 	// in the accept queue.
 	acceptDelayThreshold = 20 * time.Millisecond
 
-	// largeInputBytes is the amount of input in one turn from which the input after it is assumed to have
-	// waited for as long.
+	// largeInputBytes is the amount of input in one turn from which the input behind it is assumed to have
+	// waited for as long as it did.
 	largeInputBytes = 64 << 10
 )
 
--- a/internal/eventloop/errors.go
+++ b/internal/eventloop/errors.go
@@ -51,9 +51,9 @@
 		unix.EHOSTDOWN, unix.ENONET, unix.EHOSTUNREACH, unix.EOPNOTSUPP, unix.ENETUNREACH, unix.ETIMEDOUT)
 }
 
-func isOneOf(err error, codes ...unix.Errno) bool {
-	for _, code := range codes {
-		if errors.Is(err, code) {
+func isOneOf(err error, errnos ...unix.Errno) bool {
+	for _, errno := range errnos {
+		if errors.Is(err, errno) {
 			return true
 		}
 	}
--- a/internal/eventloop/input.go
+++ b/internal/eventloop/input.go
@@ -131,7 +131,8 @@
 
 // HasUnreadInput reports whether the peer has sent something that has not been read. Closing the connection
 // would lose it: a peer repeats a request only if the request crossed the close on the network, and this one
-// may have waited here for long, as the process does not always have a CPU.
+// may have waited here for long, as the process does not always have a CPU. The result is true too if the
+// system cannot tell.
 func (c *Conn) HasUnreadInput() bool {
 	var first [1]byte
 	n, err := System.Peek(c.fd, first[:])
--- a/internal/eventloop/output.go
+++ b/internal/eventloop/output.go
@@ -27,7 +27,7 @@
 func (o *output) isPlainBytes() bool { return o.message == nil && o.written == nil }
 
 // QueuedOutput returns how many bytes wait to be written, and the time since which the peer has accepted
-// none.
+// none. A message counts from when a part of it has been written.
 func (c *Conn) QueuedOutput() (bytes int, since Timestamp) { return c.queuedBytes, c.lastWrittenAt }
 
 // Write queues data, which the caller must not modify any more. It does nothing on an ended connection.
--- a/internal/eventloop/system_test.go
+++ b/internal/eventloop/system_test.go
@@ -197,13 +197,13 @@
 // not spin meanwhile.
 func TestClientIsServedThoughCallsFail(t *testing.T) {
 	for _, call := range failingCalls {
-		for _, code := range call.errnos {
-			t.Run(call.name+" "+code.Error(), func(t *testing.T) { testServedThoughCallFails(t, call, code) })
+		for _, errno := range call.errnos {
+			t.Run(call.name+" "+errno.Error(), func(t *testing.T) { testServedThoughCallFails(t, call, errno) })
 		}
 	}
 }
 
-func testServedThoughCallFails(t *testing.T, call failingCall, code unix.Errno) {
+func testServedThoughCallFails(t *testing.T, call failingCall, errno unix.Errno) {
 	t.Helper()
 	const maxTurns = 100
 	var server *echo
@@ -220,7 +220,7 @@
 		call.install(s, func() error {
 			calls++
 			if calls <= failuresInARow {
-				return code
+				return errno
 			}
 			return nil
 		})
@@ -289,7 +289,7 @@
 
 // An answer that arrived before a write fails is read first: it says more than the loss of its connection.
 func TestAnswerIsReadBeforeAFailedWriteCounts(t *testing.T) {
-	for _, code := range []unix.Errno{unix.EPIPE, unix.ECONNRESET, unix.ETIMEDOUT, unix.EHOSTUNREACH} {
+	for _, errno := range []unix.Errno{unix.EPIPE, unix.ECONNRESET, unix.ETIMEDOUT, unix.EHOSTUNREACH} {
 		loop, err := NewLoop(SystemClock())
 		if err != nil {
 			t.Fatal(err)
@@ -314,11 +314,11 @@
 			t.Fatal(err)
 		}
 		waitUntil(caller.conn.HasUnreadInput)
-		substitute(t, func(s *SystemCalls) { s.Write = func(int, []byte) (int, error) { return -1, code } })
+		substitute(t, func(s *SystemCalls) { s.Write = func(int, []byte) (int, error) { return -1, errno } })
 		caller.conn.Write([]byte("another call"))
 		loop.Flush()
-		if string(caller.received) != "answer" || !errors.Is(caller.ended, code) {
-			t.Errorf("write error %v: received %q before the connection ended with %v", code, caller.received, caller.ended)
+		if string(caller.received) != "answer" || !errors.Is(caller.ended, errno) {
+			t.Errorf("write error %v: received %q before the connection ended with %v", errno, caller.received, caller.ended)
 		}
 	}
 }
