--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -92,7 +92,7 @@
 
 // isReset reports whether events say that the connection has ended and its remaining input is of no use: all
 // of it has been read, reading was stopped, or the peer of a HalfCloser has reset the connection and so wants
-// no answer to it.
+// no answer any more.
 func (c *Conn) isReset(events uint32) bool {
 	if (c.inputEnded || c.readingStopped) && events&errorEvents != 0 {
 		return true
--- a/internal/eventloop/delay.go
+++ b/internal/eventloop/delay.go
@@ -11,8 +11,8 @@
 	// in the accept queue.
 	acceptDelayThreshold = 20 * time.Millisecond
 
-	// largeInputBytes is the amount of input in one turn from which the input behind it is assumed to have
-	// waited for as long as it did.
+	// largeInputBytes is the amount of input in one turn from which the next input is assumed to have waited
+	// as long as this input has.
 	largeInputBytes = 64 << 10
 )
 
