--- a/internal/connpool/pools_test.go
+++ b/internal/connpool/pools_test.go
@@ -29,7 +29,7 @@
 	conns []int // descriptors of the connections that fill the queue, and of accepted ones
 }
 
-// newFullServer starts one on loopback.
+// newFullServer starts a fullServer on loopback.
 func newFullServer(t *testing.T) *fullServer {
 	t.Helper()
 	fd, err := newSocket()
@@ -42,11 +42,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	at, err := unix.Getsockname(fd)
+	sockaddr, err := unix.Getsockname(fd)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &fullServer{fd: fd, addr: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(at.(*unix.SockaddrInet4).Port))}
+	f := &fullServer{fd: fd, addr: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(sockaddr.(*unix.SockaddrInet4).Port))}
 	t.Cleanup(func() {
 		for _, fd := range append(f.conns, f.fd) {
 			unix.Close(fd) //nolint:errcheck // the test is over
@@ -71,16 +71,16 @@
 			f.conns = append(f.conns, fd)
 			return fd
 		}
-		turn(t, l)
+		runTurn(t, l)
 	}
-	t.Fatal("nothing to accept")
+	t.Fatal("no connection to accept")
 	return -1
 }
 
 // acceptsAll is UseInfo.Accepts of a use that may go on any connection.
 func acceptsAll(*PooledConn) bool { return true }
 
-// newTestPools returns pools with the server "s" at addr, and their loop.
+// newTestPools returns pools with the endpoint "s" at addr, and their loop.
 func newTestPools(t *testing.T, addr netip.AddrPort, sharedUses int) (*eventloop.Loop, *Pools) {
 	t.Helper()
 	l, err := eventloop.NewLoop(eventloop.SystemClock())
@@ -100,8 +100,8 @@
 	return l, ps
 }
 
-// turn runs one turn of the loop.
-func turn(t *testing.T, l *eventloop.Loop) {
+// runTurn runs one turn of the loop.
+func runTurn(t *testing.T, l *eventloop.Loop) {
 	t.Helper()
 	if err := l.Wait(5 * time.Millisecond); err != nil {
 		t.Fatal(err)
@@ -109,20 +109,20 @@
 	l.Flush()
 }
 
-// turnUntil runs turns of the loop until the condition holds, and fails the test if it never does.
-func turnUntil(t *testing.T, l *eventloop.Loop, condition func() bool, failure string) {
+// runTurnsUntil runs turns of the loop until the condition holds, and fails the test if it never does.
+func runTurnsUntil(t *testing.T, l *eventloop.Loop, condition func() bool, failure string) {
 	t.Helper()
 	for range 1000 {
 		if condition() {
 			return
 		}
-		turn(t, l)
+		runTurn(t, l)
 	}
 	t.Fatal(failure)
 }
 
 // A use that waits for an overdue connection gets another one, and no new use gets the overdue one. This
-// matters since a lost packet of a handshake is retransmitted after a second only, when many requests have
+// matters because a lost packet of a handshake is retransmitted only after a second, when many requests have
 // reached their deadline.
 func TestReassignFromAnOverdueConnection(t *testing.T) {
 	server := newFullServer(t)
@@ -132,9 +132,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	turnUntil(t, l, overdue.overdue, "the connection never became overdue")
+	runTurnsUntil(t, l, overdue.overdue, "the connection never became overdue")
 	if overdue.Connected() {
-		t.Fatal("the server's queue was not full: nothing is overdue")
+		t.Fatal("the overdue connection is established: the server's queue was not full")
 	}
 	server.accept(t, l) // the queue has capacity for one more now
 	other, err := ps.Reassign(overdue, acceptsAll)
@@ -142,28 +142,28 @@
 		t.Fatal(err)
 	}
 	overdue.Release()
-	turnUntil(t, l, other.Connected, "the other connection was never established")
+	runTurnsUntil(t, l, other.Connected, "the other connection was never established")
 	if overdue.Connected() {
-		t.Fatal("the overdue connection is established too: nothing was tested")
+		t.Fatal("the overdue connection is established too: the test cannot tell which is preferred")
 	}
-	if s, err := ps.Acquire("s", idempotent); err != nil || s == overdue {
+	if conn, err := ps.Acquire("s", idempotent); err != nil || conn == overdue {
 		t.Errorf("a new use waits for the overdue connection: %v", err)
 	}
-	// A connection that has received something since shows that the server is reachable: no new one is
+	// A connection that has received something since shows that the endpoint is reachable: no new one is
 	// dialed.
 	fd := server.accept(t, l)
 	if _, err := unix.Write(fd, []byte("x")); err != nil {
 		t.Fatal(err)
 	}
 	hasReceived := func() bool { return other.LastReceived() > overdue.CreatedAt() && ps.connCount > 0 }
-	turnUntil(t, l, hasReceived, "nothing was received")
-	if s, err := ps.Reassign(overdue, acceptsAll); err != nil || !s.Connected() {
-		t.Errorf("a new connection although one is established: %v", err)
+	runTurnsUntil(t, l, hasReceived, "the other connection received nothing")
+	if conn, err := ps.Reassign(overdue, acceptsAll); err != nil || !conn.Connected() {
+		t.Errorf("a new connection was dialed although one is established: %v", err)
 	}
 }
 
 // Idempotent uses share a connection up to the limit. A non-idempotent use gets its own, and so does every
-// use if none are to share.
+// use if the limit is 0.
 func TestSharedConnections(t *testing.T) {
 	for _, tt := range []struct {
 		sharedUses    int
@@ -184,7 +184,7 @@
 			}
 		}
 		if ps.connCount != tt.wantConns {
-			t.Errorf("%+v: %d connections", tt, ps.connCount)
+			t.Errorf("%+v: got %d connections", tt, ps.connCount)
 		}
 	}
 }
