--- a/internal/fault/conflict.go
+++ b/internal/fault/conflict.go
@@ -15,7 +15,7 @@
 	groupPieces
 	groupEnd      // what ends or blocks the stream
 	groupEdit     // what changes bytes
-	groupConnects // what keeps new connections out
+	groupNewConns // what keeps new connections out
 )
 
 func (k Kind) conflictGroup() conflictGroup {
@@ -29,7 +29,7 @@
 	case Garble, Drop, Repeat:
 		return groupEdit
 	case Refuse, Stall:
-		return groupConnects
+		return groupNewConns
 	default:
 		return groupEnd
 	}
@@ -84,10 +84,10 @@
 	if r.Trigger.Time == other.Trigger.Time {
 		return true
 	}
-	return !r.isOverBy(other.Trigger.Time) && !other.isOverBy(r.Trigger.Time)
+	return !r.hasEndedBy(other.Trigger.Time) && !other.hasEndedBy(r.Trigger.Time)
 }
 
-// isOverBy reports whether a rule by time has ended at a time. A rule without a duration never ends.
-func (r Rule) isOverBy(at time.Duration) bool {
+// hasEndedBy reports whether a rule by time has ended at a time. A rule without a duration never ends.
+func (r Rule) hasEndedBy(at time.Duration) bool {
 	return r.Duration > 0 && r.Trigger.Time+r.Duration <= at
 }
--- a/internal/fault/fault_test.go
+++ b/internal/fault/fault_test.go
@@ -65,8 +65,8 @@
 		"c time 1s : delay 1ms jitter 2ms for 1s\nc time 2s : delay 5ms\nc conn 3 : refuse 1s\nc conn 3 byte 9 : garble 2\n")
 }
 
-// play feeds data to a stream in reads of the given size, and returns its output and how it ends.
-func play(s *StreamPlan, data []byte, size int) (out []byte, end Ending) {
+// feedInReads feeds data to a stream in reads of the given size, and returns its output and how it ends.
+func feedInReads(s *StreamPlan, data []byte, size int) (out []byte, end Ending) {
 	for len(data) > 0 {
 		n := min(size, len(data))
 		for _, op := range s.Feed(data[:n], 0) {
@@ -102,7 +102,7 @@
 		var log string
 		for _, size := range []int{1 << 20, 1, 2, 7, 100} {
 			c := script.PlanConn("c", number, 0)
-			out, end := play(c.Stream(Up), data, size)
+			out, end := feedInReads(c.Stream(Up), data, size)
 			events := fmt.Sprint(c.TakeFirings())
 			if size == 1<<20 {
 				want = out
@@ -115,7 +115,7 @@
 	}
 }
 
-func TestVerbs(t *testing.T) {
+func TestFaultKinds(t *testing.T) {
 	const data = "abcdefghij"
 	for rule, want := range map[string]struct {
 		out string
@@ -134,12 +134,12 @@
 		"c conn 2 byte 3 : reset": {data, EndHalfClosed},
 		"d byte 3 : reset":        {data, EndHalfClosed},
 	} {
-		out, end := play(mustParse(t, rule).PlanConn("c", 1, 0).Stream(Up), []byte(data), 4)
+		out, end := feedInReads(mustParse(t, rule).PlanConn("c", 1, 0).Stream(Up), []byte(data), 4)
 		if string(out) != want.out || end != want.end {
 			t.Errorf("%s: %q %d, want %q %d", rule, out, end, want.out, want.end)
 		}
 	}
-	out, _ := play(mustParse(t, "c byte 2 : garble 3").PlanConn("c", 1, 0).Stream(Up), []byte(data), 4)
+	out, _ := feedInReads(mustParse(t, "c byte 2 : garble 3").PlanConn("c", 1, 0).Stream(Up), []byte(data), 4)
 	for i, b := range out {
 		changed := b != data[i]
 		if changed != (i >= 2 && i < 5) {
@@ -148,8 +148,8 @@
 	}
 }
 
-// TestTimes checks when output is due under delay, rate, pieces and silence, and that times never decrease.
-func TestTimes(t *testing.T) {
+// TestDueTimes checks when output is due under delay, rate, pieces and silence, and that times never decrease.
+func TestDueTimes(t *testing.T) {
 	const ms = time.Millisecond
 	due := func(rule string, now time.Duration) (times []time.Duration, sizes []int) {
 		s := mustParse(t, rule).PlanConn("c", 1, 0).Stream(Up)
@@ -201,7 +201,7 @@
 			return
 		}
 		for _, l := range s.Links {
-			play(s.PlanConn(l.Name, 1, 0).Stream(Up), []byte(text), 5)
+			feedInReads(s.PlanConn(l.Name, 1, 0).Stream(Up), []byte(text), 5)
 		}
 	})
 }
--- a/internal/fault/parserule.go
+++ b/internal/fault/parserule.go
@@ -87,7 +87,7 @@
 	switch {
 	case field == "jitter" && r.Kind == Delay:
 		r.Jitter = in.duration(field)
-	case field == "for" && r.Kind.takesFor():
+	case field == "for" && r.Kind.hasForOption():
 		r.Duration = in.duration(field)
 	default:
 		in.fail(field, "unknown field of %s", r.Kind)
--- a/internal/fault/plan.go
+++ b/internal/fault/plan.go
@@ -64,12 +64,12 @@
 	}
 	for i := range s.Rules {
 		rule := &s.Rules[i]
-		if rule.Link != link || rule.Kind.AffectsConnects() || !c.isSelected(rule) {
+		if rule.Link != link || rule.Kind.BlocksNewConns() || !c.isSelected(rule) {
 			continue
 		}
 		for d, stream := range c.streams {
 			if rule.Direction.overlaps(Direction(d)) {
-				stream.add(rule, now)
+				stream.addRule(rule, now)
 			}
 		}
 	}
--- a/internal/fault/rule.go
+++ b/internal/fault/rule.go
@@ -68,11 +68,11 @@
 	return "none"
 }
 
-// AffectsConnects reports whether the kind acts on connections that are yet to be accepted.
-func (k Kind) AffectsConnects() bool { return k == Refuse || k == Stall }
+// BlocksNewConns reports whether the kind acts on connections that are yet to be accepted.
+func (k Kind) BlocksNewConns() bool { return k == Refuse || k == Stall }
 
-// takesFor reports whether a rule of the kind may limit its duration by the word 'for'.
-func (k Kind) takesFor() bool { return k == Delay || k == Rate || k == Pieces }
+// hasForOption reports whether a rule of the kind may limit its duration by the word 'for'.
+func (k Kind) hasForOption() bool { return k == Delay || k == Rate || k == Pieces }
 
 // ending is how a fault of the kind ends its stream.
 func (k Kind) ending() Ending {
--- a/internal/fault/stream.go
+++ b/internal/fault/stream.go
@@ -9,16 +9,16 @@
 // Feed, Advance and CloseInput return what is to be written, each piece with its time. Times never decrease,
 // except that a reset is due at the present time.
 type StreamPlan struct {
-	conn      *ConnPlan
-	direction Direction
-	offset    int64 // bytes read so far
-	pending   []*pendingRule
-	active    []activeRule  // that change when output is written
-	editing   *activeRule   // that changes bytes; nil: none
-	repeated  []byte        // what a Repeat rule has seen and sends once more
-	lastDue   time.Duration // when the last output is due
-	ended     bool
-	initial   []Output // from rules that fired when the connection began
+	conn          *ConnPlan
+	direction     Direction
+	offset        int64 // bytes read so far
+	pending       []*pendingRule
+	active        []activeRule  // that change when output is written
+	editing       *activeRule   // that changes bytes; nil: none
+	repeated      []byte        // what a Repeat rule has seen and sends once more
+	lastDue       time.Duration // when the last output is due
+	ended         bool
+	initialOutput []Output // from rules that fired when the connection began
 }
 
 // activeRule is a rule that has fired and is still in force.
@@ -28,8 +28,8 @@
 	bytesLeft int64         // that it still changes
 }
 
-// add takes a rule that applies to the connection. One whose trigger has come already fires at once.
-func (s *StreamPlan) add(r *Rule, now time.Duration) {
+// addRule takes a rule that applies to the connection. One whose trigger has come already fires at once.
+func (s *StreamPlan) addRule(r *Rule, now time.Duration) {
 	trigger := r.Trigger
 	if trigger.Pattern != "" {
 		s.pending = append(s.pending, &pendingRule{rule: r, failureTable: failureTable(trigger.Pattern)})
@@ -44,7 +44,7 @@
 	}
 	s.fire(r, now)
 	if r.Kind.ending() != NotEnded && !s.ended {
-		s.initial = append(s.initial, s.end(now, r.Kind.ending()))
+		s.initialOutput = append(s.initialOutput, s.end(now, r.Kind.ending()))
 	}
 }
 
@@ -83,8 +83,8 @@
 // Advance fires the rules by time that are due. It also returns what rules brought that fired as the
 // connection began.
 func (s *StreamPlan) Advance(now time.Duration) (output []Output) {
-	output = s.initial
-	s.initial = nil
+	output = s.initialOutput
+	s.initialOutput = nil
 	s.ended = s.ended || s.conn.ended
 	for _, p := range slices.Clone(s.pending) {
 		due := p.rule.Trigger.Time >= 0 && p.rule.Trigger.Time <= now
--- a/internal/fault/validate.go
+++ b/internal/fault/validate.go
@@ -16,13 +16,13 @@
 	if err := r.Trigger.validate(); err != nil {
 		return err
 	}
-	if r.Kind.AffectsConnects() && !r.fitsConnects() {
+	if r.Kind.BlocksNewConns() && !r.canBlockNewConns() {
 		return fmt.Errorf("%s: only conn or time may be its condition", r.Kind)
 	}
 	if r.Kind == Repeat && r.Amount > maxRepeatBytes {
 		return fmt.Errorf("repeat: %d bytes exceed the limit of %d", r.Amount, maxRepeatBytes)
 	}
-	if r.Kind.AffectsConnects() && r.Duration == 0 {
+	if r.Kind.BlocksNewConns() && r.Duration == 0 {
 		return fmt.Errorf("%s: a duration is required", r.Kind)
 	}
 	return nil
@@ -47,9 +47,9 @@
 	return nil
 }
 
-// fitsConnects reports whether a rule can act on connections that are yet to be accepted: they have neither
+// canBlockNewConns reports whether a rule can act on connections that are yet to be accepted: they have neither
 // bytes nor a direction, and the rule must know which one comes next.
-func (r *Rule) fitsConnects() bool {
+func (r *Rule) canBlockNewConns() bool {
 	byBytes := r.Trigger.Byte >= 0 || r.Trigger.Pattern != ""
 	return !byBytes && r.Direction == Both && r.EveryNth == 0 && r.Probability == 0
 }
--- a/internal/relay/listener.go
+++ b/internal/relay/listener.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// acceptQueueSize is how many connections may wait to be accepted while the link is not stalled.
-	acceptQueueSize = 128
+	// acceptBacklog is how many connections may wait to be accepted while the link is not stalled.
+	acceptBacklog = 128
 	// maxFillers is how many connections are tried to fill the queue of a stalled link.
 	maxFillers = 4
 	// fillerTimeout is after how long a connect counts as not accepted: the queue is full.
@@ -50,16 +50,16 @@
 	l.listener = listener.(*net.TCPListener)
 	l.addr = listener.Addr()
 	for _, rule := range r.script.Rules {
-		if l.blocksConnects(rule) && rule.ConnNumber <= 1 {
+		if l.blocksNewConns(rule) && rule.ConnNumber <= 1 {
 			r.runAt(r.ctx, max(rule.Trigger.Time, 0), func() { l.block(rule) })
 		}
 	}
 	return l, nil
 }
 
-// blocksConnects reports whether a rule keeps connections of this link out.
-func (l *linkListener) blocksConnects(rule fault.Rule) bool {
-	return rule.Link == l.link.Name && rule.Kind.AffectsConnects()
+// blocksNewConns reports whether a rule keeps connections of this link out.
+func (l *linkListener) blocksNewConns(rule fault.Rule) bool {
+	return rule.Link == l.link.Name && rule.Kind.BlocksNewConns()
 }
 
 // block keeps new connections out for the duration of a rule.
@@ -125,9 +125,9 @@
 	return true
 }
 
-// setQueueSize sets how many connections may wait to be accepted; the system takes a new value for a
+// setBacklog sets how many connections may wait to be accepted; the system takes a new value for a
 // listening socket. The caller holds mu.
-func (l *linkListener) setQueueSize(size int) error {
+func (l *linkListener) setBacklog(size int) error {
 	raw, err := l.listener.SyscallConn()
 	if err != nil {
 		return err
@@ -141,7 +141,7 @@
 func (l *linkListener) stall() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.listener == nil || l.setQueueSize(0) != nil {
+	if l.listener == nil || l.setBacklog(0) != nil {
 		return
 	}
 	past := time.Unix(1, 0)
@@ -162,7 +162,7 @@
 	if l.listener == nil {
 		return
 	}
-	l.setQueueSize(acceptQueueSize)     //nolint:errcheck // a short queue accepts as well
+	l.setBacklog(acceptBacklog)         //nolint:errcheck // a short queue accepts as well
 	l.listener.SetDeadline(time.Time{}) //nolint:errcheck // it fails only for a closed listener
 	l.notifyChanged()
 }
@@ -219,7 +219,7 @@
 		return
 	}
 	for _, rule := range l.relay.script.Rules {
-		if l.blocksConnects(rule) && rule.ConnNumber == number+1 {
+		if l.blocksNewConns(rule) && rule.ConnNumber == number+1 {
 			l.block(rule) // before the next connection is accepted
 		}
 	}
