--- a/cmd/faultproxy/main_test.go
+++ b/cmd/faultproxy/main_test.go
@@ -30,7 +30,7 @@
 	return path
 }
 
-func TestBadCalls(t *testing.T) {
+func TestBadCommandLines(t *testing.T) {
 	good := "link a listen 127.0.0.1:0 to 127.0.0.1:9\n"
 	for want, args := range map[string][]string{
 		"-script FILE is wanted":    {},
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -16,8 +16,8 @@
 	"cloverdoor/internal/fault"
 )
 
-// patience limits every wait of a test.
-const patience = 20 * time.Second
+// testTimeout limits every wait of a test.
+const testTimeout = 20 * time.Second
 
 // closeOnce closes c. It does not fail if c is closed already.
 func closeOnce(tb testing.TB, c io.Closer) {
@@ -73,12 +73,12 @@
 
 func (r *testRelay) dial() *net.TCPConn {
 	r.t.Helper()
-	c, err := net.DialTimeout("tcp", r.relay.Addr("c").String(), patience)
+	c, err := net.DialTimeout("tcp", r.relay.Addr("c").String(), testTimeout)
 	if err != nil {
 		r.t.Fatal(err)
 	}
 	r.t.Cleanup(func() { closeOnce(r.t, c) })
-	c.SetDeadline(time.Now().Add(patience)) //nolint:errcheck // shows in what is read
+	c.SetDeadline(time.Now().Add(testTimeout)) //nolint:errcheck // shows in what is read
 	return c.(*net.TCPConn)
 }
 
@@ -114,10 +114,10 @@
 			t.Errorf("%s: %q %v", rule, got, err)
 		}
 	}
-	c, err := net.DialTimeout("tcp", newTestRelay(t, "c : reset").relay.Addr("c").String(), patience)
+	c, err := net.DialTimeout("tcp", newTestRelay(t, "c : reset").relay.Addr("c").String(), testTimeout)
 	if err == nil { // the reset may also come as early as this
 		defer closeOnce(t, c)
-		c.SetDeadline(time.Now().Add(patience)) //nolint:errcheck // shows in what is read
+		c.SetDeadline(time.Now().Add(testTimeout)) //nolint:errcheck // shows in what is read
 		_, err = c.Read(make([]byte, 1))
 	}
 	if !errors.Is(err, syscall.ECONNRESET) {
@@ -125,20 +125,20 @@
 	}
 }
 
-// TestFaultsByTimeAndBeforeConnections checks that a rule by time fires on an idle connection, that connects
+// TestTimedFaultsAndBlockedConnections checks that a rule by time fires on an idle connection, that connects
 // are refused, and that they succeed after a stall.
-func TestFaultsByTimeAndBeforeConnections(t *testing.T) {
+func TestTimedFaultsAndBlockedConnections(t *testing.T) {
 	r := newTestRelay(t, "c conn 1 time 300ms : reset\nc conn 2 : refuse 500ms\nc conn 3 : stall 1500ms")
 	first := r.dial()
 	r.await("c#2 both - line 3 refuse")
-	if _, err := net.DialTimeout("tcp", r.relay.Addr("c").String(), patience); !errors.Is(err, syscall.ECONNREFUSED) {
+	if _, err := net.DialTimeout("tcp", r.relay.Addr("c").String(), testTimeout); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("while refused: %v", err)
 	}
 	if _, err := first.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("by time: %v", err)
 	}
 	for {
-		c, err := net.DialTimeout("tcp", r.relay.Addr("c").String(), patience)
+		c, err := net.DialTimeout("tcp", r.relay.Addr("c").String(), testTimeout)
 		if err == nil {
 			r.t.Cleanup(func() { closeOnce(r.t, c) })
 			break
@@ -155,16 +155,16 @@
 	}
 }
 
-// TestEndByTimeWaitsForDelayedOutput guards against bytes that are lost, with a reset, when a direction or the
+// TestTimedEndingWaitsForDelayedOutput guards against bytes that are lost, with a reset, when a direction or the
 // connection is ended by time while they are held back: as the script's page says, only a reset does not wait.
-func TestEndByTimeWaitsForDelayedOutput(t *testing.T) {
+func TestTimedEndingWaitsForDelayedOutput(t *testing.T) {
 	for _, ending := range []string{"halfclose", "close"} {
 		r := newTestRelay(t, "c down : delay 400ms\nc down time 200ms : "+ending)
 		c := r.dial()
 		if _, err := io.WriteString(c, "held back"); err != nil {
 			t.Fatal(err)
 		}
-		c.SetReadDeadline(time.Now().Add(patience)) //nolint:errcheck // ends the read
+		c.SetReadDeadline(time.Now().Add(testTimeout)) //nolint:errcheck // ends the read
 		got, err := io.ReadAll(c)
 		if string(got) != "held back" || err != nil {
 			t.Errorf("%s: %q, %v", ending, got, err)
@@ -176,7 +176,7 @@
 // await waits until a fault has fired that logs the given line.
 func (r *testRelay) await(event string) {
 	r.t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		r.mu.Lock()
 		found := slices.Contains(r.fired, event)
 		r.mu.Unlock()
@@ -189,9 +189,10 @@
 	}
 }
 
-// TestStalledReaderHoldsUpItself checks that a receiver that does not read holds up its own connection alone,
+// TestSlowReceiverBlocksOnlyItsConnection checks that a receiver that does not read holds up its own connection
+// alone,
 // and that what the relay buffers for it is bounded.
-func TestStalledReaderHoldsUpItself(t *testing.T) {
+func TestSlowReceiverBlocksOnlyItsConnection(t *testing.T) {
 	r := newTestRelay(t, "")
 	stuck := r.dial()
 	var sent int64
@@ -234,8 +235,8 @@
 	}
 }
 
-// TestStartFailsWhole checks that Start fails as a whole when one address is in use.
-func TestStartFailsWhole(t *testing.T) {
+// TestStartFailsIfAddressInUse checks that Start fails as a whole when one address is in use.
+func TestStartFailsIfAddressInUse(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -254,7 +255,7 @@
 // echo measures round trips of 64 bytes.
 func echo(b *testing.B, addr string) {
 	b.Helper()
-	c, err := net.DialTimeout("tcp", addr, patience)
+	c, err := net.DialTimeout("tcp", addr, testTimeout)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -304,7 +305,7 @@
 			runtime.ReadMemStats(&before)
 			var conns []net.Conn
 			for range 200 {
-				c, err := net.DialTimeout("tcp", r.Addr("c").String(), patience)
+				c, err := net.DialTimeout("tcp", r.Addr("c").String(), testTimeout)
 				if err != nil {
 					b.Fatal(err)
 				}
