--- a/internal/fault/conflict.go
+++ b/internal/fault/conflict.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// conflictGroup sorts kinds by what they act on: two rules of one group can't both be carried out at one
-// point.
+// conflictGroup is what a kind of fault acts on. Two rules whose kinds are in the same group can't both take
+// effect at the same point.
 type conflictGroup int
 
 const (
 	groupDelay conflictGroup = iota
 	groupRate
 	groupPieces
-	groupEnd      // what ends or blocks the stream
-	groupEdit     // what changes bytes
-	groupNewConns // what keeps new connections out
+	groupEnd      // ends or blocks the stream
+	groupEdit     // changes bytes
+	groupNewConns // blocks new connections
 )
 
 func (k Kind) conflictGroup() conflictGroup {
@@ -62,7 +62,7 @@
 	return d == Both || other == Both || d == other
 }
 
-// sharesConnections reports whether some connection may meet both rules.
+// sharesConnections reports whether both rules may apply to the same connection.
 func (r Rule) sharesConnections(other Rule) bool {
 	if r.ConnNumber > 0 && other.ConnNumber > 0 {
 		return r.ConnNumber == other.ConnNumber
@@ -70,13 +70,14 @@
 	return isMultiple(r.ConnNumber, other.EveryNth) && isMultiple(other.ConnNumber, r.EveryNth)
 }
 
-// isMultiple reports whether a connection's number is a multiple of n. Where either is 0, it does not
-// restrict the rule.
+// isMultiple reports whether a connection's number is a multiple of n. If either is 0, it does not restrict
+// its rule, and the result is true.
 func isMultiple(connNumber, n int) bool {
 	return connNumber == 0 || n == 0 || connNumber%n == 0
 }
 
-// sharesTrigger reports whether both rules act at one point: at the same bytes, or at times that overlap.
+// sharesTrigger reports whether both rules are active at the same point: their triggers are equal, or both are
+// timed rules whose active periods overlap.
 func (r Rule) sharesTrigger(other Rule) bool {
 	if r.Trigger.Time < 0 || other.Trigger.Time < 0 {
 		return r.Trigger == other.Trigger
@@ -87,7 +88,7 @@
 	return !r.hasEndedBy(other.Trigger.Time) && !other.hasEndedBy(r.Trigger.Time)
 }
 
-// hasEndedBy reports whether a rule by time has ended at a time. A rule without a duration never ends.
+// hasEndedBy reports whether a timed rule is no longer active at a time. A rule without a duration never ends.
 func (r Rule) hasEndedBy(at time.Duration) bool {
 	return r.Duration > 0 && r.Trigger.Time+r.Duration <= at
 }
--- a/internal/fault/edit.go
+++ b/internal/fault/edit.go
@@ -1,6 +1,7 @@
 package fault
 
-// edit appends what becomes of the next byte: with no editing rule in force the byte itself.
+// edit appends the output for one input byte to out. While no rule that changes bytes is active, that is the byte
+// itself.
 func (s *StreamPlan) edit(out []byte, b byte) []byte {
 	editing := s.editing
 	if editing == nil {
@@ -22,8 +23,9 @@
 	return out
 }
 
-// garbleMask is the mask for the byte at the present offset. It is never 0, so that the byte always changes.
+// garbleMask returns what to XOR the byte at the current offset with. It is never 0, so that the byte always
+// changes.
 func (s *StreamPlan) garbleMask(r *Rule) byte {
-	const masks = 255 // 1 to 255
+	const masks = 255 // number of masks: 1 to 255
 	return byte(1 + s.conn.draw(r.ScriptLine, s.offset)%masks)
 }
--- a/internal/fault/fault_test.go
+++ b/internal/fault/fault_test.go
@@ -8,6 +8,7 @@
 	"time"
 )
 
+// links are the first two lines of most scripts in these tests.
 const links = "link c listen 127.0.0.1:7100 to 127.0.0.1:7001\nlink d listen [::1]:0 to 127.0.0.1:7002\n"
 
 func mustParse(t *testing.T, text string) *Script {
@@ -19,7 +20,8 @@
 	return s
 }
 
-// TestBadScripts checks that scripts that can't be carried out are rejected, with their line and field.
+// TestBadScripts checks that Parse rejects scripts that can't be carried out, with an error of one line that names
+// the script's line and the field.
 func TestBadScripts(t *testing.T) {
 	for text, want := range map[string]string{
 		"":       "no link",
@@ -65,7 +67,7 @@
 		"c time 1s : delay 1ms jitter 2ms for 1s\nc time 2s : delay 5ms\nc conn 3 : refuse 1s\nc conn 3 byte 9 : garble 2\n")
 }
 
-// feedInReads feeds data to a stream in reads of the given size, and returns its output and how it ends.
+// feedInReads feeds data to a stream in reads of the given size, and returns its output and ending.
 func feedInReads(s *StreamPlan, data []byte, size int) (out []byte, end Ending) {
 	for len(data) > 0 {
 		n := min(size, len(data))
@@ -82,8 +84,7 @@
 	return out, end
 }
 
-// TestFaultsDoNotDependOnReads checks that the same bytes meet the same faults, however they are cut into
-// reads.
+// TestFaultsDoNotDependOnReads checks that the same bytes get the same faults, however they are split into reads.
 func TestFaultsDoNotDependOnReads(t *testing.T) {
 	script := mustParse(t, `seed 9
 c up match "REQ" nth 3 : garble 5
@@ -99,22 +100,24 @@
 	for number := 1; number <= 20; number++ {
 		var want []byte
 		var wantEnd Ending
-		var log string
+		var wantFirings string
 		for _, size := range []int{1 << 20, 1, 2, 7, 100} {
 			c := script.PlanConn("c", number, 0)
 			out, end := feedInReads(c.Stream(Up), data, size)
-			events := fmt.Sprint(c.TakeFirings())
+			firings := fmt.Sprint(c.TakeFirings())
 			if size == 1<<20 {
 				want = out
 				wantEnd = end
-				log = events
-			} else if !bytes.Equal(out, want) || end != wantEnd || events != log {
-				t.Fatalf("connection %d in reads of %d: %s, and %s in one", number, size, events, log)
+				wantFirings = firings
+			} else if !bytes.Equal(out, want) || end != wantEnd || firings != wantFirings {
+				t.Fatalf("connection %d: reads of %d bytes differ from one read in output, ending or faults: %s and %s",
+					number, size, firings, wantFirings)
 			}
 		}
 	}
 }
 
+// TestFaultKinds checks the output and the ending of the first connection's Up stream under single rules.
 func TestFaultKinds(t *testing.T) {
 	const data = "abcdefghij"
 	for rule, want := range map[string]struct {
@@ -136,19 +139,19 @@
 	} {
 		out, end := feedInReads(mustParse(t, rule).PlanConn("c", 1, 0).Stream(Up), []byte(data), 4)
 		if string(out) != want.out || end != want.end {
-			t.Errorf("%s: %q %d, want %q %d", rule, out, end, want.out, want.end)
+			t.Errorf("%s: output %q with ending %d, want %q with %d", rule, out, end, want.out, want.end)
 		}
 	}
 	out, _ := feedInReads(mustParse(t, "c byte 2 : garble 3").PlanConn("c", 1, 0).Stream(Up), []byte(data), 4)
 	for i, b := range out {
 		changed := b != data[i]
 		if changed != (i >= 2 && i < 5) {
-			t.Errorf("garbled: %q", out)
+			t.Errorf("garble must change exactly bytes 3 to 5: %q", out)
 		}
 	}
 }
 
-// TestDueTimes checks when output is due under delay, rate, pieces and silence, and that times never decrease.
+// TestDueTimes checks when output is due with delay, rate, pieces and silence, and that due times never decrease.
 func TestDueTimes(t *testing.T) {
 	const ms = time.Millisecond
 	due := func(rule string, now time.Duration) (times []time.Duration, sizes []int) {
@@ -175,28 +178,29 @@
 		times, sizes := due(tt.rule, tt.now)
 		got := fmt.Sprint(times, sizes)
 		if got != tt.want {
-			t.Errorf("%s at %v: %s, want %s", tt.rule, tt.now, got, tt.want)
+			t.Errorf("%s: read at %v, due times and sizes %s, want %s", tt.rule, tt.now, got, tt.want)
 		}
 	}
 	s := mustParse(t, "c : delay 10ms jitter 50ms").PlanConn("c", 1, 0).Stream(Up)
-	last := time.Duration(0)
+	lastDue := time.Duration(0)
 	for i := range 100 {
 		for _, op := range s.Feed([]byte("x"), time.Duration(i)*ms) {
-			if op.Due < last || op.Due < time.Duration(i+10)*ms || op.Due > time.Duration(i+60)*ms+50*ms {
-				t.Errorf("byte %d is due at %v after %v", i, op.Due, last)
+			if op.Due < lastDue || op.Due < time.Duration(i+10)*ms || op.Due > time.Duration(i+60)*ms+50*ms {
+				t.Errorf("byte %d is due at %v, the byte before it at %v", i, op.Due, lastDue)
 			}
-			last = op.Due
+			lastDue = op.Due
 		}
 	}
 }
 
+// FuzzParse checks that Parse and the planned streams don't panic, and that errors have one line.
 func FuzzParse(f *testing.F) {
 	f.Add(links + "c up conn 2 match \"x\" nth 3 : garble 7\nd time 1s : silence 2s")
 	f.Fuzz(func(t *testing.T, text string) {
 		s, err := Parse(text)
 		if err != nil {
 			if strings.Contains(err.Error(), "\n") {
-				t.Errorf("%q in more than one line", err)
+				t.Errorf("the error %q has more than one line", err)
 			}
 			return
 		}
--- a/internal/fault/parse.go
+++ b/internal/fault/parse.go
@@ -9,13 +9,14 @@
 	"strings"
 )
 
-// defaultSeed is the seed of a script that names none.
+// defaultSeed is the seed of a script that sets none.
 const defaultSeed = 1
 
 // blanks separate the fields of a line.
 const blanks = " \t\r"
 
-// Parse reads a script and checks all of it. Errors name the line and the field.
+// Parse parses a script and validates all of it. Its errors wrap ErrScript. They name the line, if one is at fault,
+// and its field.
 func Parse(text string) (*Script, error) {
 	s := &Script{Seed: defaultSeed}
 	for i, line := range strings.Split(text, "\n") {
@@ -45,7 +46,8 @@
 	}
 }
 
-// splitFields cuts a line into fields. A quoted field may hold anything; a # outside of one begins a comment.
+// splitFields splits a line into fields. A quoted field may contain blanks and #; a # at the beginning of a field
+// starts a comment.
 func splitFields(line string) (fields []string, err error) {
 	for {
 		line = strings.TrimLeft(line, blanks)
@@ -65,7 +67,7 @@
 	if line[0] == '"' {
 		quoted, err := strconv.QuotedPrefix(line)
 		if err != nil {
-			return "", errors.New("a quoted word does not end")
+			return "", errors.New("a quoted word has an invalid escape or no closing quote")
 		}
 		return quoted, nil
 	}
@@ -76,7 +78,7 @@
 	return line, nil
 }
 
-// parseSeed reads 'seed NUMBER'.
+// parseSeed parses 'seed NUMBER'.
 func (s *Script) parseSeed(fields []string) error {
 	if len(fields) != 2 {
 		return errors.New("seed: one number is required")
@@ -89,7 +91,7 @@
 	return nil
 }
 
-// parseLink reads 'link NAME listen ADDRESS to ADDRESS'.
+// parseLink parses 'link NAME listen ADDRESS to ADDRESS'.
 func (s *Script) parseLink(fields []string) (err error) {
 	if len(fields) != 6 || fields[2] != "listen" || fields[4] != "to" {
 		return errors.New("link: must be 'link NAME listen ADDRESS to ADDRESS'")
@@ -110,8 +112,8 @@
 	return nil
 }
 
-// parseLoopback reads an address. Only loopback is accepted, so that faulty traffic can't reach another
-// machine.
+// parseLoopback parses an address and a port. Only loopback is accepted, so that faulty traffic can't reach
+// another machine.
 func parseLoopback(field, text string) (netip.AddrPort, error) {
 	addr, err := netip.ParseAddrPort(text)
 	if err != nil {
--- a/internal/fault/parserule.go
+++ b/internal/fault/parserule.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// parseRule reads 'LINK [up|down] [conn N|every N|chance P] [time T|byte N|match "P" [nth N]] : FAULT'.
+// parseRule parses 'LINK [up|down] [conn N|every N|chance P] [time T|byte N|match "P" [nth N]] : FAULT'.
 func (s *Script) parseRule(lineNumber int, fields []string) error {
 	rule := Rule{
 		ScriptLine: lineNumber, Link: fields[0], Direction: Both, Trigger: Trigger{Time: -1, Byte: -1, NthMatch: 1},
 	}
 	if !s.hasLink(rule.Link) {
-		return fmt.Errorf("%s: no such link, or an unknown word", rule.Link)
+		return fmt.Errorf("%s: unknown link or keyword", rule.Link)
 	}
 	r := &fieldReader{fields: fields[1:]}
 	for r.more() && r.peek() != ":" {
@@ -31,7 +31,7 @@
 	return rule.validate()
 }
 
-// parseCondition reads one condition before the colon.
+// parseCondition parses one condition before the colon.
 func (r *Rule) parseCondition(in *fieldReader) {
 	switch field := in.take(); field {
 	case "up":
@@ -57,7 +57,7 @@
 	}
 }
 
-// parseFault reads the fault after the colon.
+// parseFault parses the fault after the colon, with its options.
 func (r *Rule) parseFault(in *fieldReader) {
 	word := in.take()
 	kind, known := kindsByWord[word]
@@ -81,7 +81,7 @@
 	}
 }
 
-// parseOption reads one option of a fault.
+// parseOption parses one option of a fault.
 func (r *Rule) parseOption(in *fieldReader) {
 	field := in.take()
 	switch {
@@ -94,10 +94,9 @@
 	}
 }
 
-// fieldReader reads the fields of a rule one by one. It keeps the first error; after that it reads nothing
-// more.
+// fieldReader reads the fields of a rule one by one. It keeps the first error, and reads nothing after it.
 type fieldReader struct {
-	fields []string // not read yet
+	fields []string // unread
 	err    error
 }
 
@@ -115,6 +114,7 @@
 	return field
 }
 
+// fail keeps an error that names a field, unless there is an earlier one.
 func (r *fieldReader) fail(field, format string, args ...any) {
 	if r.err == nil {
 		r.err = fmt.Errorf(field+": "+format, args...)
@@ -141,23 +141,23 @@
 	return d
 }
 
-// probability reads a number over 0, up to 1.
+// probability reads a number greater than 0 and at most 1.
 func (r *fieldReader) probability(field string) float64 {
 	text := r.take()
 	p, err := strconv.ParseFloat(text, 64)
 	inRange := p > 0 && p <= 1 // false for NaN
 	if err != nil || !inRange {
-		r.fail(field, "%q must be over 0 and at most 1", text)
+		r.fail(field, "%q must be greater than 0 and at most 1", text)
 	}
 	return p
 }
 
-// pattern reads a quoted pattern that is not empty.
+// pattern reads a quoted pattern, which must not be empty.
 func (r *fieldReader) pattern(field string) string {
 	text := r.take()
 	pattern, err := strconv.Unquote(text)
 	if err != nil || pattern == "" {
-		r.fail(field, "%s must be a quoted pattern that is not empty", text)
+		r.fail(field, "%s must be a quoted pattern, not empty", text)
 	}
 	return pattern
 }
--- a/internal/fault/plan.go
+++ b/internal/fault/plan.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// NoOffset is the offset of a fault that fired by time, or before its connection.
+// NoOffset is the Offset of a fault that fired at a time, or before its connection was accepted.
 const NoOffset = -1
 
-// Firing is a fault that has fired, as the log records it.
+// Firing is a record of a fault that has fired.
 type Firing struct {
 	Link       string
-	ConnNumber int
+	ConnNumber int // from 1; 0: of a rule that blocks new connections and selects none by number
 	Direction  Direction
-	Offset     int64 // bytes that had passed, or NoOffset
+	Offset     int64 // bytes of the stream until the fault fired, or NoOffset
 	ScriptLine int
 	Kind       Kind
 }
 
-// String is the line of the log. It holds no time, so that the logs of two runs can be compared.
+// String returns the log line of a fault. It holds no time, so that the logs of two runs can be compared.
 func (f Firing) String() string {
 	offset := "-"
 	if f.Offset >= 0 {
@@ -28,35 +28,36 @@
 	return fmt.Sprintf("%s#%d %s %s line %d %s", f.Link, f.ConnNumber, f.Direction, offset, f.ScriptLine, f.Kind)
 }
 
-// Ending is how a stream ends after a piece of output.
+// Ending is whether and how a stream ends after an Output.
 type Ending int
 
-// The endings; the last two also end the other direction.
+// The endings; EndClosed and EndReset also end the other direction.
 const (
 	NotEnded      Ending = iota
-	EndHalfClosed        // FIN, the other direction goes on
+	EndHalfClosed        // this direction is closed with FIN; the other continues
 	EndClosed            // the connection is closed
 	EndReset             // the connection is closed with RST
 )
 
-// Output is a piece of output.
+// Output is data to write at a time, and the ending that follows it. Data may be empty.
 type Output struct {
 	Data   []byte
-	Due    time.Duration // since the start
+	Due    time.Duration // since the start of the run
 	Ending Ending        // of the stream, after Data
 }
 
-// ConnPlan plans one connection.
+// ConnPlan plans the faults of one connection. A ConnPlan and its two StreamPlans share state: callers must not use
+// them concurrently.
 type ConnPlan struct {
 	script  *Script
 	link    string
 	number  int
-	streams [2]*StreamPlan // by Up and Down
+	streams [2]*StreamPlan // indexed by Up and Down
 	firings []Firing
-	ended   bool // by a Close or Reset rule: the other direction fires nothing after that
+	ended   bool // by a Close or Reset rule, after which no rule fires in either direction
 }
 
-// PlanConn returns the plan of a link's nth connection, counted from 1, which begins now.
+// PlanConn returns the plan for a connection of a link that begins now. Connections of a link are numbered from 1.
 func (s *Script) PlanConn(link string, number int, now time.Duration) *ConnPlan {
 	c := &ConnPlan{script: s, link: link, number: number}
 	for d := range c.streams {
@@ -86,8 +87,8 @@
 	return firings
 }
 
-// isSelected reports whether a rule applies to this connection. A draw depends on seed, line and number
-// alone.
+// isSelected reports whether a rule applies to this connection. Selection by chance depends only on the seed, the
+// rule's line, the link and the connection's number.
 func (c *ConnPlan) isSelected(r *Rule) bool {
 	switch {
 	case r.ConnNumber > 0:
@@ -101,8 +102,8 @@
 	}
 }
 
-// draw returns a number that depends on the seed, the connection, a rule and an offset, and on nothing that
-// happened before.
+// draw returns a pseudorandom number. It depends only on the seed, the link, the connection's number, a rule's line
+// and an offset, not on what happened before.
 func (c *ConnPlan) draw(scriptLine int, offset int64) uint64 {
 	const increment = 0x9e3779b97f4a7c15 // of splitmix64
 	x := c.script.Seed
@@ -122,7 +123,7 @@
 	return x ^ x>>31
 }
 
-// unitInterval maps a drawn number to [0, 1).
+// unitInterval maps a pseudorandom number to [0, 1).
 func unitInterval(x uint64) float64 {
 	const mantissaBits = 53 // of a float64
 	return float64(x>>(64-mantissaBits)) / (1 << mantissaBits)
--- a/internal/fault/rule.go
+++ b/internal/fault/rule.go
@@ -1,8 +1,9 @@
-// Package fault plans faults on streams of bytes. A script says which faults, a seed decides what is left to
-// chance, and the same bytes always meet the same faults, however they are cut into reads. The package uses
-// no socket and no clock: callers pass bytes and times in and carry out the output that comes back.
+// Package fault plans faults on streams of bytes. A script lists the faults, and what is random depends on its seed
+// alone, so that the same bytes always get the same faults, however they are split into reads. The package uses no
+// sockets and no clock: callers pass in bytes and times, and carry out the output that it returns.
 //
-// This file holds a script as data: links, rules and what rules may say.
+// A Script holds Links and Rules. A ConnPlan applies the rules of a link to one of its connections, with a
+// StreamPlan for each direction.
 package fault
 
 import (
@@ -14,15 +15,15 @@
 // Direction is a direction of a relayed connection.
 type Direction int
 
-// The directions. Up is from the client to the target, Down the way back; Both in a rule stands for each of
-// them.
+// The directions. Up is from the client to the target, Down from the target to the client. A rule for Both applies
+// to each of them separately.
 const (
 	Up Direction = iota
 	Down
 	Both
 )
 
-// String is the direction as logs name it.
+// String returns the word for the direction in logs.
 func (d Direction) String() string {
 	switch d {
 	case Up:
@@ -39,18 +40,18 @@
 
 // The kinds of faults.
 const (
-	Delay     Kind = iota // holds bytes back by a fixed time and a drawn one
+	Delay     Kind = iota // delays bytes by a fixed time plus a random one
 	Rate                  // limits the throughput
 	Pieces                // splits output into small writes
-	Silence               // holds all bytes back while the connection stays open
-	HalfClose             // closes the sending direction
+	Silence               // holds back all bytes while the connection stays open
+	HalfClose             // closes one direction
 	Close                 // closes the connection
 	Reset                 // closes the connection with RST
 	Garble                // changes bytes
-	Drop                  // leaves bytes out
+	Drop                  // discards bytes
 	Repeat                // sends bytes twice
 	Refuse                // refuses new connections
-	Stall                 // lets new connections time out
+	Stall                 // makes new connections time out
 )
 
 var kindsByWord = map[string]Kind{
@@ -58,7 +59,7 @@
 	"reset": Reset, "garble": Garble, "drop": Drop, "repeat": Repeat, "refuse": Refuse, "stall": Stall,
 }
 
-// String is the script's word for the kind.
+// String returns the word for the kind in scripts and logs.
 func (k Kind) String() string {
 	for word, kind := range kindsByWord {
 		if kind == k {
@@ -68,13 +69,13 @@
 	return "none"
 }
 
-// BlocksNewConns reports whether the kind acts on connections that are yet to be accepted.
+// BlocksNewConns reports whether the kind acts on new connections before they are accepted.
 func (k Kind) BlocksNewConns() bool { return k == Refuse || k == Stall }
 
-// hasForOption reports whether a rule of the kind may limit its duration by the word 'for'.
+// hasForOption reports whether a rule of the kind may limit its duration with the option 'for'.
 func (k Kind) hasForOption() bool { return k == Delay || k == Rate || k == Pieces }
 
-// ending is how a fault of the kind ends its stream.
+// ending returns how a fault of the kind ends its stream.
 func (k Kind) ending() Ending {
 	switch k {
 	case HalfClose:
@@ -88,43 +89,43 @@
 	}
 }
 
-// Link is an address to listen on and the one to relay to.
+// Link is an address to listen on and the target address that its connections are relayed to.
 type Link struct {
 	Name           string
 	Listen, Target netip.AddrPort
 }
 
-// Trigger says when a rule fires: at a time, after a number of bytes, or after the nth match of a pattern. A
-// trigger with none of the three fires when its connection begins.
+// Trigger is when a rule fires: at a time (a timed rule), after a number of bytes, or after the nth match of a
+// pattern. A rule whose trigger has none of the three fires when its connection begins.
 type Trigger struct {
-	Time     time.Duration // since the start; -1: not by time
-	Byte     int64         // bytes of the stream; -1: not by bytes
-	Pattern  string        // empty: not by a pattern
+	Time     time.Duration // since the start of the run; -1: not a timed rule
+	Byte     int64         // bytes of the stream; -1: not after a number of bytes
+	Pattern  string        // empty: not after a match
 	NthMatch int           // which match of the pattern, from 1
 }
 
-// Rule is one line of a script.
+// Rule is a line of a script that describes a fault: on which connections, when, and what it does.
 type Rule struct {
 	ScriptLine  int // from 1
 	Link        string
 	Direction   Direction
 	ConnNumber  int     // which connection of the link, from 1; 0: all
 	EveryNth    int     // only connections whose number is a multiple of it; 0: all
-	Probability float64 // that a connection meets the fault; 0: not by chance
+	Probability float64 // that the rule applies to a connection; 0: not by chance
 	Trigger     Trigger
 	Kind        Kind
 	Duration    time.Duration // 0: until the connection ends
-	Amount      int64         // bytes; of Rate: bytes a second
+	Amount      int64         // bytes; for Rate: bytes per second; for Pieces: bytes per piece at most
 	Delay       time.Duration
-	Jitter      time.Duration // upper limit of what is drawn on top of Delay
+	Jitter      time.Duration // upper limit of the random time added to Delay
 }
 
-// Script is a plan as it was written.
+// Script is a parsed script. Its rules are in the order of their lines.
 type Script struct {
 	Seed  uint64
 	Links []Link
 	Rules []Rule
 }
 
-// ErrScript marks a script that can't be used.
+// ErrScript is wrapped by every error of Parse: the script can't be used.
 var ErrScript = errors.New("script")
--- a/internal/fault/stream.go
+++ b/internal/fault/stream.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// StreamPlan plans one direction of a connection: Feed and CloseInput take what was read, and all three of
-// Feed, Advance and CloseInput return what is to be written, each piece with its time. Times never decrease,
-// except that a reset is due at the present time.
+// StreamPlan plans one direction of a connection. Feed takes the bytes that were read, CloseInput the end of the
+// input, and Advance only the time. Each returns the outputs to write, in order. Due times never decrease, except
+// that a reset is due at once.
 type StreamPlan struct {
 	conn          *ConnPlan
 	direction     Direction
-	offset        int64 // bytes read so far
-	pending       []*pendingRule
-	active        []activeRule  // that change when output is written
-	editing       *activeRule   // that changes bytes; nil: none
-	repeated      []byte        // what a Repeat rule has seen and sends once more
-	lastDue       time.Duration // when the last output is due
+	offset        int64          // bytes read so far
+	pending       []*pendingRule // rules that have not fired
+	active        []activeRule   // rules that affect the size or the due time of outputs
+	editing       *activeRule    // the rule that changes bytes; nil: none
+	repeated      []byte         // bytes that an active Repeat rule will send once more
+	lastDue       time.Duration  // when the last output is due
 	ended         bool
-	initialOutput []Output // from rules that fired when the connection began
+	initialOutput []Output // of rules that fired when the connection began
 }
 
-// activeRule is a rule that has fired and is still in force.
+// activeRule is a rule that has fired and still has an effect.
 type activeRule struct {
 	rule      *Rule
 	until     time.Duration // 0: until the connection ends
-	bytesLeft int64         // that it still changes
+	bytesLeft int64         // bytes that it still changes
 }
 
-// addRule takes a rule that applies to the connection. One whose trigger has come already fires at once.
+// addRule adds a rule that applies to the connection. A rule whose trigger has been reached fires at once.
 func (s *StreamPlan) addRule(r *Rule, now time.Duration) {
 	trigger := r.Trigger
 	if trigger.Pattern != "" {
@@ -48,14 +48,15 @@
 	}
 }
 
-// fire logs a rule and puts it in force.
+// fire records that a rule has fired and activates it.
 func (s *StreamPlan) fire(r *Rule, now time.Duration) {
 	offset := s.offset
 	if r.Trigger.Time >= 0 {
 		offset = NoOffset
 	}
 	s.conn.firings = append(s.conn.firings, Firing{
-		Link: s.conn.link, ConnNumber: s.conn.number, Direction: s.direction, Offset: offset, ScriptLine: r.ScriptLine, Kind: r.Kind,
+		Link: s.conn.link, ConnNumber: s.conn.number, Direction: s.direction, Offset: offset,
+		ScriptLine: r.ScriptLine, Kind: r.Kind,
 	})
 	fired := activeRule{rule: r, bytesLeft: r.Amount}
 	if r.Duration > 0 {
@@ -70,7 +71,7 @@
 	}
 }
 
-// PendingTimes returns when the rules by time fire that have not fired yet.
+// PendingTimes returns the times of the timed rules that have not fired yet.
 func (s *StreamPlan) PendingTimes() (times []time.Duration) {
 	for _, p := range s.pending {
 		if p.rule.Trigger.Time >= 0 {
@@ -80,8 +81,8 @@
 	return times
 }
 
-// Advance fires the rules by time that are due. It also returns what rules brought that fired as the
-// connection began.
+// Advance fires the timed rules that are due and returns their output. Its first call also returns the output of
+// rules that fired when the connection began.
 func (s *StreamPlan) Advance(now time.Duration) (output []Output) {
 	output = s.initialOutput
 	s.initialOutput = nil
@@ -104,8 +105,8 @@
 	s.pending = slices.DeleteFunc(s.pending, func(other *pendingRule) bool { return other == p })
 }
 
-// Feed takes bytes that were read and returns what becomes of them. A rule takes effect right after the byte
-// that triggers it.
+// Feed takes bytes that were read and returns the output for them. A rule takes effect right after the byte that
+// triggers it.
 func (s *StreamPlan) Feed(data []byte, now time.Duration) (output []Output) {
 	output = s.Advance(now)
 	var edited []byte
@@ -131,7 +132,8 @@
 	return append(output, s.shape(edited, now)...)
 }
 
-// CloseInput takes the end of what is read.
+// CloseInput takes the end of the input and returns the last outputs. They end the stream with EndHalfClosed, unless
+// a rule has ended it.
 func (s *StreamPlan) CloseInput(now time.Duration) []Output {
 	output := s.Advance(now)
 	if s.ended {
@@ -140,7 +142,7 @@
 	return append(output, s.end(now, EndHalfClosed))
 }
 
-// end ends the stream. A reset is due now, any other ending when the output so far has been written.
+// end ends the stream. A reset is due now, any other ending after the output so far.
 func (s *StreamPlan) end(now time.Duration, ending Ending) Output {
 	s.ended = true
 	if ending > EndHalfClosed {
--- a/internal/fault/timing.go
+++ b/internal/fault/timing.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	// pieceGap is the time between two pieces, so that the receiver does not read them as one.
+	// pieceGap is the time between two pieces. It keeps the receiver from reading them as one.
 	pieceGap = time.Millisecond
-	// unlimitedSilence is when the output of a silence without a duration is due: longer than any run.
+	// unlimitedSilence is when output is due during a silence without a duration: after the end of any run.
 	unlimitedSilence = 365 * 24 * time.Hour
 )
 
-// shape cuts output into pieces and gives each its time, by the rules in force.
+// shape splits data into outputs and sets their due times, as the active rules require.
 func (s *StreamPlan) shape(data []byte, now time.Duration) (output []Output) {
 	s.active = slices.DeleteFunc(s.active, func(a activeRule) bool { return a.until > 0 && a.until <= now })
 	pieceSize := len(data)
@@ -29,7 +29,7 @@
 	return output
 }
 
-// dueTime returns when the next bytes are due: the latest time that a rule in force gives. It never
+// dueTime returns when the next bytes, size of them, are due: the latest time that an active rule gives. It never
 // decreases, so that bytes keep their order.
 func (s *StreamPlan) dueTime(now time.Duration, size int) time.Duration {
 	due := now
@@ -40,13 +40,14 @@
 	return s.lastDue
 }
 
+// dueByRule returns when the next bytes are due by one active rule.
 func (s *StreamPlan) dueByRule(a activeRule, now time.Duration, size int) time.Duration {
 	switch r := a.rule; r.Kind {
 	case Delay:
 		return now + r.Delay + s.jitter(r)
 	case Rate:
-		transfer := float64(size) / float64(r.Amount) * float64(time.Second)
-		return s.lastDue + time.Duration(transfer)
+		transferTime := float64(size) / float64(r.Amount) * float64(time.Second)
+		return s.lastDue + time.Duration(transferTime)
 	case Pieces:
 		return s.lastDue + pieceGap
 	case Silence:
@@ -59,7 +60,7 @@
 	}
 }
 
-// jitter is the drawn part of a delay at the present offset.
+// jitter returns the random part of a delay at the current offset.
 func (s *StreamPlan) jitter(r *Rule) time.Duration {
 	if r.Jitter == 0 {
 		return 0
--- a/internal/fault/trigger.go
+++ b/internal/fault/trigger.go
@@ -4,8 +4,8 @@
 type pendingRule struct {
 	rule         *Rule
 	failureTable []int // of the Knuth-Morris-Pratt search; nil without a pattern
-	matched      int   // bytes of the pattern that the last bytes of the stream match
-	matches      int   // of the whole pattern so far
+	matched      int   // length of the pattern's prefix that the last bytes of the stream match
+	matches      int   // complete matches so far
 }
 
 // failureTable returns for each prefix of a pattern the length of the longest proper prefix that is also its
@@ -25,7 +25,8 @@
 	return table
 }
 
-// advance takes one byte, the offset'th of the stream, and reports whether the rule fires after it.
+// advance takes one byte of the stream and reports whether the rule fires after it. offset is the byte's position in
+// the stream, from 1.
 func (p *pendingRule) advance(b byte, offset int64) bool {
 	pattern := p.rule.Trigger.Pattern
 	if pattern == "" {
--- a/internal/fault/validate.go
+++ b/internal/fault/validate.go
@@ -5,10 +5,10 @@
 	"fmt"
 )
 
-// maxRepeatBytes limits what a stream buffers to send it once more.
+// maxRepeatBytes limits what a stream buffers for a Repeat rule.
 const maxRepeatBytes = 1 << 20
 
-// validate rejects fields of a rule that do not go together.
+// validate rejects a rule whose fields contradict each other, exceed a limit or lack a duration.
 func (r *Rule) validate() error {
 	if err := r.validateSelection(); err != nil {
 		return err
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// validate rejects more than one condition, and a count without a pattern.
+// validate rejects more than one condition, and 'nth' without a pattern.
 func (t Trigger) validate() error {
 	if countTrue(t.Time >= 0, t.Byte >= 0, t.Pattern != "") > 1 {
 		return errors.New("time: only one of time, byte and match is allowed")
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// canBlockNewConns reports whether a rule can act on connections that are yet to be accepted: they have neither
-// bytes nor a direction, and the rule must know which one comes next.
+// canBlockNewConns reports whether a rule's conditions suit a fault on new connections. Before it is accepted, a
+// connection has neither bytes nor directions, and a rule can select it only if it knows which one comes next.
 func (r *Rule) canBlockNewConns() bool {
 	byBytes := r.Trigger.Byte >= 0 || r.Trigger.Pattern != ""
 	return !byBytes && r.Direction == Both && r.EveryNth == 0 && r.Probability == 0
