--- a/internal/relay/conn.go
+++ b/internal/relay/conn.go
@@ -16,20 +16,20 @@
 	dialTimeout    = 5 * time.Second
 )
 
-// relayedConn is one relayed connection. It owns both ends: close closes them.
+// relayedConn is one relayed connection. It owns the sockets to the client and to the target; close closes both.
 type relayedConn struct {
 	relay     *Relay
-	ctx       context.Context // ends when the connection is closed, or with the relay
+	ctx       context.Context // ends when the connection or the relay is closed
 	cancel    context.CancelFunc
 	planMu    sync.Mutex
-	plan      *fault.ConnPlan // under planMu
+	plan      *fault.ConnPlan // guarded by planMu
 	client    *net.TCPConn
 	target    *net.TCPConn
 	closeOnce sync.Once
 }
 
-// relayConn relays one accepted connection until both directions have ended. Where the target refuses, the
-// client gets a reset: its connection has been established already.
+// relayConn relays one accepted connection until both directions have ended. If the target can't be reached, it
+// resets the client's connection, which is already established and can't be refused any more.
 func (r *Relay) relayConn(link fault.Link, number int, client *net.TCPConn) {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	target, err := dialer.DialContext(r.ctx, "tcp", link.Target.String())
@@ -51,7 +51,8 @@
 	directions.Wait()
 }
 
-// relayDirection reads one direction, and has a goroutine of its own write what the plan makes of it.
+// relayDirection reads one direction until it ends, while a second goroutine writes the output that the plan
+// returns. It returns when both have ended.
 func (c *relayedConn) relayDirection(d fault.Direction, from, to *net.TCPConn) {
 	outputs := newOutputQueue()
 	stream := c.plan.Stream(d)
@@ -72,8 +73,8 @@
 	return s.PendingTimes()
 }
 
-// fireDue fires the rules by time that are due. A reset takes effect at once, any other ending when the writer
-// reaches it, after the output that is still pending.
+// fireDue fires the timed rules that are due. A reset takes effect at once, any other ending when the writer reaches
+// it, after the output that is still pending.
 func (c *relayedConn) fireDue(s *fault.StreamPlan, outputs *outputQueue) {
 	c.planMu.Lock()
 	planned := s.Advance(c.relay.now())
@@ -88,7 +89,7 @@
 	c.enqueue(planned, outputs)
 }
 
-// read reads until the stream or the connection ends.
+// read reads one direction, and enqueues the output for it, until the stream or the connection ends.
 func (c *relayedConn) read(from *net.TCPConn, s *fault.StreamPlan, outputs *outputQueue) {
 	buffer := make([]byte, readBufferSize)
 	for {
@@ -104,7 +105,7 @@
 	}
 }
 
-// feed passes what was read to the plan, records what fires, and returns what is to be written.
+// feed passes what was read to the plan, records the faults that fire, and returns the output to write.
 func (c *relayedConn) feed(s *fault.StreamPlan, data []byte, inputEnded bool) []fault.Output {
 	c.planMu.Lock()
 	planned := s.Feed(data, c.relay.now())
@@ -147,7 +148,7 @@
 	}
 }
 
-// applyEnding ends one direction, or the connection, as the plan says.
+// applyEnding ends one direction or the connection, unless ending is NotEnded.
 func (c *relayedConn) applyEnding(to *net.TCPConn, ending fault.Ending) {
 	switch ending {
 	case fault.NotEnded:
@@ -158,7 +159,7 @@
 	}
 }
 
-// close closes both ends, with RST if the ending is a reset. Only the first call has an effect.
+// close closes both sockets, with RST if the ending is a reset. Only the first call has an effect.
 func (c *relayedConn) close(ending fault.Ending) {
 	c.closeOnce.Do(func() {
 		for _, conn := range []*net.TCPConn{c.client, c.target} {
--- a/internal/relay/listener.go
+++ b/internal/relay/listener.go
@@ -14,33 +14,34 @@
 const (
 	// acceptBacklog is how many connections may wait to be accepted while the link is not stalled.
 	acceptBacklog = 128
-	// maxFillers is how many connections are tried to fill the queue of a stalled link.
+	// maxFillers limits the fillers: connections that the relay opens to a stalled link to fill its accept queue.
 	maxFillers = 4
-	// fillerTimeout is after how long a connect counts as not accepted: the queue is full.
+	// fillerTimeout limits the connect of a filler. A filler that takes longer shows that the accept queue is full.
 	fillerTimeout = 50 * time.Millisecond
 	// reopenInterval is the time between two attempts to listen again on an address that another socket has
 	// taken.
 	reopenInterval = 10 * time.Millisecond
-	// changePollInterval is how often the accepting goroutine looks for a new listener that it was not
-	// notified of.
+	// changePollInterval is how often the accepting goroutine checks for a change of the listener that it was
+	// not notified of.
 	changePollInterval = 20 * time.Millisecond
 )
 
-// linkListener is the listening side of a link. While a Refuse rule is in force it does not listen; while a
-// Stall rule is, its queue is full, and further connects time out.
+// linkListener is the listening side of a link. While a Refuse rule is active, it does not listen. While a Stall
+// rule is active, its accept queue is full, and new connections time out.
 type linkListener struct {
 	relay    *Relay
 	link     fault.Link
 	addr     net.Addr
-	mu       sync.Mutex       // of the fields below
-	listener *net.TCPListener // nil: connects are refused
+	mu       sync.Mutex       // guards the fields below
+	listener *net.TCPListener // nil: new connections are refused
 	closed   bool
-	changed  chan struct{}       // closed when listener has changed, or accepts again
-	fillers  map[string]net.Conn // own connections that fill the queue, by their local address
-	accepted int                 // connections so far, without the fillers
+	changed  chan struct{}       // closed and replaced when listener changes, or accepts again after a stall
+	fillers  map[string]net.Conn // the relay's own connections that fill the accept queue, by local address
+	accepted int                 // connections accepted so far, without the fillers
 }
 
-// openLink listens on a link's address, and schedules the rules that keep its first connection out.
+// openLink listens on a link's address, and schedules the rules that block new connections. A rule for a later
+// connection than the first is started by handle.
 func (r *Relay) openLink(link fault.Link) (*linkListener, error) {
 	l := &linkListener{relay: r, link: link, changed: make(chan struct{}), fillers: map[string]net.Conn{}}
 	listener, err := net.Listen("tcp", link.Listen.String())
@@ -57,17 +58,17 @@
 	return l, nil
 }
 
-// blocksNewConns reports whether a rule keeps connections of this link out.
+// blocksNewConns reports whether a rule blocks new connections of this link.
 func (l *linkListener) blocksNewConns(rule fault.Rule) bool {
 	return rule.Link == l.link.Name && rule.Kind.BlocksNewConns()
 }
 
-// block keeps new connections out for the duration of a rule.
+// block starts to block new connections as a rule says, records the fault, and schedules the end of the block.
 func (l *linkListener) block(rule fault.Rule) {
-	end := l.reopen
+	unblock := l.reopen
 	if rule.Kind == fault.Stall {
 		l.stall()
-		end = l.endStall
+		unblock = l.endStall
 	} else {
 		l.refuse()
 	}
@@ -75,7 +76,7 @@
 		Link: l.link.Name, ConnNumber: rule.ConnNumber, Direction: fault.Both, Offset: fault.NoOffset,
 		ScriptLine: rule.ScriptLine, Kind: rule.Kind,
 	}})
-	l.relay.runAt(l.relay.ctx, l.relay.now()+rule.Duration, end)
+	l.relay.runAt(l.relay.ctx, l.relay.now()+rule.Duration, unblock)
 }
 
 // setListener replaces the listener and notifies the accepting goroutine. The caller holds mu.
@@ -90,18 +91,18 @@
 	l.changed = make(chan struct{})
 }
 
-// refuse closes the listener.
+// refuse closes the listener, so that the system refuses new connections.
 func (l *linkListener) refuse() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.listener != nil {
-		l.listener.Close() //nolint:errcheck // it is not used any more
+		l.listener.Close() //nolint:errcheck // it is no longer used
 		l.setListener(nil)
 	}
 }
 
-// reopen listens on the address again. Where another socket has taken it, reopen tries until the relay is
-// closed.
+// reopen listens on the address again. If another socket has taken the address, reopen retries until it succeeds or
+// the relay is closed.
 func (l *linkListener) reopen() {
 	for !l.tryReopen() {
 		if !l.relay.sleepUntil(l.relay.ctx, l.relay.now()+reopenInterval) {
@@ -110,7 +111,7 @@
 	}
 }
 
-// tryReopen reports whether nothing is left to do: the link listens, or is closed.
+// tryReopen listens again, unless the link listens already or is closed. It reports whether reopen is done.
 func (l *linkListener) tryReopen() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -125,8 +126,8 @@
 	return true
 }
 
-// setBacklog sets how many connections may wait to be accepted; the system takes a new value for a
-// listening socket. The caller holds mu.
+// setBacklog sets how many connections may wait to be accepted. It calls listen(2) again: the system takes a new
+// backlog for a listening socket. The caller holds mu.
 func (l *linkListener) setBacklog(size int) error {
 	raw, err := l.listener.SyscallConn()
 	if err != nil {
@@ -137,7 +138,7 @@
 	return errors.Join(err, listenErr)
 }
 
-// stall stops accepting, makes the queue short and fills it with own connections.
+// stall stops accepting, sets the backlog to 0 and fills the accept queue with connections of the relay's own.
 func (l *linkListener) stall() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -145,38 +146,38 @@
 		return
 	}
 	past := time.Unix(1, 0)
-	l.listener.SetDeadline(past) //nolint:errcheck // a listener that is closed accepts nothing either
+	l.listener.SetDeadline(past) //nolint:errcheck // it fails only for a closed listener, which accepts nothing
 	for range maxFillers {
 		filler, err := net.DialTimeout("tcp", l.addr.String(), fillerTimeout)
 		if err != nil {
-			return // the queue is full
+			return // the accept queue is full
 		}
 		l.fillers[filler.LocalAddr().String()] = filler
 	}
 }
 
-// endStall accepts again.
+// endStall lets the link accept connections again.
 func (l *linkListener) endStall() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.listener == nil {
 		return
 	}
-	l.setBacklog(acceptBacklog)         //nolint:errcheck // a short queue accepts as well
+	l.setBacklog(acceptBacklog)         //nolint:errcheck // connections are accepted with a short queue too
 	l.listener.SetDeadline(time.Time{}) //nolint:errcheck // it fails only for a closed listener
 	l.notifyChanged()
 }
 
-// close closes the listener and the connections that fill its queue.
+// close closes the listener and its fillers.
 func (l *linkListener) close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.closed = true
 	if l.listener != nil {
-		l.listener.Close() //nolint:errcheck // it is not used any more
+		l.listener.Close() //nolint:errcheck // it is no longer used
 	}
 	for _, filler := range l.fillers {
-		filler.Close() //nolint:errcheck // it is not used any more
+		filler.Close() //nolint:errcheck // it is no longer used
 	}
 }
 
@@ -200,8 +201,8 @@
 	}
 }
 
-// awaitChange waits until the listener has changed, or may have: a change can come before the failed accept
-// returns.
+// awaitChange waits until the listener has changed, but no longer than changePollInterval: the change may have come
+// before the failed accept returned.
 func (l *linkListener) awaitChange(changed <-chan struct{}) {
 	select {
 	case <-changed:
@@ -210,11 +211,12 @@
 	}
 }
 
-// handle relays an accepted connection. One that filled the queue is closed instead.
+// handle relays an accepted connection, or closes it if it is a filler. Before that it starts the rules that block
+// the next connection.
 func (l *linkListener) handle(conn *net.TCPConn) {
 	number, filler := l.register(conn)
 	if filler != nil {
-		filler.Close() //nolint:errcheck // it is not used any more
+		filler.Close() //nolint:errcheck // it is no longer used
 		conn.Close()   //nolint:errcheck // as above
 		return
 	}
@@ -226,7 +228,8 @@
 	l.relay.goroutines.Go(func() { l.relay.relayConn(l.link, number, conn) })
 }
 
-// register returns the number of an accepted connection, from 1, or the own end of one that filled the queue.
+// register returns the number of an accepted connection, from 1. For a filler it returns 0 and the filler's
+// connecting end, and removes the filler from fillers.
 func (l *linkListener) register(conn *net.TCPConn) (number int, filler net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/relay/outputqueue.go
+++ b/internal/relay/outputqueue.go
@@ -7,14 +7,14 @@
 	"cloverdoor/internal/fault"
 )
 
-// maxPendingOutputs is how many outputs of one direction wait for their time. Each has readBufferSize at most,
-// plus what a repeat rule sends again.
+// maxPendingOutputs limits the outputs of one direction that wait for their due time. Each holds at most
+// readBufferSize bytes, plus what a Repeat rule sends again.
 const maxPendingOutputs = 32
 
-// outputQueue holds the outputs of one direction until its writer takes them, in order. The reader and the rules
-// by time put them in.
+// outputQueue holds the outputs of one direction until its writer takes them, in order. They come from the reader
+// and from timed rules.
 type outputQueue struct {
-	mu      sync.Mutex // held while an output is put in, so that the queue is not closed meanwhile
+	mu      sync.Mutex // held by put, so that the queue is not closed meanwhile
 	closed  bool
 	pending chan fault.Output
 }
@@ -23,7 +23,7 @@
 	return &outputQueue{pending: make(chan fault.Output, maxPendingOutputs)}
 }
 
-// put waits for a place for an output. It reports false once the queue is closed or ctx has ended.
+// put adds an output, and waits while the queue is full. It reports false if the queue is closed or ctx has ended.
 func (q *outputQueue) put(ctx context.Context, o fault.Output) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -38,7 +38,7 @@
 	}
 }
 
-// close ends the queue after what is pending.
+// close closes the queue. The writer still gets what is pending. It must be called only once.
 func (q *outputQueue) close() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,9 +1,9 @@
-// Package relay carries out a script of faults on TCP connections on loopback.
+// Package relay relays TCP connections on loopback and carries out the faults of a script on them.
 //
-// One goroutine accepts the connections of a link. For each connection one goroutine a direction reads, and
-// another one writes; the channel between them is bounded, so that a slow receiver holds up its own
-// connection alone. Both ends of a connection belong to its relayedConn, which closes them once; a listener
-// and the connections that fill its queue belong to its linkListener. Close waits for all goroutines.
+// One goroutine accepts the connections of a link. Each direction of a connection has one goroutine that reads and
+// another that writes. The channel between them is bounded, so that a slow receiver holds up only its own
+// connection. A relayedConn owns both sockets of its connection and closes them once. A linkListener owns its
+// listener and the connections that fill its accept queue. Close waits for all goroutines.
 package relay
 
 import (
@@ -16,7 +16,7 @@
 	"cloverdoor/internal/fault"
 )
 
-// Relay is a script that is being carried out.
+// Relay listens on the links of a script, relays their connections and carries out the script's faults.
 type Relay struct {
 	script     *fault.Script
 	record     func(fault.Firing)
@@ -25,11 +25,11 @@
 	cancel     context.CancelFunc
 	goroutines sync.WaitGroup
 	listeners  []*linkListener
-	recordMu   sync.Mutex // calls of record come one at a time
+	recordMu   sync.Mutex // serializes the calls of record
 }
 
-// Start listens on every link of a script. It calls record for each fault that fires, one call at a time.
-// When it fails, it leaves nothing open.
+// Start starts a relay that listens on every link of a script. The relay calls record for each fault that fires, one
+// call at a time. If Start fails, it leaves nothing open.
 func Start(script *fault.Script, record func(fault.Firing)) (*Relay, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &Relay{script: script, record: record, start: time.Now(), ctx: ctx, cancel: cancel}
@@ -47,8 +47,8 @@
 	return r, nil
 }
 
-// Addr is the address that a link listens on, with the port that the system chose where the script says 0. It
-// is nil for an unknown link.
+// Addr returns the address that a link listens on, with the port that the system chose if the script says 0. It
+// returns nil for an unknown link.
 func (r *Relay) Addr(link string) net.Addr {
 	for _, l := range r.listeners {
 		if l.link.Name == link {
@@ -67,7 +67,7 @@
 	r.goroutines.Wait()
 }
 
-// now is the time since the start, by which scripts count.
+// now returns the time since Start, to which the times of scripts and plans refer.
 func (r *Relay) now() time.Duration { return time.Since(r.start) }
 
 func (r *Relay) recordAll(firings []fault.Firing) {
@@ -78,7 +78,7 @@
 	}
 }
 
-// runAt runs f in a goroutine at a time since the start, unless ctx ends first.
+// runAt runs f in a goroutine once due has passed since Start, unless ctx ends first.
 func (r *Relay) runAt(ctx context.Context, due time.Duration, f func()) {
 	r.goroutines.Go(func() {
 		if r.sleepUntil(ctx, due) {
@@ -87,7 +87,7 @@
 	})
 }
 
-// sleepUntil waits for a time since the start. It reports false if ctx ended first.
+// sleepUntil waits until due has passed since Start. It reports false if ctx ends first.
 func (r *Relay) sleepUntil(ctx context.Context, due time.Duration) bool {
 	wait := due - r.now()
 	if wait <= 0 {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// testRelay is a relay before an echo server, with the faults that have fired.
+// testRelay is a relay in front of an echo server, with the log lines of the faults that have fired.
 type testRelay struct {
 	t     *testing.T
 	relay *Relay
@@ -50,7 +50,7 @@
 				return
 			}
 			go func() {
-				io.Copy(conn, conn) //nolint:errcheck // shows at the other end
+				io.Copy(conn, conn) //nolint:errcheck // a failure shows at the other end
 				conn.Close()        //nolint:errcheck // as above
 			}()
 		}
@@ -78,19 +78,20 @@
 		r.t.Fatal(err)
 	}
 	r.t.Cleanup(func() { closeOnce(r.t, c) })
-	c.SetDeadline(time.Now().Add(testTimeout)) //nolint:errcheck // shows in what is read
+	c.SetDeadline(time.Now().Add(testTimeout)) //nolint:errcheck // a failure shows in what is read
 	return c.(*net.TCPConn)
 }
 
 // exchange sends text, closes the sending direction and returns what is read.
 func (r *testRelay) exchange(text string) (string, error) {
 	c := r.dial()
-	io.WriteString(c, text) //nolint:errcheck // shows in what is read
+	io.WriteString(c, text) //nolint:errcheck // a failure shows in what is read
 	c.CloseWrite()          //nolint:errcheck // as above
 	got, err := io.ReadAll(c)
 	return string(got), err
 }
 
+// TestRelayCarriesOutThePlan checks what a client reads through a relay with one fault.
 func TestRelayCarriesOutThePlan(t *testing.T) {
 	for rule, want := range map[string]string{
 		"":                          "abcdefghij",
@@ -104,38 +105,38 @@
 	} {
 		got, err := newTestRelay(t, rule).exchange("abcdefghij")
 		if got != want || err != nil {
-			t.Errorf("%s: %q %v, want %q", rule, got, err, want)
+			t.Errorf("%s: read %q, error %v, want %q", rule, got, err, want)
 		}
 	}
 	for _, rule := range []string{"c up byte 5 : reset", `c down match "cd" : reset`} {
 		r := newTestRelay(t, rule)
 		got, err := r.exchange("abcdefghij")
 		if !errors.Is(err, syscall.ECONNRESET) || len(got) > 4 {
-			t.Errorf("%s: %q %v", rule, got, err)
+			t.Errorf("%s: read %q, error %v, want a reset and at most 4 bytes", rule, got, err)
 		}
 	}
 	c, err := net.DialTimeout("tcp", newTestRelay(t, "c : reset").relay.Addr("c").String(), testTimeout)
-	if err == nil { // the reset may also come as early as this
+	if err == nil { // the dial may already fail with the reset
 		defer closeOnce(t, c)
-		c.SetDeadline(time.Now().Add(testTimeout)) //nolint:errcheck // shows in what is read
+		c.SetDeadline(time.Now().Add(testTimeout)) //nolint:errcheck // a failure shows in what is read
 		_, err = c.Read(make([]byte, 1))
 	}
 	if !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("reset at the beginning: %v", err)
+		t.Errorf("reset when the connection begins: error %v", err)
 	}
 }
 
-// TestTimedFaultsAndBlockedConnections checks that a rule by time fires on an idle connection, that connects
-// are refused, and that they succeed after a stall.
+// TestTimedFaultsAndBlockedConnections checks that a timed rule fires on an idle connection, that new connections are
+// refused and stalled, and that they succeed after the stall.
 func TestTimedFaultsAndBlockedConnections(t *testing.T) {
 	r := newTestRelay(t, "c conn 1 time 300ms : reset\nc conn 2 : refuse 500ms\nc conn 3 : stall 1500ms")
 	first := r.dial()
 	r.await("c#2 both - line 3 refuse")
 	if _, err := net.DialTimeout("tcp", r.relay.Addr("c").String(), testTimeout); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("while refused: %v", err)
+		t.Errorf("dial while refused: error %v", err)
 	}
 	if _, err := first.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("by time: %v", err)
+		t.Errorf("timed reset: error %v", err)
 	}
 	for {
 		c, err := net.DialTimeout("tcp", r.relay.Addr("c").String(), testTimeout)
@@ -147,16 +148,16 @@
 	r.await("c#3 both - line 4 stall")
 	if c, err := net.DialTimeout("tcp", r.relay.Addr("c").String(), 50*time.Millisecond); err == nil {
 		closeOnce(t, c)
-		t.Error("came up while stalled")
+		t.Error("a connection was established while the link was stalled")
 	}
 	got, err := r.exchange("again")
 	if got != "again" || err != nil {
-		t.Errorf("after the stall: %q %v", got, err)
+		t.Errorf("after the stall: read %q, error %v", got, err)
 	}
 }
 
-// TestTimedEndingWaitsForDelayedOutput guards against bytes that are lost, with a reset, when a direction or the
-// connection is ended by time while they are held back: as the script's page says, only a reset does not wait.
+// TestTimedEndingWaitsForDelayedOutput guards against lost bytes and a reset connection when a timed halfclose or close
+// fires while a delay holds bytes back. Only the fault reset may discard them, as the documentation of scripts says.
 func TestTimedEndingWaitsForDelayedOutput(t *testing.T) {
 	for _, ending := range []string{"halfclose", "close"} {
 		r := newTestRelay(t, "c down : delay 400ms\nc down time 200ms : "+ending)
@@ -167,49 +168,48 @@
 		c.SetReadDeadline(time.Now().Add(testTimeout)) //nolint:errcheck // ends the read
 		got, err := io.ReadAll(c)
 		if string(got) != "held back" || err != nil {
-			t.Errorf("%s: %q, %v", ending, got, err)
+			t.Errorf("%s: read %q, error %v", ending, got, err)
 		}
 		r.await("c#1 down - line 3 " + ending)
 	}
 }
 
-// await waits until a fault has fired that logs the given line.
-func (r *testRelay) await(event string) {
+// await waits until a fault with the given log line has fired.
+func (r *testRelay) await(logLine string) {
 	r.t.Helper()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		r.mu.Lock()
-		found := slices.Contains(r.fired, event)
+		found := slices.Contains(r.fired, logLine)
 		r.mu.Unlock()
 		if found {
 			return
 		}
 		if time.Now().After(end) {
-			r.t.Fatalf("%q never fired: %q", event, r.fired)
+			r.t.Fatalf("fault %q did not fire, only %q", logLine, r.fired)
 		}
 	}
 }
 
-// TestSlowReceiverBlocksOnlyItsConnection checks that a receiver that does not read holds up its own connection
-// alone,
-// and that what the relay buffers for it is bounded.
+// TestSlowReceiverBlocksOnlyItsConnection checks that a receiver that does not read holds up only its own connection,
+// and that the relay buffers a bounded amount for it.
 func TestSlowReceiverBlocksOnlyItsConnection(t *testing.T) {
 	r := newTestRelay(t, "")
-	stuck := r.dial()
+	blocked := r.dial()
 	var sent int64
-	stuck.SetWriteDeadline(time.Now().Add(500 * time.Millisecond)) //nolint:errcheck // shows in the writes
+	blocked.SetWriteDeadline(time.Now().Add(500 * time.Millisecond)) //nolint:errcheck // a failure shows in the writes
 	for block := make([]byte, 64<<10); ; {
-		n, err := stuck.Write(block)
+		n, err := blocked.Write(block)
 		sent += int64(n)
 		if err != nil {
 			break
 		}
 		if sent > 256<<20 {
-			t.Fatal("the relay takes all there is")
+			t.Fatal("the relay buffers without a limit")
 		}
 	}
 	got, err := r.exchange("other")
 	if got != "other" || err != nil {
-		t.Errorf("%q %v", got, err)
+		t.Errorf("other connection: read %q, error %v", got, err)
 	}
 }
 
@@ -231,11 +231,12 @@
 	a := sorted(run())
 	b := sorted(run())
 	if a != b || len(a) < 100 {
-		t.Errorf("%s\n\nand\n\n%s", a, b)
+		t.Errorf("the logs differ or are too short:\n%s\n\nand\n\n%s", a, b)
 	}
 }
 
-// TestStartFailsIfAddressInUse checks that Start fails as a whole when one address is in use.
+// TestStartFailsIfAddressInUse checks that Start fails as a whole, with an error that names the link, when the address
+// of one link is in use.
 func TestStartFailsIfAddressInUse(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -248,11 +249,11 @@
 	}
 	r, err := Start(script, func(fault.Firing) {})
 	if err == nil || !strings.Contains(err.Error(), "link b") {
-		t.Errorf("%v %v", r, err)
+		t.Errorf("relay %v, error %v", r, err)
 	}
 }
 
-// echo measures round trips of 64 bytes.
+// echo measures round trips of 64 bytes on one connection.
 func echo(b *testing.B, addr string) {
 	b.Helper()
 	c, err := net.DialTimeout("tcp", addr, testTimeout)
@@ -271,7 +272,7 @@
 	}
 }
 
-// BenchmarkRoundTrip compares a relay without faults with a direct connection.
+// BenchmarkRoundTrip compares a relay without faults with a direct connection, and measures the relay's memory.
 func BenchmarkRoundTrip(b *testing.B) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -284,7 +285,7 @@
 			if err != nil {
 				return
 			}
-			go io.Copy(conn, conn) //nolint:errcheck // shows at the other end
+			go io.Copy(conn, conn) //nolint:errcheck // a failure shows at the other end
 		}
 	}()
 	script, err := fault.Parse("link c listen 127.0.0.1:0 to " + ln.Addr().String())
@@ -309,8 +310,8 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				io.WriteString(c, "x")          //nolint:errcheck // shows in what is read
-				io.ReadFull(c, make([]byte, 1)) //nolint:errcheck // it is up
+				io.WriteString(c, "x")          //nolint:errcheck // a failure shows in what is read
+				io.ReadFull(c, make([]byte, 1)) //nolint:errcheck // waits until the relay has set up the connection
 				conns = append(conns, c)
 			}
 			runtime.GC()
