--- a/cmd/faultproxy/compare.go
+++ b/cmd/faultproxy/compare.go
@@ -9,8 +9,9 @@
 	"strings"
 )
 
-// compareLogs returns an error unless two logs hold the same faults. The order of connections differs between
-// runs, as they run side by side; the order within a connection and direction is the plan's and is compared.
+// compareLogs returns an error unless two logs hold the same faults. The order of connections is ignored: they run
+// concurrently, so that it differs between runs. The order within one direction of a connection is fixed by the plan
+// and is compared.
 func compareLogs(pathA, pathB string, out io.Writer) error {
 	a, err := readSorted(pathA)
 	if err != nil {
@@ -24,12 +25,12 @@
 		fmt.Fprintf(out, "the same %d faults\n", len(a)) //nolint:errcheck // the exit status says the same
 		return nil
 	}
-	different := firstDifference(a, b)
-	return fmt.Errorf("%s and %s differ: %d and %d faults; the first that differs is %q and %q",
-		pathA, pathB, len(a), len(b), lineAt(a, different), lineAt(b, different))
+	first := firstDifference(a, b)
+	return fmt.Errorf("%s and %s differ: %d and %d faults; the first difference is %q and %q",
+		pathA, pathB, len(a), len(b), lineAt(a, first), lineAt(b, first))
 }
 
-// firstDifference is the index of the first line in which two logs that are not equal differ.
+// firstDifference returns the index of the first line in which two unequal logs differ.
 func firstDifference(a, b []string) int {
 	for i := range min(len(a), len(b)) {
 		if a[i] != b[i] {
@@ -39,6 +40,7 @@
 	return min(len(a), len(b))
 }
 
+// lineAt returns line i, or "none" if the log is shorter.
 func lineAt(lines []string, i int) string {
 	if i < len(lines) {
 		return lines[i]
@@ -46,7 +48,7 @@
 	return "none"
 }
 
-// readSorted reads a log, sorted by connection and direction.
+// readSorted reads a log and sorts its lines by connection and direction, keeping the order within each direction.
 func readSorted(path string) (lines []string, err error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -61,7 +63,7 @@
 	return lines, in.Err()
 }
 
-// streamOf returns the first two fields of a log's line: connection and direction.
+// streamOf returns the first two fields of a log line: connection and direction.
 func streamOf(line string) string {
 	fields := strings.Fields(line)
 	return strings.Join(fields[:min(2, len(fields))], " ")
--- a/cmd/faultproxy/main.go
+++ b/cmd/faultproxy/main.go
@@ -1,5 +1,5 @@
-// Command faultproxy relays TCP connections on loopback and breaks their traffic as a script and its seed
-// say. docs/faultproxy.md is its page for operators.
+// Command faultproxy relays TCP connections on loopback and injects faults into them, as a script and its seed
+// say. docs/faultproxy.md describes it for operators.
 package main
 
 import (
@@ -23,26 +23,26 @@
 	}
 }
 
-// options are the command line.
+// options are the flags and arguments of the command line.
 type options struct {
-	script   string        // path
+	script   string        // path; required unless compare is set
 	log      string        // path; empty: standard output
 	check    bool          // only check the script
 	compare  bool          // only compare two logs
 	duration time.Duration // 0: until a signal
 	seed     uint64        // 0: the script's
-	logs     []string      // paths to compare
+	logs     []string      // paths of the logs to compare
 }
 
-// parseOptions reads the command line. It prints the flags and ends the program at -help.
+// parseOptions parses the command line. For -help it prints the flags and exits.
 func parseOptions(args []string) (o options, err error) {
 	flags := flag.NewFlagSet("faultproxy", flag.ContinueOnError)
 	flags.SetOutput(io.Discard)
 	flags.StringVar(&o.script, "script", "", "`file` with the links and faults")
-	flags.StringVar(&o.log, "log", "", "`file` for the faults that fired, one a line; else standard output")
-	flags.BoolVar(&o.check, "check", false, "check the script and end")
-	flags.BoolVar(&o.compare, "compare", false, "compare two logs, named as arguments")
-	flags.DurationVar(&o.duration, "for", 0, "end after this `time`; else at SIGINT or SIGTERM")
+	flags.StringVar(&o.log, "log", "", "`file` to write the fired faults to, one per line; default: standard output")
+	flags.BoolVar(&o.check, "check", false, "check the script and exit")
+	flags.BoolVar(&o.compare, "compare", false, "compare the two logs that are named as arguments")
+	flags.DurationVar(&o.duration, "for", 0, "exit after this `time`; default: at SIGINT or SIGTERM")
 	flags.Uint64Var(&o.seed, "seed", 0, "`number` that overrides the script's seed")
 	err = flags.Parse(args)
 	if errors.Is(err, flag.ErrHelp) {
@@ -60,13 +60,13 @@
 
 func (o options) validate() error {
 	if o.compare && len(o.logs) != 2 {
-		return errors.New("-compare takes two logs")
+		return errors.New("-compare requires two logs")
 	}
 	if !o.compare && (o.script == "" || len(o.logs) > 0) {
-		return errors.New("-script FILE is wanted, and no other argument; -help tells more")
+		return errors.New("-script FILE is required, without further arguments; see -help")
 	}
 	if o.duration < 0 {
-		return fmt.Errorf("-for %v is under 0", o.duration)
+		return fmt.Errorf("-for must be at least 0, but is %v", o.duration)
 	}
 	return nil
 }
@@ -95,7 +95,7 @@
 		if err != nil {
 			return err
 		}
-		defer file.Close() //nolint:errcheck // each line is written when its fault fires, and a failed write is returned
+		defer file.Close() //nolint:errcheck // each line is written when its fault fires; run returns a failed write
 		out = file
 	}
 	return relayUntilStopped(script, o.duration, out)
--- a/cmd/faultproxy/main_test.go
+++ b/cmd/faultproxy/main_test.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// writeFile writes text to a file in a directory of its own, and returns the path.
+// writeFile writes text to a new file in a temporary directory, and returns its path.
 func writeFile(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "file")
@@ -30,19 +30,21 @@
 	return path
 }
 
+// TestBadCommandLines checks that run rejects bad flags and scripts with an error of one line, and that -check accepts
+// a good script.
 func TestBadCommandLines(t *testing.T) {
 	good := "link a listen 127.0.0.1:0 to 127.0.0.1:9\n"
 	for want, args := range map[string][]string{
-		"-script FILE is wanted":    {},
+		"-script FILE is required":  {},
 		"flag provided but not":     {"-nonsense"},
 		"no such file":              {"-script", "/nowhere/at/all"},
 		"line 2: explode":           {"-script", writeFile(t, good+"a : explode")},
-		"under 0":                   {"-script", writeFile(t, good), "-for", "-3s"},
+		"-for must be at least 0":   {"-script", writeFile(t, good), "-for", "-3s"},
 		"two logs":                  {"-compare", "one"},
 		"listen: 10.1.2.3:1 is not": {"-script", writeFile(t, "link a listen 10.1.2.3:1 to 127.0.0.1:9")},
 	} {
 		if err := run(args, io.Discard); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%v: %v", args, err)
+			t.Errorf("arguments %v: error %v", args, err)
 		}
 	}
 	if err := run([]string{"-script", writeFile(t, good), "-check"}, io.Discard); err != nil {
@@ -50,6 +52,7 @@
 	}
 }
 
+// TestCompare checks that -compare ignores the order of connections, and rejects missing and different lines.
 func TestCompare(t *testing.T) {
 	a := writeFile(t, "c#1 up 3 line 4 reset\nc#2 up 9 line 5 drop\nc#1 down 7 line 4 close\n")
 	b := writeFile(t, "c#2 up 9 line 5 drop\nc#1 up 3 line 4 reset\nc#1 down 7 line 4 close\n")
@@ -58,7 +61,7 @@
 	}
 	for _, other := range []string{"c#1 up 3 line 4 reset\n", "", "c#1 up 3 line 4 reset\nc#2 up 8 line 5 drop\nc#1 down 7 line 4 close\n"} {
 		if err := run([]string{"-compare", a, writeFile(t, other)}, io.Discard); err == nil {
-			t.Errorf("%q passes for the same", other)
+			t.Errorf("the different log %q compares as equal", other)
 		}
 	}
 }
@@ -87,7 +90,7 @@
 		}
 	}
 	defer closeOnce(t, conn)
-	io.WriteString(conn, "abcdef") //nolint:errcheck // shows at the other end
+	io.WriteString(conn, "abcdef") //nolint:errcheck // a failure shows at the other end
 	got, err := target.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -95,7 +98,7 @@
 	defer closeOnce(t, got)
 	text, _ := io.ReadAll(got)
 	if string(text) != "abc" { // a reset may follow the close
-		t.Errorf("%q", text)
+		t.Errorf("the target read %q, want the 3 bytes before the close", text)
 	}
 	if err := syscall.Kill(syscall.Getpid(), syscall.SIGTERM); err != nil {
 		t.Fatal(err)
@@ -105,6 +108,6 @@
 	}
 	text, err = os.ReadFile(log)
 	if err != nil || string(text) != "a#1 up 3 line 2 close\n" {
-		t.Errorf("%q %v", text, err)
+		t.Errorf("log %q, error %v", text, err)
 	}
 }
