--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -1,9 +1,9 @@
-// Command toy is a coordinator, a cache, an origin and a client for one edge proxy, to try it on one machine:
+// Command toy is a coordinator, a cache, an origin and a client for trying out one edge proxy on one machine:
 //
 //	toy serve              a coordinator on 127.0.0.1:7070, a cache on :7101 and the origin on :7102
 //	toy ask CLASS OBJECT   one request to the proxy on 127.0.0.1:7000
 //
-// The cache never evicts an object, the origin generates each object from its key.
+// The cache and the origin generate each object from its key. The cache never evicts an object.
 package main
 
 import (
@@ -41,7 +41,7 @@
 // fcgiHeaderSize is the length of a record's header in bytes.
 const fcgiHeaderSize = 8
 
-// beginResponder is the body of BEGIN_REQUEST: role responder, and close the connection after the answer.
+// beginResponder is the body of a BEGIN_REQUEST record: role responder, close the connection after the answer.
 const beginResponder = "\x00\x01\x00\x00\x00\x00\x00\x00"
 
 // progressInterval is how often the coordinator sends the index of its last event.
@@ -61,7 +61,7 @@
 	}
 }
 
-// serve runs the three servers until one of them fails.
+// serve runs the coordinator, the cache and the origin until one of them fails.
 func serve() error {
 	ended := make(chan error)
 	for addr, handle := range map[string]func(net.Conn) error{
@@ -78,7 +78,7 @@
 	return <-ended
 }
 
-// acceptAll handles each connection of a listener in a goroutine of its own.
+// acceptAll handles each connection of a listener in its own goroutine, until accepting fails.
 func acceptAll(l net.Listener, handle func(net.Conn) error) error {
 	for {
 		conn, err := l.Accept()
@@ -86,7 +86,7 @@
 			return err
 		}
 		go func() {
-			defer conn.Close() //nolint:errcheck // the peer sees the end in any case
+			defer conn.Close() //nolint:errcheck // the peer sees the connection end in any case
 			if err := handle(conn); err != nil && !errors.Is(err, io.EOF) {
 				log.Print(err)
 			}
@@ -94,8 +94,8 @@
 	}
 }
 
-// sendEvents sends a watching proxy event 1, the full endpoint list, unless it has it, and then the event's index
-// every second.
+// sendEvents sends events to a watching proxy: first event 1, the full endpoint list, unless the proxy has it, and
+// then the index of that event at every progressInterval.
 func sendEvents(conn net.Conn) error {
 	var lastIndex int
 	if _, err := fmt.Fscanf(conn, "follow %d\n", &lastIndex); err != nil {
@@ -103,9 +103,9 @@
 	}
 	log.Printf("coordinator: followed from %d", lastIndex)
 	if lastIndex < 1 {
-		const server = `{"id":%q,"addr":%q,"zone":%q,"kind":%q,"cell":0,"state":"SERVING","weight":20,"started_ms":0}`
-		list := fmt.Sprintf(server, "s-cache", cacheAddr, "office", "estandar") + "," +
-			fmt.Sprintf(server, "s-origin", originAddr, "hub", "origin")
+		const serverFormat = `{"id":%q,"addr":%q,"zone":%q,"kind":%q,"cell":0,"state":"SERVING","weight":20,"started_ms":0}`
+		list := fmt.Sprintf(serverFormat, "s-cache", cacheAddr, "office", "estandar") + "," +
+			fmt.Sprintf(serverFormat, "s-origin", originAddr, "hub", "origin")
 		if _, err := fmt.Fprintf(conn, `{"index":1,"endpoints":{"version":1,"full":true,"servers":[%s]}}`+"\n", list); err != nil {
 			return err
 		}
@@ -118,8 +118,9 @@
 	}
 }
 
-// serveObjects answers every request with an object generated from its key. An object counts as cached from
-// its second request on the connection.
+// serveObjects answers every REQ command of a connection with an object generated from its key, and ignores other
+// commands. An object counts as cached from its second request on that connection. name is the server's name in logs
+// and objects.
 func serveObjects(conn net.Conn, name string) error {
 	in := bufio.NewReader(conn)
 	cached := map[string]bool{}
@@ -148,7 +149,7 @@
 	}
 }
 
-// readCommand reads a RESP array of bulk strings.
+// readCommand decodes a RESP array of bulk strings.
 func readCommand(in *bufio.Reader) (words []string, err error) {
 	var count, size int
 	if _, err := fmt.Fscanf(in, "*%d\r\n", &count); err != nil {
@@ -205,15 +206,15 @@
 	return printAnswer(conn)
 }
 
-// encodeRecord encodes a record of request 1, in FastCGI version 1 and without padding.
-func encodeRecord(kind byte, content string) []byte {
-	record := []byte{1, kind, 0, 1}
+// encodeRecord encodes a record of FastCGI version 1 for request ID 1, without padding.
+func encodeRecord(recordType byte, content string) []byte {
+	record := []byte{1, recordType, 0, 1}
 	record = binary.BigEndian.AppendUint16(record, uint16(len(content)))
 	record = append(record, 0, 0)
 	return append(record, content...)
 }
 
-// printAnswer prints STDOUT records until END_REQUEST.
+// printAnswer prints the content of the STDOUT records until END_REQUEST.
 func printAnswer(conn net.Conn) error {
 	for {
 		var header [fcgiHeaderSize]byte
