--- a/internal/fault/validate.go
+++ b/internal/fault/validate.go
@@ -5,10 +5,10 @@
 	"fmt"
 )
 
-// maxRepeatBytes limits what a stream buffers to send it once more.
+// maxRepeatBytes limits what a stream buffers for a Repeat rule.
 const maxRepeatBytes = 1 << 20
 
-// validate rejects fields of a rule that do not go together.
+// validate rejects a rule whose fields contradict each other, exceed a limit or lack a duration.
 func (r *Rule) validate() error {
 	if err := r.validateSelection(); err != nil {
 		return err
@@ -16,13 +16,13 @@
 	if err := r.Trigger.validate(); err != nil {
 		return err
 	}
-	if r.Kind.AffectsConnects() && !r.fitsConnects() {
+	if r.Kind.BlocksNewConns() && !r.canBlockNewConns() {
 		return fmt.Errorf("%s: only conn or time may be its condition", r.Kind)
 	}
 	if r.Kind == Repeat && r.Amount > maxRepeatBytes {
 		return fmt.Errorf("repeat: %d bytes exceed the limit of %d", r.Amount, maxRepeatBytes)
 	}
-	if r.Kind.AffectsConnects() && r.Duration == 0 {
+	if r.Kind.BlocksNewConns() && r.Duration == 0 {
 		return fmt.Errorf("%s: a duration is required", r.Kind)
 	}
 	return nil
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// validate rejects more than one condition, and a count without a pattern.
+// validate rejects more than one condition, and 'nth' without a pattern.
 func (t Trigger) validate() error {
 	if countTrue(t.Time >= 0, t.Byte >= 0, t.Pattern != "") > 1 {
 		return errors.New("time: only one of time, byte and match is allowed")
@@ -47,9 +47,9 @@
 	return nil
 }
 
-// fitsConnects reports whether a rule can act on connections that are yet to be accepted: they have neither
-// bytes nor a direction, and the rule must know which one comes next.
-func (r *Rule) fitsConnects() bool {
+// canBlockNewConns reports whether a rule's conditions suit a fault on new connections. Before it is accepted, a
+// connection has neither bytes nor directions, and a rule can select it only if it knows which one comes next.
+func (r *Rule) canBlockNewConns() bool {
 	byBytes := r.Trigger.Byte >= 0 || r.Trigger.Pattern != ""
 	return !byBytes && r.Direction == Both && r.EveryNth == 0 && r.Probability == 0
 }
