--- a/internal/soak/answers.go
+++ b/internal/soak/answers.go
@@ -40,8 +40,8 @@
 			call.MaxAge = parseMillis(value)
 		}
 	}
-	s.h.locked(func() { s.h.Calls = append(s.h.Calls, call) })
-	s.h.Note(s.id, "call %s %s k=%s src=%s w=%v maxage=%v read-late=%v serial=%d",
+	s.h.withLock(func() { s.h.Calls = append(s.h.Calls, call) })
+	s.h.Logf(s.id, "call %s %s k=%s src=%s w=%v maxage=%v read-late=%v serial=%d",
 		call.ID, call.Class, call.Object, call.Source, call.Timeout, call.MaxAge, late, call.Serial)
 	return call
 }
@@ -71,7 +71,7 @@
 		s.writeAnswer(call, out, "not_here", "note=PEER_MISS", "")
 		return
 	}
-	s.h.locked(func() { call.CopyMadeAt = madeAt })
+	s.h.withLock(func() { call.CopyMadeAt = madeAt })
 	body := fmt.Sprintf("%d %s ", call.Serial, call.Object)
 	body += strings.Repeat("x", bodySize-len(body))
 	fields := fmt.Sprintf("etag=%016x,made=%d,note=%s,ttfb=3", madeAt.UnixMilli(), madeAt.UnixMilli(), note)
@@ -84,7 +84,7 @@
 		s.writeAnswer(call, out, "not_here", "-", "")
 		return
 	}
-	s.h.locked(func() { call.Ran = true })
+	s.h.withLock(func() { call.Ran = true })
 	s.work(maxWriteTime)
 	result := "served"
 	if s.draw() < crashedChance {
@@ -130,14 +130,14 @@
 // writeAnswer writes an answer, which a fault may malform.
 func (s *server) writeAnswer(call *Call, out *lockedWriter, result, fields, body string) {
 	s.waitWhileHung()
-	s.h.locked(func() { call.Result = result })
+	s.h.withLock(func() { call.Result = result })
 	text := encodeBulks(call.ID, result, fields, body)
 	closes := false
 	if s.isBefore(&s.malformUntil) {
 		text, closes = malform(text, s.draw())
 	}
 	out.write(text)
-	s.h.Note(s.id, "answered %s %s serial=%d", call.ID, result, call.Serial)
+	s.h.Logf(s.id, "answered %s %s serial=%d", call.ID, result, call.Serial)
 	if closes {
 		out.conn.Close() //nolint:errcheck // the proxy may have closed it
 	}
--- a/internal/soak/clientconn.go
+++ b/internal/soak/clientconn.go
@@ -68,7 +68,7 @@
 	q.FirstOnConnection = c.requests == 0
 	c.requests++
 	c.lastUsed = c.h.Now()
-	c.h.locked(func() { c.h.Requests = append(c.h.Requests, q) })
+	c.h.withLock(func() { c.h.Requests = append(c.h.Requests, q) })
 	return c.lastID
 }
 
@@ -76,9 +76,9 @@
 func (c *clientConn) send(q *Request, more []byte) (id uint16) {
 	id = c.register(q)
 	if c.write(append(encodeRequest(id, q), more...)) == nil {
-		c.h.locked(func() { q.SentAt = c.h.Now() })
+		c.h.withLock(func() { q.SentAt = c.h.Now() })
 	}
-	c.h.Note("client", "requests from proxy-%d %s %s k=%s on connection %d", q.Proxy, q.Class, q.ID, q.Object, c.number)
+	c.h.Logf("client", "requests from proxy-%d %s %s k=%s on connection %d", q.Proxy, q.Class, q.ID, q.Object, c.number)
 	return id
 }
 
@@ -94,8 +94,8 @@
 			time.Sleep(slowPieceGap)
 		}
 	}
-	c.h.locked(func() { q.SentAt = c.h.Now() })
-	c.h.Note("client", "has requested slowly from proxy-%d %s %s on connection %d", q.Proxy, q.Class, q.ID, c.number)
+	c.h.withLock(func() { q.SentAt = c.h.Now() })
+	c.h.Logf("client", "has requested slowly from proxy-%d %s %s on connection %d", q.Proxy, q.Class, q.ID, c.number)
 }
 
 func (c *clientConn) write(data []byte) error {
@@ -152,9 +152,9 @@
 	}
 	confirmsAbort := hasStatus && text == "" && !a.ProtocolOverloaded
 	if !confirmsAbort {
-		c.h.locked(func() { q.Answers = append(q.Answers, a) })
+		c.h.withLock(func() { q.Answers = append(q.Answers, a) })
 	}
-	c.h.Note("client", "%s answered %s %q", q.ID, status, a.Body[:min(len(a.Body), notedBodyBytes)])
+	c.h.Logf("client", "%s answered %s %q", q.ID, status, a.Body[:min(len(a.Body), notedBodyBytes)])
 }
 
 // finish returns the request of an answer, also of a second one; nil: the ID is unknown.
@@ -191,17 +191,17 @@
 	c.open = map[uint16]*Request{}
 	c.mu.Unlock()
 	raced := true
-	c.h.locked(func() {
+	c.h.withLock(func() {
 		for _, q := range open {
 			raced = raced && c.mayCrossClose(q, now)
 		}
 	})
 	for _, q := range open {
-		c.h.locked(func() {
+		c.h.withLock(func() {
 			q.DisconnectedAt = now
 			q.NoAnswerOwed = q.NoAnswerOwed || raced
 		})
-		c.h.Note("client", "connection %d to proxy-%d, opened %.3f before, ended with %s open (idle close raced: %v)",
+		c.h.Logf("client", "connection %d to proxy-%d, opened %.3f before, ended with %s open (idle close raced: %v)",
 			c.number, c.clients.p.number, (now - c.openedAt).Seconds(), q.ID, raced)
 	}
 }
--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -135,7 +135,7 @@
 	}
 	conn, err := net.DialTimeout("tcp", pc.p.addr, dialTimeout)
 	if err != nil {
-		pc.h.Note("client", "proxy-%d refuses a connection: %v", pc.p.number, err)
+		pc.h.Logf("client", "proxy-%d refuses a connection: %v", pc.p.number, err)
 		return nil
 	}
 	pc.dialed++
@@ -159,7 +159,7 @@
 	id := c.send(q, nil)
 	time.AfterFunc(pc.drawMillis(maxAbortDelay), func() {
 		c.write(encodeRecord(fcgiAbortRequest, id, "")) //nolint:errcheck // a lost connection shows in the answers
-		pc.h.locked(func() { q.CancelledAt = pc.h.Now() })
+		pc.h.withLock(func() { q.CancelledAt = pc.h.Now() })
 	})
 }
 
@@ -188,9 +188,9 @@
 	}
 	way := pc.rng.IntN(waysToDisconnect)
 	time.AfterFunc(pc.drawMillis(maxDisconnectDelay), func() {
-		pc.h.Note("client", "disconnects with %s and %s open", requests[0].ID, requests[1].ID)
+		pc.h.Logf("client", "disconnects with %s and %s open", requests[0].ID, requests[1].ID)
 		c.disconnect(way)
-		pc.h.locked(func() {
+		pc.h.withLock(func() {
 			for _, q := range requests {
 				q.CancelledAt = pc.h.Now()
 			}
--- a/internal/soak/coordinator.go
+++ b/internal/soak/coordinator.go
@@ -66,7 +66,7 @@
 	before := ws.mode
 	now := c.h.Now()
 	if before == modeDown || before == modeSilent {
-		c.h.locked(func() { c.h.Withheld[proxy] = append(c.h.Withheld[proxy], Span{ws.modeSetAt, now}) })
+		c.h.withLock(func() { c.h.Withheld[proxy] = append(c.h.Withheld[proxy], Span{ws.modeSetAt, now}) })
 	}
 	ws.mode = m
 	ws.modeSetAt = now
@@ -93,8 +93,8 @@
 	line := fmt.Sprintf(format, e.Index)
 	c.lines = append(c.lines, line)
 	c.mu.Unlock()
-	c.h.locked(func() { c.h.Events = append(c.h.Events, e) })
-	c.h.Note("coord", "event %s", line)
+	c.h.withLock(func() { c.h.Events = append(c.h.Events, e) })
+	c.h.Logf("coord", "event %s", line)
 }
 
 // knownEvents returns the index of the last event, and the list of those that are well formed as a
@@ -121,13 +121,13 @@
 
 // recordDelivery records that an event's line has been written to a proxy. The first delivery counts.
 func (c *coordinator) recordDelivery(e *WatchEvent, proxy int) {
-	c.h.locked(func() {
+	c.h.withLock(func() {
 		_, delivered := e.DeliveredAt[proxy]
 		if !delivered {
 			e.DeliveredAt[proxy] = c.h.Now()
 		}
 	})
-	c.h.Note("coord", "delivered event %d to proxy-%d", e.Index, proxy)
+	c.h.Logf("coord", "delivered event %d to proxy-%d", e.Index, proxy)
 }
 
 // stop closes all addresses.
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -141,7 +141,7 @@
 	if err != nil {
 		return err
 	}
-	cacheRelay, err := relay.Start(script, func(f fault.Firing) { r.h.Note("relay", "%s %v", s.id, f) })
+	cacheRelay, err := relay.Start(script, func(f fault.Firing) { r.h.Logf("relay", "%s %v", s.id, f) })
 	if err != nil {
 		return err
 	}
--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -22,10 +22,10 @@
 	Incarnations []*Incarnation
 	Withheld     map[int][]Span // by proxy: when the coordinator sent it no events
 
-	mu       sync.Mutex // of the fields above while the run lasts, and of those below
-	start    time.Time
-	timeline []Record
-	lags     []Span // when this process was not scheduled in time
+	mu               sync.Mutex // of the fields above while the run lasts, and of those below
+	start            time.Time
+	timeline         []TimelineEntry
+	schedulingDelays []Span // when this process was not scheduled in time
 }
 
 // NewHistory begins a history.
@@ -37,37 +37,37 @@
 func (h *History) Now() time.Duration { return time.Since(h.start) }
 
 const (
-	lagWatchers = 4 // goroutines, as a lag may hold up some threads alone
-	lagStep     = 5 * time.Millisecond
-	minLag      = 20 * time.Millisecond
+	delayProbes        = 4 // goroutines, as a lag may hold up some threads alone
+	delayProbeInterval = 5 * time.Millisecond
+	minSchedulingDelay = 20 * time.Millisecond
 )
 
-// watchLag records until over is closed when this process was not scheduled in time: what it observes then is
+// recordSchedulingDelays records until over is closed when this process was not scheduled in time: what it observes then is
 // late.
-func (h *History) watchLag(over <-chan struct{}) {
-	for range lagWatchers {
+func (h *History) recordSchedulingDelays(over <-chan struct{}) {
+	for range delayProbes {
 		go func() {
 			for {
 				from := h.Now()
 				select {
 				case <-over:
 					return
-				case <-time.After(lagStep):
+				case <-time.After(delayProbeInterval):
 				}
 				to := h.Now()
-				if to-from > minLag {
-					h.locked(func() { h.lags = append(h.lags, Span{from, to}) })
+				if to-from > minSchedulingDelay {
+					h.withLock(func() { h.schedulingDelays = append(h.schedulingDelays, Span{from, to}) })
 				}
 			}
 		}()
 	}
 }
 
-// slack is the delay that observations between two moments may have: a fixed part, and all lags between them.
+// observationSlack is the delay that observations between two moments may have: a fixed part, and all lags between them.
 // The caller holds mu.
-func (h *History) slack(from, to time.Duration) time.Duration {
+func (h *History) observationSlack(from, to time.Duration) time.Duration {
 	sum := machineSlack
-	for _, lag := range h.lags {
+	for _, lag := range h.schedulingDelays {
 		if lag.overlaps(from, to) {
 			sum += lag.To - lag.From
 		}
@@ -75,15 +75,15 @@
 	return sum
 }
 
-// Note adds a line to the timeline.
-func (h *History) Note(who, format string, args ...any) {
-	h.locked(func() {
-		h.timeline = append(h.timeline, Record{At: h.Now(), Who: who, What: fmt.Sprintf(format, args...)})
+// Logf adds a line to the timeline.
+func (h *History) Logf(who, format string, args ...any) {
+	h.withLock(func() {
+		h.timeline = append(h.timeline, TimelineEntry{At: h.Now(), Source: who, Text: fmt.Sprintf(format, args...)})
 	})
 }
 
-// locked runs a change of the history under its lock.
-func (h *History) locked(change func()) {
+// withLock runs a change of the history under its lock.
+func (h *History) withLock(change func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	change()
@@ -97,11 +97,11 @@
 func (h *History) TimelineAround(at, distance time.Duration, words ...string) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	slices.SortStableFunc(h.timeline, func(a, b Record) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(h.timeline, func(a, b TimelineEntry) int { return cmp.Compare(a.At, b.At) })
 	var b strings.Builder
 	for _, r := range h.timeline {
 		near := r.At > at-distance && r.At < at+distance
-		if near && (r.Who == faultSource || r.mentions(words)) {
+		if near && (r.Source == faultSource || r.mentions(words)) {
 			fmt.Fprintln(&b, r)
 		}
 	}
@@ -109,9 +109,9 @@
 }
 
 // mentions reports whether the record is by or about one of the given words. Empty words name nothing.
-func (r Record) mentions(words []string) bool {
+func (r TimelineEntry) mentions(words []string) bool {
 	return slices.ContainsFunc(words, func(word string) bool {
-		return word != "" && (strings.Contains(r.What, word) || r.Who == word)
+		return word != "" && (strings.Contains(r.Text, word) || r.Source == word)
 	})
 }
 
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -22,7 +22,7 @@
 
 // inject carries out one fault, and ends it after its duration.
 func (r *run) inject(f Fault) {
-	r.h.Note(faultSource, "%v", f)
+	r.h.Logf(faultSource, "%v", f)
 	switch {
 	case slices.Contains(processFaults, f.Kind):
 		r.injectProcessFault(f)
@@ -33,7 +33,7 @@
 	default:
 		r.injectOtherFault(f)
 	}
-	r.h.Note(faultSource, "over: %s %d", f.Kind, f.Target)
+	r.h.Logf(faultSource, "over: %s %d", f.Kind, f.Target)
 }
 
 // injectProcessFault carries out a fault of a proxy. Faults of one proxy follow each other, except for idle
@@ -272,7 +272,7 @@
 	}
 	r.coordinator.publish(e, `{"index":%d,"endpoints":{"version":1,"full":false,"servers":[`+entry+`]}}`)
 	if state == "SERVING" && !restartedAt.IsZero() {
-		r.h.locked(func() {
+		r.h.withLock(func() {
 			r.h.Starts = append(r.h.Starts, ServerStart{Server: s.id, At: restartedAt.Sub(r.h.start), EventIndex: e.Index})
 		})
 	}
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -99,8 +99,8 @@
 	if err != nil {
 		return err
 	}
-	p.r.h.locked(func() { p.r.h.Incarnations = append(p.r.h.Incarnations, incarnation) })
-	p.r.h.Note(p.name(), "incarnation %d starts, knows %d events, environment %v", number, knownEvents, p.environment)
+	p.r.h.withLock(func() { p.r.h.Incarnations = append(p.r.h.Incarnations, incarnation) })
+	p.r.h.Logf(p.name(), "incarnation %d starts, knows %d events, environment %v", number, knownEvents, p.environment)
 	logRead := make(chan struct{})
 	go func() {
 		defer close(logRead)
@@ -139,7 +139,7 @@
 // recordExit waits for the exit of an incarnation and records it. The timeline shows it behind its log.
 func (p *process) recordExit(incarnation *Incarnation, cmd *exec.Cmd, exited chan<- struct{}, logRead <-chan struct{}) {
 	state, err := cmd.Process.Wait()
-	p.r.h.locked(func() {
+	p.r.h.withLock(func() {
 		incarnation.ExitedAt = p.r.h.Now()
 		if err != nil || !state.Success() {
 			incarnation.ExitError = fmt.Sprint(state, err)
@@ -147,7 +147,7 @@
 	})
 	close(exited)
 	<-logRead
-	p.r.h.Note(p.name(), "incarnation %d exited: %v", incarnation.Number, state)
+	p.r.h.Logf(p.name(), "incarnation %d exited: %v", incarnation.Number, state)
 	p.stopConns(incarnation)
 	p.stopRequests(incarnation)
 }
@@ -165,8 +165,8 @@
 			break
 		}
 	}
-	p.r.h.locked(func() { incarnation.ReadyAt = p.r.h.Now() })
-	p.r.h.Note(p.name(), "incarnation %d is ready", incarnation.Number)
+	p.r.h.withLock(func() { incarnation.ReadyAt = p.r.h.Now() })
+	p.r.h.Logf(p.name(), "incarnation %d is ready", incarnation.Number)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.incarnation == incarnation && incarnation.SigtermAt == 0 {
@@ -216,7 +216,7 @@
 		p.mu.Lock()
 		incarnation := p.incarnation
 		p.mu.Unlock()
-		p.r.h.locked(func() {
+		p.r.h.withLock(func() {
 			done = incarnation.ExitedAt != 0 || reached(incarnation, p.r.h.Now()-incarnation.StartedAt)
 		})
 	}
@@ -246,7 +246,7 @@
 	p.mu.Lock()
 	incarnation := p.incarnation
 	exited := p.exited
-	p.r.h.locked(func() { incarnation.SigtermAt = p.r.h.Now() })
+	p.r.h.withLock(func() { incarnation.SigtermAt = p.r.h.Now() })
 	p.mu.Unlock()
 	p.signal(syscall.SIGTERM)
 	time.AfterFunc(connsUntil, func() { p.stopConns(incarnation) })
@@ -269,7 +269,7 @@
 	exited := p.exited
 	p.acceptsConns = false
 	p.acceptsRequests = false
-	p.r.h.locked(func() { incarnation.KilledAt = p.r.h.Now() })
+	p.r.h.withLock(func() { incarnation.KilledAt = p.r.h.Now() })
 	p.mu.Unlock()
 	p.signal(syscall.SIGKILL)
 	<-exited
@@ -298,12 +298,12 @@
 		return err
 	}
 	p.awaitState(func(i *Incarnation, _ time.Duration) bool { return i.ReadyAt != 0 })
-	p.r.h.locked(func() { old.SigtermAt = p.r.h.Now() })
+	p.r.h.withLock(func() { old.SigtermAt = p.r.h.Now() })
 	oldCmd.Process.Signal(syscall.SIGTERM) //nolint:errcheck // it may have exited
 	select {
 	case <-oldExited:
 	case <-time.After(maxShutdown()):
-		p.r.h.locked(func() { old.KilledAt = p.r.h.Now() })
+		p.r.h.withLock(func() { old.KilledAt = p.r.h.Now() })
 		oldCmd.Process.Kill() //nolint:errcheck // it may have exited
 		<-oldExited
 	}
--- a/internal/soak/processfaults.go
+++ b/internal/soak/processfaults.go
@@ -24,7 +24,7 @@
 	p.signal(syscall.SIGSTOP)
 	time.Sleep(length)
 	p.signal(syscall.SIGCONT)
-	p.r.h.locked(func() { incarnation.Paused = append(incarnation.Paused, Span{from, p.r.h.Now()}) })
+	p.r.h.withLock(func() { incarnation.Paused = append(incarnation.Paused, Span{from, p.r.h.Now()}) })
 }
 
 // signalGap is the time between the signals of a series.
@@ -65,7 +65,7 @@
 func (p *process) drain(length time.Duration) {
 	status, err := p.callAdmin("PUT", "/ops/drain/start")
 	if err != nil || status != statusOK {
-		p.r.h.Note(p.name(), "does not drain: %d %v", status, err)
+		p.r.h.Logf(p.name(), "does not drain: %d %v", status, err)
 		return
 	}
 	p.mu.Lock()
@@ -76,7 +76,7 @@
 	time.Sleep(length)
 	status, err = p.callAdmin("PUT", "/ops/drain/stop")
 	if err != nil || status != statusOK {
-		p.r.h.Note(p.name(), "does not serve again: %d %v", status, err)
+		p.r.h.Logf(p.name(), "does not serve again: %d %v", status, err)
 		return
 	}
 	p.mu.Lock()
--- a/internal/soak/records.go
+++ b/internal/soak/records.go
@@ -8,16 +8,16 @@
 // All times of type time.Duration in records count from the start of the run, unless the comment says
 // otherwise; 0 says that it did not happen.
 
-// Record is one line of the timeline.
-type Record struct {
-	At   time.Duration
-	Who  string
-	What string
+// TimelineEntry is one line of the timeline.
+type TimelineEntry struct {
+	At     time.Duration
+	Source string
+	Text   string
 }
 
 // String is the record as reports show it.
-func (r Record) String() string {
-	return fmt.Sprintf("%9.3f %-10s %s", r.At.Seconds(), r.Who, r.What)
+func (r TimelineEntry) String() string {
+	return fmt.Sprintf("%9.3f %-10s %s", r.At.Seconds(), r.Source, r.Text)
 }
 
 // FinalAnswer is a final answer as a client read it.
--- a/internal/soak/rule_answers.go
+++ b/internal/soak/rule_answers.go
@@ -44,11 +44,11 @@
 		return 0, false
 	}
 	due = incarnation.whileRunning(q.SentAt, q.Timeout+answerSlack+machineSlack)
-	due += c.h.slack(q.SentAt, due) - machineSlack // it is in due already
+	due += c.h.observationSlack(q.SentAt, due) - machineSlack // it is in due already
 	if incarnation.KilledAt == 0 || incarnation.KilledAt >= due {
 		return due, true
 	}
 	killExpected := incarnation.SigtermAt != 0 && incarnation.SigtermAt < incarnation.KilledAt
-	beforeKill := q.SentAt < incarnation.KilledAt-idleCloseRace-c.h.slack(q.SentAt, incarnation.KilledAt)
+	beforeKill := q.SentAt < incarnation.KilledAt-idleCloseRace-c.h.observationSlack(q.SentAt, incarnation.KilledAt)
 	return due, killExpected && beforeKill
 }
--- a/internal/soak/rule_calls.go
+++ b/internal/soak/rule_calls.go
@@ -39,7 +39,7 @@
 	if q.CancelledAt == 0 {
 		return
 	}
-	last := q.CancelledAt + cancelGrace + c.h.slack(q.CancelledAt, call.FirstByteAt)
+	last := q.CancelledAt + cancelGrace + c.h.observationSlack(q.CancelledAt, call.FirstByteAt)
 	if call.FirstByteAt > last {
 		since := call.FirstByteAt - q.CancelledAt
 		c.report("begun after left", call.FirstByteAt, words, "request %s began at %s %.3f after its client had cancelled it",
@@ -50,7 +50,7 @@
 // checkDeadline checks that a call gives its server no more time than its client has left.
 func (c *historyChecker) checkDeadline(q *Request, call *Call, words []string) {
 	remaining := q.SentAt + q.Timeout - call.CompleteAt
-	if q.SentAt != 0 && call.Timeout > remaining+deadlineSlack+c.h.slack(q.SentAt, call.CompleteAt) {
+	if q.SentAt != 0 && call.Timeout > remaining+deadlineSlack+c.h.observationSlack(q.SentAt, call.CompleteAt) {
 		c.report("deadline", call.CompleteAt, words,
 			"request %s gives its server %v when its client has %v left", call.ID, call.Timeout, remaining)
 	}
@@ -63,7 +63,7 @@
 	if !withdrawn {
 		return
 	}
-	last := since + c.h.Limits.DrainGrace + socketSlack + c.h.slack(since, call.FirstByteAt)
+	last := since + c.h.Limits.DrainGrace + socketSlack + c.h.observationSlack(since, call.FirstByteAt)
 	if call.FirstByteAt > last {
 		c.report("drain", call.FirstByteAt, words, "request %s went to or named %s %.3f after its proxy was notified of its drain or removal",
 			call.ID, server, (call.FirstByteAt - since).Seconds())
--- a/internal/soak/rule_executions.go
+++ b/internal/soak/rule_executions.go
@@ -35,7 +35,7 @@
 		if call.ID != q.ID || call.ReadLate {
 			continue
 		}
-		last := first.FirstByteAt + c.h.Limits.DeduplicationWindow + socketSlack + c.h.slack(first.FirstByteAt, call.FirstByteAt)
+		last := first.FirstByteAt + c.h.Limits.DeduplicationWindow + socketSlack + c.h.observationSlack(first.FirstByteAt, call.FirstByteAt)
 		if call.FirstByteAt > last {
 			since := call.FirstByteAt - first.FirstByteAt
 			c.report("repeat after window", call.FirstByteAt, []string{q.ID, proxyName(q.Proxy)},
--- a/internal/soak/rule_purges.go
+++ b/internal/soak/rule_purges.go
@@ -39,7 +39,7 @@
 
 func (c *historyChecker) checkPurgeGrace(q *Request, call *Call, e *WatchEvent) {
 	notified := c.notifiedAt(e, q)
-	last := notified + c.h.Limits.PurgeGrace + socketSlack + c.h.slack(notified, call.FirstByteAt)
+	last := notified + c.h.Limits.PurgeGrace + socketSlack + c.h.observationSlack(notified, call.FirstByteAt)
 	if call.FirstByteAt <= last {
 		return
 	}
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -122,7 +122,7 @@
 	background.Go(func() { r.purgeContinuously(quiet) })
 	background.Go(func() { r.measure(quiet) })
 	defer close(r.over)
-	r.h.watchLag(r.over)
+	r.h.recordSchedulingDelays(r.over)
 	for _, f := range schedule {
 		background.Go(func() {
 			time.Sleep(f.At - r.h.Now())
--- a/internal/soak/watchserver.go
+++ b/internal/soak/watchserver.go
@@ -98,7 +98,7 @@
 	if _, err := fmt.Sscanf(line, "follow %d", &index); err != nil {
 		return
 	}
-	ws.c.h.Note("coord", "proxy-%d follows from %d", ws.proxy, index)
+	ws.c.h.Logf("coord", "proxy-%d follows from %d", ws.proxy, index)
 	ended := make(chan struct{})
 	go func() {
 		in.ReadByte() //nolint:errcheck // the proxy sends nothing more: it returns when the connection ends
