--- a/internal/soak/admin.go
+++ b/internal/soak/admin.go
@@ -52,7 +52,7 @@
 	if err != nil {
 		return
 	}
-	p.r.h.withLock(func() {
+	p.r.history.withLock(func() {
 		incarnation.PeakMemoryKB = max(incarnation.PeakMemoryKB, memoryKB)
 		incarnation.PeakDescriptors = max(incarnation.PeakDescriptors, len(descriptors))
 	})
--- a/internal/soak/answers.go
+++ b/internal/soak/answers.go
@@ -22,8 +22,8 @@
 	maxJoinedAge   = time.Second
 )
 
-// record adds a call to the history.
-func (s *server) record(words []string, firstByteAt time.Duration, late bool) *Call {
+// recordCall adds a call to the history.
+func (s *server) recordCall(words []string, firstByteAt time.Duration, late bool) *Call {
 	call := &Call{Server: s.id, ID: words[1], FirstByteAt: firstByteAt, CompleteAt: s.h.Now(), ReadLate: late, Serial: s.serials.next()}
 	for _, field := range strings.Split(words[2], ",") {
 		name, value, _ := strings.Cut(field, "=")
@@ -33,7 +33,7 @@
 		case "k":
 			call.Object = value
 		case "src":
-			call.Source = value
+			call.FillSource = value
 		case "w":
 			call.Timeout = parseMillis(value)
 		case "maxage":
@@ -42,7 +42,7 @@
 	}
 	s.h.withLock(func() { s.h.Calls = append(s.h.Calls, call) })
 	s.h.Logf(s.id, "call %s %s k=%s src=%s w=%v maxage=%v read-late=%v serial=%d",
-		call.ID, call.Class, call.Object, call.Source, call.Timeout, call.MaxAge, late, call.Serial)
+		call.ID, call.Class, call.Object, call.FillSource, call.Timeout, call.MaxAge, late, call.Serial)
 	return call
 }
 
@@ -65,7 +65,7 @@
 		s.execute(call, out)
 		return
 	}
-	s.work(maxAnswerTime)
+	s.simulateWork(maxAnswerTime)
 	madeAt, note, found := s.copyFor(call)
 	if !found {
 		s.writeAnswer(call, out, "not_here", "note=PEER_MISS", "")
@@ -84,8 +84,8 @@
 		s.writeAnswer(call, out, "not_here", "-", "")
 		return
 	}
-	s.h.withLock(func() { call.Ran = true })
-	s.work(maxWriteTime)
+	s.h.withLock(func() { call.Executed = true })
+	s.simulateWork(maxWriteTime)
 	result := "served"
 	if s.draw() < crashedChance {
 		result = "crashed"
@@ -93,8 +93,8 @@
 	s.writeAnswer(call, out, result, "-", fmt.Sprintf("%d written", call.Serial))
 }
 
-// work takes a time that it draws, and longer while the server is slow or hangs.
-func (s *server) work(maxTime time.Duration) {
+// simulateWork takes a time that it draws, and longer while the server is slow or hangs.
+func (s *server) simulateWork(maxTime time.Duration) {
 	length := time.Duration(s.draw() * float64(maxTime))
 	if s.isBefore(&s.slowUntil) {
 		length *= slowFactor
@@ -112,7 +112,7 @@
 	if cached && (call.MaxAge == 0 || time.Since(madeAt) <= call.MaxAge) {
 		return madeAt, "TCP_HIT", true
 	}
-	if call.Source == "" && s.kind != "origin" {
+	if call.FillSource == "" && s.kind != "origin" {
 		return madeAt, "", false
 	}
 	if s.draw() < joinChance {
--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -9,8 +9,8 @@
 
 // Tolerances that several rules share.
 const (
-	// notifyWithin is how long after its publication an event counts as known to a proxy, delivered or not.
-	notifyWithin = 7 * time.Second
+	// maxNotifyDelay is how long after its publication an event counts as known to a proxy, delivered or not.
+	maxNotifyDelay = 7 * time.Second
 	// socketSlack is added to the time limits of rules where they are checked on sockets.
 	socketSlack = 50 * time.Millisecond
 	// machineSlack is how late clients and servers of this package may observe something on a busy machine.
@@ -19,10 +19,10 @@
 
 // Violation is a rule that was broken.
 type Violation struct {
-	Rule  string
-	At    time.Duration // since the start of the run
-	Text  string
-	Words []string // that find its request, servers and proxy in the timeline
+	Rule     string
+	At       time.Duration // since the start of the run
+	Text     string
+	Keywords []string // that find its request, servers and proxy in the timeline
 }
 
 // String is the violation in one line.
@@ -55,23 +55,23 @@
 
 // historyChecker checks a history. Its maps are indexes of the history.
 type historyChecker struct {
-	h             *History
+	history       *History
 	requests      map[string]*Request // by ID
 	executions    map[string]int      // by the request's ID
 	callsBySerial map[string]*Call
 	violations    []Violation
 }
 
-func newHistoryChecker(h *History) *historyChecker {
+func newHistoryChecker(history *History) *historyChecker {
 	c := &historyChecker{
-		h: h, requests: map[string]*Request{}, executions: map[string]int{}, callsBySerial: map[string]*Call{},
+		history: history, requests: map[string]*Request{}, executions: map[string]int{}, callsBySerial: map[string]*Call{},
 	}
-	for _, q := range h.Requests {
+	for _, q := range history.Requests {
 		c.requests[q.ID] = q
 	}
-	for _, call := range h.Calls {
+	for _, call := range history.Calls {
 		c.callsBySerial[strconv.Itoa(call.Serial)] = call
-		if call.Ran {
+		if call.Executed {
 			c.executions[call.ID]++
 		}
 	}
@@ -79,24 +79,24 @@
 }
 
 func (c *historyChecker) report(rule string, at time.Duration, words []string, format string, args ...any) {
-	c.violations = append(c.violations, Violation{Rule: rule, At: at, Text: fmt.Sprintf(format, args...), Words: words})
+	c.violations = append(c.violations, Violation{Rule: rule, At: at, Text: fmt.Sprintf(format, args...), Keywords: words})
 }
 
 // notifiedAt is when an event counts as known to the process of a request: when its line was written, or
 // notifyWithin after its publication. Time in which the coordinator sent the process nothing, or it was
 // paused, does not count. What the configuration of the process holds is known from its start.
 func (c *historyChecker) notifiedAt(e *WatchEvent, q *Request) time.Duration {
-	incarnation := c.h.incarnation(q.Proxy, q.Incarnation)
-	unreachable := c.h.Withheld[q.Proxy]
+	incarnation := c.history.incarnation(q.Proxy, q.Incarnation)
+	unreachable := c.history.Withheld[q.Proxy]
 	if incarnation != nil {
 		unreachable = slices.Concat(unreachable, incarnation.Paused)
 	}
-	at := afterExcluding(unreachable, e.PublishedAt, notifyWithin)
+	at := afterExcluding(unreachable, e.PublishedAt, maxNotifyDelay)
 	delivered, ok := e.DeliveredAt[q.Proxy]
 	if ok {
 		at = min(at, delivered)
 	}
-	if incarnation != nil && e.Index <= incarnation.KnownEvents {
+	if incarnation != nil && e.Index <= incarnation.ConfigEventIndex {
 		at = min(at, incarnation.StartedAt)
 	}
 	return at
--- a/internal/soak/checker_test.go
+++ b/internal/soak/checker_test.go
@@ -23,9 +23,9 @@
 			Answers: []FinalAnswer{{At: 12100 * time.Millisecond, Status: "200"}}},
 	}
 	h.Calls = []*Call{
-		{Serial: 1, Server: "cache", ID: "read", Source: "parent", FirstByteAt: 10010 * time.Millisecond, CompleteAt: 10010 * time.Millisecond,
+		{Serial: 1, Server: "cache", ID: "read", FillSource: "parent", FirstByteAt: 10010 * time.Millisecond, CompleteAt: 10010 * time.Millisecond,
 			Timeout: 900 * time.Millisecond, CopyMadeAt: h.start},
-		{Serial: 2, Server: "origin", ID: "write", Ran: true, FirstByteAt: 12010 * time.Millisecond, CompleteAt: 12010 * time.Millisecond,
+		{Serial: 2, Server: "origin", ID: "write", Executed: true, FirstByteAt: 12010 * time.Millisecond, CompleteAt: 12010 * time.Millisecond,
 			Timeout: 900 * time.Millisecond},
 	}
 	return h
@@ -80,7 +80,7 @@
 			h.Calls = append(h.Calls, &again)
 		}, "ran twice"},
 		{"refused after its run", func(h *History) { h.Requests[1].Answers[0].Status = "503" }, "refused after run"},
-		{"served without a run", func(h *History) { h.Calls[1].Ran = false }, "served unrun"},
+		{"served without a run", func(h *History) { h.Calls[1].Executed = false }, "served unrun"},
 		{"repeated in its window", repeatedKeyed(300 * time.Millisecond), ""},
 		{"repeated after its window", repeatedKeyed(700 * time.Millisecond), "repeat after window"},
 		{"a call without a request", func(h *History) { h.Calls[0].ID = "other" }, "unknown call"},
--- a/internal/soak/clientconn.go
+++ b/internal/soak/clientconn.go
@@ -199,7 +199,7 @@
 	for _, q := range open {
 		c.h.withLock(func() {
 			q.DisconnectedAt = now
-			q.NoAnswerOwed = q.NoAnswerOwed || raced
+			q.AnswerNotRequired = q.AnswerNotRequired || raced
 		})
 		c.h.Logf("client", "connection %d to proxy-%d, opened %.3f before, ended with %s open (idle close raced: %v)",
 			c.number, c.clients.p.number, (now - c.openedAt).Seconds(), q.ID, raced)
--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -43,7 +43,7 @@
 }
 
 func newProxyClients(p *process, seed uint64) *proxyClients {
-	return &proxyClients{p: p, h: p.r.h, rng: rand.New(rand.NewPCG(seed, uint64(p.number)))}
+	return &proxyClients{p: p, h: p.r.history, rng: rand.New(rand.NewPCG(seed, uint64(p.number)))}
 }
 
 // run makes requests until over is closed.
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -22,11 +22,11 @@
 
 // start starts the servers, the coordinator and the fleet.
 func (r *run) start() error {
-	r.coordinator = newCoordinator(r.h)
+	r.coordinator = newCoordinator(r.history)
 	if err := r.startServers(); err != nil {
 		return err
 	}
-	r.publishServers()
+	r.publishEndpoints()
 	for i := range r.options.Fleet {
 		if err := r.startProxy(i); err != nil {
 			return err
@@ -55,19 +55,19 @@
 
 func (r *run) startServer(id, kind, zone string, serials *sequence) (*server, error) {
 	seed := r.seed + uint64(serials.next())
-	s, err := newServer(r.h, id, kind, zone, r.options.Host(serverHost), seed, serials)
+	s, err := newServer(r.history, id, kind, zone, r.options.Host(serverHost), seed, serials)
 	if err != nil {
 		return nil, err
 	}
-	if err := r.relayTo(s); err != nil {
+	if err := r.startRelay(s); err != nil {
 		s.crash()
 		return nil, err
 	}
 	return s, nil
 }
 
-// publishServers publishes the first event: the full endpoint list.
-func (r *run) publishServers() {
+// publishEndpoints publishes the first event: the full endpoint list.
+func (r *run) publishEndpoints() {
 	var entries []string
 	e := &WatchEvent{PurgedGroup: noGroup}
 	for _, s := range r.servers() {
@@ -104,9 +104,9 @@
 // servers are the caches, the parent and the origin. They may be nil where start has failed.
 func (r *run) servers() []*server { return append(slices.Clone(r.caches), r.parent, r.origin) }
 
-// handedOut are the addresses that freeAddr has returned: the system may offer one again before a program
+// returnedAddrs are the addresses that freeAddr has returned: the system may offer one again before a program
 // opens it.
-var handedOut sync.Map
+var returnedAddrs sync.Map
 
 // freeAddr returns an address of a host on which nothing listens, and that it has not returned before; empty:
 // the host can't be listened on.
@@ -118,7 +118,7 @@
 		}
 		listener.Close() //nolint:errcheck // it is not used any more
 		addr := listener.Addr().String()
-		_, taken := handedOut.LoadOrStore(addr, true)
+		_, taken := returnedAddrs.LoadOrStore(addr, true)
 		if !taken {
 			return addr
 		}
@@ -132,8 +132,8 @@
 c down chance 0.02 byte 5000 : halfclose
 `
 
-// relayTo puts a relay before every second cache, which draws faults of its connections by the seed.
-func (r *run) relayTo(s *server) error {
+// startRelay puts a relay before every second cache, which draws faults of its connections by the seed.
+func (r *run) startRelay(s *server) error {
 	if s.kind != "std" || len(r.caches)%2 == 0 {
 		return nil
 	}
@@ -141,7 +141,7 @@
 	if err != nil {
 		return err
 	}
-	cacheRelay, err := relay.Start(script, func(f fault.Firing) { r.h.Logf("relay", "%s %v", s.id, f) })
+	cacheRelay, err := relay.Start(script, func(f fault.Firing) { r.history.Logf("relay", "%s %v", s.id, f) })
 	if err != nil {
 		return err
 	}
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -9,20 +9,20 @@
 
 const (
 	reloadSignal = syscall.SIGHUP
-	// retiredFor is how much longer than its duration a "retire" fault drains a cache: longer than
+	// retireExtraDrain is how much longer than its duration a "retire" fault drains a cache: longer than
 	// notifyWithin.
-	retiredFor = 9 * time.Second
+	retireExtraDrain = 9 * time.Second
 	// resetFraction is the fraction of a server's connections that a "reset" fault resets.
 	resetFraction = 0.5
-	// hangLead is how long servers hang before the SIGTERM of a "term-hung" fault.
-	hangLead = 200 * time.Millisecond
-	// stormPurges is how many objects a "purge-storm" fault purges.
-	stormPurges = 10
+	// hangBeforeSigterm is how long servers hang before the SIGTERM of a "term-hung" fault.
+	hangBeforeSigterm = 200 * time.Millisecond
+	// purgeStormSize is how many objects a "purge-storm" fault purges.
+	purgeStormSize = 10
 )
 
 // inject carries out one fault, and ends it after its duration.
 func (r *run) inject(f Fault) {
-	r.h.Logf(faultSource, "%v", f)
+	r.history.Logf(faultSource, "%v", f)
 	switch {
 	case slices.Contains(processFaults, f.Kind):
 		r.injectProcessFault(f)
@@ -33,7 +33,7 @@
 	default:
 		r.injectOtherFault(f)
 	}
-	r.h.Logf(faultSource, "over: %s %d", f.Kind, f.Target)
+	r.history.Logf(faultSource, "over: %s %d", f.Kind, f.Target)
 }
 
 // injectProcessFault carries out a fault of a proxy. Faults of one proxy follow each other, except for idle
@@ -52,7 +52,7 @@
 	case "drain-order":
 		p.drain(f.Duration)
 	case "reload", "broken-reload":
-		p.awaitSettled()
+		p.awaitReloadable()
 		r.recordFailure(r.rewriteConfig(p, f))
 		p.signal(reloadSignal)
 	case "hand-over":
@@ -111,11 +111,11 @@
 		p.kill()
 	case "signals":
 		p.signalInSeries()
-		p.term(untilExit)
+		p.terminate(requestsUntilExit)
 	case "term-in-use", "term-hung":
-		p.term(untilExit)
+		p.terminate(requestsUntilExit)
 	default:
-		p.term(requestsUntil)
+		p.terminate(requestsAfterSigterm)
 	}
 }
 
@@ -138,18 +138,18 @@
 // hangServers hangs the origin and half of the caches for longer than a shutdown takes, and lets requests come to
 // them before it returns.
 func (r *run) hangServers(f Fault) {
-	end := r.h.Now() + hangLead + maxShutdown()
+	end := r.history.Now() + hangBeforeSigterm + maxShutdown()
 	r.origin.extend(&r.origin.hungUntil, end)
 	for i := range len(r.caches) / 2 {
 		s := r.caches[(f.Target+i)%len(r.caches)]
 		s.extend(&s.hungUntil, end)
 	}
-	time.Sleep(hangLead)
+	time.Sleep(hangBeforeSigterm)
 }
 
 func (r *run) injectCacheFault(f Fault) {
 	s := r.caches[f.Target]
-	end := r.h.Now() + f.Duration
+	end := r.history.Now() + f.Duration
 	switch f.Kind {
 	case "hang":
 		s.extend(&s.hungUntil, end)
@@ -176,7 +176,7 @@
 		time.Sleep(f.Duration)
 	}
 	if f.Kind == "retire" {
-		time.Sleep(retiredFor)
+		time.Sleep(retireExtraDrain)
 	}
 	if f.Kind == "leave" || f.Kind == "replace" {
 		r.announceState(s, "DELETED")
@@ -215,7 +215,7 @@
 	case "slow-lines":
 		r.injectCoordinatorMode(f, modeSlow, 2*f.Duration+slowLineTime)
 	default:
-		r.injectCoordinatorMode(f, spoilingModes[f.Kind], 2*f.Duration+notifyWithin)
+		r.injectCoordinatorMode(f, spoilingModes[f.Kind], 2*f.Duration+maxNotifyDelay)
 	}
 }
 
@@ -227,7 +227,7 @@
 // injectCoordinatorMode has the coordinator behave badly for some time to every second proxy. It does nothing
 // where it behaves badly to them already: one way must not end another early.
 func (r *run) injectCoordinatorMode(f Fault, m coordinatorMode, length time.Duration) {
-	busy := &r.coordinatorBusy[f.Target%len(r.coordinatorBusy)]
+	busy := &r.coordinatorModeMu[f.Target%len(r.coordinatorModeMu)]
 	if !busy.TryLock() {
 		return
 	}
@@ -239,7 +239,7 @@
 
 func (r *run) setCoordinatorMode(f Fault, m coordinatorMode) {
 	for i := range r.fleet {
-		if i%len(r.coordinatorBusy) == f.Target%len(r.coordinatorBusy) {
+		if i%len(r.coordinatorModeMu) == f.Target%len(r.coordinatorModeMu) {
 			r.coordinator.setMode(i, m)
 		}
 	}
@@ -250,12 +250,12 @@
 	case "purge-group":
 		r.purgeGroup(f.Target % groupsInUse)
 	case "purge-storm":
-		for i := range stormPurges {
+		for i := range purgeStormSize {
 			r.purgeObject(objectName((f.Target + i) % objects))
-			time.Sleep(f.Duration / stormPurges)
+			time.Sleep(f.Duration / purgeStormSize)
 		}
 	case "origin-hang":
-		r.origin.extend(&r.origin.hungUntil, r.h.Now()+f.Duration/2)
+		r.origin.extend(&r.origin.hungUntil, r.history.Now()+f.Duration/2)
 	case "origin-reset":
 		r.origin.resetConns(resetFraction)
 	}
@@ -272,8 +272,8 @@
 	}
 	r.coordinator.publish(e, `{"index":%d,"endpoints":{"version":1,"full":false,"servers":[`+entry+`]}}`)
 	if state == "SERVING" && !restartedAt.IsZero() {
-		r.h.withLock(func() {
-			r.h.Starts = append(r.h.Starts, ServerStart{Server: s.id, At: restartedAt.Sub(r.h.start), EventIndex: e.Index})
+		r.history.withLock(func() {
+			r.history.Starts = append(r.history.Starts, ServerStart{Server: s.id, At: restartedAt.Sub(r.history.start), EventIndex: e.Index})
 		})
 	}
 }
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -14,22 +14,22 @@
 	"time"
 )
 
-// firstExtraFile is the descriptor of the first file that a program inherits beside the standard ones.
-const firstExtraFile = 3
+// firstExtraFD is the descriptor of the first file that a program inherits beside the standard ones.
+const firstExtraFD = 3
 
 const (
-	// runsAfter is how long after its start a program listens for signals for certain: an earlier one would
+	// signalHandlingDelay is how long after its start a program listens for signals for certain: an earlier one would
 	// end it.
-	runsAfter = 500 * time.Millisecond
-	// settledAfter is how long after a start a proxy may be ordered to read its configuration again.
-	settledAfter = time.Second
+	signalHandlingDelay = 500 * time.Millisecond
+	// reloadableAge is how long after a start a proxy may be ordered to read its configuration again.
+	reloadableAge = time.Second
 	// statePollInterval is how often the state of a process is looked at.
 	statePollInterval = 10 * time.Millisecond
-	// connsUntil and requestsUntil are how long after SIGTERM clients connect and make requests.
-	connsUntil    = 400 * time.Millisecond
-	requestsUntil = 600 * time.Millisecond
-	// untilExit in place of requestsUntil has clients use their connections until the process has exited.
-	untilExit = time.Hour
+	// connsAfterSigterm and requestsUntil are how long after SIGTERM clients connect and make requests.
+	connsAfterSigterm    = 400 * time.Millisecond
+	requestsAfterSigterm = 600 * time.Millisecond
+	// requestsUntilExit in place of requestsUntil has clients use their connections until the process has exited.
+	requestsUntilExit = time.Hour
 )
 
 // process is one edge proxy: a place in the fleet with one incarnation after another.
@@ -89,7 +89,7 @@
 	if p.incarnation != nil {
 		number = p.incarnation.Number + 1
 	}
-	incarnation := &Incarnation{Proxy: p.number, Number: number, StartedAt: p.r.h.Now(), KnownEvents: knownEvents}
+	incarnation := &Incarnation{Proxy: p.number, Number: number, StartedAt: p.r.history.Now(), ConfigEventIndex: knownEvents}
 	cmd := p.command()
 	exited := make(chan struct{})
 	p.incarnation = incarnation
@@ -99,8 +99,8 @@
 	if err != nil {
 		return err
 	}
-	p.r.h.withLock(func() { p.r.h.Incarnations = append(p.r.h.Incarnations, incarnation) })
-	p.r.h.Logf(p.name(), "incarnation %d starts, knows %d events, environment %v", number, knownEvents, p.environment)
+	p.r.history.withLock(func() { p.r.history.Incarnations = append(p.r.history.Incarnations, incarnation) })
+	p.r.history.Logf(p.name(), "incarnation %d starts, knows %d events, environment %v", number, knownEvents, p.environment)
 	logRead := make(chan struct{})
 	go func() {
 		defer close(logRead)
@@ -119,7 +119,7 @@
 	cmd.Env = append(cmd.Env, p.environment...)
 	if p.socket != nil {
 		cmd.ExtraFiles = []*os.File{p.socket}
-		cmd.Env = append(cmd.Env, fmt.Sprintf("BALANCER_LISTEN_FD=%d", firstExtraFile))
+		cmd.Env = append(cmd.Env, fmt.Sprintf("BALANCER_LISTEN_FD=%d", firstExtraFD))
 	}
 	return cmd
 }
@@ -139,15 +139,15 @@
 // recordExit waits for the exit of an incarnation and records it. The timeline shows it behind its log.
 func (p *process) recordExit(incarnation *Incarnation, cmd *exec.Cmd, exited chan<- struct{}, logRead <-chan struct{}) {
 	state, err := cmd.Process.Wait()
-	p.r.h.withLock(func() {
-		incarnation.ExitedAt = p.r.h.Now()
+	p.r.history.withLock(func() {
+		incarnation.ExitedAt = p.r.history.Now()
 		if err != nil || !state.Success() {
 			incarnation.ExitError = fmt.Sprint(state, err)
 		}
 	})
 	close(exited)
 	<-logRead
-	p.r.h.Logf(p.name(), "incarnation %d exited: %v", incarnation.Number, state)
+	p.r.history.Logf(p.name(), "incarnation %d exited: %v", incarnation.Number, state)
 	p.stopConns(incarnation)
 	p.stopRequests(incarnation)
 }
@@ -165,8 +165,8 @@
 			break
 		}
 	}
-	p.r.h.withLock(func() { incarnation.ReadyAt = p.r.h.Now() })
-	p.r.h.Logf(p.name(), "incarnation %d is ready", incarnation.Number)
+	p.r.history.withLock(func() { incarnation.ReadyAt = p.r.history.Now() })
+	p.r.history.Logf(p.name(), "incarnation %d is ready", incarnation.Number)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.incarnation == incarnation && incarnation.SigtermAt == 0 {
@@ -216,20 +216,20 @@
 		p.mu.Lock()
 		incarnation := p.incarnation
 		p.mu.Unlock()
-		p.r.h.withLock(func() {
-			done = incarnation.ExitedAt != 0 || reached(incarnation, p.r.h.Now()-incarnation.StartedAt)
+		p.r.history.withLock(func() {
+			done = incarnation.ExitedAt != 0 || reached(incarnation, p.r.history.Now()-incarnation.StartedAt)
 		})
 	}
 }
 
-// awaitRunning waits until the program listens for signals.
-func (p *process) awaitRunning() {
-	p.awaitState(func(i *Incarnation, age time.Duration) bool { return i.ReadyAt != 0 || age > runsAfter })
+// awaitSignalHandling waits until the program listens for signals.
+func (p *process) awaitSignalHandling() {
+	p.awaitState(func(i *Incarnation, age time.Duration) bool { return i.ReadyAt != 0 || age > signalHandlingDelay })
 }
 
-// awaitSettled waits until the proxy may be ordered to read its configuration again.
-func (p *process) awaitSettled() {
-	p.awaitState(func(i *Incarnation, age time.Duration) bool { return i.ReadyAt != 0 && age > settledAfter })
+// awaitReloadable waits until the proxy may be ordered to read its configuration again.
+func (p *process) awaitReloadable() {
+	p.awaitState(func(i *Incarnation, age time.Duration) bool { return i.ReadyAt != 0 && age > reloadableAge })
 }
 
 // signal sends a signal to the present incarnation.
@@ -239,17 +239,17 @@
 	p.cmd.Process.Signal(s) //nolint:errcheck // it may have exited
 }
 
-// term ends the present incarnation by SIGTERM, and kills it if it has not exited in time. Its clients make
+// terminate ends the present incarnation by SIGTERM, and kills it if it has not exited in time. Its clients make
 // requests on open connections for a time after the signal.
-func (p *process) term(requestsFor time.Duration) {
-	p.awaitRunning()
+func (p *process) terminate(requestsFor time.Duration) {
+	p.awaitSignalHandling()
 	p.mu.Lock()
 	incarnation := p.incarnation
 	exited := p.exited
-	p.r.h.withLock(func() { incarnation.SigtermAt = p.r.h.Now() })
+	p.r.history.withLock(func() { incarnation.SigtermAt = p.r.history.Now() })
 	p.mu.Unlock()
 	p.signal(syscall.SIGTERM)
-	time.AfterFunc(connsUntil, func() { p.stopConns(incarnation) })
+	time.AfterFunc(connsAfterSigterm, func() { p.stopConns(incarnation) })
 	time.AfterFunc(requestsFor, func() { p.stopRequests(incarnation) })
 	select {
 	case <-exited:
@@ -260,7 +260,7 @@
 
 // maxShutdown is how long after SIGTERM a process may run: the platform kills it no earlier. It waits for the
 // longest deadline of the settings, but no longer than for maxDeadline.
-func maxShutdown() time.Duration { return min(classDeadline, maxDeadline) + killAfter }
+func maxShutdown() time.Duration { return min(classDeadline, maxDeadline) + killDelay }
 
 // kill ends the present incarnation by SIGKILL.
 func (p *process) kill() {
@@ -269,7 +269,7 @@
 	exited := p.exited
 	p.acceptsConns = false
 	p.acceptsRequests = false
-	p.r.h.withLock(func() { incarnation.KilledAt = p.r.h.Now() })
+	p.r.history.withLock(func() { incarnation.KilledAt = p.r.history.Now() })
 	p.mu.Unlock()
 	p.signal(syscall.SIGKILL)
 	<-exited
@@ -298,12 +298,12 @@
 		return err
 	}
 	p.awaitState(func(i *Incarnation, _ time.Duration) bool { return i.ReadyAt != 0 })
-	p.r.h.withLock(func() { old.SigtermAt = p.r.h.Now() })
+	p.r.history.withLock(func() { old.SigtermAt = p.r.history.Now() })
 	oldCmd.Process.Signal(syscall.SIGTERM) //nolint:errcheck // it may have exited
 	select {
 	case <-oldExited:
 	case <-time.After(maxShutdown()):
-		p.r.h.withLock(func() { old.KilledAt = p.r.h.Now() })
+		p.r.history.withLock(func() { old.KilledAt = p.r.history.Now() })
 		oldCmd.Process.Kill() //nolint:errcheck // it may have exited
 		<-oldExited
 	}
--- a/internal/soak/processfaults.go
+++ b/internal/soak/processfaults.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// drainNotice is how long after the order to drain clients still connect.
-	drainNotice = 200 * time.Millisecond
+	// connsAfterDrainOrder is how long after the order to drain clients still connect.
+	connsAfterDrainOrder = 200 * time.Millisecond
 	// dialRetryInterval is the time between two attempts of an idle client to connect.
 	dialRetryInterval = 10 * time.Millisecond
 )
@@ -20,23 +20,23 @@
 	p.mu.Lock()
 	incarnation := p.incarnation
 	p.mu.Unlock()
-	from := p.r.h.Now()
+	from := p.r.history.Now()
 	p.signal(syscall.SIGSTOP)
 	time.Sleep(length)
 	p.signal(syscall.SIGCONT)
-	p.r.h.withLock(func() { incarnation.Paused = append(incarnation.Paused, Span{from, p.r.h.Now()}) })
+	p.r.history.withLock(func() { incarnation.Paused = append(incarnation.Paused, Span{from, p.r.history.Now()}) })
 }
 
-// signalGap is the time between the signals of a series.
-const signalGap = 30 * time.Millisecond
+// signalInterval is the time between the signals of a series.
+const signalInterval = 30 * time.Millisecond
 
 // reloadInSeries orders new configurations in a row.
 func (r *run) reloadInSeries(p *process, f Fault) {
-	p.awaitSettled()
+	p.awaitReloadable()
 	for range 3 {
 		r.recordFailure(r.rewriteConfig(p, f))
 		p.signal(reloadSignal)
-		time.Sleep(signalGap)
+		time.Sleep(signalInterval)
 	}
 }
 
@@ -46,7 +46,7 @@
 	cmd := p.cmd
 	p.mu.Unlock()
 	for i, s := range []os.Signal{reloadSignal, syscall.SIGTERM, syscall.SIGINT, reloadSignal, syscall.SIGTERM} {
-		time.AfterFunc(time.Duration(i+1)*signalGap, func() {
+		time.AfterFunc(time.Duration(i+1)*signalInterval, func() {
 			cmd.Process.Signal(s) //nolint:errcheck // it may have exited
 		})
 	}
@@ -65,18 +65,18 @@
 func (p *process) drain(length time.Duration) {
 	status, err := p.callAdmin("PUT", "/ops/drain/start")
 	if err != nil || status != statusOK {
-		p.r.h.Logf(p.name(), "does not drain: %d %v", status, err)
+		p.r.history.Logf(p.name(), "does not drain: %d %v", status, err)
 		return
 	}
 	p.mu.Lock()
 	incarnation := p.incarnation
 	p.mu.Unlock()
-	time.Sleep(drainNotice)
+	time.Sleep(connsAfterDrainOrder)
 	p.stopConns(incarnation)
 	time.Sleep(length)
 	status, err = p.callAdmin("PUT", "/ops/drain/stop")
 	if err != nil || status != statusOK {
-		p.r.h.Logf(p.name(), "does not serve again: %d %v", status, err)
+		p.r.history.Logf(p.name(), "does not serve again: %d %v", status, err)
 		return
 	}
 	p.mu.Lock()
--- a/internal/soak/processlog.go
+++ b/internal/soak/processlog.go
@@ -39,14 +39,14 @@
 	p.logUnread = false
 	p.mu.Unlock()
 	if unread {
-		p.r.h.Logf(faultSource, "nobody reads the log of %s", p.name())
+		p.r.history.Logf(faultSource, "nobody reads the log of %s", p.name())
 		<-exited
 	}
 	lines := bufio.NewScanner(log)
 	lines.Buffer(nil, maxLogLine)
 	for lines.Scan() {
 		if lines.Text() != "" {
-			p.r.h.Logf(p.name(), "log: %s", lines.Text())
+			p.r.history.Logf(p.name(), "log: %s", lines.Text())
 		}
 	}
 	io.Copy(io.Discard, log) //nolint:errcheck // what follows a line that is too long; only its end matters
--- a/internal/soak/purges.go
+++ b/internal/soak/purges.go
@@ -13,13 +13,13 @@
 	// meanPurgeInterval is the mean time between two purges of the background load, which is exponentially
 	// distributed.
 	meanPurgeInterval = 400 * time.Millisecond
-	// purgeStream is the stream of a seed's random numbers that draws the background load of purges.
-	purgeStream = 13
+	// purgeRNGStream is the stream of a seed's random numbers that draws the background load of purges.
+	purgeRNGStream = 13
 )
 
 // purgeContinuously purges objects until over is closed.
 func (r *run) purgeContinuously(over <-chan struct{}) {
-	rng := rand.New(rand.NewPCG(r.seed, purgeStream))
+	rng := rand.New(rand.NewPCG(r.seed, purgeRNGStream))
 	for {
 		select {
 		case <-over:
--- a/internal/soak/records.go
+++ b/internal/soak/records.go
@@ -43,7 +43,7 @@
 	Timeout           time.Duration // the length of time that its client waits for an answer
 	CancelledAt       time.Duration // when its client aborted it or disconnected
 	FirstOnConnection bool
-	NoAnswerOwed      bool          // its connection was closed for being idle while it was on its way
+	AnswerNotRequired bool          // its connection was closed for being idle while it was on its way
 	DisconnectedAt    time.Duration // when its connection ended without an answer
 	Answers           []FinalAnswer
 }
@@ -51,12 +51,12 @@
 // Call is a call as its server read it.
 type Call struct {
 	Server, ID, Class, Object string
-	Source                    string        // the server that it names to fill from; empty: none
+	FillSource                string        // the server that it names to fill from; empty: none
 	FirstByteAt, CompleteAt   time.Duration // when its first and its last byte were read
 	Timeout                   time.Duration // the length of time that the proxy gives the server
 	MaxAge                    time.Duration // of a copy that may answer it; 0: any
 	ReadLate                  bool          // its server did not read just before: it may have been sent earlier
-	Ran                       bool          // executed, of a write
+	Executed                  bool          // executed, of a write
 	Result                    string        // of the answer
 	CopyMadeAt                time.Time     // when the origin gave out the copy that was served; zero: none
 	Serial                    int           // names the call in the answer's body
@@ -86,21 +86,21 @@
 
 // Incarnation is one process of a proxy, from its start to its exit.
 type Incarnation struct {
-	Proxy, Number   int
-	StartedAt       time.Duration
-	ReadyAt         time.Duration
-	SigtermAt       time.Duration
-	KilledAt        time.Duration
-	ExitedAt        time.Duration
-	Paused          []Span // in which it was stopped by SIGSTOP
-	KnownEvents     int    // the index of the last event in its configuration
-	ExitError       string
-	PeakMemoryKB    int
-	PeakDescriptors int
+	Proxy, Number    int
+	StartedAt        time.Duration
+	ReadyAt          time.Duration
+	SigtermAt        time.Duration
+	KilledAt         time.Duration
+	ExitedAt         time.Duration
+	Paused           []Span // in which it was stopped by SIGSTOP
+	ConfigEventIndex int    // the index of the last event in its configuration
+	ExitError        string
+	PeakMemoryKB     int
+	PeakDescriptors  int
 }
 
-// whileRunning returns when the process has run for a length of time after a moment.
-func (i *Incarnation) whileRunning(from, length time.Duration) time.Duration {
+// afterRunningFor returns when the process has run for a length of time after a moment.
+func (i *Incarnation) afterRunningFor(from, length time.Duration) time.Duration {
 	return afterExcluding(i.Paused, from, length)
 }
 
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -20,7 +20,7 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "seed %d, %d proxies, %v\n\n%s\n", result.Seed, r.options.Fleet, r.options.Duration, formatSchedule(result.Schedule))
 	for _, v := range result.Violations {
-		fmt.Fprintf(&b, "\n%v\n%s", v, r.h.TimelineAround(v.At, reportDistance, v.Words...))
+		fmt.Fprintf(&b, "\n%v\n%s", v, r.history.TimelineAround(v.At, reportDistance, v.Keywords...))
 	}
 	return os.WriteFile(filepath.Join(dir, "violations.txt"), []byte(b.String()), 0o644)
 }
--- a/internal/soak/rule_answers.go
+++ b/internal/soak/rule_answers.go
@@ -39,16 +39,16 @@
 // sent in full or was cancelled, or where its process was killed before. The kill that follows a SIGTERM at the
 // earliest is no excuse: the process knows when it comes.
 func (c *historyChecker) answerDue(q *Request) (due time.Duration, owed bool) {
-	incarnation := c.h.incarnation(q.Proxy, q.Incarnation)
-	if q.SentAt == 0 || q.CancelledAt != 0 || q.NoAnswerOwed || incarnation == nil {
+	incarnation := c.history.incarnation(q.Proxy, q.Incarnation)
+	if q.SentAt == 0 || q.CancelledAt != 0 || q.AnswerNotRequired || incarnation == nil {
 		return 0, false
 	}
-	due = incarnation.whileRunning(q.SentAt, q.Timeout+answerSlack+machineSlack)
-	due += c.h.observationSlack(q.SentAt, due) - machineSlack // it is in due already
+	due = incarnation.afterRunningFor(q.SentAt, q.Timeout+answerSlack+machineSlack)
+	due += c.history.observationSlack(q.SentAt, due) - machineSlack // it is in due already
 	if incarnation.KilledAt == 0 || incarnation.KilledAt >= due {
 		return due, true
 	}
 	killExpected := incarnation.SigtermAt != 0 && incarnation.SigtermAt < incarnation.KilledAt
-	beforeKill := q.SentAt < incarnation.KilledAt-idleCloseRace-c.h.observationSlack(q.SentAt, incarnation.KilledAt)
+	beforeKill := q.SentAt < incarnation.KilledAt-idleCloseRace-c.history.observationSlack(q.SentAt, incarnation.KilledAt)
 	return due, killExpected && beforeKill
 }
--- a/internal/soak/rule_calls.go
+++ b/internal/soak/rule_calls.go
@@ -31,7 +31,7 @@
 	c.checkCancelled(q, call, words)
 	c.checkDeadline(q, call, words)
 	c.checkDrain(q, call, call.Server, words)
-	c.checkDrain(q, call, call.Source, words)
+	c.checkDrain(q, call, call.FillSource, words)
 }
 
 // checkCancelled checks that no call begins more than cancelGrace after its client cancelled the request.
@@ -39,7 +39,7 @@
 	if q.CancelledAt == 0 {
 		return
 	}
-	last := q.CancelledAt + cancelGrace + c.h.observationSlack(q.CancelledAt, call.FirstByteAt)
+	last := q.CancelledAt + cancelGrace + c.history.observationSlack(q.CancelledAt, call.FirstByteAt)
 	if call.FirstByteAt > last {
 		since := call.FirstByteAt - q.CancelledAt
 		c.report("begun after left", call.FirstByteAt, words, "request %s began at %s %.3f after its client had cancelled it",
@@ -50,7 +50,7 @@
 // checkDeadline checks that a call gives its server no more time than its client has left.
 func (c *historyChecker) checkDeadline(q *Request, call *Call, words []string) {
 	remaining := q.SentAt + q.Timeout - call.CompleteAt
-	if q.SentAt != 0 && call.Timeout > remaining+deadlineSlack+c.h.observationSlack(q.SentAt, call.CompleteAt) {
+	if q.SentAt != 0 && call.Timeout > remaining+deadlineSlack+c.history.observationSlack(q.SentAt, call.CompleteAt) {
 		c.report("deadline", call.CompleteAt, words,
 			"request %s gives its server %v when its client has %v left", call.ID, call.Timeout, remaining)
 	}
@@ -63,7 +63,7 @@
 	if !withdrawn {
 		return
 	}
-	last := since + c.h.Limits.DrainGrace + socketSlack + c.h.observationSlack(since, call.FirstByteAt)
+	last := since + c.history.Limits.DrainGrace + socketSlack + c.history.observationSlack(since, call.FirstByteAt)
 	if call.FirstByteAt > last {
 		c.report("drain", call.FirstByteAt, words, "request %s went to or named %s %.3f after its proxy was notified of its drain or removal",
 			call.ID, server, (call.FirstByteAt - since).Seconds())
@@ -76,7 +76,7 @@
 	if server == "" {
 		return 0, false
 	}
-	for _, e := range c.h.Events {
+	for _, e := range c.history.Events {
 		if e.PublishedAt > at+callTimeUncertainty {
 			continue
 		}
--- a/internal/soak/rule_executions.go
+++ b/internal/soak/rule_executions.go
@@ -31,11 +31,11 @@
 	if first == nil {
 		return
 	}
-	for _, call := range c.h.Calls {
+	for _, call := range c.history.Calls {
 		if call.ID != q.ID || call.ReadLate {
 			continue
 		}
-		last := first.FirstByteAt + c.h.Limits.DeduplicationWindow + socketSlack + c.h.observationSlack(first.FirstByteAt, call.FirstByteAt)
+		last := first.FirstByteAt + c.history.Limits.DeduplicationWindow + socketSlack + c.history.observationSlack(first.FirstByteAt, call.FirstByteAt)
 		if call.FirstByteAt > last {
 			since := call.FirstByteAt - first.FirstByteAt
 			c.report("repeat after window", call.FirstByteAt, []string{q.ID, proxyName(q.Proxy)},
@@ -46,8 +46,8 @@
 
 // firstPossibleExecution is the first call of a request that may have been executed; nil: there is none.
 func (c *historyChecker) firstPossibleExecution(q *Request) (first *Call) {
-	for _, call := range c.h.Calls {
-		if call.ID != q.ID || call.ReadLate || provesNotRun(call.Result) {
+	for _, call := range c.history.Calls {
+		if call.ID != q.ID || call.ReadLate || provesNotExecuted(call.Result) {
 			continue
 		}
 		if first == nil || call.FirstByteAt < first.FirstByteAt {
@@ -57,7 +57,7 @@
 	return first
 }
 
-// provesNotRun reports whether a result proves that its call was not executed.
-func provesNotRun(result string) bool {
+// provesNotExecuted reports whether a result proves that its call was not executed.
+func provesNotExecuted(result string) bool {
 	return result == "overload" || result == "not_here" || result == "nobody"
 }
--- a/internal/soak/rule_incarnations.go
+++ b/internal/soak/rule_incarnations.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	// readyWithin is how long a process may take to be ready.
-	readyWithin = 10 * time.Second
-	// killAfter is how long after SIGTERM and the longest deadline a process is killed.
-	killAfter = 700 * time.Millisecond
+	// maxReadyDelay is how long a process may take to be ready.
+	maxReadyDelay = 10 * time.Second
+	// killDelay is how long after SIGTERM and the longest deadline a process is killed.
+	killDelay = 700 * time.Millisecond
 )
 
 // String names the process in violations.
@@ -27,7 +27,7 @@
 
 // checkReady checks that a process is ready in time, unless it ended before.
 func (c *historyChecker) checkReady(i *Incarnation, words []string) {
-	due := i.whileRunning(i.StartedAt, readyWithin)
+	due := i.afterRunningFor(i.StartedAt, maxReadyDelay)
 	isBeforeDue := func(at time.Duration) bool { return at != 0 && at < due }
 	endedBefore := isBeforeDue(i.KilledAt) || isBeforeDue(i.SigtermAt) || isBeforeDue(i.ExitedAt)
 	inTime := i.ReadyAt != 0 && i.ReadyAt <= due
@@ -53,10 +53,10 @@
 
 // checkResources checks that a process stays within its memory and descriptors.
 func (c *historyChecker) checkResources(i *Incarnation, words []string) {
-	if i.PeakMemoryKB > c.h.Limits.MemoryKB {
+	if i.PeakMemoryKB > c.history.Limits.MemoryKB {
 		c.report("memory", i.ExitedAt, words, "%v used %d KB", i, i.PeakMemoryKB)
 	}
-	if i.PeakDescriptors > c.h.Limits.Descriptors {
+	if i.PeakDescriptors > c.history.Limits.Descriptors {
 		c.report("descriptors", i.ExitedAt, words, "%v used %d descriptors", i, i.PeakDescriptors)
 	}
 }
--- a/internal/soak/rule_purges.go
+++ b/internal/soak/rule_purges.go
@@ -10,7 +10,7 @@
 		if call == nil || call.ReadLate || call.CopyMadeAt.IsZero() {
 			continue
 		}
-		for _, e := range c.h.Events {
+		for _, e := range c.history.Events {
 			if e.purges(q, call) {
 				c.checkPurgeGrace(q, call, e)
 			}
@@ -39,7 +39,7 @@
 
 func (c *historyChecker) checkPurgeGrace(q *Request, call *Call, e *WatchEvent) {
 	notified := c.notifiedAt(e, q)
-	last := notified + c.h.Limits.PurgeGrace + socketSlack + c.h.observationSlack(notified, call.FirstByteAt)
+	last := notified + c.history.Limits.PurgeGrace + socketSlack + c.history.observationSlack(notified, call.FirstByteAt)
 	if call.FirstByteAt <= last {
 		return
 	}
--- a/internal/soak/rule_slowstart.go
+++ b/internal/soak/rule_slowstart.go
@@ -20,7 +20,7 @@
 		if float64(count) > allowed && enoughNotified {
 			c.report("cold start", last.FirstByteAt, []string{s.Server},
 				"%s got %d calls within %v, %.1f allowed, %d from proxies that were notified of its start",
-				s.Server, count, c.h.Limits.OverloadWindow, allowed, notified)
+				s.Server, count, c.history.Limits.OverloadWindow, allowed, notified)
 			return
 		}
 	}
@@ -29,8 +29,8 @@
 // callsDuringSlowStart are the calls that a server read during its slow start, in the order of their first
 // bytes.
 func (c *historyChecker) callsDuringSlowStart(s ServerStart) (calls []*Call) {
-	for _, call := range c.h.Calls {
-		inSlowStart := call.FirstByteAt >= s.At && call.FirstByteAt < s.At+c.h.Limits.SlowStartDuration
+	for _, call := range c.history.Calls {
+		inSlowStart := call.FirstByteAt >= s.At && call.FirstByteAt < s.At+c.history.Limits.SlowStartDuration
 		if call.Server == s.Server && inSlowStart && !call.ReadLate {
 			calls = append(calls, call)
 		}
@@ -42,7 +42,7 @@
 // countInWindow counts the calls in the window that ends with the last one, and those of them whose proxy was
 // notified of the server's start.
 func (c *historyChecker) countInWindow(s ServerStart, calls []*Call) (count, notified int) {
-	windowStart := calls[len(calls)-1].FirstByteAt - c.h.Limits.OverloadWindow
+	windowStart := calls[len(calls)-1].FirstByteAt - c.history.Limits.OverloadWindow
 	for _, call := range calls {
 		if call.FirstByteAt <= windowStart {
 			continue
@@ -72,7 +72,7 @@
 // rule'. All objects of a run have one size, so that each call costs one TransferTime. Proxies share the
 // capacity without knowing of each other's calls, so a margin for the variance of the count is added.
 func (c *historyChecker) slowStartAllowance(running time.Duration) float64 {
-	l := c.h.Limits
+	l := c.history.Limits
 	capacity := l.SlowStartCapacity + (1-l.SlowStartCapacity)*float64(running)/float64(l.SlowStartDuration)
 	calls := l.OverloadMultiple * l.LinkTransfers * capacity * l.OverloadWindow.Seconds() / l.TransferTime.Seconds()
 	if calls < fewCalls {
@@ -88,7 +88,7 @@
 	if q == nil {
 		return false
 	}
-	for _, e := range c.h.Events {
+	for _, e := range c.history.Events {
 		if e.Index == s.EventIndex {
 			return call.FirstByteAt > c.notifiedAt(e, q)
 		}
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -47,19 +47,19 @@
 	options     Options
 	seed        uint64
 	limits      Limits
-	h           *History
+	history     *History
 	coordinator *coordinator
 	caches      []*server
 	parent      *server
 	origin      *server
 	fleet       []*process
 	relays      []*relay.Relay
-	// coordinatorBusy is held while the coordinator behaves badly to the proxies whose number has the remainder.
-	coordinatorBusy [2]sync.Mutex
+	// coordinatorModeMu is held while the coordinator behaves badly to the proxies whose number has the remainder.
+	coordinatorModeMu [2]sync.Mutex
 
 	surgeUntil atomic.Int64  // time since the start until which clients make more requests
 	failures   chan error    // of the soak itself
-	over       chan struct{} // closed when the schedule has ended
+	ended      chan struct{} // closed when the schedule has ended
 }
 
 // Run plays the schedule of one seed and checks the history. Its error is a failure of the soak itself.
@@ -69,25 +69,25 @@
 		kinds = Kinds()
 	}
 	schedule := Schedule(seed, o.Duration, o.Fleet, cacheCount, kinds)
-	result, err := play(seed, o, schedule)
+	result, err := runSchedule(seed, o, schedule)
 	if err != nil || len(result.Violations) == 0 || !o.Shrink {
 		return result, err
 	}
 	return result, shrink(seed, o, result)
 }
 
-// play runs a fleet under a schedule and checks the history.
-func play(seed uint64, o Options, schedule []Fault) (Result, error) {
+// runSchedule runs a fleet under a schedule and checks the history.
+func runSchedule(seed uint64, o Options, schedule []Fault) (Result, error) {
 	limits := fleetLimits()
 	r := &run{
-		options: o, seed: seed, limits: limits, h: NewHistory(limits),
-		failures: make(chan error, maxRecordedFailures), over: make(chan struct{}),
+		options: o, seed: seed, limits: limits, history: NewHistory(limits),
+		failures: make(chan error, maxRecordedFailures), ended: make(chan struct{}),
 	}
 	defer r.stop()
 	if err := r.start(); err != nil {
 		return Result{}, err
 	}
-	r.playSchedule(schedule)
+	r.applySchedule(schedule)
 	if err := r.firstFailure(); err != nil {
 		return Result{}, err
 	}
@@ -100,9 +100,9 @@
 
 func (r *run) result(schedule []Fault) Result {
 	result := Result{
-		Seed: r.seed, Schedule: schedule, Violations: Check(r.h), Requests: len(r.h.Requests), Incarnations: len(r.h.Incarnations),
+		Seed: r.seed, Schedule: schedule, Violations: Check(r.history), Requests: len(r.history.Requests), Incarnations: len(r.history.Incarnations),
 	}
-	for _, q := range r.h.Requests {
+	for _, q := range r.history.Requests {
 		if len(q.Answers) > 0 && q.Answers[0].Status == "200" {
 			result.Served++
 		}
@@ -110,9 +110,9 @@
 	return result
 }
 
-// playSchedule carries out a schedule beside the clients' load, waits for the last answers and stops the
+// applySchedule carries out a schedule beside the clients' load, waits for the last answers and stops the
 // proxies.
-func (r *run) playSchedule(schedule []Fault) {
+func (r *run) applySchedule(schedule []Fault) {
 	var clients, background sync.WaitGroup
 	quiet := make(chan struct{})
 	for _, p := range r.fleet {
@@ -121,15 +121,15 @@
 	}
 	background.Go(func() { r.purgeContinuously(quiet) })
 	background.Go(func() { r.measure(quiet) })
-	defer close(r.over)
-	r.h.recordSchedulingDelays(r.over)
+	defer close(r.ended)
+	r.history.recordSchedulingDelays(r.ended)
 	for _, f := range schedule {
 		background.Go(func() {
-			time.Sleep(f.At - r.h.Now())
+			time.Sleep(f.At - r.history.Now())
 			r.inject(f)
 		})
 	}
-	time.Sleep(r.options.Duration - quietEnd - r.h.Now())
+	time.Sleep(r.options.Duration - quietEnd - r.history.Now())
 	close(quiet)
 	clients.Wait()
 	background.Wait()
@@ -141,7 +141,7 @@
 func (r *run) terminateFleet() {
 	var proxies sync.WaitGroup
 	for _, p := range r.fleet {
-		proxies.Go(func() { p.term(requestsUntil) })
+		proxies.Go(func() { p.terminate(requestsAfterSigterm) })
 	}
 	proxies.Wait()
 }
@@ -149,12 +149,12 @@
 // surge has the clients make surgeFactor times the requests for a while, so that the load on a server in slow start
 // is over twice its budget.
 func (r *run) surge() {
-	r.surgeUntil.Store(int64(r.h.Now() + surgeDuration))
+	r.surgeUntil.Store(int64(r.history.Now() + surgeDuration))
 }
 
 // requestInterval is the mean time between the requests of one proxy's clients at present.
 func (r *run) requestInterval() time.Duration {
-	if int64(r.h.Now()) < r.surgeUntil.Load() {
+	if int64(r.history.Now()) < r.surgeUntil.Load() {
 		return meanRequestInterval / surgeFactor
 	}
 	return meanRequestInterval
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -39,8 +39,8 @@
 	meanFaultInterval = 550 * time.Millisecond // exponentially distributed: two or three faults overlap
 )
 
-// scheduleStream is the stream of a seed's random numbers that draws its schedule.
-const scheduleStream = 11
+// scheduleRNGStream is the stream of a seed's random numbers that draws its schedule.
+const scheduleRNGStream = 11
 
 // Kinds returns all kinds of faults.
 func Kinds() []string {
@@ -49,7 +49,7 @@
 
 // Schedule draws the faults of a run of the given length from the given kinds.
 func Schedule(seed uint64, length time.Duration, fleet, caches int, kinds []string) (schedule []Fault) {
-	rng := rand.New(rand.NewPCG(seed, scheduleStream))
+	rng := rand.New(rand.NewPCG(seed, scheduleRNGStream))
 	at := quietStart
 	for at < length-quietEnd {
 		schedule = append(schedule, drawFault(rng, at, fleet, caches, kinds))
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -18,8 +18,8 @@
 	maxPurgeDelay = 5 * time.Second
 	// hangPollInterval is how often a hung server looks whether the hang is over.
 	hangPollInterval = time.Millisecond
-	// serverStream is the stream of a seed's random numbers that a server draws from.
-	serverStream = 7
+	// serverRNGStream is the stream of a seed's random numbers that a server draws from.
+	serverRNGStream = 7
 )
 
 // server stands in for a cache, a parent or the origin. It caches objects, drops purged copies some time
@@ -61,7 +61,7 @@
 // newServer starts a server at an address.
 func newServer(h *History, id, kind, zone, addr string, seed uint64, serials *sequence) (*server, error) {
 	s := &server{
-		h: h, id: id, kind: kind, zone: zone, addr: addr, rng: rand.New(rand.NewPCG(seed, serverStream)), serials: serials,
+		h: h, id: id, kind: kind, zone: zone, addr: addr, rng: rand.New(rand.NewPCG(seed, serverRNGStream)), serials: serials,
 		conns: map[net.Conn]bool{}, copies: map[string]time.Time{}, state: "SERVING",
 	}
 	return s, s.listen()
@@ -200,7 +200,7 @@
 		if words[0] != "REQ" || len(words) != 4 {
 			continue // STOP does not take effect: the answer and the STOP may always cross
 		}
-		call := s.record(words, firstByteAt, late)
+		call := s.recordCall(words, firstByteAt, late)
 		go s.answer(call, out)
 	}
 }
--- a/internal/soak/shrink.go
+++ b/internal/soak/shrink.go
@@ -18,7 +18,7 @@
 	shortest := found.Schedule
 	for i := 0; i < len(shortest); {
 		shorter := slices.Delete(slices.Clone(shortest), i, i+1)
-		result, err := play(seed, o, shorter)
+		result, err := runSchedule(seed, o, shorter)
 		if err != nil {
 			return err
 		}
