--- a/internal/soak/answers.go
+++ b/internal/soak/answers.go
@@ -24,7 +24,7 @@
 
 // recordCall adds a call to the history.
 func (s *server) recordCall(words []string, firstByteAt time.Duration, late bool) *Call {
-	call := &Call{Server: s.id, ID: words[1], FirstByteAt: firstByteAt, CompleteAt: s.h.Now(), ReadLate: late, Serial: s.serials.next()}
+	call := &Call{Server: s.id, ID: words[1], FirstByteAt: firstByteAt, CompleteAt: s.history.Now(), ReadLate: late, Serial: s.serials.next()}
 	for _, field := range strings.Split(words[2], ",") {
 		name, value, _ := strings.Cut(field, "=")
 		switch name {
@@ -40,8 +40,8 @@
 			call.MaxAge = parseMillis(value)
 		}
 	}
-	s.h.withLock(func() { s.h.Calls = append(s.h.Calls, call) })
-	s.h.Logf(s.id, "call %s %s k=%s src=%s w=%v maxage=%v read-late=%v serial=%d",
+	s.history.withLock(func() { s.history.Calls = append(s.history.Calls, call) })
+	s.history.Logf(s.id, "call %s %s k=%s src=%s w=%v maxage=%v read-late=%v serial=%d",
 		call.ID, call.Class, call.Object, call.FillSource, call.Timeout, call.MaxAge, late, call.Serial)
 	return call
 }
@@ -57,7 +57,7 @@
 
 // answer answers one call.
 func (s *server) answer(call *Call, out *lockedWriter) {
-	if s.isBefore(&s.overloadUntil) && s.draw() < overloadChance {
+	if s.faultActive(&s.overloadUntil) && s.draw() < overloadChance {
 		s.writeAnswer(call, out, "overload", "-", "")
 		return
 	}
@@ -71,7 +71,7 @@
 		s.writeAnswer(call, out, "not_here", "note=PEER_MISS", "")
 		return
 	}
-	s.h.withLock(func() { call.CopyMadeAt = madeAt })
+	s.history.withLock(func() { call.CopyMadeAt = madeAt })
 	body := fmt.Sprintf("%d %s ", call.Serial, call.Object)
 	body += strings.Repeat("x", bodySize-len(body))
 	fields := fmt.Sprintf("etag=%016x,made=%d,note=%s,ttfb=3", madeAt.UnixMilli(), madeAt.UnixMilli(), note)
@@ -84,7 +84,7 @@
 		s.writeAnswer(call, out, "not_here", "-", "")
 		return
 	}
-	s.h.withLock(func() { call.Executed = true })
+	s.history.withLock(func() { call.Executed = true })
 	s.simulateWork(maxWriteTime)
 	result := "served"
 	if s.draw() < crashedChance {
@@ -96,7 +96,7 @@
 // simulateWork takes a time that it draws, and longer while the server is slow or hangs.
 func (s *server) simulateWork(maxTime time.Duration) {
 	length := time.Duration(s.draw() * float64(maxTime))
-	if s.isBefore(&s.slowUntil) {
+	if s.faultActive(&s.slowUntil) {
 		length *= slowFactor
 	}
 	time.Sleep(length)
@@ -130,14 +130,14 @@
 // writeAnswer writes an answer, which a fault may malform.
 func (s *server) writeAnswer(call *Call, out *lockedWriter, result, fields, body string) {
 	s.waitWhileHung()
-	s.h.withLock(func() { call.Result = result })
+	s.history.withLock(func() { call.Result = result })
 	text := encodeBulks(call.ID, result, fields, body)
 	closes := false
-	if s.isBefore(&s.malformUntil) {
+	if s.faultActive(&s.malformUntil) {
 		text, closes = malform(text, s.draw())
 	}
 	out.write(text)
-	s.h.Logf(s.id, "answered %s %s serial=%d", call.ID, result, call.Serial)
+	s.history.Logf(s.id, "answered %s %s serial=%d", call.ID, result, call.Serial)
 	if closes {
 		out.conn.Close() //nolint:errcheck // the proxy may have closed it
 	}
--- a/internal/soak/checker_test.go
+++ b/internal/soak/checker_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// soundHistory is a history without violations: one process, one read and one write.
-func soundHistory() *History {
+// validHistory is a history without violations: one process, one read and one write.
+func validHistory() *History {
 	h := NewHistory(Limits{
 		MemoryKB: 1000, Descriptors: 100, DrainGrace: 500 * time.Millisecond, PurgeGrace: 300 * time.Millisecond,
 		OverloadMultiple: 2, OverloadWindow: time.Second, SlowStartCapacity: 0.1, SlowStartDuration: 4 * time.Second,
@@ -116,7 +116,7 @@
 		{"a burst to a server in its slow start", func(h *History) { slowStartBurst(h, 50) }, "cold start"},
 		{"as much as the slow start allows", func(h *History) { slowStartBurst(h, 43) }, ""},
 	} {
-		h := soundHistory()
+		h := validHistory()
 		c.change(h)
 		var rules []string
 		for _, v := range Check(h) {
--- a/internal/soak/clientconn.go
+++ b/internal/soak/clientconn.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// idleCloseRace is how short before the end of an idle connection a request may be sent whose proxy has
+	// idleCloseRaceWindow is how short before the end of an idle connection a request may be sent whose proxy has
 	// not read it.
-	idleCloseRace = 60 * time.Millisecond
-	// freshConnection is for how long after it was opened a connection's first request must not meet a close. Later
+	idleCloseRaceWindow = 60 * time.Millisecond
+	// unusedIdleAge is for how long after it was opened a connection's first request must not meet a close. Later
 	// the connection counts as idle: a proxy may close it as no request is open on it.
-	freshConnection = 500 * time.Millisecond
+	unusedIdleAge = 500 * time.Millisecond
 	// keptBodyBytes is how much of an answer's body is recorded.
 	keptBodyBytes = 64
-	// notedBodyBytes is how much of it the timeline shows.
-	notedBodyBytes = 20
-	writeTimeout   = 5 * time.Second
+	// timelineBodyBytes is how much of it the timeline shows.
+	timelineBodyBytes = 20
+	writeTimeout      = 5 * time.Second
 	// maxRequestID is the highest ID of a request on a connection.
 	maxRequestID = 60000
 )
@@ -27,12 +27,12 @@
 // it.
 type clientConn struct {
 	clients     *proxyClients
-	h           *History
+	history     *History
 	conn        net.Conn
 	number      int // among the connections to the proxy, from 1
 	incarnation int // of the proxy
 	openedAt    time.Duration
-	texts       map[uint16][]byte // output so far, of readAnswers alone
+	outputs     map[uint16][]byte // output so far, of readAnswers alone
 
 	mu       sync.Mutex // of the fields below
 	lastID   uint16
@@ -45,8 +45,8 @@
 
 func newClientConn(pc *proxyClients, conn net.Conn, incarnation int) *clientConn {
 	return &clientConn{
-		clients: pc, h: pc.h, conn: conn, number: pc.dialed, incarnation: incarnation, openedAt: pc.h.Now(),
-		open: map[uint16]*Request{}, answered: map[uint16]*Request{}, texts: map[uint16][]byte{}, lastUsed: pc.h.Now(),
+		clients: pc, history: pc.history, conn: conn, number: pc.dialed, incarnation: incarnation, openedAt: pc.history.Now(),
+		open: map[uint16]*Request{}, answered: map[uint16]*Request{}, outputs: map[uint16][]byte{}, lastUsed: pc.history.Now(),
 	}
 }
 
@@ -54,7 +54,7 @@
 func (c *clientConn) state() (idle, ended bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	idle = len(c.open) == 0 && c.h.Now()-c.lastUsed > idleCloseAfter
+	idle = len(c.open) == 0 && c.history.Now()-c.lastUsed > idleCloseAfter
 	return idle, c.ended
 }
 
@@ -67,8 +67,8 @@
 	q.Incarnation = c.incarnation
 	q.FirstOnConnection = c.requests == 0
 	c.requests++
-	c.lastUsed = c.h.Now()
-	c.h.withLock(func() { c.h.Requests = append(c.h.Requests, q) })
+	c.lastUsed = c.history.Now()
+	c.history.withLock(func() { c.history.Requests = append(c.history.Requests, q) })
 	return c.lastID
 }
 
@@ -76,26 +76,26 @@
 func (c *clientConn) send(q *Request, more []byte) (id uint16) {
 	id = c.register(q)
 	if c.write(append(encodeRequest(id, q), more...)) == nil {
-		c.h.withLock(func() { q.SentAt = c.h.Now() })
+		c.history.withLock(func() { q.SentAt = c.history.Now() })
 	}
-	c.h.Logf("client", "requests from proxy-%d %s %s k=%s on connection %d", q.Proxy, q.Class, q.ID, q.Object, c.number)
+	c.history.Logf("client", "requests from proxy-%d %s %s k=%s on connection %d", q.Proxy, q.Class, q.ID, q.Object, c.number)
 	return id
 }
 
 // writeSlowly sends a request in small pieces.
 func (c *clientConn) writeSlowly(q *Request, records []byte) {
 	for len(records) > 0 {
-		size := min(len(records), slowPieceBytes)
+		size := min(len(records), slowChunkBytes)
 		if c.write(records[:size]) != nil {
 			return
 		}
 		records = records[size:]
 		if len(records) > 0 {
-			time.Sleep(slowPieceGap)
+			time.Sleep(slowChunkInterval)
 		}
 	}
-	c.h.withLock(func() { q.SentAt = c.h.Now() })
-	c.h.Logf("client", "has requested slowly from proxy-%d %s %s on connection %d", q.Proxy, q.Class, q.ID, c.number)
+	c.history.withLock(func() { q.SentAt = c.history.Now() })
+	c.history.Logf("client", "has requested slowly from proxy-%d %s %s on connection %d", q.Proxy, q.Class, q.ID, c.number)
 }
 
 func (c *clientConn) write(data []byte) error {
@@ -108,19 +108,19 @@
 func (c *clientConn) disconnect(way int) {
 	tcp := c.conn.(*net.TCPConn)
 	switch way {
-	case byHalfClose:
+	case disconnectByHalfClose:
 		tcp.CloseWrite() //nolint:errcheck // the proxy may have closed it
-	case byReset:
+	case disconnectByReset:
 		tcp.SetLinger(0) //nolint:errcheck // as above
 		tcp.Close()      //nolint:errcheck // as above
-	case byClose:
+	case disconnectByClose:
 		tcp.Close() //nolint:errcheck // as above
 	}
 }
 
 // readAnswers reads until the connection ends.
 func (c *clientConn) readAnswers() {
-	defer c.closed()
+	defer c.recordClose()
 	for {
 		kind, id, content, err := readRecord(c.conn)
 		if err != nil {
@@ -128,18 +128,18 @@
 		}
 		switch kind {
 		case fcgiStdout:
-			c.texts[id] = append(c.texts[id], content...)
+			c.outputs[id] = append(c.outputs[id], content...)
 		case fcgiEndRequest:
-			c.takeAnswer(id, content)
+			c.recordAnswer(id, content)
 		}
 	}
 }
 
-// takeAnswer records the answer that an END_REQUEST completes.
-func (c *clientConn) takeAnswer(id uint16, endRequest []byte) {
-	q := c.finish(id)
-	text := string(c.texts[id])
-	delete(c.texts, id)
+// recordAnswer records the answer that an END_REQUEST completes.
+func (c *clientConn) recordAnswer(id uint16, endRequest []byte) {
+	q := c.takeRequest(id)
+	text := string(c.outputs[id])
+	delete(c.outputs, id)
 	if q == nil {
 		return
 	}
@@ -147,18 +147,18 @@
 	status, _, _ := strings.Cut(strings.TrimPrefix(header, "Status: "), "\r\n")
 	hasStatus := len(endRequest) > fcgiProtocolStatus
 	a := FinalAnswer{
-		At: c.h.Now(), Status: status, ProtocolOverloaded: hasStatus && endRequest[fcgiProtocolStatus] == fcgiOverloaded,
+		At: c.history.Now(), Status: status, ProtocolOverloaded: hasStatus && endRequest[fcgiProtocolStatus] == fcgiOverloaded,
 		Body: body[:min(len(body), keptBodyBytes)],
 	}
 	confirmsAbort := hasStatus && text == "" && !a.ProtocolOverloaded
 	if !confirmsAbort {
-		c.h.withLock(func() { q.Answers = append(q.Answers, a) })
+		c.history.withLock(func() { q.Answers = append(q.Answers, a) })
 	}
-	c.h.Logf("client", "%s answered %s %q", q.ID, status, a.Body[:min(len(a.Body), notedBodyBytes)])
+	c.history.Logf("client", "%s answered %s %q", q.ID, status, a.Body[:min(len(a.Body), timelineBodyBytes)])
 }
 
-// finish returns the request of an answer, also of a second one; nil: the ID is unknown.
-func (c *clientConn) finish(id uint16) *Request {
+// takeRequest returns the request of an answer, also of a second one; nil: the ID is unknown.
+func (c *clientConn) takeRequest(id uint16) *Request {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	q := c.open[id]
@@ -167,41 +167,41 @@
 	}
 	delete(c.open, id)
 	c.answered[id] = q
-	c.lastUsed = c.h.Now()
+	c.lastUsed = c.history.Now()
 	return q
 }
 
-// mayCrossClose reports whether a request may have crossed the close of its connection, which was idle until then.
-func (c *clientConn) mayCrossClose(q *Request, closedAt time.Duration) bool {
-	if q.SentAt == 0 || closedAt-q.SentAt >= idleCloseRace {
+// mayRaceIdleClose reports whether a request may have crossed the close of its connection, which was idle until then.
+func (c *clientConn) mayRaceIdleClose(q *Request, closedAt time.Duration) bool {
+	if q.SentAt == 0 || closedAt-q.SentAt >= idleCloseRaceWindow {
 		return false
 	}
-	return !q.FirstOnConnection || q.SentAt-c.openedAt > freshConnection
+	return !q.FirstOnConnection || q.SentAt-c.openedAt > unusedIdleAge
 }
 
-// closed records which requests were open as the connection ended. Where all of them were sent just before, on a
+// recordClose records which requests were open as the connection ended. Where all of them were sent just before, on a
 // connection that had been used or silent for a while, they may have met the proxy's close of an idle connection: no
 // answer is owed to them.
-func (c *clientConn) closed() {
+func (c *clientConn) recordClose() {
 	c.conn.Close() //nolint:errcheck // the proxy has closed it
-	now := c.h.Now()
+	now := c.history.Now()
 	c.mu.Lock()
 	c.ended = true
 	open := c.open
 	c.open = map[uint16]*Request{}
 	c.mu.Unlock()
 	raced := true
-	c.h.withLock(func() {
+	c.history.withLock(func() {
 		for _, q := range open {
-			raced = raced && c.mayCrossClose(q, now)
+			raced = raced && c.mayRaceIdleClose(q, now)
 		}
 	})
 	for _, q := range open {
-		c.h.withLock(func() {
+		c.history.withLock(func() {
 			q.DisconnectedAt = now
 			q.AnswerNotRequired = q.AnswerNotRequired || raced
 		})
-		c.h.Logf("client", "connection %d to proxy-%d, opened %.3f before, ended with %s open (idle close raced: %v)",
+		c.history.Logf("client", "connection %d to proxy-%d, opened %.3f before, ended with %s open (idle close raced: %v)",
 			c.number, c.clients.p.number, (now - c.openedAt).Seconds(), q.ID, raced)
 	}
 }
--- a/internal/soak/clientconn_test.go
+++ b/internal/soak/clientconn_test.go
@@ -7,7 +7,7 @@
 
 // Guards against a soak that blames a proxy for a request that crossed the close of an idle connection, and against
 // one that excuses the loss of any other.
-func TestRequestThatCrossesAClose(t *testing.T) {
+func TestRequestRacesIdleClose(t *testing.T) {
 	const closedAt = 10 * time.Second
 	for _, c := range []struct {
 		name     string
@@ -24,7 +24,7 @@
 	} {
 		conn := &clientConn{openedAt: c.openedAt}
 		q := &Request{SentAt: c.sentAt, FirstOnConnection: c.first}
-		if got := conn.mayCrossClose(q, closedAt); got != c.want {
+		if got := conn.mayRaceIdleClose(q, closedAt); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	objects        = 60 // keys
-	groupsInUse    = 8
+	objectCount    = 60 // keys
+	groupCount     = 8
 	requestTimeout = 1500 * time.Millisecond
 	shortTimeout   = 30 * time.Millisecond
 	longTimeout    = 5 * time.Second // longer than a process may run after SIGTERM
@@ -26,24 +26,24 @@
 	burstRequests      = 8
 	maxAbortDelay      = 30 * time.Millisecond // from a request to its abort
 	maxDisconnectDelay = 60 * time.Millisecond // from requests to the end of their connection
-	slowPieceBytes     = 40
-	slowPieceGap       = 2 * time.Millisecond
+	slowChunkBytes     = 40
+	slowChunkInterval  = 2 * time.Millisecond
 	idleConnections    = 10
-	idleFor            = time.Second
+	idleDuration       = time.Second
 	reuseFraction      = 0.85 // of the requests that go over an open connection
 )
 
 // proxyClients are the clients of one proxy. Their fields belong to the goroutine of run.
 type proxyClients struct {
-	p      *process
-	h      *History
-	rng    *rand.Rand
-	conns  []*clientConn
-	dialed int // connections so far
+	p       *process
+	history *History
+	rng     *rand.Rand
+	conns   []*clientConn
+	dialed  int // connections so far
 }
 
 func newProxyClients(p *process, seed uint64) *proxyClients {
-	return &proxyClients{p: p, h: p.r.history, rng: rand.New(rand.NewPCG(seed, uint64(p.number)))}
+	return &proxyClients{p: p, history: p.r.history, rng: rand.New(rand.NewPCG(seed, uint64(p.number)))}
 }
 
 // run makes requests until over is closed.
@@ -54,13 +54,13 @@
 			return
 		case <-time.After(time.Duration(pc.rng.ExpFloat64() * float64(pc.p.r.requestInterval()))):
 		}
-		pc.step()
+		pc.performRandomAction()
 	}
 }
 
-// step does one of the things that clients do, which it draws.
-func (pc *proxyClients) step() {
-	pc.closeIdle()
+// performRandomAction does one of the things that clients do, which it draws.
+func (pc *proxyClients) performRandomAction() {
+	pc.closeIdleConns()
 	state := pc.p.admission()
 	if !state.acceptsRequests {
 		return
@@ -112,8 +112,8 @@
 	return c
 }
 
-// closeIdle closes connections that have been idle for idleCloseAfter, and forgets those that have ended.
-func (pc *proxyClients) closeIdle() {
+// closeIdleConns closes connections that have been idle for idleCloseAfter, and forgets those that have ended.
+func (pc *proxyClients) closeIdleConns() {
 	open := pc.conns[:0]
 	for _, c := range pc.conns {
 		idle, ended := c.state()
@@ -135,7 +135,7 @@
 	}
 	conn, err := net.DialTimeout("tcp", pc.p.addr, dialTimeout)
 	if err != nil {
-		pc.h.Logf("client", "proxy-%d refuses a connection: %v", pc.p.number, err)
+		pc.history.Logf("client", "proxy-%d refuses a connection: %v", pc.p.number, err)
 		return nil
 	}
 	pc.dialed++
@@ -146,9 +146,9 @@
 
 // newRequest draws a request.
 func (pc *proxyClients) newRequest(class string, timeout time.Duration) *Request {
-	number := pc.rng.IntN(objects)
+	number := pc.rng.IntN(objectCount)
 	return &Request{
-		ID: requestID(pc.rng.Uint64()), Class: class, Object: objectName(number), Group: number % groupsInUse,
+		ID: requestID(pc.rng.Uint64()), Class: class, Object: objectName(number), Group: number % groupCount,
 		Proxy: pc.p.number, Timeout: timeout,
 	}
 }
@@ -159,7 +159,7 @@
 	id := c.send(q, nil)
 	time.AfterFunc(pc.drawMillis(maxAbortDelay), func() {
 		c.write(encodeRecord(fcgiAbortRequest, id, "")) //nolint:errcheck // a lost connection shows in the answers
-		pc.h.withLock(func() { q.CancelledAt = pc.h.Now() })
+		pc.history.withLock(func() { q.CancelledAt = pc.history.Now() })
 	})
 }
 
@@ -170,10 +170,10 @@
 
 // The ways in which a client ends its connection.
 const (
-	byHalfClose = iota
-	byReset
-	byClose
-	waysToDisconnect
+	disconnectByHalfClose = iota
+	disconnectByReset
+	disconnectByClose
+	disconnectMethods
 )
 
 // disconnect makes a read and a write on a new connection, and ends the connection soon after.
@@ -186,13 +186,13 @@
 	for _, q := range requests {
 		c.send(q, nil)
 	}
-	way := pc.rng.IntN(waysToDisconnect)
+	way := pc.rng.IntN(disconnectMethods)
 	time.AfterFunc(pc.drawMillis(maxDisconnectDelay), func() {
-		pc.h.Logf("client", "disconnects with %s and %s open", requests[0].ID, requests[1].ID)
+		pc.history.Logf("client", "disconnects with %s and %s open", requests[0].ID, requests[1].ID)
 		c.disconnect(way)
-		pc.h.withLock(func() {
+		pc.history.withLock(func() {
 			for _, q := range requests {
-				q.CancelledAt = pc.h.Now()
+				q.CancelledAt = pc.history.Now()
 			}
 		})
 	})
@@ -227,7 +227,7 @@
 		if c == nil {
 			return
 		}
-		time.AfterFunc(idleFor, func() {
+		time.AfterFunc(idleDuration, func() {
 			c.conn.Close() //nolint:errcheck // the proxy may have closed it
 		})
 	}
--- a/internal/soak/coordinator.go
+++ b/internal/soak/coordinator.go
@@ -17,20 +17,20 @@
 
 // The modes.
 const (
-	modeHealthy coordinatorMode = iota
-	modeDown                    // connects are refused, streams have ended
-	modeSilent                  // streams stay open and bring nothing
-	modeSlow                    // streams bring one event of the endpoint list a byte at a time
-	modeCut                     // some streams end within the line of an event
-	modeShort                   // some streams stop within the line of an event and stay open
-	modeHalf                    // half of an event's line comes before the whole of it, on some streams
-	modeDouble                  // each event comes twice
+	modeHealthy       coordinatorMode = iota
+	modeDown                          // connects are refused, streams have ended
+	modeSilent                        // streams stay open and bring nothing
+	modeSlow                          // streams bring one event of the endpoint list a byte at a time
+	modeTruncateClose                 // some streams end within the line of an event
+	modeTruncateStall                 // some streams stop within the line of an event and stay open
+	modeHalfPrefix                    // half of an event's line comes before the whole of it, on some streams
+	modeDuplicate                     // each event comes twice
 )
 
 // coordinator stands in for the coordinator. It serves each proxy at an address of its own, so that it knows
 // which proxy has been sent which event.
 type coordinator struct {
-	h *History
+	history *History
 
 	mu           sync.Mutex // of the fields below and those of the watch servers
 	lines        []string   // by event, from index 1
@@ -38,8 +38,8 @@
 	watchServers map[int]*watchServer // by proxy
 }
 
-func newCoordinator(h *History) *coordinator {
-	return &coordinator{h: h, watchServers: map[int]*watchServer{}}
+func newCoordinator(history *History) *coordinator {
+	return &coordinator{history: history, watchServers: map[int]*watchServer{}}
 }
 
 // serveProxy opens the address for a proxy.
@@ -64,14 +64,14 @@
 	c.mu.Lock()
 	ws := c.watchServers[proxy]
 	before := ws.mode
-	now := c.h.Now()
+	now := c.history.Now()
 	if before == modeDown || before == modeSilent {
-		c.h.withLock(func() { c.h.Withheld[proxy] = append(c.h.Withheld[proxy], Span{ws.modeSetAt, now}) })
+		c.history.withLock(func() { c.history.Withheld[proxy] = append(c.history.Withheld[proxy], Span{ws.modeSetAt, now}) })
 	}
 	ws.mode = m
 	ws.modeSetAt = now
-	ws.slowEvent = 0
-	ws.spoiling = newSpoiling(m)
+	ws.slowEventIndex = 0
+	ws.corruption = newCorruption(m)
 	if m == modeDown && before != modeDown {
 		ws.closeAll()
 	}
@@ -87,14 +87,14 @@
 func (c *coordinator) publish(e *WatchEvent, format string) {
 	c.mu.Lock()
 	e.Index = len(c.events) + 1
-	e.PublishedAt = c.h.Now()
+	e.PublishedAt = c.history.Now()
 	e.DeliveredAt = map[int]time.Duration{}
 	c.events = append(c.events, e)
 	line := fmt.Sprintf(format, e.Index)
 	c.lines = append(c.lines, line)
 	c.mu.Unlock()
-	c.h.withLock(func() { c.h.Events = append(c.h.Events, e) })
-	c.h.Logf("coord", "event %s", line)
+	c.history.withLock(func() { c.history.Events = append(c.history.Events, e) })
+	c.history.Logf("coord", "event %s", line)
 }
 
 // knownEvents returns the index of the last event, and the list of those that are well formed as a
@@ -107,9 +107,9 @@
 	return len(c.lines), "[" + strings.Join(wellFormed, ",") + "]"
 }
 
-// after returns the event that follows an index, with its line, and the index of the last event. The event is
+// eventAfter returns the event that follows an index, with its line, and the index of the last event. The event is
 // nil if none follows.
-func (c *coordinator) after(index int) (line string, e *WatchEvent, lastIndex int) {
+func (c *coordinator) eventAfter(index int) (line string, e *WatchEvent, lastIndex int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	lastIndex = len(c.lines)
@@ -121,13 +121,13 @@
 
 // recordDelivery records that an event's line has been written to a proxy. The first delivery counts.
 func (c *coordinator) recordDelivery(e *WatchEvent, proxy int) {
-	c.h.withLock(func() {
+	c.history.withLock(func() {
 		_, delivered := e.DeliveredAt[proxy]
 		if !delivered {
-			e.DeliveredAt[proxy] = c.h.Now()
+			e.DeliveredAt[proxy] = c.history.Now()
 		}
 	})
-	c.h.Logf("coord", "delivered event %d to proxy-%d", e.Index, proxy)
+	c.history.Logf("coord", "delivered event %d to proxy-%d", e.Index, proxy)
 }
 
 // stop closes all addresses.
--- a/internal/soak/fastcgi.go
+++ b/internal/soak/fastcgi.go
@@ -24,8 +24,8 @@
 	fcgiProtocolStatus = 4
 	// fcgiOverloaded is the protocol status of a request that is rejected.
 	fcgiOverloaded = 2
-	// beginResponder is the body of BEGIN_REQUEST: role responder, and keep the connection.
-	beginResponder = "\x00\x01\x01\x00\x00\x00\x00\x00"
+	// beginResponderBody is the body of BEGIN_REQUEST: role responder, and keep the connection.
+	beginResponderBody = "\x00\x01\x01\x00\x00\x00\x00\x00"
 	// writeBodySize is the size of a write's body in bytes.
 	writeBodySize = 2000
 )
@@ -45,7 +45,7 @@
 	if q.Class == classKeyed {
 		params = append(params, param{"HTTP_REQ_TOKEN", q.ID})
 	}
-	out := encodeRecord(fcgiBeginRequest, id, beginResponder)
+	out := encodeRecord(fcgiBeginRequest, id, beginResponderBody)
 	out = append(out, encodeRecord(fcgiParams, id, encodeParams(params))...)
 	out = append(out, encodeRecord(fcgiParams, id, "")...)
 	if q.Class == classWrite {
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -71,7 +71,7 @@
 	var entries []string
 	e := &WatchEvent{PurgedGroup: noGroup}
 	for _, s := range r.servers() {
-		entries = append(entries, s.entry())
+		entries = append(entries, s.endpointEntry())
 		e.Serving = append(e.Serving, s.id)
 	}
 	r.coordinator.publish(e, `{"index":%d,"endpoints":{"version":1,"full":true,"servers":[`+strings.Join(entries, ",")+`]}}`)
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -139,10 +139,10 @@
 // them before it returns.
 func (r *run) hangServers(f Fault) {
 	end := r.history.Now() + hangBeforeSigterm + maxShutdown()
-	r.origin.extend(&r.origin.hungUntil, end)
+	r.origin.extendFault(&r.origin.hungUntil, end)
 	for i := range len(r.caches) / 2 {
 		s := r.caches[(f.Target+i)%len(r.caches)]
-		s.extend(&s.hungUntil, end)
+		s.extendFault(&s.hungUntil, end)
 	}
 	time.Sleep(hangBeforeSigterm)
 }
@@ -152,13 +152,13 @@
 	end := r.history.Now() + f.Duration
 	switch f.Kind {
 	case "hang":
-		s.extend(&s.hungUntil, end)
+		s.extendFault(&s.hungUntil, end)
 	case "slow":
-		s.extend(&s.slowUntil, end)
+		s.extendFault(&s.slowUntil, end)
 	case "spoil":
-		s.extend(&s.malformUntil, end)
+		s.extendFault(&s.malformUntil, end)
 	case "overload":
-		s.extend(&s.overloadUntil, end)
+		s.extendFault(&s.overloadUntil, end)
 	case "reset":
 		s.resetConns(resetFraction)
 	default:
@@ -215,13 +215,13 @@
 	case "slow-lines":
 		r.injectCoordinatorMode(f, modeSlow, 2*f.Duration+slowLineTime)
 	default:
-		r.injectCoordinatorMode(f, spoilingModes[f.Kind], 2*f.Duration+maxNotifyDelay)
+		r.injectCoordinatorMode(f, corruptionModes[f.Kind], 2*f.Duration+maxNotifyDelay)
 	}
 }
 
-// spoilingModes are the modes of the faults that spoil lines.
-var spoilingModes = map[string]coordinatorMode{
-	"cut-lines": modeCut, "short-lines": modeShort, "half-lines": modeHalf, "double-lines": modeDouble,
+// corruptionModes are the modes of the faults that spoil lines.
+var corruptionModes = map[string]coordinatorMode{
+	"cut-lines": modeTruncateClose, "short-lines": modeTruncateStall, "half-lines": modeHalfPrefix, "double-lines": modeDuplicate,
 }
 
 // injectCoordinatorMode has the coordinator behave badly for some time to every second proxy. It does nothing
@@ -248,14 +248,14 @@
 func (r *run) injectOtherFault(f Fault) {
 	switch f.Kind {
 	case "purge-group":
-		r.purgeGroup(f.Target % groupsInUse)
+		r.purgeGroup(f.Target % groupCount)
 	case "purge-storm":
 		for i := range purgeStormSize {
-			r.purgeObject(objectName((f.Target + i) % objects))
+			r.purgeObject(objectName((f.Target + i) % objectCount))
 			time.Sleep(f.Duration / purgeStormSize)
 		}
 	case "origin-hang":
-		r.origin.extend(&r.origin.hungUntil, r.history.Now()+f.Duration/2)
+		r.origin.extendFault(&r.origin.hungUntil, r.history.Now()+f.Duration/2)
 	case "origin-reset":
 		r.origin.resetConns(resetFraction)
 	}
--- a/internal/soak/purges.go
+++ b/internal/soak/purges.go
@@ -25,7 +25,7 @@
 		case <-over:
 			return
 		case <-time.After(time.Duration(rng.ExpFloat64() * float64(meanPurgeInterval))):
-			r.purgeObject(objectName(rng.IntN(objects)))
+			r.purgeObject(objectName(rng.IntN(objectCount)))
 		}
 	}
 }
@@ -59,5 +59,5 @@
 func groupOf(object string) int {
 	var number int
 	fmt.Sscanf(object, "%x", &number) //nolint:errcheck // all names come from objectName
-	return number % groupsInUse
+	return number % groupCount
 }
--- a/internal/soak/rule_answers.go
+++ b/internal/soak/rule_answers.go
@@ -49,6 +49,6 @@
 		return due, true
 	}
 	killExpected := incarnation.SigtermAt != 0 && incarnation.SigtermAt < incarnation.KilledAt
-	beforeKill := q.SentAt < incarnation.KilledAt-idleCloseRace-c.history.observationSlack(q.SentAt, incarnation.KilledAt)
+	beforeKill := q.SentAt < incarnation.KilledAt-idleCloseRaceWindow-c.history.observationSlack(q.SentAt, incarnation.KilledAt)
 	return due, killExpected && beforeKill
 }
--- a/internal/soak/run_test.go
+++ b/internal/soak/run_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// TestAddressesAreGivenOnce checks that freeAddr returns no address twice: the system may offer one again
+// TestFreeAddrReturnsEachAddressOnce checks that freeAddr returns no address twice: the system may offer one again
 // until a program opens it.
-func TestAddressesAreGivenOnce(t *testing.T) {
+func TestFreeAddrReturnsEachAddressOnce(t *testing.T) {
 	const draws = 3000
 	seen := map[string]bool{}
 	for range draws {
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -25,7 +25,7 @@
 // server stands in for a cache, a parent or the origin. It caches objects, drops purged copies some time
 // after the purge, and records the calls that it reads.
 type server struct {
-	h              *History
+	history        *History
 	id, kind, zone string
 	serials        *sequence
 	relayAddr      string     // where proxies reach it through a relay; empty: at addr
@@ -59,9 +59,9 @@
 }
 
 // newServer starts a server at an address.
-func newServer(h *History, id, kind, zone, addr string, seed uint64, serials *sequence) (*server, error) {
+func newServer(history *History, id, kind, zone, addr string, seed uint64, serials *sequence) (*server, error) {
 	s := &server{
-		h: h, id: id, kind: kind, zone: zone, addr: addr, rng: rand.New(rand.NewPCG(seed, serverRNGStream)), serials: serials,
+		history: history, id: id, kind: kind, zone: zone, addr: addr, rng: rand.New(rand.NewPCG(seed, serverRNGStream)), serials: serials,
 		conns: map[net.Conn]bool{}, copies: map[string]time.Time{}, state: "SERVING",
 	}
 	return s, s.listen()
@@ -131,23 +131,23 @@
 	conn.Close()                     //nolint:errcheck // as above
 }
 
-// extend moves the end of a fault, one of the fields that end in Until, to a later time.
-func (s *server) extend(until *time.Duration, at time.Duration) {
+// extendFault moves the end of a fault, one of the fields that end in Until, to a later time.
+func (s *server) extendFault(until *time.Duration, at time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	*until = max(*until, at)
 }
 
-// isBefore reports whether a fault, one of the fields that end in Until, lasts.
-func (s *server) isBefore(until *time.Duration) bool {
+// faultActive reports whether a fault, one of the fields that end in Until, lasts.
+func (s *server) faultActive(until *time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.h.Now() < *until
+	return s.history.Now() < *until
 }
 
 // waitWhileHung returns when the server does not hang.
 func (s *server) waitWhileHung() {
-	for s.isBefore(&s.hungUntil) {
+	for s.faultActive(&s.hungUntil) {
 		time.Sleep(hangPollInterval)
 	}
 }
@@ -156,7 +156,7 @@
 func (s *server) readsLate() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.h.Now() < s.hungUntil+lateReadsAfterHang
+	return s.history.Now() < s.hungUntil+lateReadsAfterHang
 }
 
 // draw returns a random number from [0, 1).
@@ -192,7 +192,7 @@
 		}
 		s.waitWhileHung()
 		late := s.readsLate()
-		firstByteAt := s.h.Now() - sinceArrival(conn)
+		firstByteAt := s.history.Now() - timeSinceArrival(conn)
 		words, err := readCommand(in)
 		if err != nil {
 			return
@@ -205,9 +205,9 @@
 	}
 }
 
-// sinceArrival is how long ago the last bytes of a connection arrived at this machine. They may be read
+// timeSinceArrival is how long ago the last bytes of a connection arrived at this machine. They may be read
 // later.
-func sinceArrival(conn net.Conn) (ago time.Duration) {
+func timeSinceArrival(conn net.Conn) (ago time.Duration) {
 	raw, err := conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return 0
@@ -223,25 +223,25 @@
 
 // setState sets the state in the endpoint list, and returns the entry there and when the server was
 // restarted.
-func (s *server) setState(state string) (entry string, restartedAt time.Time) {
+func (s *server) setState(state string) (endpointEntry string, restartedAt time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.state = state
-	return s.entry(), s.restartedAt
+	return s.endpointEntry(), s.restartedAt
 }
 
-// entry is the server's entry in the endpoint list. The caller holds mu, or the server is not shared yet.
-func (s *server) entry() string {
+// endpointEntry is the server's endpointEntry in the endpoint list. The caller holds mu, or the server is not shared yet.
+func (s *server) endpointEntry() string {
 	startedMS := int64(0)
 	if !s.restartedAt.IsZero() {
 		startedMS = s.restartedAt.UnixMilli()
 	}
 	return fmt.Sprintf(`{"id":%q,"addr":%q,"zone":%q,"kind":%q,"cell":0,"state":%q,"weight":%v,"started_ms":%d}`,
-		s.id, s.listedAddr(), s.zone, s.kind, s.state, cacheWeight, startedMS)
+		s.id, s.advertisedAddr(), s.zone, s.kind, s.state, cacheWeight, startedMS)
 }
 
-// listedAddr is where proxies reach the server.
-func (s *server) listedAddr() string {
+// advertisedAddr is where proxies reach the server.
+func (s *server) advertisedAddr() string {
 	if s.relayAddr != "" {
 		return s.relayAddr
 	}
--- a/internal/soak/watchserver.go
+++ b/internal/soak/watchserver.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// progressInterval is how often a stream without events brings the index of the last event.
-	progressInterval = time.Second
+	// heartbeatInterval is how often a stream without events brings the index of the last event.
+	heartbeatInterval = time.Second
 	// eventPollInterval is how often a stream looks for the next event.
 	eventPollInterval = 2 * time.Millisecond
 	// slowLineTime is how long a slow stream takes for one line. With the line behind it, it stays within
@@ -24,13 +24,13 @@
 	proxy int
 
 	// Under the coordinator's mu:
-	addr      string
-	mode      coordinatorMode
-	modeSetAt time.Duration
-	slowEvent int // index of the event that slow streams bring slowly; 0: none yet
-	spoiling  spoiling
-	listener  net.Listener
-	streams   map[net.Conn]bool
+	addr           string
+	mode           coordinatorMode
+	modeSetAt      time.Duration
+	slowEventIndex int // index of the event that slow streams bring slowly; 0: none yet
+	corruption     corruption
+	listener       net.Listener
+	streams        map[net.Conn]bool
 }
 
 // listen opens the address and serves streams until the listener is closed.
@@ -98,18 +98,18 @@
 	if _, err := fmt.Sscanf(line, "follow %d", &index); err != nil {
 		return
 	}
-	ws.c.h.Logf("coord", "proxy-%d follows from %d", ws.proxy, index)
+	ws.c.history.Logf("coord", "proxy-%d follows from %d", ws.proxy, index)
 	ended := make(chan struct{})
 	go func() {
 		in.ReadByte() //nolint:errcheck // the proxy sends nothing more: it returns when the connection ends
 		close(ended)
 	}()
-	ws.bringEvents(conn, index, ended)
+	ws.sendEvents(conn, index, ended)
 }
 
-// bringEvents writes the events after an index, each as it is published, and the last index once
+// sendEvents writes the events after an index, each as it is published, and the last index once
 // progressInterval has passed without one.
-func (ws *watchServer) bringEvents(conn net.Conn, index int, ended <-chan struct{}) {
+func (ws *watchServer) sendEvents(conn net.Conn, index int, ended <-chan struct{}) {
 	lastProgress := time.Now()
 	for {
 		select {
@@ -120,28 +120,28 @@
 		if ws.isSilent() {
 			continue
 		}
-		line, event, lastIndex := ws.c.after(index)
+		line, event, lastIndex := ws.c.eventAfter(index)
 		if event == nil {
-			if time.Since(lastProgress) < progressInterval {
+			if time.Since(lastProgress) < heartbeatInterval {
 				continue
 			}
 			lastProgress = time.Now()
-			ws.noteHeartbeat()
+			ws.recordHeartbeat()
 			line = strconv.Itoa(lastIndex)
 		}
-		text, next := ws.spoil(event, line)
+		text, next := ws.corrupt(event, line)
 		if !writePaced(conn, text, ws.byteInterval(event, len(line))) {
 			return
 		}
 		switch next {
-		case endStream:
+		case closeStream:
 			return
-		case holdStream:
+		case stallStream:
 			<-ended
 			return
-		case goOnWithout:
+		case continueUndelivered:
 			index++
-		case goOn:
+		case continueDelivered:
 			if event != nil {
 				index++
 				ws.c.recordDelivery(event, ws.proxy)
@@ -158,10 +158,10 @@
 	if ws.mode != modeSlow || e == nil || !e.changesEndpoints() {
 		return 0
 	}
-	if ws.slowEvent != 0 && ws.slowEvent != e.Index {
+	if ws.slowEventIndex != 0 && ws.slowEventIndex != e.Index {
 		return 0
 	}
-	ws.slowEvent = e.Index
+	ws.slowEventIndex = e.Index
 	return slowLineTime / time.Duration(size)
 }
 
