--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -35,20 +35,20 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	c := newHistoryChecker(h)
-	for _, q := range h.Requests {
-		c.checkFinalAnswers(q)
-		c.checkExecutions(q)
-		c.checkRepeats(q)
-		c.checkPurges(q)
+	for _, req := range h.Requests {
+		c.checkFinalAnswers(req)
+		c.checkExecutions(req)
+		c.checkRepeats(req)
+		c.checkPurges(req)
 	}
 	for _, call := range h.Calls {
 		c.checkCall(call)
 	}
-	for _, s := range h.Starts {
-		c.checkSlowStart(s)
+	for _, start := range h.Starts {
+		c.checkSlowStart(start)
 	}
-	for _, i := range h.Incarnations {
-		c.checkIncarnation(i)
+	for _, inc := range h.Incarnations {
+		c.checkIncarnation(inc)
 	}
 	return c.violations
 }
@@ -66,8 +66,8 @@
 	c := &historyChecker{
 		history: history, requests: map[string]*Request{}, executions: map[string]int{}, callsBySerial: map[string]*Call{},
 	}
-	for _, q := range history.Requests {
-		c.requests[q.ID] = q
+	for _, req := range history.Requests {
+		c.requests[req.ID] = req
 	}
 	for _, call := range history.Calls {
 		c.callsBySerial[strconv.Itoa(call.Serial)] = call
@@ -78,21 +78,21 @@
 	return c
 }
 
-func (c *historyChecker) report(rule string, at time.Duration, words []string, format string, args ...any) {
-	c.violations = append(c.violations, Violation{Rule: rule, At: at, Text: fmt.Sprintf(format, args...), Keywords: words})
+func (c *historyChecker) report(rule string, at time.Duration, keywords []string, format string, args ...any) {
+	c.violations = append(c.violations, Violation{Rule: rule, At: at, Text: fmt.Sprintf(format, args...), Keywords: keywords})
 }
 
 // notifiedAt is when an event counts as known to the process of a request: when its line was written, or
 // notifyWithin after its publication. Time in which the coordinator sent the process nothing, or it was
 // paused, does not count. What the configuration of the process holds is known from its start.
-func (c *historyChecker) notifiedAt(e *WatchEvent, q *Request) time.Duration {
-	incarnation := c.history.incarnation(q.Proxy, q.Incarnation)
-	unreachable := c.history.Withheld[q.Proxy]
+func (c *historyChecker) notifiedAt(e *WatchEvent, req *Request) time.Duration {
+	incarnation := c.history.incarnation(req.Proxy, req.Incarnation)
+	unreachable := c.history.Withheld[req.Proxy]
 	if incarnation != nil {
 		unreachable = slices.Concat(unreachable, incarnation.Paused)
 	}
 	at := afterExcluding(unreachable, e.PublishedAt, maxNotifyDelay)
-	delivered, ok := e.DeliveredAt[q.Proxy]
+	delivered, ok := e.DeliveredAt[req.Proxy]
 	if ok {
 		at = min(at, delivered)
 	}
--- a/internal/soak/clientconn.go
+++ b/internal/soak/clientconn.go
@@ -59,31 +59,31 @@
 }
 
 // register gives a request its ID on the connection and adds it to the history.
-func (c *clientConn) register(q *Request) (id uint16) {
+func (c *clientConn) register(req *Request) (id uint16) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lastID = c.lastID%maxRequestID + 1
-	c.open[c.lastID] = q
-	q.Incarnation = c.incarnation
-	q.FirstOnConnection = c.requests == 0
+	c.open[c.lastID] = req
+	req.Incarnation = c.incarnation
+	req.FirstOnConnection = c.requests == 0
 	c.requests++
 	c.lastUsed = c.history.Now()
-	c.history.withLock(func() { c.history.Requests = append(c.history.Requests, q) })
+	c.history.withLock(func() { c.history.Requests = append(c.history.Requests, req) })
 	return c.lastID
 }
 
 // send sends a request, and more bytes behind it in the same write.
-func (c *clientConn) send(q *Request, more []byte) (id uint16) {
-	id = c.register(q)
-	if c.write(append(encodeRequest(id, q), more...)) == nil {
-		c.history.withLock(func() { q.SentAt = c.history.Now() })
+func (c *clientConn) send(req *Request, more []byte) (id uint16) {
+	id = c.register(req)
+	if c.write(append(encodeRequest(id, req), more...)) == nil {
+		c.history.withLock(func() { req.SentAt = c.history.Now() })
 	}
-	c.history.Logf("client", "requests from proxy-%d %s %s k=%s on connection %d", q.Proxy, q.Class, q.ID, q.Object, c.number)
+	c.history.Logf("client", "requests from proxy-%d %s %s k=%s on connection %d", req.Proxy, req.Class, req.ID, req.Object, c.number)
 	return id
 }
 
 // writeSlowly sends a request in small pieces.
-func (c *clientConn) writeSlowly(q *Request, records []byte) {
+func (c *clientConn) writeSlowly(req *Request, records []byte) {
 	for len(records) > 0 {
 		size := min(len(records), slowChunkBytes)
 		if c.write(records[:size]) != nil {
@@ -94,8 +94,8 @@
 			time.Sleep(slowChunkInterval)
 		}
 	}
-	c.history.withLock(func() { q.SentAt = c.history.Now() })
-	c.history.Logf("client", "has requested slowly from proxy-%d %s %s on connection %d", q.Proxy, q.Class, q.ID, c.number)
+	c.history.withLock(func() { req.SentAt = c.history.Now() })
+	c.history.Logf("client", "has requested slowly from proxy-%d %s %s on connection %d", req.Proxy, req.Class, req.ID, c.number)
 }
 
 func (c *clientConn) write(data []byte) error {
@@ -137,10 +137,10 @@
 
 // recordAnswer records the answer that an END_REQUEST completes.
 func (c *clientConn) recordAnswer(id uint16, endRequest []byte) {
-	q := c.takeRequest(id)
+	req := c.takeRequest(id)
 	text := string(c.outputs[id])
 	delete(c.outputs, id)
-	if q == nil {
+	if req == nil {
 		return
 	}
 	header, body, _ := strings.Cut(text, "\r\n\r\n")
@@ -152,31 +152,31 @@
 	}
 	confirmsAbort := hasStatus && text == "" && !a.ProtocolOverloaded
 	if !confirmsAbort {
-		c.history.withLock(func() { q.Answers = append(q.Answers, a) })
+		c.history.withLock(func() { req.Answers = append(req.Answers, a) })
 	}
-	c.history.Logf("client", "%s answered %s %q", q.ID, status, a.Body[:min(len(a.Body), timelineBodyBytes)])
+	c.history.Logf("client", "%s answered %s %q", req.ID, status, a.Body[:min(len(a.Body), timelineBodyBytes)])
 }
 
 // takeRequest returns the request of an answer, also of a second one; nil: the ID is unknown.
 func (c *clientConn) takeRequest(id uint16) *Request {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	q := c.open[id]
-	if q == nil {
-		q = c.answered[id]
+	req := c.open[id]
+	if req == nil {
+		req = c.answered[id]
 	}
 	delete(c.open, id)
-	c.answered[id] = q
+	c.answered[id] = req
 	c.lastUsed = c.history.Now()
-	return q
+	return req
 }
 
 // mayRaceIdleClose reports whether a request may have crossed the close of its connection, which was idle until then.
-func (c *clientConn) mayRaceIdleClose(q *Request, closedAt time.Duration) bool {
-	if q.SentAt == 0 || closedAt-q.SentAt >= idleCloseRaceWindow {
+func (c *clientConn) mayRaceIdleClose(req *Request, closedAt time.Duration) bool {
+	if req.SentAt == 0 || closedAt-req.SentAt >= idleCloseRaceWindow {
 		return false
 	}
-	return !q.FirstOnConnection || q.SentAt-c.openedAt > unusedIdleAge
+	return !req.FirstOnConnection || req.SentAt-c.openedAt > unusedIdleAge
 }
 
 // recordClose records which requests were open as the connection ended. Where all of them were sent just before, on a
@@ -192,16 +192,16 @@
 	c.mu.Unlock()
 	raced := true
 	c.history.withLock(func() {
-		for _, q := range open {
-			raced = raced && c.mayRaceIdleClose(q, now)
+		for _, req := range open {
+			raced = raced && c.mayRaceIdleClose(req, now)
 		}
 	})
-	for _, q := range open {
+	for _, req := range open {
 		c.history.withLock(func() {
-			q.DisconnectedAt = now
-			q.AnswerNotRequired = q.AnswerNotRequired || raced
+			req.DisconnectedAt = now
+			req.AnswerNotRequired = req.AnswerNotRequired || raced
 		})
 		c.history.Logf("client", "connection %d to proxy-%d, opened %.3f before, ended with %s open (idle close raced: %v)",
-			c.number, c.clients.p.number, (now - c.openedAt).Seconds(), q.ID, raced)
+			c.number, c.clients.p.number, (now - c.openedAt).Seconds(), req.ID, raced)
 	}
 }
--- a/internal/soak/clientconn_test.go
+++ b/internal/soak/clientconn_test.go
@@ -23,8 +23,8 @@
 		{"not sent in full", time.Second, 0, false, false},
 	} {
 		conn := &clientConn{openedAt: c.openedAt}
-		q := &Request{SentAt: c.sentAt, FirstOnConnection: c.first}
-		if got := conn.mayRaceIdleClose(q, closedAt); got != c.want {
+		req := &Request{SentAt: c.sentAt, FirstOnConnection: c.first}
+		if got := conn.mayRaceIdleClose(req, closedAt); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -155,11 +155,11 @@
 
 // abortRequest aborts a request soon after it was sent.
 func (pc *proxyClients) abortRequest(c *clientConn) {
-	q := pc.newRequest(classRead, requestTimeout)
-	id := c.send(q, nil)
+	req := pc.newRequest(classRead, requestTimeout)
+	id := c.send(req, nil)
 	time.AfterFunc(pc.drawMillis(maxAbortDelay), func() {
 		c.write(encodeRecord(fcgiAbortRequest, id, "")) //nolint:errcheck // a lost connection shows in the answers
-		pc.history.withLock(func() { q.CancelledAt = pc.history.Now() })
+		pc.history.withLock(func() { req.CancelledAt = pc.history.Now() })
 	})
 }
 
@@ -183,16 +183,16 @@
 		return
 	}
 	requests := []*Request{pc.newRequest(classRead, requestTimeout), pc.newRequest(classWrite, requestTimeout)}
-	for _, q := range requests {
-		c.send(q, nil)
+	for _, req := range requests {
+		c.send(req, nil)
 	}
 	way := pc.rng.IntN(disconnectMethods)
 	time.AfterFunc(pc.drawMillis(maxDisconnectDelay), func() {
 		pc.history.Logf("client", "disconnects with %s and %s open", requests[0].ID, requests[1].ID)
 		c.disconnect(way)
 		pc.history.withLock(func() {
-			for _, q := range requests {
-				q.CancelledAt = pc.history.Now()
+			for _, req := range requests {
+				req.CancelledAt = pc.history.Now()
 			}
 		})
 	})
@@ -204,9 +204,9 @@
 	if c == nil {
 		return
 	}
-	q := pc.newRequest(classRead, requestTimeout)
+	req := pc.newRequest(classRead, requestTimeout)
 	malformed := []string{"GET / HTTP/1.1\r\n\r\n", "\x01\x01\x00\x09\x00\x00\x00\x00", strings.Repeat("\xff", 4000)}
-	c.send(q, []byte(malformed[pc.rng.IntN(len(malformed))]))
+	c.send(req, []byte(malformed[pc.rng.IntN(len(malformed))]))
 }
 
 // writeSlowly sends a request in small pieces.
@@ -215,9 +215,9 @@
 	if c == nil {
 		return
 	}
-	q := pc.newRequest(classRead, requestTimeout)
-	id := c.register(q)
-	go c.writeSlowly(q, encodeRequest(id, q))
+	req := pc.newRequest(classRead, requestTimeout)
+	id := c.register(req)
+	go c.writeSlowly(req, encodeRequest(id, req))
 }
 
 // connectIdle connects and sends nothing.
--- a/internal/soak/fastcgi.go
+++ b/internal/soak/fastcgi.go
@@ -37,18 +37,18 @@
 func requestID(number uint64) string { return fmt.Sprintf("%016x", number) }
 
 // encodeRequest encodes all records of a request.
-func encodeRequest(id uint16, q *Request) []byte {
+func encodeRequest(id uint16, req *Request) []byte {
 	params := []param{
-		{"SCRIPT_NAME", "/ops/" + q.Class}, {"HTTP_REQ_ID", q.ID}, {"HTTP_REQ_KEY", q.Object},
-		{"HTTP_REQ_WAIT_MS", fmt.Sprint(q.Timeout.Milliseconds())}, {"HTTP_X_PIECE", "0"}, {"HTTP_X_LOT", fmt.Sprint(q.Group)},
+		{"SCRIPT_NAME", "/ops/" + req.Class}, {"HTTP_REQ_ID", req.ID}, {"HTTP_REQ_KEY", req.Object},
+		{"HTTP_REQ_WAIT_MS", fmt.Sprint(req.Timeout.Milliseconds())}, {"HTTP_X_PIECE", "0"}, {"HTTP_X_LOT", fmt.Sprint(req.Group)},
 	}
-	if q.Class == classKeyed {
-		params = append(params, param{"HTTP_REQ_TOKEN", q.ID})
+	if req.Class == classKeyed {
+		params = append(params, param{"HTTP_REQ_TOKEN", req.ID})
 	}
 	out := encodeRecord(fcgiBeginRequest, id, beginResponderBody)
 	out = append(out, encodeRecord(fcgiParams, id, encodeParams(params))...)
 	out = append(out, encodeRecord(fcgiParams, id, "")...)
-	if q.Class == classWrite {
+	if req.Class == classWrite {
 		out = append(out, encodeRecord(fcgiStdin, id, strings.Repeat("w", writeBodySize))...)
 	}
 	return append(out, encodeRecord(fcgiStdin, id, "")...)
--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -76,9 +76,9 @@
 }
 
 // Logf adds a line to the timeline.
-func (h *History) Logf(who, format string, args ...any) {
+func (h *History) Logf(source, format string, args ...any) {
 	h.withLock(func() {
-		h.timeline = append(h.timeline, TimelineEntry{At: h.Now(), Source: who, Text: fmt.Sprintf(format, args...)})
+		h.timeline = append(h.timeline, TimelineEntry{At: h.Now(), Source: source, Text: fmt.Sprintf(format, args...)})
 	})
 }
 
@@ -94,32 +94,32 @@
 
 // TimelineAround returns the lines of the timeline within a distance of a moment that contain one of the
 // given words, and all faults.
-func (h *History) TimelineAround(at, distance time.Duration, words ...string) string {
+func (h *History) TimelineAround(at, distance time.Duration, keywords ...string) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	slices.SortStableFunc(h.timeline, func(a, b TimelineEntry) int { return cmp.Compare(a.At, b.At) })
 	var b strings.Builder
-	for _, r := range h.timeline {
-		near := r.At > at-distance && r.At < at+distance
-		if near && (r.Source == faultSource || r.mentions(words)) {
-			fmt.Fprintln(&b, r)
+	for _, entry := range h.timeline {
+		near := entry.At > at-distance && entry.At < at+distance
+		if near && (entry.Source == faultSource || entry.mentions(keywords)) {
+			fmt.Fprintln(&b, entry)
 		}
 	}
 	return b.String()
 }
 
 // mentions reports whether the record is by or about one of the given words. Empty words name nothing.
-func (r TimelineEntry) mentions(words []string) bool {
-	return slices.ContainsFunc(words, func(word string) bool {
-		return word != "" && (strings.Contains(r.Text, word) || r.Source == word)
+func (entry TimelineEntry) mentions(keywords []string) bool {
+	return slices.ContainsFunc(keywords, func(keyword string) bool {
+		return keyword != "" && (strings.Contains(entry.Text, keyword) || entry.Source == keyword)
 	})
 }
 
 // incarnation finds a process; nil: there is none.
 func (h *History) incarnation(proxy, number int) *Incarnation {
-	for _, i := range h.Incarnations {
-		if i.Proxy == proxy && i.Number == number {
-			return i
+	for _, inc := range h.Incarnations {
+		if inc.Proxy == proxy && inc.Number == number {
+			return inc
 		}
 	}
 	return nil
--- a/internal/soak/records.go
+++ b/internal/soak/records.go
@@ -16,8 +16,8 @@
 }
 
 // String is the record as reports show it.
-func (r TimelineEntry) String() string {
-	return fmt.Sprintf("%9.3f %-10s %s", r.At.Seconds(), r.Source, r.Text)
+func (entry TimelineEntry) String() string {
+	return fmt.Sprintf("%9.3f %-10s %s", entry.At.Seconds(), entry.Source, entry.Text)
 }
 
 // FinalAnswer is a final answer as a client read it.
@@ -100,8 +100,8 @@
 }
 
 // afterRunningFor returns when the process has run for a length of time after a moment.
-func (i *Incarnation) afterRunningFor(from, length time.Duration) time.Duration {
-	return afterExcluding(i.Paused, from, length)
+func (inc *Incarnation) afterRunningFor(from, length time.Duration) time.Duration {
+	return afterExcluding(inc.Paused, from, length)
 }
 
 // Limits are the values that the proxies' configuration and the rules set.
--- a/internal/soak/rule_calls.go
+++ b/internal/soak/rule_calls.go
@@ -19,60 +19,60 @@
 // checkCall checks the rules on when and where a call may be sent. They do not apply to a call that its
 // server read late, as the time of its sending is unknown.
 func (c *historyChecker) checkCall(call *Call) {
-	q := c.requests[call.ID]
-	if q == nil {
+	req := c.requests[call.ID]
+	if req == nil {
 		c.report("unknown call", call.FirstByteAt, []string{call.ID}, "%s got a call that no client sent", call.Server)
 		return
 	}
 	if call.ReadLate {
 		return
 	}
-	words := []string{call.ID, call.Server, proxyName(q.Proxy)}
-	c.checkCancelled(q, call, words)
-	c.checkDeadline(q, call, words)
-	c.checkDrain(q, call, call.Server, words)
-	c.checkDrain(q, call, call.FillSource, words)
+	keywords := []string{call.ID, call.Server, proxyName(req.Proxy)}
+	c.checkCancelled(req, call, keywords)
+	c.checkDeadline(req, call, keywords)
+	c.checkDrain(req, call, call.Server, keywords)
+	c.checkDrain(req, call, call.FillSource, keywords)
 }
 
 // checkCancelled checks that no call begins more than cancelGrace after its client cancelled the request.
-func (c *historyChecker) checkCancelled(q *Request, call *Call, words []string) {
-	if q.CancelledAt == 0 {
+func (c *historyChecker) checkCancelled(req *Request, call *Call, keywords []string) {
+	if req.CancelledAt == 0 {
 		return
 	}
-	last := q.CancelledAt + cancelGrace + c.history.observationSlack(q.CancelledAt, call.FirstByteAt)
+	last := req.CancelledAt + cancelGrace + c.history.observationSlack(req.CancelledAt, call.FirstByteAt)
 	if call.FirstByteAt > last {
-		since := call.FirstByteAt - q.CancelledAt
-		c.report("begun after left", call.FirstByteAt, words, "request %s began at %s %.3f after its client had cancelled it",
+		since := call.FirstByteAt - req.CancelledAt
+		c.report("begun after left", call.FirstByteAt, keywords, "request %s began at %s %.3f after its client had cancelled it",
 			call.ID, call.Server, since.Seconds())
 	}
 }
 
 // checkDeadline checks that a call gives its server no more time than its client has left.
-func (c *historyChecker) checkDeadline(q *Request, call *Call, words []string) {
-	remaining := q.SentAt + q.Timeout - call.CompleteAt
-	if q.SentAt != 0 && call.Timeout > remaining+deadlineSlack+c.history.observationSlack(q.SentAt, call.CompleteAt) {
-		c.report("deadline", call.CompleteAt, words,
+func (c *historyChecker) checkDeadline(req *Request, call *Call, keywords []string) {
+	remaining := req.SentAt + req.Timeout - call.CompleteAt
+	if req.SentAt != 0 && call.Timeout > remaining+deadlineSlack+c.history.observationSlack(req.SentAt, call.CompleteAt) {
+		c.report("deadline", call.CompleteAt, keywords,
 			"request %s gives its server %v when its client has %v left", call.ID, call.Timeout, remaining)
 	}
 }
 
 // checkDrain checks that a call neither goes to nor names a server for longer than the grace period after its
 // proxy was notified that the server is draining or removed.
-func (c *historyChecker) checkDrain(q *Request, call *Call, server string, words []string) {
-	since, withdrawn := c.withdrawnSince(server, q, call.FirstByteAt)
+func (c *historyChecker) checkDrain(req *Request, call *Call, server string, keywords []string) {
+	since, withdrawn := c.withdrawnSince(server, req, call.FirstByteAt)
 	if !withdrawn {
 		return
 	}
 	last := since + c.history.Limits.DrainGrace + socketSlack + c.history.observationSlack(since, call.FirstByteAt)
 	if call.FirstByteAt > last {
-		c.report("drain", call.FirstByteAt, words, "request %s went to or named %s %.3f after its proxy was notified of its drain or removal",
+		c.report("drain", call.FirstByteAt, keywords, "request %s went to or named %s %.3f after its proxy was notified of its drain or removal",
 			call.ID, server, (call.FirstByteAt - since).Seconds())
 	}
 }
 
 // withdrawnSince returns since when, at a moment, the process of a request counts as notified that a server
 // is draining or removed. What was published within the uncertainty of that moment counts as published before.
-func (c *historyChecker) withdrawnSince(server string, q *Request, at time.Duration) (since time.Duration, withdrawn bool) {
+func (c *historyChecker) withdrawnSince(server string, req *Request, at time.Duration) (since time.Duration, withdrawn bool) {
 	if server == "" {
 		return 0, false
 	}
@@ -83,7 +83,7 @@
 		if slices.Contains(e.Serving, server) {
 			withdrawn = false
 		} else if slices.Contains(e.Withdrawn, server) && !withdrawn {
-			since = c.notifiedAt(e, q)
+			since = c.notifiedAt(e, req)
 			withdrawn = true
 		}
 	}
--- a/internal/soak/rule_executions.go
+++ b/internal/soak/rule_executions.go
@@ -2,52 +2,52 @@
 
 // checkExecutions checks that a write is executed at most once, that it was executed if it is answered as
 // served, and that it was not if it is rejected.
-func (c *historyChecker) checkExecutions(q *Request) {
-	if q.Class != classWrite {
+func (c *historyChecker) checkExecutions(req *Request) {
+	if req.Class != classWrite {
 		return
 	}
-	executions := c.executions[q.ID]
-	words := []string{q.ID}
+	executions := c.executions[req.ID]
+	keywords := []string{req.ID}
 	if executions > 1 {
-		c.report("ran twice", q.SentAt, words, "request %s was executed %d times", q.ID, executions)
+		c.report("ran twice", req.SentAt, keywords, "request %s was executed %d times", req.ID, executions)
 	}
-	for _, a := range q.Answers {
+	for _, a := range req.Answers {
 		if a.Status == "200" && executions == 0 {
-			c.report("served unrun", a.At, words, "request %s was answered as served and never executed", q.ID)
+			c.report("served unrun", a.At, keywords, "request %s was answered as served and never executed", req.ID)
 		}
 		if a.Rejected() && executions > 0 {
-			c.report("refused after run", a.At, words, "request %s was rejected and executed", q.ID)
+			c.report("refused after run", a.At, keywords, "request %s was rejected and executed", req.ID)
 		}
 	}
 }
 
 // checkRepeats checks that a request with an idempotency key is repeated only while servers know its key:
 // within the deduplication window after the first call that may have been executed.
-func (c *historyChecker) checkRepeats(q *Request) {
-	if q.Class != classKeyed {
+func (c *historyChecker) checkRepeats(req *Request) {
+	if req.Class != classKeyed {
 		return
 	}
-	first := c.firstPossibleExecution(q)
+	first := c.firstPossibleExecution(req)
 	if first == nil {
 		return
 	}
 	for _, call := range c.history.Calls {
-		if call.ID != q.ID || call.ReadLate {
+		if call.ID != req.ID || call.ReadLate {
 			continue
 		}
 		last := first.FirstByteAt + c.history.Limits.DeduplicationWindow + socketSlack + c.history.observationSlack(first.FirstByteAt, call.FirstByteAt)
 		if call.FirstByteAt > last {
 			since := call.FirstByteAt - first.FirstByteAt
-			c.report("repeat after window", call.FirstByteAt, []string{q.ID, proxyName(q.Proxy)},
-				"request %s was repeated %.3f after a call that may have been executed", q.ID, since.Seconds())
+			c.report("repeat after window", call.FirstByteAt, []string{req.ID, proxyName(req.Proxy)},
+				"request %s was repeated %.3f after a call that may have been executed", req.ID, since.Seconds())
 		}
 	}
 }
 
 // firstPossibleExecution is the first call of a request that may have been executed; nil: there is none.
-func (c *historyChecker) firstPossibleExecution(q *Request) (first *Call) {
+func (c *historyChecker) firstPossibleExecution(req *Request) (first *Call) {
 	for _, call := range c.history.Calls {
-		if call.ID != q.ID || call.ReadLate || provesNotExecuted(call.Result) {
+		if call.ID != req.ID || call.ReadLate || provesNotExecuted(call.Result) {
 			continue
 		}
 		if first == nil || call.FirstByteAt < first.FirstByteAt {
--- a/internal/soak/rule_incarnations.go
+++ b/internal/soak/rule_incarnations.go
@@ -13,50 +13,50 @@
 )
 
 // String names the process in violations.
-func (i *Incarnation) String() string {
-	return fmt.Sprintf("proxy %d, incarnation %d", i.Proxy, i.Number)
+func (inc *Incarnation) String() string {
+	return fmt.Sprintf("proxy %d, incarnation %d", inc.Proxy, inc.Number)
 }
 
 // checkIncarnation checks the rules on one process: its start, its exit and its limits.
-func (c *historyChecker) checkIncarnation(i *Incarnation) {
-	words := []string{proxyName(i.Proxy)}
-	c.checkReady(i, words)
-	c.checkExit(i, words)
-	c.checkResources(i, words)
+func (c *historyChecker) checkIncarnation(inc *Incarnation) {
+	keywords := []string{proxyName(inc.Proxy)}
+	c.checkReady(inc, keywords)
+	c.checkExit(inc, keywords)
+	c.checkResources(inc, keywords)
 }
 
 // checkReady checks that a process is ready in time, unless it ended before.
-func (c *historyChecker) checkReady(i *Incarnation, words []string) {
-	due := i.afterRunningFor(i.StartedAt, maxReadyDelay)
+func (c *historyChecker) checkReady(inc *Incarnation, keywords []string) {
+	due := inc.afterRunningFor(inc.StartedAt, maxReadyDelay)
 	isBeforeDue := func(at time.Duration) bool { return at != 0 && at < due }
-	endedBefore := isBeforeDue(i.KilledAt) || isBeforeDue(i.SigtermAt) || isBeforeDue(i.ExitedAt)
-	inTime := i.ReadyAt != 0 && i.ReadyAt <= due
+	endedBefore := isBeforeDue(inc.KilledAt) || isBeforeDue(inc.SigtermAt) || isBeforeDue(inc.ExitedAt)
+	inTime := inc.ReadyAt != 0 && inc.ReadyAt <= due
 	if !inTime && !endedBefore {
-		c.report("not ready", i.StartedAt, words, "%v was not ready in time", i)
+		c.report("not ready", inc.StartedAt, keywords, "%v was not ready in time", inc)
 	}
 }
 
 // checkExit checks that a process exits only when it is ordered to, after SIGTERM without an error, and in
 // time.
-func (c *historyChecker) checkExit(i *Incarnation, words []string) {
-	beforeSigterm := i.SigtermAt == 0 || i.ExitedAt < i.SigtermAt
-	if i.ExitedAt != 0 && beforeSigterm && i.KilledAt == 0 {
-		c.report("crash", i.ExitedAt, words, "%v exited by itself: %s", i, i.ExitError)
+func (c *historyChecker) checkExit(inc *Incarnation, keywords []string) {
+	beforeSigterm := inc.SigtermAt == 0 || inc.ExitedAt < inc.SigtermAt
+	if inc.ExitedAt != 0 && beforeSigterm && inc.KilledAt == 0 {
+		c.report("crash", inc.ExitedAt, keywords, "%v exited by itself: %s", inc, inc.ExitError)
 	}
-	if i.SigtermAt != 0 && i.KilledAt == 0 && i.ExitedAt > i.SigtermAt && i.ExitError != "" {
-		c.report("bad end", i.SigtermAt, words, "%v exited with %q after SIGTERM", i, i.ExitError)
+	if inc.SigtermAt != 0 && inc.KilledAt == 0 && inc.ExitedAt > inc.SigtermAt && inc.ExitError != "" {
+		c.report("bad end", inc.SigtermAt, keywords, "%v exited with %q after SIGTERM", inc, inc.ExitError)
 	}
-	if i.SigtermAt != 0 && i.KilledAt > i.SigtermAt {
-		c.report("late end", i.KilledAt, words, "%v had to be killed %.3f after SIGTERM", i, (i.KilledAt - i.SigtermAt).Seconds())
+	if inc.SigtermAt != 0 && inc.KilledAt > inc.SigtermAt {
+		c.report("late end", inc.KilledAt, keywords, "%v had to be killed %.3f after SIGTERM", inc, (inc.KilledAt - inc.SigtermAt).Seconds())
 	}
 }
 
 // checkResources checks that a process stays within its memory and descriptors.
-func (c *historyChecker) checkResources(i *Incarnation, words []string) {
-	if i.PeakMemoryKB > c.history.Limits.MemoryKB {
-		c.report("memory", i.ExitedAt, words, "%v used %d KB", i, i.PeakMemoryKB)
+func (c *historyChecker) checkResources(inc *Incarnation, keywords []string) {
+	if inc.PeakMemoryKB > c.history.Limits.MemoryKB {
+		c.report("memory", inc.ExitedAt, keywords, "%v used %d KB", inc, inc.PeakMemoryKB)
 	}
-	if i.PeakDescriptors > c.history.Limits.Descriptors {
-		c.report("descriptors", i.ExitedAt, words, "%v used %d descriptors", i, i.PeakDescriptors)
+	if inc.PeakDescriptors > c.history.Limits.Descriptors {
+		c.report("descriptors", inc.ExitedAt, keywords, "%v used %d descriptors", inc, inc.PeakDescriptors)
 	}
 }
--- a/internal/soak/rule_purges.go
+++ b/internal/soak/rule_purges.go
@@ -4,48 +4,48 @@
 
 // checkPurges checks that no request is served from a copy that a purge covers, if its call was sent more
 // than the grace period after the proxy was notified of the purge.
-func (c *historyChecker) checkPurges(q *Request) {
-	for _, a := range q.Answers {
-		call := c.callOf(q, a)
+func (c *historyChecker) checkPurges(req *Request) {
+	for _, a := range req.Answers {
+		call := c.callOf(req, a)
 		if call == nil || call.ReadLate || call.CopyMadeAt.IsZero() {
 			continue
 		}
 		for _, e := range c.history.Events {
-			if e.purges(q, call) {
-				c.checkPurgeGrace(q, call, e)
+			if e.purges(req, call) {
+				c.checkPurgeGrace(req, call, e)
 			}
 		}
 	}
 }
 
 // callOf is the call that served an answer; nil: the answer is no success, or names no call of its request.
-func (c *historyChecker) callOf(q *Request, a FinalAnswer) *Call {
+func (c *historyChecker) callOf(req *Request, a FinalAnswer) *Call {
 	serial, _, _ := strings.Cut(a.Body, " ")
 	call := c.callsBySerial[serial]
-	if a.Status != "200" || call == nil || call.ID != q.ID {
+	if a.Status != "200" || call == nil || call.ID != req.ID {
 		return nil
 	}
 	return call
 }
 
 // purges reports whether an event purges the copy that served a call of a request.
-func (e *WatchEvent) purges(q *Request, call *Call) bool {
+func (e *WatchEvent) purges(req *Request, call *Call) bool {
 	if e.PurgedBefore.IsZero() {
 		return false
 	}
-	matches := e.PurgedObject == q.Object || e.PurgedGroup == q.Group
+	matches := e.PurgedObject == req.Object || e.PurgedGroup == req.Group
 	return matches && call.CopyMadeAt.Before(e.PurgedBefore)
 }
 
-func (c *historyChecker) checkPurgeGrace(q *Request, call *Call, e *WatchEvent) {
-	notified := c.notifiedAt(e, q)
+func (c *historyChecker) checkPurgeGrace(req *Request, call *Call, e *WatchEvent) {
+	notified := c.notifiedAt(e, req)
 	last := notified + c.history.Limits.PurgeGrace + socketSlack + c.history.observationSlack(notified, call.FirstByteAt)
 	if call.FirstByteAt <= last {
 		return
 	}
 	since := call.FirstByteAt - notified
-	words := []string{q.ID, call.Server, q.Object, proxyName(q.Proxy)}
-	c.report("purged copy", call.FirstByteAt, words,
+	keywords := []string{req.ID, call.Server, req.Object, proxyName(req.Proxy)}
+	c.report("purged copy", call.FirstByteAt, keywords,
 		"request %s was sent %.3f after its proxy was notified of a purge, and served from a copy %v older",
-		q.ID, since.Seconds(), e.PurgedBefore.Sub(call.CopyMadeAt))
+		req.ID, since.Seconds(), e.PurgedBefore.Sub(call.CopyMadeAt))
 }
--- a/internal/soak/rule_slowstart.go
+++ b/internal/soak/rule_slowstart.go
@@ -11,16 +11,16 @@
 // that time allows. The capacity grows linearly from SlowStartCapacity to 1 in SlowStartDuration. The rule
 // applies where at least two thirds of the calls come from notified proxies: the others can't know that the
 // server has started. It reports the first violation alone.
-func (c *historyChecker) checkSlowStart(s ServerStart) {
-	calls := c.callsDuringSlowStart(s)
+func (c *historyChecker) checkSlowStart(start ServerStart) {
+	calls := c.callsDuringSlowStart(start)
 	for i, last := range calls {
-		allowed := c.slowStartAllowance(last.FirstByteAt - s.At)
-		count, notified := c.countInWindow(s, calls[:i+1])
+		allowed := c.slowStartAllowance(last.FirstByteAt - start.At)
+		count, notified := c.countInWindow(start, calls[:i+1])
 		enoughNotified := float64(notified) >= 2*float64(count)/3
 		if float64(count) > allowed && enoughNotified {
-			c.report("cold start", last.FirstByteAt, []string{s.Server},
+			c.report("cold start", last.FirstByteAt, []string{start.Server},
 				"%s got %d calls within %v, %.1f allowed, %d from proxies that were notified of its start",
-				s.Server, count, c.history.Limits.OverloadWindow, allowed, notified)
+				start.Server, count, c.history.Limits.OverloadWindow, allowed, notified)
 			return
 		}
 	}
@@ -28,10 +28,10 @@
 
 // callsDuringSlowStart are the calls that a server read during its slow start, in the order of their first
 // bytes.
-func (c *historyChecker) callsDuringSlowStart(s ServerStart) (calls []*Call) {
+func (c *historyChecker) callsDuringSlowStart(start ServerStart) (calls []*Call) {
 	for _, call := range c.history.Calls {
-		inSlowStart := call.FirstByteAt >= s.At && call.FirstByteAt < s.At+c.history.Limits.SlowStartDuration
-		if call.Server == s.Server && inSlowStart && !call.ReadLate {
+		inSlowStart := call.FirstByteAt >= start.At && call.FirstByteAt < start.At+c.history.Limits.SlowStartDuration
+		if call.Server == start.Server && inSlowStart && !call.ReadLate {
 			calls = append(calls, call)
 		}
 	}
@@ -41,14 +41,14 @@
 
 // countInWindow counts the calls in the window that ends with the last one, and those of them whose proxy was
 // notified of the server's start.
-func (c *historyChecker) countInWindow(s ServerStart, calls []*Call) (count, notified int) {
+func (c *historyChecker) countInWindow(start ServerStart, calls []*Call) (count, notified int) {
 	windowStart := calls[len(calls)-1].FirstByteAt - c.history.Limits.OverloadWindow
 	for _, call := range calls {
 		if call.FirstByteAt <= windowStart {
 			continue
 		}
 		count++
-		if c.knewOfStart(s, call) {
+		if c.knewOfStart(start, call) {
 			notified++
 		}
 	}
@@ -83,14 +83,14 @@
 
 // knewOfStart reports whether the proxy of a call had been notified of a server's start when it sent the
 // call.
-func (c *historyChecker) knewOfStart(s ServerStart, call *Call) bool {
-	q := c.requests[call.ID]
-	if q == nil {
+func (c *historyChecker) knewOfStart(start ServerStart, call *Call) bool {
+	req := c.requests[call.ID]
+	if req == nil {
 		return false
 	}
 	for _, e := range c.history.Events {
-		if e.Index == s.EventIndex {
-			return call.FirstByteAt > c.notifiedAt(e, q)
+		if e.Index == start.EventIndex {
+			return call.FirstByteAt > c.notifiedAt(e, req)
 		}
 	}
 	return false
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -102,8 +102,8 @@
 	result := Result{
 		Seed: r.seed, Schedule: schedule, Violations: Check(r.history), Requests: len(r.history.Requests), Incarnations: len(r.history.Incarnations),
 	}
-	for _, q := range r.history.Requests {
-		if len(q.Answers) > 0 && q.Answers[0].Status == "200" {
+	for _, req := range r.history.Requests {
+		if len(req.Answers) > 0 && req.Answers[0].Status == "200" {
 			result.Served++
 		}
 	}
