--- a/internal/soak/answers.go
+++ b/internal/soak/answers.go
@@ -12,17 +12,18 @@
 const (
 	bodySize      = 10 << 10 // bytes of an object
 	fillTime      = 8 * time.Millisecond
-	maxAnswerTime = 25 * time.Millisecond // of a server that is not slow
+	maxAnswerTime = 25 * time.Millisecond // for a server that is not slow
 	maxWriteTime  = 2 * maxAnswerTime
-	slowFactor    = 20 // by which a slow server takes longer
+	slowFactor    = 20 // how many times longer a slow server takes
 
-	overloadChance = 0.5 // that a call is rejected during an "overload" fault
-	crashedChance  = 0.02
-	joinChance     = 0.03 // that a call joins a fill that had begun before it
+	overloadChance = 0.5  // probability that a call is rejected during an "overload" fault
+	crashedChance  = 0.02 // probability that a write is answered with "crashed"
+	joinChance     = 0.03 // probability that a call joins a fill that began before it
 	maxJoinedAge   = time.Second
 )
 
-// recordCall adds a call to the history.
+// recordCall adds a call to the history. The words are those of its command: REQ, the ID, the fields and the
+// body.
 func (s *server) recordCall(words []string, firstByteAt time.Duration, late bool) *Call {
 	call := &Call{Server: s.id, ID: words[1], FirstByteAt: firstByteAt, CompleteAt: s.history.Now(), ReadLate: late, Serial: s.serials.next()}
 	for _, field := range strings.Split(words[2], ",") {
@@ -46,7 +47,7 @@
 	return call
 }
 
-// parseMillis reads a number of milliseconds; 0: it is none.
+// parseMillis parses a number of milliseconds. It returns 0 if the text is not a number.
 func parseMillis(text string) time.Duration {
 	millis, err := strconv.Atoi(text)
 	if err != nil {
@@ -78,7 +79,7 @@
 	s.writeAnswer(call, out, "served", fields, body)
 }
 
-// execute executes a write, which the origin alone does.
+// execute executes a write at the origin, and answers "not_here" at any other server.
 func (s *server) execute(call *Call, out *lockedWriter) {
 	if s.kind != "origin" {
 		s.writeAnswer(call, out, "not_here", "-", "")
@@ -93,7 +94,8 @@
 	s.writeAnswer(call, out, result, "-", fmt.Sprintf("%d written", call.Serial))
 }
 
-// simulateWork takes a time that it draws, and longer while the server is slow or hangs.
+// simulateWork sleeps for a random time below maxTime, slowFactor times longer while the server is slow, and as
+// long as the server hangs.
 func (s *server) simulateWork(maxTime time.Duration) {
 	length := time.Duration(s.draw() * float64(maxTime))
 	if s.faultActive(&s.slowUntil) {
@@ -103,8 +105,9 @@
 	s.waitWhileHung()
 }
 
-// copyFor finds the copy that answers a call, or fills it from the source that the call names. It returns the
-// note by which the answer tells where the copy came from.
+// copyFor finds the cached copy that answers a call, or simulates a fill from the source that the call names. The
+// origin needs no source. The note tells the proxy where the copy came from. If found is false, the server has
+// neither a copy nor a source.
 func (s *server) copyFor(call *Call) (madeAt time.Time, note string, found bool) {
 	s.mu.Lock()
 	madeAt, cached := s.copies[call.Object]
@@ -127,7 +130,7 @@
 	return madeAt, "TCP_MISS", true
 }
 
-// writeAnswer writes an answer, which a fault may malform.
+// writeAnswer writes an answer, malformed if a "spoil" fault draws it.
 func (s *server) writeAnswer(call *Call, out *lockedWriter, result, fields, body string) {
 	s.waitWhileHung()
 	s.history.withLock(func() { call.Result = result })
@@ -143,8 +146,8 @@
 	}
 }
 
-// malform makes an answer unreadable, cuts it off or doubles it, or leaves it as it is, by a draw from [0,
-// 1). It reports whether the connection is to be closed after it.
+// malform replaces an answer with garbage, truncates it, duplicates it or leaves it as it is, depending on a random
+// number from [0, 1). It reports whether the connection is to be closed after it.
 func malform(text []byte, draw float64) (malformed []byte, closes bool) {
 	half := text[:len(text)/2]
 	switch {
@@ -161,7 +164,7 @@
 	}
 }
 
-// lockedWriter is the writing side of a connection, which several answers share.
+// lockedWriter serializes the answers that are written to one connection.
 type lockedWriter struct {
 	mu   sync.Mutex
 	conn net.Conn
@@ -170,5 +173,5 @@
 func (w *lockedWriter) write(text []byte) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.conn.Write(text) //nolint:errcheck // a lost connection shows at the proxy
+	w.conn.Write(text) //nolint:errcheck // the proxy observes a lost connection itself
 }
--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -11,26 +11,26 @@
 const (
 	// maxNotifyDelay is how long after its publication an event counts as known to a proxy, delivered or not.
 	maxNotifyDelay = 7 * time.Second
-	// socketSlack is added to the time limits of rules where they are checked on sockets.
+	// socketSlack is added to the rules' time limits when they are checked on sockets.
 	socketSlack = 50 * time.Millisecond
-	// machineSlack is how late clients and servers of this package may observe something on a busy machine.
+	// machineSlack is how late this package's clients and servers may observe something on a busy machine.
 	machineSlack = 150 * time.Millisecond
 )
 
-// Violation is a rule that was broken.
+// Violation describes one violation of a rule.
 type Violation struct {
 	Rule     string
 	At       time.Duration // since the start of the run
 	Text     string
-	Keywords []string // that find its request, servers and proxy in the timeline
+	Keywords []string // find the timeline's entries about the request, servers and proxy concerned
 }
 
-// String is the violation in one line.
+// String returns the violation as one line.
 func (v Violation) String() string {
 	return fmt.Sprintf("%s at %.3f: %s", v.Rule, v.At.Seconds(), v.Text)
 }
 
-// Check returns all violations in the history of a run that has ended.
+// Check checks all rules on the history of a run that has ended, and returns the violations.
 func Check(h *History) []Violation {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -53,11 +53,11 @@
 	return c.violations
 }
 
-// historyChecker checks a history. Its maps are indexes of the history.
+// historyChecker checks the rules on a history. Its maps are indexes of the history.
 type historyChecker struct {
 	history       *History
 	requests      map[string]*Request // by ID
-	executions    map[string]int      // by the request's ID
+	executions    map[string]int      // number of executions by request ID
 	callsBySerial map[string]*Call
 	violations    []Violation
 }
@@ -82,9 +82,10 @@
 	c.violations = append(c.violations, Violation{Rule: rule, At: at, Text: fmt.Sprintf(format, args...), Keywords: keywords})
 }
 
-// notifiedAt is when an event counts as known to the process of a request: when its line was written, or
-// notifyWithin after its publication. Time in which the coordinator sent the process nothing, or it was
-// paused, does not count. What the configuration of the process holds is known from its start.
+// notifiedAt returns when an event counts as known to the process that handled a request: when the event's line
+// had been written to it, or at the latest maxNotifyDelay after the publication. That delay excludes the time
+// in which the coordinator sent the process nothing or the process was paused. Events in the process's
+// configuration are known from its start.
 func (c *historyChecker) notifiedAt(e *WatchEvent, req *Request) time.Duration {
 	incarnation := c.history.incarnation(req.Proxy, req.Incarnation)
 	unreachable := c.history.Withheld[req.Proxy]
@@ -102,5 +103,5 @@
 	return at
 }
 
-// proxyName is a proxy's name in the timeline.
+// proxyName returns a proxy's name in its configuration and in the timeline.
 func proxyName(number int) string { return fmt.Sprintf("proxy-%d", number) }
--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -1,6 +1,7 @@
-// Package soak runs a fleet of edge proxies on loopback under faults that a seed draws, and checks the rules
-// by what clients, servers and the coordinator observed, never by what a proxy says of itself. It starts the
-// proxy as a program: a test binary that can also make system calls fail.
+// Package soak runs a fleet of edge proxies on loopback while it injects faults drawn from a seed, then checks
+// the history of the run against a set of rules. The checks rely only on what clients, servers and the
+// coordinator observed, never on what a proxy reports about itself. Each proxy is a separate process, started
+// from a test binary that can also make system calls fail.
 package soak
 
 import (
@@ -12,7 +13,7 @@
 	"time"
 )
 
-// History is all that was observed in one run.
+// History holds everything that clients, servers and the coordinator observed in one run.
 type History struct {
 	Limits       Limits
 	Requests     []*Request
@@ -20,37 +21,37 @@
 	Events       []*WatchEvent
 	Starts       []ServerStart
 	Incarnations []*Incarnation
-	Withheld     map[int][]Span // by proxy: when the coordinator sent it no events
+	Withheld     map[int][]Span // by proxy number: when the coordinator sent it no events
 
-	mu               sync.Mutex // of the fields above while the run lasts, and of those below
+	mu               sync.Mutex // guards the fields above while the run lasts, and those below
 	start            time.Time
 	timeline         []TimelineEntry
 	schedulingDelays []Span // when this process was not scheduled in time
 }
 
-// NewHistory begins a history.
+// NewHistory returns an empty history whose clock starts now.
 func NewHistory(limits Limits) *History {
 	return &History{Limits: limits, Withheld: map[int][]Span{}, start: time.Now()}
 }
 
-// Now is the time since the start.
+// Now returns the time since the start of the run.
 func (h *History) Now() time.Duration { return time.Since(h.start) }
 
 const (
-	delayProbes        = 4 // goroutines, as a lag may hold up some threads alone
+	delayProbes        = 4 // goroutines: a delay may affect only some threads
 	delayProbeInterval = 5 * time.Millisecond
 	minSchedulingDelay = 20 * time.Millisecond
 )
 
-// recordSchedulingDelays records until over is closed when this process was not scheduled in time: what it observes then is
-// late.
-func (h *History) recordSchedulingDelays(over <-chan struct{}) {
+// recordSchedulingDelays records the spans in which this process was not scheduled in time, until ended is
+// closed. Whatever the process observes in such a span is recorded late.
+func (h *History) recordSchedulingDelays(ended <-chan struct{}) {
 	for range delayProbes {
 		go func() {
 			for {
 				from := h.Now()
 				select {
-				case <-over:
+				case <-ended:
 					return
 				case <-time.After(delayProbeInterval):
 				}
@@ -63,37 +64,37 @@
 	}
 }
 
-// observationSlack is the delay that observations between two moments may have: a fixed part, and all lags between them.
-// The caller holds mu.
+// observationSlack returns how late an observation between two moments may be: machineSlack plus all
+// scheduling delays that overlap the interval. The caller holds mu.
 func (h *History) observationSlack(from, to time.Duration) time.Duration {
 	sum := machineSlack
-	for _, lag := range h.schedulingDelays {
-		if lag.overlaps(from, to) {
-			sum += lag.To - lag.From
+	for _, delay := range h.schedulingDelays {
+		if delay.overlaps(from, to) {
+			sum += delay.To - delay.From
 		}
 	}
 	return sum
 }
 
-// Logf adds a line to the timeline.
+// Logf adds a formatted entry to the timeline.
 func (h *History) Logf(source, format string, args ...any) {
 	h.withLock(func() {
 		h.timeline = append(h.timeline, TimelineEntry{At: h.Now(), Source: source, Text: fmt.Sprintf(format, args...)})
 	})
 }
 
-// withLock runs a change of the history under its lock.
+// withLock calls change while it holds mu.
 func (h *History) withLock(change func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	change()
 }
 
-// faultSource is who the timeline names for a fault.
+// faultSource is the source of the timeline's entries about injected faults.
 const faultSource = "fault"
 
-// TimelineAround returns the lines of the timeline within a distance of a moment that contain one of the
-// given words, and all faults.
+// TimelineAround returns the timeline's entries within a distance of a moment that mention one of the
+// keywords, and all entries about faults in that time.
 func (h *History) TimelineAround(at, distance time.Duration, keywords ...string) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -108,14 +109,15 @@
 	return b.String()
 }
 
-// mentions reports whether the record is by or about one of the given words. Empty words name nothing.
+// mentions reports whether the entry's source is one of the keywords or its text contains one. Empty keywords
+// match nothing.
 func (entry TimelineEntry) mentions(keywords []string) bool {
 	return slices.ContainsFunc(keywords, func(keyword string) bool {
 		return keyword != "" && (strings.Contains(entry.Text, keyword) || entry.Source == keyword)
 	})
 }
 
-// incarnation finds a process; nil: there is none.
+// incarnation returns an incarnation of a proxy, or nil if there is none.
 func (h *History) incarnation(proxy, number int) *Incarnation {
 	for _, inc := range h.Incarnations {
 		if inc.Proxy == proxy && inc.Number == number {
--- a/internal/soak/records.go
+++ b/internal/soak/records.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// All times of type time.Duration in records count from the start of the run, unless the comment says
-// otherwise; 0 says that it did not happen.
+// Unless a comment says otherwise, a field of type time.Duration in this file is a point in time since the
+// start of the run; 0 means that it did not happen.
 
 // TimelineEntry is one line of the timeline.
 type TimelineEntry struct {
@@ -15,73 +15,73 @@
 	Text   string
 }
 
-// String is the record as reports show it.
+// String returns the entry as reports show it.
 func (entry TimelineEntry) String() string {
 	return fmt.Sprintf("%9.3f %-10s %s", entry.At.Seconds(), entry.Source, entry.Text)
 }
 
-// FinalAnswer is a final answer as a client read it.
+// FinalAnswer holds a final answer as a client read it.
 type FinalAnswer struct {
 	At                 time.Duration
-	Status             string // of the CGI response; empty: END_REQUEST without output
-	ProtocolOverloaded bool   // END_REQUEST has the status OVERLOADED
-	Body               string // its first bytes, which name the call that served it
+	Status             string // of the CGI response; empty if END_REQUEST came without output
+	ProtocolOverloaded bool   // END_REQUEST has the protocol status OVERLOADED
+	Body               string // the first bytes of the body, which start with the Serial of the call that served it
 }
 
-// Rejected reports whether the answer promises that sending the request again is harmless.
+// Rejected reports whether the answer rejects the request, which promises that it is safe to send again.
 func (a FinalAnswer) Rejected() bool {
 	return a.ProtocolOverloaded || a.Status == "503" || a.Status == "429"
 }
 
-// Request is a request as its client knows it.
+// Request holds a request as its client saw it.
 type Request struct {
 	ID, Class, Object string
-	Group             int // of the object, for purges
-	Proxy             int
-	Incarnation       int           // of the proxy
-	SentAt            time.Duration // when its last byte was written; 0: not all of it was
-	Timeout           time.Duration // the length of time that its client waits for an answer
-	CancelledAt       time.Duration // when its client aborted it or disconnected
+	Group             int           // purge group of the object
+	Proxy             int           // number of the proxy
+	Incarnation       int           // number of the proxy's incarnation
+	SentAt            time.Duration // when the last byte was written; 0: the request was not sent in full
+	Timeout           time.Duration // how long the client waits for an answer
+	CancelledAt       time.Duration // when the client aborted it or disconnected
 	FirstOnConnection bool
-	AnswerNotRequired bool          // its connection was closed for being idle while it was on its way
-	DisconnectedAt    time.Duration // when its connection ended without an answer
+	AnswerNotRequired bool          // the request may have raced with the proxy's close of an idle connection
+	DisconnectedAt    time.Duration // when the connection ended without an answer
 	Answers           []FinalAnswer
 }
 
-// Call is a call as its server read it.
+// Call holds a call from a proxy as its server read it.
 type Call struct {
 	Server, ID, Class, Object string
-	FillSource                string        // the server that it names to fill from; empty: none
-	FirstByteAt, CompleteAt   time.Duration // when its first and its last byte were read
-	Timeout                   time.Duration // the length of time that the proxy gives the server
-	MaxAge                    time.Duration // of a copy that may answer it; 0: any
-	ReadLate                  bool          // its server did not read just before: it may have been sent earlier
-	Executed                  bool          // executed, of a write
-	Result                    string        // of the answer
-	CopyMadeAt                time.Time     // when the origin gave out the copy that was served; zero: none
-	Serial                    int           // names the call in the answer's body
+	FillSource                string        // server to fill the cache from, named in the call; empty: none
+	FirstByteAt, CompleteAt   time.Duration // when the first byte arrived and the last byte was read
+	Timeout                   time.Duration // how much time the proxy gives the server
+	MaxAge                    time.Duration // maximum age of a copy that may answer it; 0: no limit
+	ReadLate                  bool          // the server hung just before, so the call may have been sent earlier
+	Executed                  bool          // the origin began to execute it; writes only
+	Result                    string        // result word of the answer
+	CopyMadeAt                time.Time     // when the origin produced the copy that was served; zero: none
+	Serial                    int           // identifies the call in the answer's body
 }
 
-// WatchEvent is an event of the coordinator.
+// WatchEvent is an event that the coordinator publishes.
 type WatchEvent struct {
 	Index        int
 	PublishedAt  time.Duration
-	DeliveredAt  map[int]time.Duration // by proxy: when its line had been written
+	DeliveredAt  map[int]time.Duration // by proxy number: when the event's line had been written
 	Withdrawn    []string              // servers that are draining or removed
 	Serving      []string              // servers that are serving
 	PurgedObject string                // empty: none
 	PurgedGroup  int                   // -1: none
-	PurgedBefore time.Time             // copies made before it are purged; zero: no purge
+	PurgedBefore time.Time             // copies made before this time are purged; zero: no purge
 }
 
-// noGroup is the purged group of an event that purges none.
+// noGroup is the PurgedGroup of an event that purges no group.
 const noGroup = -1
 
 // ServerStart is the start of a server during the run.
 type ServerStart struct {
 	Server     string
 	At         time.Duration
-	EventIndex int // of the event that announces it
+	EventIndex int // index of the event that announces the start
 }
 
 // Incarnation is one process of a proxy, from its start to its exit.
@@ -92,29 +92,30 @@
 	SigtermAt        time.Duration
 	KilledAt         time.Duration
 	ExitedAt         time.Duration
-	Paused           []Span // in which it was stopped by SIGSTOP
-	ConfigEventIndex int    // the index of the last event in its configuration
+	Paused           []Span // spans in which it was stopped by SIGSTOP
+	ConfigEventIndex int    // index of the last event in its configuration at the start
 	ExitError        string
 	PeakMemoryKB     int
 	PeakDescriptors  int
 }
 
-// afterRunningFor returns when the process has run for a length of time after a moment.
+// afterRunningFor returns the moment at which the process has run for length since from, not counting the time
+// in which it was paused.
 func (inc *Incarnation) afterRunningFor(from, length time.Duration) time.Duration {
 	return afterExcluding(inc.Paused, from, length)
 }
 
-// Limits are the values that the proxies' configuration and the rules set.
+// Limits holds the limits that the proxies' configuration and the rules set.
 type Limits struct {
-	MemoryKB, Descriptors int           // of one proxy
-	DrainGrace            time.Duration // after a notice, in which a server that drains may still get calls
-	PurgeGrace            time.Duration // after a notice, in which a purged copy may still be served
-	OverloadMultiple      float64       // of a server's capacity, above which it is overloaded
-	SlowStartCapacity     float64       // the fraction of its capacity that a server has when it starts
-	LinkTransfers         float64       // transfers that a cache's link carries at a time
+	MemoryKB, Descriptors int           // per proxy
+	DrainGrace            time.Duration // how long after the notification a draining server may still get calls
+	PurgeGrace            time.Duration // how long after the notification a purged copy may still be served
+	OverloadMultiple      float64       // multiple of its capacity above which a server is overloaded
+	SlowStartCapacity     float64       // fraction of its capacity that a server has when it starts
+	LinkTransfers         float64       // concurrent transfers that a cache's link carries
 	TransferTime          time.Duration // of one object
-	OverloadWindow        time.Duration // in which calls are counted against the capacity
+	OverloadWindow        time.Duration // window in which calls are counted against the capacity
 	SlowStartDuration     time.Duration
-	MaxDeadline           time.Duration // the longest time that a proxy gives a request
-	DeduplicationWindow   time.Duration // for which servers know an idempotency key
+	MaxDeadline           time.Duration // longest time that a proxy gives a request
+	DeduplicationWindow   time.Duration // how long servers remember an idempotency key
 }
--- a/internal/soak/rule_answers.go
+++ b/internal/soak/rule_answers.go
@@ -12,39 +12,40 @@
 
 // checkFinalAnswers checks that a request got exactly one final answer, in time.
 func (c *historyChecker) checkFinalAnswers(req *Request) {
-	who := fmt.Sprintf("request %s (%s, proxy %d)", req.ID, req.Class, req.Proxy)
+	subject := fmt.Sprintf("request %s (%s, proxy %d)", req.ID, req.Class, req.Proxy)
 	keywords := []string{req.ID, proxyName(req.Proxy)}
 	if len(req.Answers) > 1 {
-		c.report("second answer", req.Answers[1].At, keywords, "%s got %d answers", who, len(req.Answers))
+		c.report("second answer", req.Answers[1].At, keywords, "%s got %d answers", subject, len(req.Answers))
 	}
-	due, owed := c.answerDue(req)
-	if !owed {
+	due, required := c.answerDue(req)
+	if !required {
 		return
 	}
 	if len(req.Answers) > 0 {
 		late := req.Answers[0].At - due
 		if late > 0 {
-			c.report("late answer", req.Answers[0].At, keywords, "%s was due %.3f before", who, late.Seconds())
+			c.report("late answer", req.Answers[0].At, keywords, "%s was answered %.3f too late", subject, late.Seconds())
 		}
 		return
 	}
 	if req.DisconnectedAt != 0 {
-		c.report("lost", req.DisconnectedAt, keywords, "%s was sent at %.3f, and its connection ended without an answer", who, req.SentAt.Seconds())
+		c.report("lost", req.DisconnectedAt, keywords, "%s was sent at %.3f, and its connection ended without an answer", subject, req.SentAt.Seconds())
 		return
 	}
-	c.report("lost", due, keywords, "%s was sent at %.3f, and never answered", who, req.SentAt.Seconds())
+	c.report("lost", due, keywords, "%s was sent at %.3f, and never answered", subject, req.SentAt.Seconds())
 }
 
-// answerDue returns when the answer to a request is due at the latest. None is owed where the request was not
-// sent in full or was cancelled, or where its process was killed before. The kill that follows a SIGTERM at the
-// earliest is no excuse: the process knows when it comes.
-func (c *historyChecker) answerDue(req *Request) (due time.Duration, owed bool) {
+// answerDue returns the latest time for the answer to a request, and whether an answer is required. None is
+// required if the request was not sent in full or was cancelled, or if the process was killed before the answer
+// was due. A kill after SIGTERM is no excuse: it comes a fixed time after the signal, so the process has to
+// answer before it.
+func (c *historyChecker) answerDue(req *Request) (due time.Duration, required bool) {
 	incarnation := c.history.incarnation(req.Proxy, req.Incarnation)
 	if req.SentAt == 0 || req.CancelledAt != 0 || req.AnswerNotRequired || incarnation == nil {
 		return 0, false
 	}
 	due = incarnation.afterRunningFor(req.SentAt, req.Timeout+answerSlack+machineSlack)
-	due += c.history.observationSlack(req.SentAt, due) - machineSlack // it is in due already
+	due += c.history.observationSlack(req.SentAt, due) - machineSlack // due includes machineSlack already
 	if incarnation.KilledAt == 0 || incarnation.KilledAt >= due {
 		return due, true
 	}
--- a/internal/soak/rule_calls.go
+++ b/internal/soak/rule_calls.go
@@ -6,18 +6,19 @@
 )
 
 const (
-	// cancelGrace is how long after its client has cancelled a request a call of it may begin.
+	// cancelGrace is how long after the client has cancelled a request a call for it may still begin.
 	cancelGrace = 100 * time.Millisecond
-	// deadlineSlack is how much later than the client's the deadline of a call may be.
+	// deadlineSlack is how much later than the client's deadline the deadline of a call may be.
 	deadlineSlack = 150 * time.Millisecond
 )
 
-// callTimeUncertainty is by how much a call's first byte may have been seen too early or too late: TCP_INFO tells
-// its arrival in the system's clock ticks of up to 10 ms, and the event's own time is taken as it is published.
+// callTimeUncertainty is how much too early or too late a call's first byte may have been observed, compared with
+// an event: TCP_INFO gives the byte's arrival in clock ticks of the system of up to 10 ms, and the event's own
+// time is taken while it is being published.
 const callTimeUncertainty = 20 * time.Millisecond
 
-// checkCall checks the rules on when and where a call may be sent. They do not apply to a call that its
-// server read late, as the time of its sending is unknown.
+// checkCall checks the rules on when and where a call may be sent. They do not apply to a call that the server
+// read late, because nobody knows when it was sent.
 func (c *historyChecker) checkCall(call *Call) {
 	req := c.requests[call.ID]
 	if req == nil {
@@ -34,7 +35,7 @@
 	c.checkDrain(req, call, call.FillSource, keywords)
 }
 
-// checkCancelled checks that no call begins more than cancelGrace after its client cancelled the request.
+// checkCancelled checks that no call begins more than cancelGrace after the client has cancelled the request.
 func (c *historyChecker) checkCancelled(req *Request, call *Call, keywords []string) {
 	if req.CancelledAt == 0 {
 		return
@@ -47,7 +48,7 @@
 	}
 }
 
-// checkDeadline checks that a call gives its server no more time than its client has left.
+// checkDeadline checks that a call gives the server no more time than the client has left.
 func (c *historyChecker) checkDeadline(req *Request, call *Call, keywords []string) {
 	remaining := req.SentAt + req.Timeout - call.CompleteAt
 	if req.SentAt != 0 && call.Timeout > remaining+deadlineSlack+c.history.observationSlack(req.SentAt, call.CompleteAt) {
@@ -56,8 +57,8 @@
 	}
 }
 
-// checkDrain checks that a call neither goes to nor names a server for longer than the grace period after its
-// proxy was notified that the server is draining or removed.
+// checkDrain checks that no call goes to a server, or names it as its fill source, later than DrainGrace after
+// the proxy was notified that the server is draining or removed.
 func (c *historyChecker) checkDrain(req *Request, call *Call, server string, keywords []string) {
 	since, withdrawn := c.withdrawnSince(server, req, call.FirstByteAt)
 	if !withdrawn {
@@ -70,8 +71,9 @@
 	}
 }
 
-// withdrawnSince returns since when, at a moment, the process of a request counts as notified that a server
-// is draining or removed. What was published within the uncertainty of that moment counts as published before.
+// withdrawnSince reports whether a server is draining or removed at a given moment, and since when the process
+// that handled a request counts as notified of that. Events published up to callTimeUncertainty after the moment
+// are included.
 func (c *historyChecker) withdrawnSince(server string, req *Request, at time.Duration) (since time.Duration, withdrawn bool) {
 	if server == "" {
 		return 0, false
--- a/internal/soak/rule_executions.go
+++ b/internal/soak/rule_executions.go
@@ -1,7 +1,7 @@
 package soak
 
-// checkExecutions checks that a write is executed at most once, that it was executed if it is answered as
-// served, and that it was not if it is rejected.
+// checkExecutions checks that a write is executed at most once, that it was executed if it is answered with 200,
+// and that it was not executed if it is rejected.
 func (c *historyChecker) checkExecutions(req *Request) {
 	if req.Class != classWrite {
 		return
@@ -21,8 +21,8 @@
 	}
 }
 
-// checkRepeats checks that a request with an idempotency key is repeated only while servers know its key:
-// within the deduplication window after the first call that may have been executed.
+// checkRepeats checks that a request with an idempotency key is repeated only while servers remember the key:
+// within DeduplicationWindow after the first call that may have been executed.
 func (c *historyChecker) checkRepeats(req *Request) {
 	if req.Class != classKeyed {
 		return
@@ -44,7 +44,8 @@
 	}
 }
 
-// firstPossibleExecution is the first call of a request that may have been executed; nil: there is none.
+// firstPossibleExecution returns the first call for a request that may have been executed, or nil if there is
+// none.
 func (c *historyChecker) firstPossibleExecution(req *Request) (first *Call) {
 	for _, call := range c.history.Calls {
 		if call.ID != req.ID || call.ReadLate || provesNotExecuted(call.Result) {
@@ -57,7 +58,7 @@
 	return first
 }
 
-// provesNotExecuted reports whether a result proves that its call was not executed.
+// provesNotExecuted reports whether an answer's result word proves that its call was not executed.
 func provesNotExecuted(result string) bool {
 	return result == "overload" || result == "not_here" || result == "nobody"
 }
--- a/internal/soak/rule_incarnations.go
+++ b/internal/soak/rule_incarnations.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	// maxReadyDelay is how long a process may take to be ready.
+	// maxReadyDelay is how long a process may take to become ready.
 	maxReadyDelay = 10 * time.Second
-	// killDelay is how long after SIGTERM and the longest deadline a process is killed.
+	// killDelay is how long after SIGTERM a process is killed, beyond the longest deadline.
 	killDelay = 700 * time.Millisecond
 )
 
@@ -25,7 +25,7 @@
 	c.checkResources(inc, keywords)
 }
 
-// checkReady checks that a process is ready in time, unless it ended before.
+// checkReady checks that a process is ready within maxReadyDelay, unless it was ended or exited before that.
 func (c *historyChecker) checkReady(inc *Incarnation, keywords []string) {
 	due := inc.afterRunningFor(inc.StartedAt, maxReadyDelay)
 	isBeforeDue := func(at time.Duration) bool { return at != 0 && at < due }
@@ -36,8 +36,8 @@
 	}
 }
 
-// checkExit checks that a process exits only when it is ordered to, after SIGTERM without an error, and in
-// time.
+// checkExit checks that a process exits only after SIGTERM or a kill, and after SIGTERM without an error and
+// before it has to be killed.
 func (c *historyChecker) checkExit(inc *Incarnation, keywords []string) {
 	beforeSigterm := inc.SigtermAt == 0 || inc.ExitedAt < inc.SigtermAt
 	if inc.ExitedAt != 0 && beforeSigterm && inc.KilledAt == 0 {
@@ -51,7 +51,7 @@
 	}
 }
 
-// checkResources checks that a process stays within its memory and descriptors.
+// checkResources checks that a process stays within its limits on memory and file descriptors.
 func (c *historyChecker) checkResources(inc *Incarnation, keywords []string) {
 	if inc.PeakMemoryKB > c.history.Limits.MemoryKB {
 		c.report("memory", inc.ExitedAt, keywords, "%v used %d KB", inc, inc.PeakMemoryKB)
--- a/internal/soak/rule_purges.go
+++ b/internal/soak/rule_purges.go
@@ -2,8 +2,8 @@
 
 import "strings"
 
-// checkPurges checks that no request is served from a copy that a purge covers, if its call was sent more
-// than the grace period after the proxy was notified of the purge.
+// checkPurges checks that no request is served from a purged copy if its call was sent later than PurgeGrace
+// after the proxy was notified of the purge.
 func (c *historyChecker) checkPurges(req *Request) {
 	for _, a := range req.Answers {
 		call := c.callOf(req, a)
@@ -18,7 +18,8 @@
 	}
 }
 
-// callOf is the call that served an answer; nil: the answer is no success, or names no call of its request.
+// callOf returns the call that served an answer, or nil if the answer is not a 200 or names no call for the
+// request.
 func (c *historyChecker) callOf(req *Request, a FinalAnswer) *Call {
 	serial, _, _ := strings.Cut(a.Body, " ")
 	call := c.callsBySerial[serial]
@@ -37,6 +38,8 @@
 	return matches && call.CopyMadeAt.Before(e.PurgedBefore)
 }
 
+// checkPurgeGrace reports a call that was sent later than PurgeGrace after the proxy was notified of a purge of
+// the copy that served it.
 func (c *historyChecker) checkPurgeGrace(req *Request, call *Call, e *WatchEvent) {
 	notified := c.notifiedAt(e, req)
 	last := notified + c.history.Limits.PurgeGrace + socketSlack + c.history.observationSlack(notified, call.FirstByteAt)
@@ -46,6 +49,6 @@
 	since := call.FirstByteAt - notified
 	keywords := []string{req.ID, call.Server, req.Object, proxyName(req.Proxy)}
 	c.report("purged copy", call.FirstByteAt, keywords,
-		"request %s was sent %.3f after its proxy was notified of a purge, and served from a copy %v older",
+		"request %s was sent %.3f after its proxy was notified of a purge, and served from a copy made %v before the purge",
 		req.ID, since.Seconds(), e.PurgedBefore.Sub(call.CopyMadeAt))
 }
--- a/internal/soak/rule_slowstart.go
+++ b/internal/soak/rule_slowstart.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// checkSlowStart checks that a server that has started gets no more calls in any window than its capacity at
-// that time allows. The capacity grows linearly from SlowStartCapacity to 1 in SlowStartDuration. The rule
-// applies where at least two thirds of the calls come from notified proxies: the others can't know that the
-// server has started. It reports the first violation alone.
+// checkSlowStart checks that a server that has started gets no more calls in any OverloadWindow than its
+// capacity at that time allows. The capacity grows linearly from SlowStartCapacity to 1 within
+// SlowStartDuration. The rule applies to windows in which at least two thirds of the calls come from notified
+// proxies, because the others can't know that the server has started. Only the first violation is reported.
 func (c *historyChecker) checkSlowStart(start ServerStart) {
 	calls := c.callsDuringSlowStart(start)
 	for i, last := range calls {
@@ -26,8 +26,8 @@
 	}
 }
 
-// callsDuringSlowStart are the calls that a server read during its slow start, in the order of their first
-// bytes.
+// callsDuringSlowStart returns the calls that a server got during its slow start, ordered by the arrival of
+// their first bytes. Calls that it read late are left out.
 func (c *historyChecker) callsDuringSlowStart(start ServerStart) (calls []*Call) {
 	for _, call := range c.history.Calls {
 		inSlowStart := call.FirstByteAt >= start.At && call.FirstByteAt < start.At+c.history.Limits.SlowStartDuration
@@ -39,8 +39,8 @@
 	return calls
 }
 
-// countInWindow counts the calls in the window that ends with the last one, and those of them whose proxy was
-// notified of the server's start.
+// countInWindow counts the calls in the OverloadWindow that ends with the last call, and those among them whose
+// proxy had been notified of the server's start.
 func (c *historyChecker) countInWindow(start ServerStart, calls []*Call) (count, notified int) {
 	windowStart := calls[len(calls)-1].FirstByteAt - c.history.Limits.OverloadWindow
 	for _, call := range calls {
@@ -55,22 +55,22 @@
 	return count, notified
 }
 
-// The margin of slowStartAllowance for n calls is a multiple of sqrt(n), the standard deviation of a count,
-// and a summand. Small counts vary more in proportion, so that fewer than fewCalls get a larger margin.
+// For n calls, slowStartAllowance adds a margin of a multiple of sqrt(n), the standard deviation of a count, and
+// a constant. Small counts vary more in proportion, so counts below fewCalls get a larger margin.
 const (
 	fewCalls = 30
 
 	marginDeviations = 2.0 // multiple of sqrt(n)
-	marginCalls      = 2.0 // summand, in calls
+	marginCalls      = 2.0 // constant part, in calls
 
 	fewCallsMarginDeviations = 3.0
 	fewCallsMarginCalls      = 3.0
 )
 
-// slowStartAllowance is how many calls in a window a server may get when it has run for some time. The
-// operators' rule has no number of calls, but a sum of costs: see docs/questions.md, 'N of the slow-start
-// rule'. All objects of a run have one size, so that each call costs one TransferTime. Proxies share the
-// capacity without knowing of each other's calls, so a margin for the variance of the count is added.
+// slowStartAllowance returns how many calls a server that has run for a given time may get in an OverloadWindow.
+// The operators' rule limits a sum of costs, not a number of calls: see docs/questions.md, 'N of the slow-start
+// rule'. All objects of a run have the same size, so each call costs one TransferTime. Proxies share the capacity
+// without knowing of each other's calls, so a margin for the variance of the count is added.
 func (c *historyChecker) slowStartAllowance(running time.Duration) float64 {
 	l := c.history.Limits
 	capacity := l.SlowStartCapacity + (1-l.SlowStartCapacity)*float64(running)/float64(l.SlowStartDuration)
@@ -81,8 +81,7 @@
 	return calls + marginDeviations*math.Sqrt(calls) + marginCalls
 }
 
-// knewOfStart reports whether the proxy of a call had been notified of a server's start when it sent the
-// call.
+// knewOfStart reports whether the proxy that sent a call had been notified of the server's start before.
 func (c *historyChecker) knewOfStart(start ServerStart, call *Call) bool {
 	req := c.requests[call.ID]
 	if req == nil {
--- a/internal/soak/spans.go
+++ b/internal/soak/spans.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// Span is a part of a run, in times since its start.
+// Span is an interval of a run. Its ends are times since the start of the run.
 type Span struct {
 	From, To time.Duration
 }
 
-// overlaps reports whether a part of the span lies between two moments.
+// overlaps reports whether the span overlaps the interval between two moments.
 func (s Span) overlaps(from, to time.Duration) bool { return s.To > from && s.From < to }
 
-// afterExcluding returns when a length of time has passed after a moment, where the time in the given spans
-// does not count.
+// afterExcluding returns the moment at which length has passed since from, not counting the time within the
+// given spans, which may overlap.
 func afterExcluding(spans []Span, from, length time.Duration) time.Duration {
 	sorted := slices.SortedFunc(slices.Values(spans), func(a, b Span) int { return cmp.Compare(a.From, b.From) })
 	end := from + length
