--- a/internal/soak/admin.go
+++ b/internal/soak/admin.go
@@ -17,7 +17,7 @@
 	adminTimeout = 2 * time.Second
 )
 
-// callAdmin makes a call to the operators' address and returns the status of the answer.
+// callAdmin sends an HTTP request to the operators' address and returns the status of the answer.
 func (p *process) callAdmin(method, path string) (status int, err error) {
 	conn, err := net.DialTimeout("tcp", p.admin, dialTimeout)
 	if err != nil {
@@ -37,7 +37,7 @@
 	return resp.StatusCode, resp.Body.Close()
 }
 
-// measure records the peak memory and the descriptors of the present incarnation.
+// measure updates the peaks of memory and descriptors of the current incarnation.
 func (p *process) measure() {
 	p.mu.Lock()
 	incarnation := p.incarnation
@@ -58,8 +58,8 @@
 	})
 }
 
-// peakMemoryKB reads the peak of the resident memory from a /proc status file; 0: the file has none, as the
-// process has exited.
+// peakMemoryKB returns the peak of the resident memory, in KB, from the text of a /proc status file. It returns 0 if
+// the text has none because the process has exited.
 func peakMemoryKB(status string) int {
 	_, peak, _ := strings.Cut(status, "VmHWM:")
 	fields := strings.Fields(peak)
--- a/internal/soak/answers.go
+++ b/internal/soak/answers.go
@@ -130,7 +130,7 @@
 	return madeAt, "TCP_MISS", true
 }
 
-// writeAnswer writes an answer, malformed if a "spoil" fault draws it.
+// writeAnswer writes an answer. During a "spoil" fault the answer may be malformed.
 func (s *server) writeAnswer(call *Call, out *lockedWriter, result, fields, body string) {
 	s.waitWhileHung()
 	s.history.withLock(func() { call.Result = result })
--- a/internal/soak/clientconn.go
+++ b/internal/soak/clientconn.go
@@ -8,33 +8,33 @@
 )
 
 const (
-	// idleCloseRaceWindow is how short before the end of an idle connection a request may be sent whose proxy has
-	// not read it.
+	// idleCloseRaceWindow is how shortly before the close of an idle connection a request may be sent that the proxy
+	// then has not read.
 	idleCloseRaceWindow = 60 * time.Millisecond
-	// unusedIdleAge is for how long after it was opened a connection's first request must not meet a close. Later
-	// the connection counts as idle: a proxy may close it as no request is open on it.
+	// unusedIdleAge is how long after its opening an unused connection counts as idle. The proxy may close it from
+	// then on, because no request is open on it; a first request before that must be answered.
 	unusedIdleAge = 500 * time.Millisecond
 	// keptBodyBytes is how much of an answer's body is recorded.
 	keptBodyBytes = 64
-	// timelineBodyBytes is how much of it the timeline shows.
+	// timelineBodyBytes is how much of an answer's body the timeline shows.
 	timelineBodyBytes = 20
 	writeTimeout      = 5 * time.Second
-	// maxRequestID is the highest ID of a request on a connection.
+	// maxRequestID is the highest FastCGI request ID that a client uses. The next request gets ID 1 again.
 	maxRequestID = 60000
 )
 
-// clientConn is a client's connection to a proxy. Its goroutine, readAnswers, closes it when the proxy ends
-// it.
+// clientConn is a client's connection to a proxy. A goroutine in readAnswers reads from it until it ends, and then
+// closes it.
 type clientConn struct {
 	clients     *proxyClients
 	history     *History
 	conn        net.Conn
-	number      int // among the connections to the proxy, from 1
-	incarnation int // of the proxy
+	number      int // counts the connections to the proxy, from 1
+	incarnation int // number of the proxy's incarnation
 	openedAt    time.Duration
-	outputs     map[uint16][]byte // output so far, of readAnswers alone
+	outputs     map[uint16][]byte // output so far by request ID; used only by readAnswers
 
-	mu       sync.Mutex // of the fields below
+	mu       sync.Mutex // guards the fields below
 	lastID   uint16
 	open     map[uint16]*Request
 	answered map[uint16]*Request
@@ -58,7 +58,7 @@
 	return idle, c.ended
 }
 
-// register gives a request its ID on the connection and adds it to the history.
+// register gives a request its FastCGI request ID and adds it to the history.
 func (c *clientConn) register(req *Request) (id uint16) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -72,17 +72,17 @@
 	return c.lastID
 }
 
-// send sends a request, and more bytes behind it in the same write.
+// send sends a request, followed by more bytes in the same write.
 func (c *clientConn) send(req *Request, more []byte) (id uint16) {
 	id = c.register(req)
 	if c.write(append(encodeRequest(id, req), more...)) == nil {
 		c.history.withLock(func() { req.SentAt = c.history.Now() })
 	}
-	c.history.Logf("client", "requests from proxy-%d %s %s k=%s on connection %d", req.Proxy, req.Class, req.ID, req.Object, c.number)
+	c.history.Logf("client", "sent to proxy-%d: %s %s k=%s on connection %d", req.Proxy, req.Class, req.ID, req.Object, c.number)
 	return id
 }
 
-// writeSlowly sends a request in small pieces.
+// writeSlowly sends the records of a registered request in small chunks with pauses in between.
 func (c *clientConn) writeSlowly(req *Request, records []byte) {
 	for len(records) > 0 {
 		size := min(len(records), slowChunkBytes)
@@ -95,7 +95,7 @@
 		}
 	}
 	c.history.withLock(func() { req.SentAt = c.history.Now() })
-	c.history.Logf("client", "has requested slowly from proxy-%d %s %s on connection %d", req.Proxy, req.Class, req.ID, c.number)
+	c.history.Logf("client", "sent slowly to proxy-%d: %s %s on connection %d", req.Proxy, req.Class, req.ID, c.number)
 }
 
 func (c *clientConn) write(data []byte) error {
@@ -104,10 +104,10 @@
 	return err
 }
 
-// disconnect ends the connection.
-func (c *clientConn) disconnect(way int) {
+// disconnect ends the connection by one of the disconnect methods.
+func (c *clientConn) disconnect(method int) {
 	tcp := c.conn.(*net.TCPConn)
-	switch way {
+	switch method {
 	case disconnectByHalfClose:
 		tcp.CloseWrite() //nolint:errcheck // the proxy may have closed it
 	case disconnectByReset:
@@ -118,7 +118,7 @@
 	}
 }
 
-// readAnswers reads until the connection ends.
+// readAnswers reads and records answers until the connection ends.
 func (c *clientConn) readAnswers() {
 	defer c.recordClose()
 	for {
@@ -157,7 +157,8 @@
 	c.history.Logf("client", "%s answered %s %q", req.ID, status, a.Body[:min(len(a.Body), timelineBodyBytes)])
 }
 
-// takeRequest returns the request of an answer, also of a second one; nil: the ID is unknown.
+// takeRequest marks the request with an ID as answered and returns it, also if it was answered before. It returns nil
+// if the ID is unknown.
 func (c *clientConn) takeRequest(id uint16) *Request {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -171,7 +172,7 @@
 	return req
 }
 
-// mayRaceIdleClose reports whether a request may have crossed the close of its connection, which was idle until then.
+// mayRaceIdleClose reports whether the proxy may have closed the connection as idle before it read a request.
 func (c *clientConn) mayRaceIdleClose(req *Request, closedAt time.Duration) bool {
 	if req.SentAt == 0 || closedAt-req.SentAt >= idleCloseRaceWindow {
 		return false
@@ -179,9 +180,8 @@
 	return !req.FirstOnConnection || req.SentAt-c.openedAt > unusedIdleAge
 }
 
-// recordClose records which requests were open as the connection ended. Where all of them were sent just before, on a
-// connection that had been used or silent for a while, they may have met the proxy's close of an idle connection: no
-// answer is owed to them.
+// recordClose records which requests were open when the connection ended. If all of them may have raced with the
+// proxy's close of an idle connection, they require no answer.
 func (c *clientConn) recordClose() {
 	c.conn.Close() //nolint:errcheck // the proxy has closed it
 	now := c.history.Now()
@@ -201,7 +201,7 @@
 			req.DisconnectedAt = now
 			req.AnswerNotRequired = req.AnswerNotRequired || raced
 		})
-		c.history.Logf("client", "connection %d to proxy-%d, opened %.3f before, ended with %s open (idle close raced: %v)",
+		c.history.Logf("client", "connection %d to proxy-%d, opened %.3f before, ended with %s open (raced with an idle close: %v)",
 			c.number, c.clients.p.number, (now - c.openedAt).Seconds(), req.ID, raced)
 	}
 }
--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -11,11 +11,11 @@
 const (
 	classRead  = "artes"    // idempotent
 	classWrite = "registro" // must be executed at most once
-	classKeyed = "sellos"   // has an idempotency key, which servers know for a while
+	classKeyed = "sellos"   // has an idempotency key, which servers remember for DeduplicationWindow
 )
 
 const (
-	objectCount    = 60 // keys
+	objectCount    = 60 // different keys
 	groupCount     = 8
 	requestTimeout = 1500 * time.Millisecond
 	shortTimeout   = 30 * time.Millisecond
@@ -25,32 +25,32 @@
 
 	burstRequests      = 8
 	maxAbortDelay      = 30 * time.Millisecond // from a request to its abort
-	maxDisconnectDelay = 60 * time.Millisecond // from requests to the end of their connection
+	maxDisconnectDelay = 60 * time.Millisecond // from the requests to the disconnect
 	slowChunkBytes     = 40
 	slowChunkInterval  = 2 * time.Millisecond
 	idleConnections    = 10
 	idleDuration       = time.Second
-	reuseFraction      = 0.85 // of the requests that go over an open connection
+	reuseFraction      = 0.85 // of the actions that reuse an open connection
 )
 
-// proxyClients are the clients of one proxy. Their fields belong to the goroutine of run.
+// proxyClients holds the clients of one proxy. Its fields belong to the goroutine of makeRequests.
 type proxyClients struct {
 	p       *process
 	history *History
 	rng     *rand.Rand
 	conns   []*clientConn
-	dialed  int // connections so far
+	dialed  int // number of connections opened so far
 }
 
 func newProxyClients(p *process, seed uint64) *proxyClients {
 	return &proxyClients{p: p, history: p.r.history, rng: rand.New(rand.NewPCG(seed, uint64(p.number)))}
 }
 
-// run makes requests until over is closed.
-func (pc *proxyClients) run(over <-chan struct{}) {
+// makeRequests performs random actions until stop is closed, with exponentially distributed pauses.
+func (pc *proxyClients) makeRequests(stop <-chan struct{}) {
 	for {
 		select {
-		case <-over:
+		case <-stop:
 			return
 		case <-time.After(time.Duration(pc.rng.ExpFloat64() * float64(pc.p.r.requestInterval()))):
 		}
@@ -58,7 +58,8 @@
 	}
 }
 
-// performRandomAction does one of the things that clients do, which it draws.
+// performRandomAction draws one action of clients and performs it, if clients may make requests and there is a
+// connection.
 func (pc *proxyClients) performRandomAction() {
 	pc.closeIdleConns()
 	state := pc.p.admission()
@@ -97,7 +98,7 @@
 	}
 }
 
-// pickConn returns an open connection or a new one; nil: there is none.
+// pickConn returns an open connection or a new one, or nil if there is none and it can't connect.
 func (pc *proxyClients) pickConn(mayConnect bool) *clientConn {
 	if len(pc.conns) > 0 && (!mayConnect || pc.rng.Float64() < reuseFraction) {
 		return pc.conns[pc.rng.IntN(len(pc.conns))]
@@ -112,7 +113,8 @@
 	return c
 }
 
-// closeIdleConns closes connections that have been idle for idleCloseAfter, and forgets those that have ended.
+// closeIdleConns closes connections that have been idle for idleCloseAfter, and drops them and those that have ended
+// from conns.
 func (pc *proxyClients) closeIdleConns() {
 	open := pc.conns[:0]
 	for _, c := range pc.conns {
@@ -127,7 +129,7 @@
 	pc.conns = open
 }
 
-// dial connects to the proxy; nil: clients may not connect now, or the proxy does not accept the connection.
+// dial connects to the proxy. It returns nil if clients may not connect now or the connection fails.
 func (pc *proxyClients) dial() *clientConn {
 	state := pc.p.admission()
 	if !state.acceptsConns {
@@ -135,7 +137,7 @@
 	}
 	conn, err := net.DialTimeout("tcp", pc.p.addr, dialTimeout)
 	if err != nil {
-		pc.history.Logf("client", "proxy-%d refuses a connection: %v", pc.p.number, err)
+		pc.history.Logf("client", "connecting to proxy-%d failed: %v", pc.p.number, err)
 		return nil
 	}
 	pc.dialed++
@@ -144,7 +146,7 @@
 	return c
 }
 
-// newRequest draws a request.
+// newRequest returns a request of a class with a random ID and a random object.
 func (pc *proxyClients) newRequest(class string, timeout time.Duration) *Request {
 	number := pc.rng.IntN(objectCount)
 	return &Request{
@@ -158,12 +160,12 @@
 	req := pc.newRequest(classRead, requestTimeout)
 	id := c.send(req, nil)
 	time.AfterFunc(pc.drawMillis(maxAbortDelay), func() {
-		c.write(encodeRecord(fcgiAbortRequest, id, "")) //nolint:errcheck // a lost connection shows in the answers
+		c.write(encodeRecord(fcgiAbortRequest, id, "")) //nolint:errcheck // readAnswers records a lost connection
 		pc.history.withLock(func() { req.CancelledAt = pc.history.Now() })
 	})
 }
 
-// drawMillis draws a number of whole milliseconds under a limit.
+// drawMillis returns a random number of whole milliseconds below a limit.
 func (pc *proxyClients) drawMillis(limit time.Duration) time.Duration {
 	return time.Duration(pc.rng.IntN(int(limit.Milliseconds()))) * time.Millisecond
 }
@@ -176,7 +178,7 @@
 	disconnectMethods
 )
 
-// disconnect makes a read and a write on a new connection, and ends the connection soon after.
+// disconnect sends a read and a write on a new connection, and ends the connection soon after.
 func (pc *proxyClients) disconnect() {
 	c := pc.dial()
 	if c == nil {
@@ -186,10 +188,10 @@
 	for _, req := range requests {
 		c.send(req, nil)
 	}
-	way := pc.rng.IntN(disconnectMethods)
+	method := pc.rng.IntN(disconnectMethods)
 	time.AfterFunc(pc.drawMillis(maxDisconnectDelay), func() {
 		pc.history.Logf("client", "disconnects with %s and %s open", requests[0].ID, requests[1].ID)
-		c.disconnect(way)
+		c.disconnect(method)
 		pc.history.withLock(func() {
 			for _, req := range requests {
 				req.CancelledAt = pc.history.Now()
@@ -198,7 +200,7 @@
 	})
 }
 
-// sendMalformed makes a request with a malformed record right behind it.
+// sendMalformed sends a request and right after it a malformed record, on a new connection.
 func (pc *proxyClients) sendMalformed() {
 	c := pc.dial()
 	if c == nil {
@@ -209,7 +211,7 @@
 	c.send(req, []byte(malformed[pc.rng.IntN(len(malformed))]))
 }
 
-// writeSlowly sends a request in small pieces.
+// writeSlowly sends a request in small chunks on a new connection.
 func (pc *proxyClients) writeSlowly() {
 	c := pc.dial()
 	if c == nil {
@@ -220,7 +222,7 @@
 	go c.writeSlowly(req, encodeRequest(id, req))
 }
 
-// connectIdle connects and sends nothing.
+// connectIdle opens idleConnections connections, sends nothing on them, and closes them after idleDuration.
 func (pc *proxyClients) connectIdle() {
 	for range idleConnections {
 		c := pc.dial()
--- a/internal/soak/coordinator.go
+++ b/internal/soak/coordinator.go
@@ -9,33 +9,34 @@
 	"time"
 )
 
-// reopenInterval is the time between two attempts to listen again on an address that a connection has taken.
+// reopenInterval is the time between two attempts to listen again on an address that a connection has taken in the
+// meantime.
 const reopenInterval = 10 * time.Millisecond
 
-// coordinatorMode is how the coordinator behaves to one proxy.
+// coordinatorMode says how the coordinator behaves toward one proxy.
 type coordinatorMode int
 
-// The modes.
+// The modes of the coordinator.
 const (
 	modeHealthy       coordinatorMode = iota
-	modeDown                          // connects are refused, streams have ended
-	modeSilent                        // streams stay open and bring nothing
-	modeSlow                          // streams bring one event of the endpoint list a byte at a time
-	modeTruncateClose                 // some streams end within the line of an event
-	modeTruncateStall                 // some streams stop within the line of an event and stay open
-	modeHalfPrefix                    // half of an event's line comes before the whole of it, on some streams
-	modeDuplicate                     // each event comes twice
+	modeDown                          // connections are refused, and open streams are closed
+	modeSilent                        // streams stay open and send nothing
+	modeSlow                          // streams send one event of the endpoint list byte by byte
+	modeTruncateClose                 // some streams are closed within the line of an event
+	modeTruncateStall                 // some streams stop sending within the line of an event and stay open
+	modeHalfPrefix                    // some streams send half of an event's line before the whole line
+	modeDuplicate                     // each event is sent twice
 )
 
-// coordinator stands in for the coordinator. It serves each proxy at an address of its own, so that it knows
-// which proxy has been sent which event.
+// coordinator is a stand-in for the real coordinator. It serves each proxy at a separate address, so that it knows
+// which event has been sent to which proxy.
 type coordinator struct {
 	history *History
 
-	mu           sync.Mutex // of the fields below and those of the watch servers
-	lines        []string   // by event, from index 1
+	mu           sync.Mutex // guards the fields below and those of the watch servers
+	lines        []string   // of the events, whose indexes start at 1
 	events       []*WatchEvent
-	watchServers map[int]*watchServer // by proxy
+	watchServers map[int]*watchServer // by proxy number
 }
 
 func newCoordinator(history *History) *coordinator {
@@ -51,15 +52,15 @@
 	return ws.listen()
 }
 
-// addrFor is the address for a proxy.
+// addrFor returns the address for a proxy.
 func (c *coordinator) addrFor(proxy int) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.watchServers[proxy].addr
 }
 
-// setMode changes how the coordinator behaves to a proxy. When it returns from modeDown, the address is open
-// again.
+// setMode sets the coordinator's mode for a proxy, and records in the history when events were withheld. After
+// modeDown, it returns when the address is open again.
 func (c *coordinator) setMode(proxy int, m coordinatorMode) {
 	c.mu.Lock()
 	ws := c.watchServers[proxy]
@@ -83,7 +84,7 @@
 	}
 }
 
-// publish publishes an event. Its line is the format with the next index in place of the verb.
+// publish publishes an event with the next index. The format of its line has one verb, for the index.
 func (c *coordinator) publish(e *WatchEvent, format string) {
 	c.mu.Lock()
 	e.Index = len(c.events) + 1
@@ -97,8 +98,8 @@
 	c.history.Logf("coord", "event %s", line)
 }
 
-// knownEvents returns the index of the last event, and the list of those that are well formed as a
-// configuration holds it.
+// knownEvents returns the index of the last event, and the well-formed events as the JSON list of a
+// configuration.
 func (c *coordinator) knownEvents() (lastIndex int, updates string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -107,8 +108,8 @@
 	return len(c.lines), "[" + strings.Join(wellFormed, ",") + "]"
 }
 
-// eventAfter returns the event that follows an index, with its line, and the index of the last event. The event is
-// nil if none follows.
+// eventAfter returns the event that follows an index, its line, and the index of the last event. The event is nil if
+// none follows.
 func (c *coordinator) eventAfter(index int) (line string, e *WatchEvent, lastIndex int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -119,7 +120,7 @@
 	return c.lines[index], c.events[index], lastIndex
 }
 
-// recordDelivery records that an event's line has been written to a proxy. The first delivery counts.
+// recordDelivery records that an event's line has been written to a proxy. Only the first delivery is kept.
 func (c *coordinator) recordDelivery(e *WatchEvent, proxy int) {
 	c.history.withLock(func() {
 		_, delivered := e.DeliveredAt[proxy]
--- a/internal/soak/fastcgi.go
+++ b/internal/soak/fastcgi.go
@@ -33,7 +33,7 @@
 // param is a FastCGI parameter.
 type param struct{ name, value string }
 
-// requestID is the ID of a request that is drawn by number.
+// requestID returns the ID of the request with a random number.
 func requestID(number uint64) string { return fmt.Sprintf("%016x", number) }
 
 // encodeRequest encodes all records of a request.
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -12,7 +12,7 @@
 	"cloverdoor/internal/relay"
 )
 
-// The hosts on loopback, by what listens there. Each proxy has one of its own, from proxyHost on.
+// The numbers of the hosts on loopback. Each proxy has a host of its own, numbered from proxyHost.
 const (
 	serverHost      = 1
 	coordinatorHost = 2
@@ -66,7 +66,7 @@
 	return s, nil
 }
 
-// publishEndpoints publishes the first event: the full endpoint list.
+// publishEndpoints publishes the full endpoint list as the first event.
 func (r *run) publishEndpoints() {
 	var entries []string
 	e := &WatchEvent{PurgedGroup: noGroup}
@@ -77,8 +77,8 @@
 	r.coordinator.publish(e, `{"index":%d,"endpoints":{"version":1,"full":true,"servers":[`+strings.Join(entries, ",")+`]}}`)
 }
 
-// startProxy starts one proxy of the fleet. Every second one listens on a socket that the soak holds, so that
-// its process can be replaced without a pause.
+// startProxy starts one proxy of the fleet. Every second proxy listens on a socket that the soak test holds, so
+// that one process can take over from another without a pause.
 func (r *run) startProxy(number int) error {
 	if err := r.coordinator.serveProxy(number, r.options.Host(coordinatorHost)); err != nil {
 		return err
@@ -101,22 +101,22 @@
 	return p.start()
 }
 
-// servers are the caches, the parent and the origin. They may be nil where start has failed.
+// servers returns the caches, the parent and the origin. Parent and origin are nil if start failed before them.
 func (r *run) servers() []*server { return append(slices.Clone(r.caches), r.parent, r.origin) }
 
-// returnedAddrs are the addresses that freeAddr has returned: the system may offer one again before a program
-// opens it.
+// returnedAddrs holds the addresses that freeAddr has returned, because the system may offer one again before a
+// program listens on it.
 var returnedAddrs sync.Map
 
-// freeAddr returns an address of a host on which nothing listens, and that it has not returned before; empty:
-// the host can't be listened on.
+// freeAddr returns an address of a host on which nothing listens and which it has not returned before. It returns
+// an empty string if it can't listen on the host.
 func freeAddr(host string) string {
 	for {
 		listener, err := net.Listen("tcp", host)
 		if err != nil {
 			return ""
 		}
-		listener.Close() //nolint:errcheck // it is not used any more
+		listener.Close() //nolint:errcheck // only its address is needed
 		addr := listener.Addr().String()
 		_, taken := returnedAddrs.LoadOrStore(addr, true)
 		if !taken {
@@ -125,14 +125,15 @@
 	}
 }
 
-// relayFaults are the faults of the connections to a cache behind a relay.
+// relayFaults is the fault script for the connections to a cache behind a relay.
 const relayFaults = `c chance 0.1 : delay 5ms jitter 10ms
 c up chance 0.03 byte 300 : reset
 c chance 0.03 : pieces 50 for 500ms
 c down chance 0.02 byte 5000 : halfclose
 `
 
-// startRelay puts a relay before every second cache, which draws faults of its connections by the seed.
+// startRelay starts a relay in front of a server if it is an odd-numbered cache, and does nothing otherwise. The
+// relay draws the faults of its connections by the run's seed.
 func (r *run) startRelay(s *server) error {
 	if s.kind != "std" || len(r.caches)%2 == 0 {
 		return nil
@@ -150,14 +151,14 @@
 	return nil
 }
 
-// stop stops all that may still run.
+// stop stops all processes, servers and relays that may still run.
 func (r *run) stop() {
 	for _, p := range r.fleet {
 		if p.cmd != nil && p.cmd.Process != nil {
-			p.cmd.Process.Kill() //nolint:errcheck // it may have ended
+			p.cmd.Process.Kill() //nolint:errcheck // it may have exited
 		}
 		if p.socket != nil {
-			p.socket.Close() //nolint:errcheck // no process listens any more
+			p.socket.Close() //nolint:errcheck // no process uses it any more
 		}
 	}
 	for _, s := range r.servers() {
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -10,17 +10,17 @@
 const (
 	reloadSignal = syscall.SIGHUP
 	// retireExtraDrain is how much longer than its duration a "retire" fault drains a cache: longer than
-	// notifyWithin.
+	// maxNotifyDelay.
 	retireExtraDrain = 9 * time.Second
 	// resetFraction is the fraction of a server's connections that a "reset" fault resets.
 	resetFraction = 0.5
-	// hangBeforeSigterm is how long servers hang before the SIGTERM of a "term-hung" fault.
+	// hangBeforeSigterm is how long servers have hung when a "term-hung" fault sends SIGTERM.
 	hangBeforeSigterm = 200 * time.Millisecond
 	// purgeStormSize is how many objects a "purge-storm" fault purges.
 	purgeStormSize = 10
 )
 
-// inject carries out one fault, and ends it after its duration.
+// inject injects one fault and returns when it is over.
 func (r *run) inject(f Fault) {
 	r.history.Logf(faultSource, "%v", f)
 	switch {
@@ -36,8 +36,8 @@
 	r.history.Logf(faultSource, "over: %s %d", f.Kind, f.Target)
 }
 
-// injectProcessFault carries out a fault of a proxy. Faults of one proxy follow each other, except for idle
-// clients; those of different proxies overlap.
+// injectProcessFault injects a fault of a proxy. Except for the idle clients of "crowd", the faults of one proxy
+// run one after another; those of different proxies overlap.
 func (r *run) injectProcessFault(f Fault) {
 	p := r.fleet[f.Target]
 	if f.Kind == "crowd" {
@@ -65,8 +65,8 @@
 	}
 }
 
-// rewriteConfig writes a configuration with hedging on or off, or truncates the present one. The schedule has
-// no draw for hedging: the lowest bit of the fault's time decides.
+// rewriteConfig writes a configuration with hedging on or off, or truncates the current one for "broken-reload".
+// The schedule has no draw for hedging, so the lowest bit of the fault's time decides.
 func (r *run) rewriteConfig(p *process, f Fault) error {
 	if f.Kind == "broken-reload" {
 		return p.truncateConfig()
@@ -77,9 +77,9 @@
 	return err
 }
 
-// restartProcess ends a proxy's process and starts the next one, which may run under a fault. Where the soak holds
-// the clients' socket, the next one takes over from it, as on the platform: connections that come in between would
-// wait for its start otherwise.
+// restartProcess ends a proxy's process and starts the next one, which may run under a fault. If the soak test holds
+// the clients' socket and the fault is not "kill", the next process starts before the old one ends, as on the
+// platform: otherwise connections that come in between would wait for its start.
 func (r *run) restartProcess(p *process, f Fault) {
 	takeover := p.socket != nil && f.Kind != "kill"
 	r.prepareRestart(p, f)
@@ -94,7 +94,7 @@
 	r.recordFailure(p.start())
 }
 
-// prepareRestart has what precedes the end of a process happen.
+// prepareRestart carries out what a fault does before the process ends.
 func (r *run) prepareRestart(p *process, f Fault) {
 	switch f.Kind {
 	case "signals":
@@ -104,7 +104,7 @@
 	}
 }
 
-// endProcess ends a process that no other takes over from.
+// endProcess ends a process before the next one starts.
 func (r *run) endProcess(p *process, f Fault) {
 	switch f.Kind {
 	case "kill":
@@ -119,9 +119,8 @@
 	}
 }
 
-// setEnvironment sets the faults under which the next process runs. The schedule has no draw for the clock's offset
-// nor for the seed of failing calls: the remainder of the fault's duration is the index of the one, the fault's
-// time is the other.
+// setEnvironment sets the faults under which the next process runs. The schedule has no draws for the clock's offset
+// and the seed of failing calls: the fault's duration selects the offset, and the fault's time is the seed.
 func (r *run) setEnvironment(p *process, f Fault) {
 	p.environment = nil
 	switch f.Kind {
@@ -135,8 +134,8 @@
 	}
 }
 
-// hangServers hangs the origin and half of the caches for longer than a shutdown takes, and lets requests come to
-// them before it returns.
+// hangServers makes the origin and half of the caches hang for longer than a shutdown takes. It returns after
+// hangBeforeSigterm, so that requests are waiting at the hung servers.
 func (r *run) hangServers(f Fault) {
 	end := r.history.Now() + hangBeforeSigterm + maxShutdown()
 	r.origin.extendFault(&r.origin.hungUntil, end)
@@ -147,6 +146,7 @@
 	time.Sleep(hangBeforeSigterm)
 }
 
+// injectCacheFault injects a fault of a cache. Faults that restart or withdraw the same cache run one after another.
 func (r *run) injectCacheFault(f Fault) {
 	s := r.caches[f.Target]
 	end := r.history.Now() + f.Duration
@@ -168,8 +168,8 @@
 	}
 }
 
-// restartCache withdraws a cache and announces it again: with a drain before or without, removed or not, and
-// with a restart of the server or without.
+// restartCache takes a cache out of service and announces it again. By the kind of the fault, the cache is drained
+// first, removed from the endpoint list, and crashed and restarted.
 func (r *run) restartCache(s *server, f Fault) {
 	if f.Kind != "crash" {
 		r.announceState(s, "DRAINING")
@@ -193,6 +193,7 @@
 	}
 }
 
+// injectCoordinatorFault injects a fault of the coordinator or of the events that it publishes.
 func (r *run) injectCoordinatorFault(f Fault) {
 	switch f.Kind {
 	case "unknown-state":
@@ -219,13 +220,13 @@
 	}
 }
 
-// corruptionModes are the modes of the faults that spoil lines.
+// corruptionModes maps the faults that corrupt events' lines to the coordinator's modes.
 var corruptionModes = map[string]coordinatorMode{
 	"cut-lines": modeTruncateClose, "short-lines": modeTruncateStall, "half-lines": modeHalfPrefix, "double-lines": modeDuplicate,
 }
 
-// injectCoordinatorMode has the coordinator behave badly for some time to every second proxy. It does nothing
-// where it behaves badly to them already: one way must not end another early.
+// injectCoordinatorMode puts the coordinator into a faulty mode for every second proxy for a length of time. It does
+// nothing if the coordinator is in a faulty mode for them already, because one mode must not end another early.
 func (r *run) injectCoordinatorMode(f Fault, m coordinatorMode, length time.Duration) {
 	busy := &r.coordinatorModeMu[f.Target%len(r.coordinatorModeMu)]
 	if !busy.TryLock() {
@@ -237,6 +238,7 @@
 	r.setCoordinatorMode(f, modeHealthy)
 }
 
+// setCoordinatorMode sets the coordinator's mode for every second proxy, those with the parity of the fault's target.
 func (r *run) setCoordinatorMode(f Fault, m coordinatorMode) {
 	for i := range r.fleet {
 		if i%len(r.coordinatorModeMu) == f.Target%len(r.coordinatorModeMu) {
@@ -245,6 +247,7 @@
 	}
 }
 
+// injectOtherFault injects a purge or a fault of the origin.
 func (r *run) injectOtherFault(f Fault) {
 	switch f.Kind {
 	case "purge-group":
@@ -261,7 +264,8 @@
 	}
 }
 
-// announceState publishes the state of a server, and records its start if it has been restarted.
+// announceState publishes a new state of a server in the endpoint list. If the server is serving and was restarted
+// during the run, it records the start.
 func (r *run) announceState(s *server, state string) {
 	entry, restartedAt := s.setState(state)
 	e := &WatchEvent{PurgedGroup: noGroup}
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -14,50 +14,53 @@
 	"time"
 )
 
-// firstExtraFD is the descriptor of the first file that a program inherits beside the standard ones.
+// firstExtraFD is the descriptor of the first file that a process inherits besides the standard ones.
 const firstExtraFD = 3
 
 const (
-	// signalHandlingDelay is how long after its start a program listens for signals for certain: an earlier one would
+	// signalHandlingDelay is how long after its start a process is sure to handle signals. An earlier signal would
 	// end it.
 	signalHandlingDelay = 500 * time.Millisecond
-	// reloadableAge is how long after a start a proxy may be ordered to read its configuration again.
+	// reloadableAge is how long after its start a proxy may be ordered to reload its configuration.
 	reloadableAge = time.Second
-	// statePollInterval is how often the state of a process is looked at.
+	// statePollInterval is how often the state of a process is polled.
 	statePollInterval = 10 * time.Millisecond
-	// connsAfterSigterm and requestsUntil are how long after SIGTERM clients connect and make requests.
+	// connsAfterSigterm and requestsAfterSigterm are how long after SIGTERM clients still connect and make requests.
 	connsAfterSigterm    = 400 * time.Millisecond
 	requestsAfterSigterm = 600 * time.Millisecond
-	// requestsUntilExit in place of requestsUntil has clients use their connections until the process has exited.
+	// requestsUntilExit, in place of requestsAfterSigterm, lets clients make requests on their open connections until
+	// the process has exited.
 	requestsUntilExit = time.Hour
 )
 
-// process is one edge proxy: a place in the fleet with one incarnation after another.
+// process is one edge proxy of the fleet. Its incarnations are the processes that run one after another in its
+// place.
 type process struct {
 	r        *run
 	number   int
 	addr     string // for clients
-	config   string // path of the configuration
+	config   string // path of the configuration file
 	settings map[string]any
-	socket   *os.File   // for clients, held by the soak; nil: each incarnation opens its own
+	socket   *os.File   // listens for clients and is held by the soak test; nil: each incarnation opens its own
 	admin    string     // address for operators
 	faultMu  sync.Mutex // held while a fault of the proxy lasts
 
 	// For the next incarnation:
-	environment []string // added to that of all
-	logUnread   bool     // nobody reads its log
+	environment []string // variables beside those of all proxies
+	logUnread   bool     // its log is not read before it has exited
 
-	mu              sync.Mutex // of the fields below
-	cmd             *exec.Cmd  // of the present incarnation
+	mu              sync.Mutex // guards the fields below
+	cmd             *exec.Cmd  // command of the current incarnation
 	incarnation     *Incarnation
-	exited          chan struct{} // closed when it has exited
+	exited          chan struct{} // closed when the current incarnation has exited
 	acceptsConns    bool          // clients may connect
 	acceptsRequests bool          // clients may make requests on open connections
 }
 
 func (p *process) name() string { return proxyName(p.number) }
 
-// writeConfig writes the configuration with the events so far, and returns the index of the last one.
+// writeConfig writes the configuration, which includes the events published so far, and returns the index of the
+// last one.
 func (p *process) writeConfig() (knownEvents int, err error) {
 	index, updates := p.r.coordinator.knownEvents()
 	text, err := json.Marshal(map[string]any{
@@ -77,7 +80,7 @@
 	return index, os.Rename(next, p.config)
 }
 
-// start starts the next incarnation. Clients use it from when it is ready.
+// start starts the next incarnation. Clients use it once it is ready.
 func (p *process) start() error {
 	knownEvents, err := p.writeConfig()
 	if err != nil {
@@ -111,7 +114,7 @@
 	return nil
 }
 
-// command is the command that starts the next incarnation.
+// command returns the command that starts the next incarnation.
 func (p *process) command() *exec.Cmd {
 	cmd := exec.Command(p.r.options.Program)
 	cmd.Env = append(os.Environ(), p.r.options.Environment...)
@@ -124,7 +127,7 @@
 	return cmd
 }
 
-// startWithLog starts a command, and returns the reading end of its log.
+// startWithLog starts a command and returns the read end of the pipe for its log.
 func (p *process) startWithLog(cmd *exec.Cmd) (log io.ReadCloser, err error) {
 	read, write, err := logPipe(p.logUnread)
 	if err != nil {
@@ -136,7 +139,8 @@
 	return read, err
 }
 
-// recordExit waits for the exit of an incarnation and records it. The timeline shows it behind its log.
+// recordExit waits for the exit of an incarnation and records it. The timeline shows the exit after the
+// incarnation's log.
 func (p *process) recordExit(incarnation *Incarnation, cmd *exec.Cmd, exited chan<- struct{}, logRead <-chan struct{}) {
 	state, err := cmd.Process.Wait()
 	p.r.history.withLock(func() {
@@ -152,7 +156,7 @@
 	p.stopRequests(incarnation)
 }
 
-// awaitReady asks an incarnation for its readiness until it is ready or has exited.
+// awaitReady polls the readiness of an incarnation until it is ready or has exited.
 func (p *process) awaitReady(incarnation *Incarnation, exited <-chan struct{}) {
 	for {
 		select {
@@ -175,13 +179,14 @@
 	}
 }
 
-// admission says what clients may do.
+// admission says whether clients may connect to a proxy and make requests.
 type admission struct {
 	acceptsConns    bool
 	acceptsRequests bool
-	incarnation     int // number; 0: none has started
+	incarnation     int // number of the current incarnation; 0: none has started
 }
 
+// admission returns what clients may do at present.
 func (p *process) admission() admission {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -191,7 +196,7 @@
 	return admission{acceptsConns: p.acceptsConns, acceptsRequests: p.acceptsRequests, incarnation: p.incarnation.Number}
 }
 
-// stopConns has clients open no more connections to an incarnation, if it is still the present one.
+// stopConns makes clients stop connecting to an incarnation if it is still the current one.
 func (p *process) stopConns(incarnation *Incarnation) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -200,7 +205,7 @@
 	}
 }
 
-// stopRequests has clients make no more requests to an incarnation, if it is still the present one.
+// stopRequests makes clients stop sending requests to an incarnation if it is still the current one.
 func (p *process) stopRequests(incarnation *Incarnation) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -209,8 +214,8 @@
 	}
 }
 
-// awaitState waits until the present incarnation has reached a state, or has exited. The condition gets its
-// age.
+// awaitState waits until the current incarnation has exited or reached returns true for it and its age. reached is
+// called with the history locked.
 func (p *process) awaitState(reached func(i *Incarnation, age time.Duration) bool) {
 	for done := false; !done; time.Sleep(statePollInterval) {
 		p.mu.Lock()
@@ -222,25 +227,25 @@
 	}
 }
 
-// awaitSignalHandling waits until the program listens for signals.
+// awaitSignalHandling waits until the current incarnation is sure to handle signals.
 func (p *process) awaitSignalHandling() {
 	p.awaitState(func(i *Incarnation, age time.Duration) bool { return i.ReadyAt != 0 || age > signalHandlingDelay })
 }
 
-// awaitReloadable waits until the proxy may be ordered to read its configuration again.
+// awaitReloadable waits until the proxy may be ordered to reload its configuration.
 func (p *process) awaitReloadable() {
 	p.awaitState(func(i *Incarnation, age time.Duration) bool { return i.ReadyAt != 0 && age > reloadableAge })
 }
 
-// signal sends a signal to the present incarnation.
+// signal sends a signal to the current incarnation.
 func (p *process) signal(s os.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.cmd.Process.Signal(s) //nolint:errcheck // it may have exited
 }
 
-// terminate ends the present incarnation by SIGTERM, and kills it if it has not exited in time. Its clients make
-// requests on open connections for a time after the signal.
+// terminate ends the current incarnation by SIGTERM, and kills it if it has not exited within maxShutdown. Clients
+// make requests on open connections for requestsFor after the signal.
 func (p *process) terminate(requestsFor time.Duration) {
 	p.awaitSignalHandling()
 	p.mu.Lock()
@@ -258,11 +263,11 @@
 	}
 }
 
-// maxShutdown is how long after SIGTERM a process may run: the platform kills it no earlier. It waits for the
-// longest deadline of the settings, but no longer than for maxDeadline.
+// maxShutdown returns how long after SIGTERM a process may run before the platform kills it. The platform waits for
+// the longest deadline of the settings, but at most for maxDeadline, and for killDelay.
 func maxShutdown() time.Duration { return min(classDeadline, maxDeadline) + killDelay }
 
-// kill ends the present incarnation by SIGKILL.
+// kill ends the current incarnation by SIGKILL and waits for its exit.
 func (p *process) kill() {
 	p.mu.Lock()
 	incarnation := p.incarnation
@@ -275,7 +280,7 @@
 	<-exited
 }
 
-// holdSocket opens the clients' address for all incarnations to come.
+// holdSocket listens on the clients' address. All incarnations inherit the socket.
 func (p *process) holdSocket() error {
 	listener, err := net.Listen("tcp", p.addr)
 	if err != nil {
@@ -285,8 +290,8 @@
 	return errors.Join(err, listener.Close())
 }
 
-// replace starts the next incarnation beside the present one on the same socket, and ends the old one when
-// the new one is ready.
+// replace starts the next incarnation on the same socket while the current one runs, and ends the old one when the
+// new one is ready. The new one gets another address for operators.
 func (p *process) replace() error {
 	p.mu.Lock()
 	old := p.incarnation
--- a/internal/soak/processfaults.go
+++ b/internal/soak/processfaults.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// connsAfterDrainOrder is how long after the order to drain clients still connect.
+	// connsAfterDrainOrder is how long after the order to drain clients still open connections.
 	connsAfterDrainOrder = 200 * time.Millisecond
 	// dialRetryInterval is the time between two attempts of an idle client to connect.
 	dialRetryInterval = 10 * time.Millisecond
@@ -27,10 +27,10 @@
 	p.r.history.withLock(func() { incarnation.Paused = append(incarnation.Paused, Span{from, p.r.history.Now()}) })
 }
 
-// signalInterval is the time between the signals of a series.
+// signalInterval is the time between two signals of a series.
 const signalInterval = 30 * time.Millisecond
 
-// reloadInSeries orders new configurations in a row.
+// reloadInSeries orders three reloads in a row, each of a configuration that it writes before.
 func (r *run) reloadInSeries(p *process, f Fault) {
 	p.awaitReloadable()
 	for range 3 {
@@ -40,7 +40,8 @@
 	}
 }
 
-// signalInSeries sends the present incarnation a series of signals, which come after its SIGTERM.
+// signalInSeries schedules a series of signals to the current incarnation, and returns at once. The caller ends the
+// process by SIGTERM next, so the series follows that signal.
 func (p *process) signalInSeries() {
 	p.mu.Lock()
 	cmd := p.cmd
@@ -52,7 +53,7 @@
 	}
 }
 
-// truncateConfig cuts the configuration off in the middle.
+// truncateConfig truncates the configuration file to half its length.
 func (p *process) truncateConfig() error {
 	text, err := os.ReadFile(p.config)
 	if err != nil {
@@ -61,11 +62,12 @@
 	return os.WriteFile(p.config, text[:len(text)/2], 0o600)
 }
 
-// drain orders the proxy to drain for a length of time. Clients stop connecting and follow its closes.
+// drain orders the proxy to drain, and to serve again after a length of time. In between clients open no connections,
+// and use those that they have until the proxy closes them.
 func (p *process) drain(length time.Duration) {
 	status, err := p.callAdmin("PUT", "/ops/drain/start")
 	if err != nil || status != statusOK {
-		p.r.history.Logf(p.name(), "does not drain: %d %v", status, err)
+		p.r.history.Logf(p.name(), "drain order failed: status %d, error %v", status, err)
 		return
 	}
 	p.mu.Lock()
@@ -76,7 +78,7 @@
 	time.Sleep(length)
 	status, err = p.callAdmin("PUT", "/ops/drain/stop")
 	if err != nil || status != statusOK {
-		p.r.history.Logf(p.name(), "does not serve again: %d %v", status, err)
+		p.r.history.Logf(p.name(), "order to stop draining failed: status %d, error %v", status, err)
 		return
 	}
 	p.mu.Lock()
@@ -86,8 +88,8 @@
 	}
 }
 
-// connectIdleClients keeps as many idle connections open as half of the proxy's descriptors for a length of
-// time: more than it keeps for clients. Each that the proxy closes is opened again.
+// connectIdleClients keeps idle connections open for a length of time, half as many as the proxy's limit on
+// descriptors: more than the proxy keeps for clients. A connection that the proxy closes is opened again.
 func (p *process) connectIdleClients(length time.Duration) {
 	var clients sync.WaitGroup
 	end := time.Now().Add(length)
@@ -101,7 +103,7 @@
 	clients.Wait()
 }
 
-// connectIdleClient connects, and waits until the proxy closes the connection or a time has come.
+// connectIdleClient connects, and waits until the proxy closes the connection or the time is end.
 func (p *process) connectIdleClient(end time.Time) {
 	conn, err := net.DialTimeout("tcp", p.addr, dialTimeout)
 	if err != nil {
@@ -109,6 +111,6 @@
 		return
 	}
 	conn.SetReadDeadline(end)  //nolint:errcheck // it fails as the read does
-	conn.Read(make([]byte, 1)) //nolint:errcheck // it is over when the read returns
+	conn.Read(make([]byte, 1)) //nolint:errcheck // any result ends the wait
 	conn.Close()               //nolint:errcheck // the proxy may have closed it
 }
--- a/internal/soak/processlog.go
+++ b/internal/soak/processlog.go
@@ -11,12 +11,12 @@
 const (
 	// pipeSize is the capacity of a pipe in bytes.
 	pipeSize = 64 << 10
-	// maxLogLine is the length of the longest line of a log that the timeline takes, in bytes.
+	// maxLogLine is the length in bytes of the longest log line that goes into the timeline.
 	maxLogLine = 1 << 20
 )
 
-// logPipe opens a pipe for a program's log. One that is full from the start blocks every write until it is
-// read.
+// logPipe opens a pipe for a process's log. If full is set, the pipe is filled, so that every write blocks until
+// the pipe is read.
 func logPipe(full bool) (read, write *os.File, err error) {
 	var ends [2]int
 	if err := syscall.Pipe2(ends[:], syscall.O_CLOEXEC); err != nil {
@@ -30,7 +30,8 @@
 	return read, write, err
 }
 
-// readLog copies the log of an incarnation into the timeline, or leaves it unread until the exit.
+// readLog copies the log of an incarnation into the timeline. With logUnread set, it reads nothing until the
+// incarnation has exited.
 func (p *process) readLog(log io.ReadCloser) {
 	defer log.Close() //nolint:errcheck // it was only read
 	p.mu.Lock()
@@ -39,7 +40,7 @@
 	p.logUnread = false
 	p.mu.Unlock()
 	if unread {
-		p.r.history.Logf(faultSource, "nobody reads the log of %s", p.name())
+		p.r.history.Logf(faultSource, "the log of %s is not read until it exits", p.name())
 		<-exited
 	}
 	lines := bufio.NewScanner(log)
@@ -49,5 +50,5 @@
 			p.r.history.Logf(p.name(), "log: %s", lines.Text())
 		}
 	}
-	io.Copy(io.Discard, log) //nolint:errcheck // what follows a line that is too long; only its end matters
+	io.Copy(io.Discard, log) //nolint:errcheck // drains the rest after a line that was too long
 }
--- a/internal/soak/purges.go
+++ b/internal/soak/purges.go
@@ -8,21 +8,20 @@
 )
 
 const (
-	// purgeDelay is the time from a purge to its publication.
+	// purgeDelay is the delay between a purge and the publication of its event.
 	purgeDelay = 40 * time.Millisecond
-	// meanPurgeInterval is the mean time between two purges of the background load, which is exponentially
-	// distributed.
+	// meanPurgeInterval is the mean of the exponentially distributed time between two purges of the background load.
 	meanPurgeInterval = 400 * time.Millisecond
-	// purgeRNGStream is the stream of a seed's random numbers that draws the background load of purges.
+	// purgeRNGStream is the stream of a seed's PCG random numbers that draws the background load of purges.
 	purgeRNGStream = 13
 )
 
-// purgeContinuously purges objects until over is closed.
-func (r *run) purgeContinuously(over <-chan struct{}) {
+// purgeContinuously purges random objects until stop is closed.
+func (r *run) purgeContinuously(stop <-chan struct{}) {
 	rng := rand.New(rand.NewPCG(r.seed, purgeRNGStream))
 	for {
 		select {
-		case <-over:
+		case <-stop:
 			return
 		case <-time.After(time.Duration(rng.ExpFloat64() * float64(meanPurgeInterval))):
 			r.purgeObject(objectName(rng.IntN(objectCount)))
@@ -30,19 +29,19 @@
 	}
 }
 
-// purgeObject purges the present copies of an object.
+// purgeObject purges all copies of an object that exist now.
 func (r *run) purgeObject(object string) {
 	e := &WatchEvent{PurgedObject: object, PurgedGroup: noGroup}
 	r.purge(e, fmt.Sprintf(`"ref":%q`, object), func(name string) bool { return name == object })
 }
 
-// purgeGroup purges the present copies of all objects of a group.
+// purgeGroup purges all copies of the objects of a group that exist now.
 func (r *run) purgeGroup(group int) {
 	e := &WatchEvent{PurgedGroup: group}
 	r.purge(e, fmt.Sprintf(`"shard":%d`, group), func(name string) bool { return groupOf(name) == group })
 }
 
-// purge publishes a purge of the copies made until now, and has the servers drop them.
+// purge publishes a purge of the copies made before now, and makes the caches and the parent drop them.
 func (r *run) purge(e *WatchEvent, key string, matches func(object string) bool) {
 	e.PurgedBefore = time.Now()
 	time.Sleep(purgeDelay)
@@ -52,10 +51,10 @@
 	}
 }
 
-// objectName is the key of an object that is drawn by number.
+// objectName returns the key of the object with a number.
 func objectName(number int) string { return fmt.Sprintf("%016x", number) }
 
-// groupOf is the group of an object.
+// groupOf returns the purge group of an object.
 func groupOf(object string) int {
 	var number int
 	fmt.Sscanf(object, "%x", &number) //nolint:errcheck // all names come from objectName
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// reportDistance is how long before and after a violation a report shows the timeline.
+// reportDistance is how much of the timeline a report shows before and after a violation.
 const reportDistance = 4 * time.Second
 
-// writeReport writes the schedule, and the timeline around each violation.
+// writeReport writes the schedule, and the timeline around each violation, to violations.txt.
 func (r *run) writeReport(result Result) error {
 	dir := seedDir(r.options.ReportDir, result.Seed)
 	if err := os.MkdirAll(dir, 0o755); err != nil {
--- a/internal/soak/resp.go
+++ b/internal/soak/resp.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// maxWords is how many words a command may have.
+	// maxWords is the maximum number of words in a command.
 	maxWords = 8
-	// maxBulkSize is the size of the longest word of a command, in bytes.
+	// maxBulkSize is the maximum size of a command's word in bytes.
 	maxBulkSize = 1 << 20
-	// lineEnd is the size of a line's end, CR LF, in bytes.
+	// lineEnd is the size in bytes of CR LF, which ends a line.
 	lineEnd = 2
 )
 
@@ -47,14 +47,14 @@
 	return words, nil
 }
 
-// readLength reads a line that holds a prefix and a number.
+// readLength reads a line of a prefix and a number, and returns the number.
 func readLength(in *bufio.Reader, prefix byte) (int, error) {
 	line, err := in.ReadBytes('\n')
 	if err != nil {
 		return 0, err
 	}
 	if line[0] != prefix {
-		return 0, fmt.Errorf("%q in place of %q", line[0], prefix)
+		return 0, fmt.Errorf("line starts with %q, want %q", line[0], prefix)
 	}
 	return strconv.Atoi(string(bytes.TrimSpace(line[1:])))
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -10,39 +10,39 @@
 
 const (
 	cacheCount          = 4
-	measureInterval     = 500 * time.Millisecond // between two looks at memory and descriptors
-	meanRequestInterval = 80 * time.Millisecond  // of the clients of one proxy, exponentially distributed
+	measureInterval     = 500 * time.Millisecond // between two measurements of memory and descriptors
+	meanRequestInterval = 80 * time.Millisecond  // between requests of one proxy's clients, exponentially distributed
 	surgeFactor         = 4
 	surgeDuration       = slowStartDuration / 2
 	maxRecordedFailures = 100
 )
 
-// Options say what is run.
+// Options configures a run.
 type Options struct {
-	Program      string                // path of the test binary that serves as the proxy
-	Environment  []string              // that makes it serve
-	ClockOffset  string                // environment variable with the error of its clock
-	FailingCalls string                // environment variable with the seed by which its system calls fail
-	Host         func(host int) string // the address of a host on loopback, with port 0
-	Fleet        int                   // proxies
+	Program      string                // path of the test binary that runs as the proxy
+	Environment  []string              // variables that make the test binary run as the proxy
+	ClockOffset  string                // name of the environment variable for the offset of the proxy's clock
+	FailingCalls string                // name of the environment variable for the seed of failing system calls
+	Host         func(host int) string // returns the address of a host on loopback, with port 0
+	Fleet        int                   // number of proxies
 	Duration     time.Duration         // of the run
-	ConfigDir    string                // for the proxies' configurations
-	ReportDir    string                // for reports on violations; empty: none
-	Kinds        []string              // of faults; empty: all
-	Shrink       bool                  // look for a shorter schedule that breaks the same rule
+	ConfigDir    string                // directory for the proxies' configurations
+	ReportDir    string                // directory for reports on violations; empty: none are written
+	Kinds        []string              // kinds of faults to draw from; empty: all
+	Shrink       bool                  // after a violation, look for a shorter schedule that breaks the same rule
 }
 
-// Result is the outcome of one seed.
+// Result is the outcome of the run of one seed.
 type Result struct {
 	Seed         uint64
 	Schedule     []Fault
 	Violations   []Violation
 	Requests     int
-	Served       int // requests with status 200
-	Incarnations int // processes that were started
+	Served       int // requests answered with status 200
+	Incarnations int // proxy processes started
 }
 
-// run is one run.
+// run is one run of a fleet with its servers, coordinator and clients.
 type run struct {
 	options     Options
 	seed        uint64
@@ -54,15 +54,17 @@
 	origin      *server
 	fleet       []*process
 	relays      []*relay.Relay
-	// coordinatorModeMu is held while the coordinator behaves badly to the proxies whose number has the remainder.
+	// coordinatorModeMu is held while the coordinator is in a faulty mode for the proxies whose number modulo 2 is
+	// the index.
 	coordinatorModeMu [2]sync.Mutex
 
-	surgeUntil atomic.Int64  // time since the start until which clients make more requests
-	failures   chan error    // of the soak itself
+	surgeUntil atomic.Int64  // until when clients make more requests, as nanoseconds since the start of the run
+	failures   chan error    // errors of the soak test itself
 	ended      chan struct{} // closed when the schedule has ended
 }
 
-// Run plays the schedule of one seed and checks the history. Its error is a failure of the soak itself.
+// Run runs a fleet under the schedule that a seed draws, checks the history and returns the violations. An error
+// means that the soak test itself failed, so that the run says nothing about the proxies.
 func Run(seed uint64, o Options) (Result, error) {
 	kinds := o.Kinds
 	if len(kinds) == 0 {
@@ -76,7 +78,7 @@
 	return result, shrink(seed, o, result)
 }
 
-// runSchedule runs a fleet under a schedule and checks the history.
+// runSchedule runs a fleet under a schedule, checks the history and writes a report if there are violations.
 func runSchedule(seed uint64, o Options, schedule []Fault) (Result, error) {
 	limits := fleetLimits()
 	r := &run{
@@ -98,6 +100,7 @@
 	return result, nil
 }
 
+// result checks the history and sums up the run.
 func (r *run) result(schedule []Fault) Result {
 	result := Result{
 		Seed: r.seed, Schedule: schedule, Violations: Check(r.history), Requests: len(r.history.Requests), Incarnations: len(r.history.Incarnations),
@@ -110,17 +113,17 @@
 	return result
 }
 
-// applySchedule carries out a schedule beside the clients' load, waits for the last answers and stops the
-// proxies.
+// applySchedule injects the faults of a schedule while clients and purges load the fleet, waits for the last answers
+// and stops the proxies.
 func (r *run) applySchedule(schedule []Fault) {
 	var clients, background sync.WaitGroup
-	quiet := make(chan struct{})
+	stopLoad := make(chan struct{})
 	for _, p := range r.fleet {
 		c := newProxyClients(p, r.seed)
-		clients.Go(func() { c.run(quiet) })
+		clients.Go(func() { c.makeRequests(stopLoad) })
 	}
-	background.Go(func() { r.purgeContinuously(quiet) })
-	background.Go(func() { r.measure(quiet) })
+	background.Go(func() { r.purgeContinuously(stopLoad) })
+	background.Go(func() { r.measure(stopLoad) })
 	defer close(r.ended)
 	r.history.recordSchedulingDelays(r.ended)
 	for _, f := range schedule {
@@ -130,14 +133,14 @@
 		})
 	}
 	time.Sleep(r.options.Duration - quietEnd - r.history.Now())
-	close(quiet)
+	close(stopLoad)
 	clients.Wait()
 	background.Wait()
 	time.Sleep(quietEnd)
 	r.terminateFleet()
 }
 
-// terminateFleet stops all proxies by SIGTERM, which shows whether they had left anything open.
+// terminateFleet stops all proxies by SIGTERM. How they exit shows whether they had left anything open.
 func (r *run) terminateFleet() {
 	var proxies sync.WaitGroup
 	for _, p := range r.fleet {
@@ -146,13 +149,13 @@
 	proxies.Wait()
 }
 
-// surge has the clients make surgeFactor times the requests for a while, so that the load on a server in slow start
-// is over twice its budget.
+// surge raises the rate of the clients' requests by surgeFactor for surgeDuration, so that the load on a server in
+// slow start exceeds twice its budget.
 func (r *run) surge() {
 	r.surgeUntil.Store(int64(r.history.Now() + surgeDuration))
 }
 
-// requestInterval is the mean time between the requests of one proxy's clients at present.
+// requestInterval returns the current mean time between the requests of one proxy's clients.
 func (r *run) requestInterval() time.Duration {
 	if int64(r.history.Now()) < r.surgeUntil.Load() {
 		return meanRequestInterval / surgeFactor
@@ -160,27 +163,28 @@
 	return meanRequestInterval
 }
 
-// measure records the memory and the descriptors of all proxies until over is closed.
-func (r *run) measure(over <-chan struct{}) {
+// measure records the memory and the descriptors of all proxies until stop is closed.
+func (r *run) measure(stop <-chan struct{}) {
 	for {
 		for _, p := range r.fleet {
 			p.measure()
 		}
 		select {
-		case <-over:
+		case <-stop:
 			return
 		case <-time.After(measureInterval):
 		}
 	}
 }
 
-// recordFailure records a failure of the soak itself, which makes the run void.
+// recordFailure records an error of the soak test itself, which makes the run invalid. It ignores nil.
 func (r *run) recordFailure(err error) {
 	if err != nil {
 		r.failures <- err
 	}
 }
 
+// firstFailure returns the first recorded failure, or nil if there is none.
 func (r *run) firstFailure() error {
 	select {
 	case err := <-r.failures:
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -13,15 +13,16 @@
 	Kind     string
 	At       time.Duration // since the start of the run
 	Duration time.Duration
-	Target   int // index in the fleet, or among the caches
+	Target   int // index in the fleet, or among the caches for faults of a cache
 }
 
-// String is the fault as reports show it.
+// String returns the fault as a line of a schedule.
 func (f Fault) String() string {
 	return fmt.Sprintf("%.3f for %.3f: %s %d", f.At.Seconds(), f.Duration.Seconds(), f.Kind, f.Target)
 }
 
-// The kinds of faults, by what they affect. The order is part of the schedules: a seed draws by index.
+// The kinds of faults, grouped by what they affect. A seed draws kinds by index, so a change of their order changes
+// the schedules of all seeds.
 var (
 	processFaults = []string{"freeze", "term", "kill", "reload", "broken-reload", "drain-order", "deaf-log", "wrong-clock", "failing-calls",
 		"hand-over", "crowd", "term-in-use", "signals", "term-hung"}
@@ -33,13 +34,13 @@
 
 const (
 	quietStart        = time.Second            // before the first fault
-	quietEnd          = 3 * time.Second        // without faults and new requests, before the run ends
+	quietEnd          = 3 * time.Second        // without new faults and requests, before the run ends
 	minFaultDuration  = 300 * time.Millisecond // inclusive
 	maxFaultDuration  = 2500 * time.Millisecond
-	meanFaultInterval = 550 * time.Millisecond // exponentially distributed: two or three faults overlap
+	meanFaultInterval = 550 * time.Millisecond // of an exponential distribution: two or three faults overlap
 )
 
-// scheduleRNGStream is the stream of a seed's random numbers that draws its schedule.
+// scheduleRNGStream is the stream of a seed's PCG random numbers that draws its schedule.
 const scheduleRNGStream = 11
 
 // Kinds returns all kinds of faults.
@@ -58,7 +59,7 @@
 	return schedule
 }
 
-// drawFault draws one fault. The order of the draws is part of the schedules.
+// drawFault draws one fault. A change of the order of the draws changes the schedules of all seeds.
 func drawFault(rng *rand.Rand, at time.Duration, fleet, caches int, kinds []string) Fault {
 	f := Fault{At: at}
 	f.Kind = kinds[rng.IntN(len(kinds))]
@@ -70,7 +71,7 @@
 	return f
 }
 
-// formatSchedule lists a schedule, a line a fault.
+// formatSchedule formats a schedule, one line per fault.
 func formatSchedule(schedule []Fault) string {
 	var b strings.Builder
 	for _, f := range schedule {
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -14,29 +14,29 @@
 const (
 	// lateReadsAfterHang is how long after a hang a server reads what was sent during it.
 	lateReadsAfterHang = 300 * time.Millisecond
-	// maxPurgeDelay is the longest time after which a server drops purged copies.
+	// maxPurgeDelay is the longest time until a server drops purged copies.
 	maxPurgeDelay = 5 * time.Second
-	// hangPollInterval is how often a hung server looks whether the hang is over.
+	// hangPollInterval is how often a hung server checks whether the hang is over.
 	hangPollInterval = time.Millisecond
-	// serverRNGStream is the stream of a seed's random numbers that a server draws from.
+	// serverRNGStream is the stream of a seed's PCG random numbers that a server draws from.
 	serverRNGStream = 7
 )
 
-// server stands in for a cache, a parent or the origin. It caches objects, drops purged copies some time
-// after the purge, and records the calls that it reads.
+// server is a stand-in for a cache, the parent or the origin. It caches objects, drops purged copies some time after
+// the purge, and records the calls that it reads.
 type server struct {
 	history        *History
 	id, kind, zone string
 	serials        *sequence
-	relayAddr      string     // where proxies reach it through a relay; empty: at addr
+	relayAddr      string     // address of the relay in front of it; empty: proxies connect to addr
 	faultMu        sync.Mutex // held while a restart of the server lasts
 
-	mu            sync.Mutex // of the fields below
+	mu            sync.Mutex // guards the fields below
 	addr          string
 	rng           *rand.Rand
 	listener      net.Listener
 	conns         map[net.Conn]bool
-	copies        map[string]time.Time // by object: when the origin gave the copy out
+	copies        map[string]time.Time // by object: when the origin produced the copy
 	hungUntil     time.Duration        // reads and writes nothing until then
 	slowUntil     time.Duration
 	malformUntil  time.Duration // may malform its answers
@@ -45,7 +45,7 @@
 	state         string        // in the endpoint list
 }
 
-// sequence hands out numbers from 1.
+// sequence returns consecutive numbers, starting from 1.
 type sequence struct {
 	mu   sync.Mutex
 	last int
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// crash resets all connections, refuses new ones and loses all copies.
+// crash resets all connections, stops listening and drops all copies.
 func (s *server) crash() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,7 +104,7 @@
 	s.copies = map[string]time.Time{}
 }
 
-// restart accepts connections again after a crash.
+// restart listens again after a crash.
 func (s *server) restart() error {
 	err := s.listen()
 	s.mu.Lock()
@@ -113,7 +113,7 @@
 	return err
 }
 
-// resetConns resets a fraction of the connections.
+// resetConns resets each connection with a probability.
 func (s *server) resetConns(fraction float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -131,21 +131,21 @@
 	conn.Close()                     //nolint:errcheck // as above
 }
 
-// extendFault moves the end of a fault, one of the fields that end in Until, to a later time.
+// extendFault moves the end of a fault, one of the fields whose names end in Until, to a time if that is later.
 func (s *server) extendFault(until *time.Duration, at time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	*until = max(*until, at)
 }
 
-// faultActive reports whether a fault, one of the fields that end in Until, lasts.
+// faultActive reports whether a fault, given by the field that holds its end, is active now.
 func (s *server) faultActive(until *time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.history.Now() < *until
 }
 
-// waitWhileHung returns when the server does not hang.
+// waitWhileHung blocks while the server hangs.
 func (s *server) waitWhileHung() {
 	for s.faultActive(&s.hungUntil) {
 		time.Sleep(hangPollInterval)
@@ -166,7 +166,7 @@
 	return s.rng.Float64()
 }
 
-// purge drops matching copies made before a time, after a delay that it draws.
+// purge drops matching copies made before a time, after a random delay.
 func (s *server) purge(matches func(object string) bool, before time.Time) {
 	delay := time.Duration(s.draw() * float64(maxPurgeDelay))
 	time.AfterFunc(delay, func() {
@@ -180,7 +180,7 @@
 	})
 }
 
-// serve reads the commands of one connection.
+// serve reads the commands of one connection, and records and answers the calls.
 func (s *server) serve(conn net.Conn) {
 	defer conn.Close() //nolint:errcheck // the proxy may have closed it
 	in := bufio.NewReader(conn)
@@ -198,15 +198,15 @@
 			return
 		}
 		if words[0] != "REQ" || len(words) != 4 {
-			continue // STOP does not take effect: the answer and the STOP may always cross
+			continue // STOP is ignored, as the answer and the STOP may always cross on the way
 		}
 		call := s.recordCall(words, firstByteAt, late)
 		go s.answer(call, out)
 	}
 }
 
-// timeSinceArrival is how long ago the last bytes of a connection arrived at this machine. They may be read
-// later.
+// timeSinceArrival returns how long ago the last bytes of a connection arrived at this machine, which may be long
+// before they are read. It returns 0 if that is unknown.
 func timeSinceArrival(conn net.Conn) (ago time.Duration) {
 	raw, err := conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -221,7 +221,7 @@
 	return ago
 }
 
-// setState sets the state in the endpoint list, and returns the entry there and when the server was
+// setState sets the server's state in the endpoint list. It returns the new entry, and when the server was
 // restarted.
 func (s *server) setState(state string) (endpointEntry string, restartedAt time.Time) {
 	s.mu.Lock()
@@ -240,7 +240,7 @@
 		s.id, s.advertisedAddr(), s.zone, s.kind, s.state, cacheWeight, startedMS)
 }
 
-// advertisedAddr is where proxies reach the server.
+// advertisedAddr returns the address at which proxies reach the server.
 func (s *server) advertisedAddr() string {
 	if s.relayAddr != "" {
 		return s.relayAddr
--- a/internal/soak/settings.go
+++ b/internal/soak/settings.go
@@ -6,18 +6,18 @@
 const (
 	proxyMemoryMB       = 64
 	proxyDescriptors    = 256
-	flowBytesPerSecond  = 200_000 // of one transfer: an object takes 50 ms
-	cacheWeight         = 3.0     // transfers that a cache's link carries at a time
+	flowBytesPerSecond  = 200_000 // of one transfer; an object takes 50 ms
+	cacheWeight         = 3.0     // concurrent transfers that a cache's link carries
 	deduplicationWindow = 400 * time.Millisecond
 	slowStartCapacity   = 0.1 // fraction of a server's capacity at its start
 	slowStartDuration   = 4 * time.Second
-	overloadMultiple    = 2 // of a server's capacity
+	overloadMultiple    = 2 // of a server's capacity, above which it is overloaded
 	overloadWindow      = time.Second
 	maxDeadline         = 3 * time.Second
 	classDeadline       = 6 * time.Second // of each class, in the settings
 )
 
-// The grace periods after a notice, which the rules set.
+// The grace periods after a proxy was notified. The rules set them.
 const (
 	drainGrace = 500 * time.Millisecond
 	purgeGrace = 300 * time.Millisecond
@@ -25,7 +25,7 @@
 
 const kbPerMB = 1 << 10
 
-// fleetLimits are the limits of all proxies.
+// fleetLimits returns the limits, which are the same for all proxies.
 func fleetLimits() Limits {
 	return Limits{
 		MemoryKB: proxyMemoryMB * kbPerMB, Descriptors: proxyDescriptors,
@@ -37,7 +37,7 @@
 	}
 }
 
-// settingsFor are the settings in the configuration of one proxy of a fleet.
+// settingsFor returns the settings in the configuration of one proxy of a fleet.
 func settingsFor(index, fleet int, hedging bool) map[string]any {
 	return map[string]any{
 		"areas": []string{"hub", "edge"}, "host-types": []string{"std", "parent", "origin"}, "zone": 1,
@@ -60,7 +60,7 @@
 	}
 }
 
-// classSettings are the settings of the classes of requests.
+// classSettings returns the settings of the classes of requests.
 func classSettings() []any {
 	class := func(name, semantics string, gain float64) map[string]any {
 		return map[string]any{
--- a/internal/soak/shrink.go
+++ b/internal/soak/shrink.go
@@ -7,9 +7,9 @@
 	"slices"
 )
 
-// shrink removes one fault after another from a schedule, as long as its first violated rule is still
-// violated, and writes the shortest schedule to the report directory. Timing differs between runs: a fault
-// that is removed, or kept, by chance is possible.
+// shrink removes faults from a schedule one at a time, keeping each removal after which the first violated rule is
+// still violated, and writes the shortest schedule to least.txt in the report directory. As the timing differs
+// between runs, a fault may be removed or kept by chance.
 func shrink(seed uint64, o Options, found Result) error {
 	reportDir := o.ReportDir
 	o.ReportDir = ""
@@ -35,11 +35,12 @@
 	return os.WriteFile(path, []byte(rule+"\n"+formatSchedule(shortest)), 0o644)
 }
 
+// violates reports whether the run violated a rule.
 func (r Result) violates(rule string) bool {
 	return slices.ContainsFunc(r.Violations, func(v Violation) bool { return v.Rule == rule })
 }
 
-// seedDir is the directory of a seed's reports.
+// seedDir returns the directory for a seed's reports.
 func seedDir(reportDir string, seed uint64) string {
 	return filepath.Join(reportDir, fmt.Sprintf("seed-%d", seed))
 }
--- a/internal/soak/spoiling.go
+++ b/internal/soak/spoiling.go
@@ -1,42 +1,42 @@
 package soak
 
-// This file holds how the coordinator spoils the lines of events: a proxy has to know each event within
-// notifyWithin all the same, as a new stream brings it clean.
+// This file corrupts the lines of events that the coordinator sends. A proxy still has to know each event within
+// maxNotifyDelay, because a new stream sends it again intact.
 
-// maxCorruptions is how many streams in a row are spoilt, and how often one event is.
+// maxCorruptions is how many streams in a row are corrupted, and how often one event is.
 const maxCorruptions = 3
 
-// streamAction is what a stream does after a line.
+// streamAction says what a stream does after a line.
 type streamAction int
 
 const (
-	continueDelivered   streamAction = iota // the line was brought whole
-	continueUndelivered                     // it was spoilt, and the next event follows
-	stallStream                             // nothing more comes, and the stream stays open
-	closeStream                             // the stream ends
+	continueDelivered   streamAction = iota // the line was sent intact; the next one follows
+	continueUndelivered                     // the line was corrupted; the next event follows
+	stallStream                             // the stream stays open and sends nothing more
+	closeStream                             // the stream is closed
 )
 
-// corruption is what the coordinator has spoilt for one proxy since its mode was set.
+// corruption records what the coordinator has corrupted for one proxy since its mode was set.
 type corruption struct {
 	mode             coordinatorMode
-	heartbeatSent    bool        // a heartbeat was brought: the streams before have not failed
-	streamsToCorrupt int         // that may still be spoilt
-	corruptedLines   map[int]int // by index of an event: how often it was spoilt
+	heartbeatSent    bool        // since then, which shows that the streams before have not failed
+	streamsToCorrupt int         // how many streams may still be corrupted
+	corruptedLines   map[int]int // by index of an event: how often its line was corrupted
 }
 
 func newCorruption(m coordinatorMode) corruption {
 	return corruption{mode: m, streamsToCorrupt: maxCorruptions, corruptedLines: map[int]int{}}
 }
 
-// recordHeartbeat notes that a stream has brought a heartbeat.
+// recordHeartbeat records that a stream has sent a heartbeat.
 func (ws *watchServer) recordHeartbeat() {
 	ws.c.mu.Lock()
 	defer ws.c.mu.Unlock()
 	ws.corruption.heartbeatSent = true
 }
 
-// corrupt returns what is written for a line, and what the stream does after it. The event is nil for a heartbeat,
-// which is never spoilt.
+// corrupt returns the text to write for a line, and what the stream does after it. The event is nil for a heartbeat,
+// which is never corrupted. Nothing is corrupted before the first heartbeat since the mode was set.
 func (ws *watchServer) corrupt(e *WatchEvent, line string) (text string, next streamAction) {
 	ws.c.mu.Lock()
 	defer ws.c.mu.Unlock()
@@ -46,8 +46,8 @@
 	return ws.corruption.apply(e, line)
 }
 
-// apply spoils the line of an event as the mode says. Half a line before the whole spoils one event alone: that is
-// one of the endpoint list, as purges are many and soon without effect.
+// apply corrupts the line of an event according to the mode. modeHalfPrefix damages a single event, so it is used
+// only on events of the endpoint list: purges are many and soon have no effect any more.
 func (s *corruption) apply(e *WatchEvent, line string) (text string, next streamAction) {
 	whole := line + "\n"
 	half := line[:len(line)/2]
--- a/internal/soak/watchserver.go
+++ b/internal/soak/watchserver.go
@@ -11,23 +11,23 @@
 const (
 	// heartbeatInterval is how often a stream without events brings the index of the last event.
 	heartbeatInterval = time.Second
-	// eventPollInterval is how often a stream looks for the next event.
+	// eventPollInterval is how often a stream checks for the next event.
 	eventPollInterval = 2 * time.Millisecond
-	// slowLineTime is how long a slow stream takes for one line. With the line behind it, it stays within
-	// notifyWithin.
+	// slowLineTime is how long a slow stream takes for one line. Together with the line after it, that stays within
+	// maxNotifyDelay.
 	slowLineTime = 6 * time.Second
 )
 
-// watchServer is the coordinator's side for one proxy.
+// watchServer serves the coordinator's watch streams of one proxy.
 type watchServer struct {
 	c     *coordinator
 	proxy int
 
-	// Under the coordinator's mu:
+	// Guarded by the coordinator's mu:
 	addr           string
 	mode           coordinatorMode
 	modeSetAt      time.Duration
-	slowEventIndex int // index of the event that slow streams bring slowly; 0: none yet
+	slowEventIndex int // index of the event that slow streams send slowly; 0: none yet
 	corruption     corruption
 	listener       net.Listener
 	streams        map[net.Conn]bool
@@ -81,7 +81,7 @@
 	return ws.mode == modeSilent
 }
 
-// serve reads which event a proxy follows from, and brings it the events after that until the connection
+// serve reads from which index a proxy follows, and sends it the events after that index until the connection
 // ends.
 func (ws *watchServer) serve(conn net.Conn) {
 	ws.addStream(conn)
