--- a/internal/soak/answers.go
+++ b/internal/soak/answers.go
@@ -25,7 +25,10 @@
 // recordCall adds a call to the history. The words are those of its command: REQ, the ID, the fields and the
 // body.
 func (s *server) recordCall(words []string, firstByteAt time.Duration, late bool) *Call {
-	call := &Call{Server: s.id, ID: words[1], FirstByteAt: firstByteAt, CompleteAt: s.history.Now(), ReadLate: late, Serial: s.serials.next()}
+	call := &Call{
+		Server: s.id, ID: words[1], FirstByteAt: firstByteAt, CompleteAt: s.history.Now(), ReadLate: late,
+		Serial: s.serials.next(),
+	}
 	for _, field := range strings.Split(words[2], ",") {
 		name, value, _ := strings.Cut(field, "=")
 		switch name {
--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -79,7 +79,8 @@
 }
 
 func (c *historyChecker) report(rule string, at time.Duration, keywords []string, format string, args ...any) {
-	c.violations = append(c.violations, Violation{Rule: rule, At: at, Text: fmt.Sprintf(format, args...), Keywords: keywords})
+	c.violations = append(c.violations,
+		Violation{Rule: rule, At: at, Text: fmt.Sprintf(format, args...), Keywords: keywords})
 }
 
 // notifiedAt returns when an event counts as known to the process that handled a request: when the event's line
--- a/internal/soak/checker_test.go
+++ b/internal/soak/checker_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// validHistory is a history without violations: one process, one read and one write.
+// validHistory returns a history without violations: one process, one read and one write.
 func validHistory() *History {
 	h := NewHistory(Limits{
 		MemoryKB: 1000, Descriptors: 100, DrainGrace: 500 * time.Millisecond, PurgeGrace: 300 * time.Millisecond,
@@ -23,16 +23,16 @@
 			Answers: []FinalAnswer{{At: 12100 * time.Millisecond, Status: "200"}}},
 	}
 	h.Calls = []*Call{
-		{Serial: 1, Server: "cache", ID: "read", FillSource: "parent", FirstByteAt: 10010 * time.Millisecond, CompleteAt: 10010 * time.Millisecond,
-			Timeout: 900 * time.Millisecond, CopyMadeAt: h.start},
-		{Serial: 2, Server: "origin", ID: "write", Executed: true, FirstByteAt: 12010 * time.Millisecond, CompleteAt: 12010 * time.Millisecond,
-			Timeout: 900 * time.Millisecond},
+		{Serial: 1, Server: "cache", ID: "read", FillSource: "parent",
+			FirstByteAt: 10010 * time.Millisecond, CompleteAt: 10010 * time.Millisecond, Timeout: 900 * time.Millisecond, CopyMadeAt: h.start},
+		{Serial: 2, Server: "origin", ID: "write", Executed: true,
+			FirstByteAt: 12010 * time.Millisecond, CompleteAt: 12010 * time.Millisecond, Timeout: 900 * time.Millisecond},
 	}
 	return h
 }
 
-// TestHistoryChecker breaks each rule in a history that is otherwise sound, and checks that it alone is
-// reported.
+// TestHistoryChecker breaks each rule in an otherwise valid history, and checks that only this rule is reported. It
+// also checks that allowed deviations are not reported.
 func TestHistoryChecker(t *testing.T) {
 	delivered := func(e WatchEvent) func(*History) {
 		return func(h *History) {
@@ -45,12 +45,12 @@
 	for _, c := range []struct {
 		name   string
 		change func(*History)
-		want   string // "": no rule is broken
+		want   string // violated rules, separated by commas; "": none
 	}{
-		{"nothing", func(*History) {}, ""},
+		{"no violation", func(*History) {}, ""},
 		{"two answers", func(h *History) { h.Requests[0].Answers = append(h.Requests[0].Answers, FinalAnswer{Status: "503"}) }, "second answer"},
 		{"no answer", func(h *History) { h.Requests[0].Answers = nil }, "lost"},
-		{"no answer from a process that was killed", func(h *History) {
+		{"no answer from a killed process", func(h *History) {
 			h.Requests[0].Answers = nil
 			h.Incarnations[0].KilledAt = 10 * time.Second
 		}, ""},
@@ -61,60 +61,66 @@
 			h.Incarnations[0].KilledAt = 10900 * time.Millisecond
 			h.Incarnations[0].ExitedAt = 10900 * time.Millisecond
 		}, "lost,late end"},
-		{"aborted", func(h *History) {
+		{"no answer to an aborted request", func(h *History) {
 			h.Requests[0].Answers = nil
 			h.Requests[0].CancelledAt = 10 * time.Second
 		}, ""},
-		{"closed", func(h *History) {
+		{"connection closed without an answer", func(h *History) {
 			h.Requests[0].Answers = nil
 			h.Requests[0].DisconnectedAt = 11 * time.Second
 		}, "lost"},
 		{"late answer", func(h *History) { h.Requests[0].Answers[0].At = 12 * time.Second }, "late answer"},
-		{"late while stopped", func(h *History) {
+		{"late answer from a process that was paused", func(h *History) {
 			h.Requests[0].Answers[0].At = 12 * time.Second
 			h.Incarnations[0].Paused = []Span{{10 * time.Second, 11 * time.Second}}
 		}, ""},
-		{"ran twice", func(h *History) {
+		{"executed twice", func(h *History) {
 			again := *h.Calls[1]
 			again.Serial = 3
 			h.Calls = append(h.Calls, &again)
 		}, "ran twice"},
-		{"refused after its run", func(h *History) { h.Requests[1].Answers[0].Status = "503" }, "refused after run"},
-		{"served without a run", func(h *History) { h.Calls[1].Executed = false }, "served unrun"},
-		{"repeated in its window", repeatedKeyed(300 * time.Millisecond), ""},
-		{"repeated after its window", repeatedKeyed(700 * time.Millisecond), "repeat after window"},
-		{"a call without a request", func(h *History) { h.Calls[0].ID = "other" }, "unknown call"},
-		{"begun after the client had disconnected", func(h *History) { h.Requests[0].CancelledAt = 9 * time.Second }, "begun after left"},
-		{"begun just after", func(h *History) { h.Requests[0].CancelledAt = 9950 * time.Millisecond }, ""},
-		{"a deadline that is too late", func(h *History) { h.Calls[0].Timeout = 1400 * time.Millisecond }, "deadline"},
-		{"to a server that drains", delivered(WatchEvent{PurgedGroup: -1, Withdrawn: []string{"cache"}}), "drain"},
-		{"a drain that was not delivered", undeliveredDrain(), "drain"},
-		{"a drain while the coordinator sent nothing", undeliveredDrain(
+		{"rejected after its execution", func(h *History) { h.Requests[1].Answers[0].Status = "503" }, "refused after run"},
+		{"served without an execution", func(h *History) { h.Calls[1].Executed = false }, "served unrun"},
+		{"repeated within the deduplication window", repeatedKeyed(300 * time.Millisecond), ""},
+		{"repeated after the deduplication window", repeatedKeyed(700 * time.Millisecond), "repeat after window"},
+		{"call without a request", func(h *History) { h.Calls[0].ID = "other" }, "unknown call"},
+		{"call begins after the client has disconnected", func(h *History) {
+			h.Requests[0].CancelledAt = 9 * time.Second
+		}, "begun after left"},
+		{"call begins within the grace period after the disconnect", func(h *History) {
+			h.Requests[0].CancelledAt = 9950 * time.Millisecond
+		}, ""},
+		{"deadline later than the client's", func(h *History) { h.Calls[0].Timeout = 1400 * time.Millisecond }, "deadline"},
+		{"call to a draining server", delivered(WatchEvent{PurgedGroup: -1, Withdrawn: []string{"cache"}}), "drain"},
+		{"call to a draining server, event not delivered", undeliveredDrain(), "drain"},
+		{"call to a draining server, events withheld", undeliveredDrain(
 			Span{3 * time.Second, 6 * time.Second}, Span{5 * time.Second, 10 * time.Second}), ""},
-		{"a source that is removed", delivered(WatchEvent{PurgedGroup: -1, Withdrawn: []string{"parent"}}), "drain"},
-		{"served and drained again as the call begins", drainedAgain(10*time.Second, 12*time.Millisecond), ""},
-		{"served again after the call", drainedAgain(10*time.Second, 60*time.Millisecond), "drain"},
-		{"another one drains", delivered(WatchEvent{PurgedGroup: -1, Withdrawn: []string{"other"}}), ""},
-		{"an older copy than a purge", func(h *History) {
+		{"call names a removed fill source", delivered(WatchEvent{PurgedGroup: -1, Withdrawn: []string{"parent"}}), "drain"},
+		{"server serves and drains again within the uncertainty of the call's time",
+			drainedAgain(10*time.Second, 12*time.Millisecond), ""},
+		{"server serves and drains again later than the uncertainty of the call's time",
+			drainedAgain(10*time.Second, 60*time.Millisecond), "drain"},
+		{"another server drains", delivered(WatchEvent{PurgedGroup: -1, Withdrawn: []string{"other"}}), ""},
+		{"copy older than a purge of its object", func(h *History) {
 			delivered(WatchEvent{PurgedObject: "x", PurgedGroup: -1, PurgedBefore: h.start.Add(time.Second)})(h)
 		}, "purged copy"},
-		{"an older copy than a group's purge", func(h *History) {
+		{"copy older than a purge of its group", func(h *History) {
 			delivered(WatchEvent{PurgedObject: "-", PurgedGroup: 3, PurgedBefore: h.start.Add(time.Second)})(h)
 		}, "purged copy"},
-		{"a younger copy", func(h *History) {
+		{"copy younger than a purge", func(h *History) {
 			delivered(WatchEvent{PurgedObject: "x", PurgedGroup: -1, PurgedBefore: h.start.Add(-time.Second)})(h)
 		}, ""},
-		{"never ready", func(h *History) { h.Incarnations[0].ReadyAt = 20 * time.Second }, "not ready"},
-		{"exits without an order", func(h *History) {
+		{"ready too late", func(h *History) { h.Incarnations[0].ReadyAt = 20 * time.Second }, "not ready"},
+		{"exits without SIGTERM", func(h *History) {
 			h.Incarnations[0].SigtermAt = 0
 			h.Incarnations[0].ExitedAt = 20 * time.Second
 		}, "crash"},
-		{"ends with an error", func(h *History) { h.Incarnations[0].ExitError = "exit status 2" }, "bad end"},
+		{"exits with an error", func(h *History) { h.Incarnations[0].ExitError = "exit status 2" }, "bad end"},
 		{"has to be killed", func(h *History) { h.Incarnations[0].KilledAt = 35 * time.Second }, "late end"},
-		{"takes too much memory", func(h *History) { h.Incarnations[0].PeakMemoryKB = 1001 }, "memory"},
-		{"takes too many descriptors", func(h *History) { h.Incarnations[0].PeakDescriptors = 101 }, "descriptors"},
-		{"a burst to a server in its slow start", func(h *History) { slowStartBurst(h, 50) }, "cold start"},
-		{"as much as the slow start allows", func(h *History) { slowStartBurst(h, 43) }, ""},
+		{"uses too much memory", func(h *History) { h.Incarnations[0].PeakMemoryKB = 1001 }, "memory"},
+		{"uses too many descriptors", func(h *History) { h.Incarnations[0].PeakDescriptors = 101 }, "descriptors"},
+		{"more calls than the slow start allows", func(h *History) { slowStartBurst(h, 50) }, "cold start"},
+		{"as many calls as the slow start allows", func(h *History) { slowStartBurst(h, 43) }, ""},
 	} {
 		h := validHistory()
 		c.change(h)
@@ -123,13 +129,13 @@
 			rules = append(rules, v.Rule)
 		}
 		if c.want == "" && len(rules) > 0 || c.want != "" && strings.Join(rules, ",") != c.want {
-			t.Errorf("%s: %q, want %q", c.name, rules, c.want)
+			t.Errorf("%s: violated rules %q, want %q", c.name, rules, c.want)
 		}
 	}
 }
 
-// undeliveredDrain publishes a drain of the cache 8 s before it gets a call, and never delivers it. In the
-// given spans the coordinator sends nothing.
+// undeliveredDrain adds an event that drains the cache, published 8 s before the cache gets a call and never
+// delivered. In the given spans the coordinator sends nothing.
 func undeliveredDrain(withheld ...Span) func(*History) {
 	return func(h *History) {
 		h.Events = append(h.Events, &WatchEvent{Index: 2, PublishedAt: 2 * time.Second, PurgedGroup: -1, Withdrawn: []string{"cache"}})
@@ -137,8 +143,8 @@
 	}
 }
 
-// drainedAgain drains the cache 2 s before its call, and announces at a time that it serves, and 1 ms later that it
-// drains again. The call's first byte was seen so long before that.
+// drainedAgain adds events that drain the cache 2 s before servingAt, announce it as serving at servingAt, and drain
+// it again 1 ms later. The first byte of the call to the cache was observed callBefore before servingAt.
 func drainedAgain(servingAt, callBefore time.Duration) func(*History) {
 	event := func(index int, at time.Duration) *WatchEvent {
 		return &WatchEvent{Index: index, PublishedAt: at, DeliveredAt: map[int]time.Duration{1: at}, PurgedGroup: noGroup}
@@ -157,7 +163,8 @@
 	}
 }
 
-// repeatedKeyed gives the read an idempotency key and repeats its call after a time.
+// repeatedKeyed gives the read an idempotency key, and repeats its call after a time. Its deduplication window is
+// 400 ms.
 func repeatedKeyed(after time.Duration) func(*History) {
 	return func(h *History) {
 		h.Limits.DeduplicationWindow = 400 * time.Millisecond
@@ -170,8 +177,8 @@
 	}
 }
 
-// slowStartBurst sends calls at once to a server that has started, 0.3 s after its proxy was notified. The
-// settings allow 25.5 calls by then, without the margin.
+// slowStartBurst adds calls that all arrive at one moment at a server in slow start, 0.3 s after the proxy was
+// notified of the start. The limits allow 25.5 calls at that moment, without the margin.
 func slowStartBurst(h *History, count int) {
 	h.Starts = []ServerStart{{Server: "starting", At: 13 * time.Second, EventIndex: 5}}
 	h.Events = append(h.Events, &WatchEvent{Index: 5, PublishedAt: 13 * time.Second, PurgedGroup: -1, Serving: []string{"starting"},
--- a/internal/soak/clientconn.go
+++ b/internal/soak/clientconn.go
@@ -45,8 +45,9 @@
 
 func newClientConn(pc *proxyClients, conn net.Conn, incarnation int) *clientConn {
 	return &clientConn{
-		clients: pc, history: pc.history, conn: conn, number: pc.dialed, incarnation: incarnation, openedAt: pc.history.Now(),
-		open: map[uint16]*Request{}, answered: map[uint16]*Request{}, outputs: map[uint16][]byte{}, lastUsed: pc.history.Now(),
+		clients: pc, history: pc.history, conn: conn, number: pc.dialed, incarnation: incarnation,
+		openedAt: pc.history.Now(), open: map[uint16]*Request{}, answered: map[uint16]*Request{},
+		outputs: map[uint16][]byte{}, lastUsed: pc.history.Now(),
 	}
 }
 
@@ -78,7 +79,8 @@
 	if c.write(append(encodeRequest(id, req), more...)) == nil {
 		c.history.withLock(func() { req.SentAt = c.history.Now() })
 	}
-	c.history.Logf("client", "sent to proxy-%d: %s %s k=%s on connection %d", req.Proxy, req.Class, req.ID, req.Object, c.number)
+	c.history.Logf("client", "sent to proxy-%d: %s %s k=%s on connection %d",
+		req.Proxy, req.Class, req.ID, req.Object, c.number)
 	return id
 }
 
@@ -147,8 +149,9 @@
 	status, _, _ := strings.Cut(strings.TrimPrefix(header, "Status: "), "\r\n")
 	hasStatus := len(endRequest) > fcgiProtocolStatus
 	a := FinalAnswer{
-		At: c.history.Now(), Status: status, ProtocolOverloaded: hasStatus && endRequest[fcgiProtocolStatus] == fcgiOverloaded,
-		Body: body[:min(len(body), keptBodyBytes)],
+		At: c.history.Now(), Status: status,
+		ProtocolOverloaded: hasStatus && endRequest[fcgiProtocolStatus] == fcgiOverloaded,
+		Body:               body[:min(len(body), keptBodyBytes)],
 	}
 	confirmsAbort := hasStatus && text == "" && !a.ProtocolOverloaded
 	if !confirmsAbort {
@@ -172,7 +175,9 @@
 	return req
 }
 
-// mayRaceIdleClose reports whether the proxy may have closed the connection as idle before it read a request.
+// mayRaceIdleClose reports whether the proxy may have closed the connection as idle before it read a request: the
+// request was sent in full at most idleCloseRaceWindow before the close, and is not the first one on a connection
+// younger than unusedIdleAge.
 func (c *clientConn) mayRaceIdleClose(req *Request, closedAt time.Duration) bool {
 	if req.SentAt == 0 || closedAt-req.SentAt >= idleCloseRaceWindow {
 		return false
--- a/internal/soak/clientconn_test.go
+++ b/internal/soak/clientconn_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Guards against a soak that blames a proxy for a request that crossed the close of an idle connection, and against
-// one that excuses the loss of any other.
+// The soak test must not blame a proxy for a request that raced with the close of an idle connection, and must not
+// excuse the loss of any other request.
 func TestRequestRacesIdleClose(t *testing.T) {
 	const closedAt = 10 * time.Second
 	for _, c := range []struct {
@@ -17,15 +17,15 @@
 		want     bool
 	}{
 		{"on a used connection", time.Second, closedAt - 20*time.Millisecond, false, true},
-		{"read long before", time.Second, closedAt - 100*time.Millisecond, false, false},
-		{"first on a connection that was silent", closedAt - 600*time.Millisecond, closedAt - 20*time.Millisecond, true, true},
+		{"sent long before the close", time.Second, closedAt - 100*time.Millisecond, false, false},
+		{"first on a connection that was unused for long", closedAt - 600*time.Millisecond, closedAt - 20*time.Millisecond, true, true},
 		{"first on a fresh connection", closedAt - 400*time.Millisecond, closedAt - 20*time.Millisecond, true, false},
 		{"not sent in full", time.Second, 0, false, false},
 	} {
 		conn := &clientConn{openedAt: c.openedAt}
 		req := &Request{SentAt: c.sentAt, FirstOnConnection: c.first}
 		if got := conn.mayRaceIdleClose(req, closedAt); got != c.want {
-			t.Errorf("%s: %v", c.name, got)
+			t.Errorf("%s: may race with the close: %v", c.name, got)
 		}
 	}
 }
--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -30,10 +30,10 @@
 	slowChunkInterval  = 2 * time.Millisecond
 	idleConnections    = 10
 	idleDuration       = time.Second
-	reuseFraction      = 0.85 // of the actions that reuse an open connection
+	reuseFraction      = 0.85 // probability that an action uses an open connection
 )
 
-// proxyClients holds the clients of one proxy. Its fields belong to the goroutine of makeRequests.
+// proxyClients holds the clients of one proxy. Its fields belong to the goroutine of run.
 type proxyClients struct {
 	p       *process
 	history *History
@@ -46,8 +46,8 @@
 	return &proxyClients{p: p, history: p.r.history, rng: rand.New(rand.NewPCG(seed, uint64(p.number)))}
 }
 
-// makeRequests performs random actions until stop is closed, with exponentially distributed pauses.
-func (pc *proxyClients) makeRequests(stop <-chan struct{}) {
+// run performs random actions until stop is closed, with exponentially distributed pauses.
+func (pc *proxyClients) run(stop <-chan struct{}) {
 	for {
 		select {
 		case <-stop:
--- a/internal/soak/fastcgi.go
+++ b/internal/soak/fastcgi.go
@@ -24,7 +24,7 @@
 	fcgiProtocolStatus = 4
 	// fcgiOverloaded is the protocol status of a request that is rejected.
 	fcgiOverloaded = 2
-	// beginResponderBody is the body of BEGIN_REQUEST: role responder, and keep the connection.
+	// beginResponderBody is the body of BEGIN_REQUEST: the role is responder, and the connection stays open.
 	beginResponderBody = "\x00\x01\x01\x00\x00\x00\x00\x00"
 	// writeBodySize is the size of a write's body in bytes.
 	writeBodySize = 2000
@@ -40,7 +40,8 @@
 func encodeRequest(id uint16, req *Request) []byte {
 	params := []param{
 		{"SCRIPT_NAME", "/ops/" + req.Class}, {"HTTP_REQ_ID", req.ID}, {"HTTP_REQ_KEY", req.Object},
-		{"HTTP_REQ_WAIT_MS", fmt.Sprint(req.Timeout.Milliseconds())}, {"HTTP_X_PIECE", "0"}, {"HTTP_X_LOT", fmt.Sprint(req.Group)},
+		{"HTTP_REQ_WAIT_MS", fmt.Sprint(req.Timeout.Milliseconds())}, {"HTTP_X_PIECE", "0"},
+		{"HTTP_X_LOT", fmt.Sprint(req.Group)},
 	}
 	if req.Class == classKeyed {
 		params = append(params, param{"HTTP_REQ_TOKEN", req.ID})
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -222,7 +222,8 @@
 
 // corruptionModes maps the faults that corrupt events' lines to the coordinator's modes.
 var corruptionModes = map[string]coordinatorMode{
-	"cut-lines": modeTruncateClose, "short-lines": modeTruncateStall, "half-lines": modeHalfPrefix, "double-lines": modeDuplicate,
+	"cut-lines": modeTruncateClose, "short-lines": modeTruncateStall,
+	"half-lines": modeHalfPrefix, "double-lines": modeDuplicate,
 }
 
 // injectCoordinatorMode puts the coordinator into a faulty mode for every second proxy for a length of time. It does
@@ -277,7 +278,8 @@
 	r.coordinator.publish(e, `{"index":%d,"endpoints":{"version":1,"full":false,"servers":[`+entry+`]}}`)
 	if state == "SERVING" && !restartedAt.IsZero() {
 		r.history.withLock(func() {
-			r.history.Starts = append(r.history.Starts, ServerStart{Server: s.id, At: restartedAt.Sub(r.history.start), EventIndex: e.Index})
+			r.history.Starts = append(r.history.Starts,
+				ServerStart{Server: s.id, At: restartedAt.Sub(r.history.start), EventIndex: e.Index})
 		})
 	}
 }
--- a/internal/soak/rule_answers.go
+++ b/internal/soak/rule_answers.go
@@ -29,7 +29,8 @@
 		return
 	}
 	if req.DisconnectedAt != 0 {
-		c.report("lost", req.DisconnectedAt, keywords, "%s was sent at %.3f, and its connection ended without an answer", subject, req.SentAt.Seconds())
+		c.report("lost", req.DisconnectedAt, keywords, "%s was sent at %.3f, and its connection ended without an answer",
+			subject, req.SentAt.Seconds())
 		return
 	}
 	c.report("lost", due, keywords, "%s was sent at %.3f, and never answered", subject, req.SentAt.Seconds())
--- a/internal/soak/rule_calls.go
+++ b/internal/soak/rule_calls.go
@@ -66,7 +66,8 @@
 	}
 	last := since + c.history.Limits.DrainGrace + socketSlack + c.history.observationSlack(since, call.FirstByteAt)
 	if call.FirstByteAt > last {
-		c.report("drain", call.FirstByteAt, keywords, "request %s went to or named %s %.3f after its proxy was notified of its drain or removal",
+		c.report("drain", call.FirstByteAt, keywords,
+			"request %s went to or named %s %.3f after its proxy was notified of its drain or removal",
 			call.ID, server, (call.FirstByteAt - since).Seconds())
 	}
 }
--- a/internal/soak/rule_executions.go
+++ b/internal/soak/rule_executions.go
@@ -35,7 +35,8 @@
 		if call.ID != req.ID || call.ReadLate {
 			continue
 		}
-		last := first.FirstByteAt + c.history.Limits.DeduplicationWindow + socketSlack + c.history.observationSlack(first.FirstByteAt, call.FirstByteAt)
+		last := first.FirstByteAt + c.history.Limits.DeduplicationWindow + socketSlack +
+			c.history.observationSlack(first.FirstByteAt, call.FirstByteAt)
 		if call.FirstByteAt > last {
 			since := call.FirstByteAt - first.FirstByteAt
 			c.report("repeat after window", call.FirstByteAt, []string{req.ID, proxyName(req.Proxy)},
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -103,7 +103,8 @@
 // result checks the history and sums up the run.
 func (r *run) result(schedule []Fault) Result {
 	result := Result{
-		Seed: r.seed, Schedule: schedule, Violations: Check(r.history), Requests: len(r.history.Requests), Incarnations: len(r.history.Incarnations),
+		Seed: r.seed, Schedule: schedule, Violations: Check(r.history),
+		Requests: len(r.history.Requests), Incarnations: len(r.history.Incarnations),
 	}
 	for _, req := range r.history.Requests {
 		if len(req.Answers) > 0 && req.Answers[0].Status == "200" {
@@ -120,7 +121,7 @@
 	stopLoad := make(chan struct{})
 	for _, p := range r.fleet {
 		c := newProxyClients(p, r.seed)
-		clients.Go(func() { c.makeRequests(stopLoad) })
+		clients.Go(func() { c.run(stopLoad) })
 	}
 	background.Go(func() { r.purgeContinuously(stopLoad) })
 	background.Go(func() { r.measure(stopLoad) })
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -61,7 +61,8 @@
 // newServer starts a server at an address.
 func newServer(history *History, id, kind, zone, addr string, seed uint64, serials *sequence) (*server, error) {
 	s := &server{
-		history: history, id: id, kind: kind, zone: zone, addr: addr, rng: rand.New(rand.NewPCG(seed, serverRNGStream)), serials: serials,
+		history: history, id: id, kind: kind, zone: zone, addr: addr,
+		rng: rand.New(rand.NewPCG(seed, serverRNGStream)), serials: serials,
 		conns: map[net.Conn]bool{}, copies: map[string]time.Time{}, state: "SERVING",
 	}
 	return s, s.listen()
@@ -230,7 +231,8 @@
 	return s.endpointEntry(), s.restartedAt
 }
 
-// endpointEntry is the server's endpointEntry in the endpoint list. The caller holds mu, or the server is not shared yet.
+// endpointEntry returns the server's entry in the endpoint list. The caller holds mu, or the server is not shared
+// yet.
 func (s *server) endpointEntry() string {
 	startedMS := int64(0)
 	if !s.restartedAt.IsZero() {
--- a/internal/soak/watchserver.go
+++ b/internal/soak/watchserver.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// heartbeatInterval is how often a stream without events brings the index of the last event.
+	// heartbeatInterval is how often a stream without new events sends a heartbeat: the index of the last event.
 	heartbeatInterval = time.Second
 	// eventPollInterval is how often a stream checks for the next event.
 	eventPollInterval = 2 * time.Millisecond
@@ -101,16 +101,16 @@
 	ws.c.history.Logf("coord", "proxy-%d follows from %d", ws.proxy, index)
 	ended := make(chan struct{})
 	go func() {
-		in.ReadByte() //nolint:errcheck // the proxy sends nothing more: it returns when the connection ends
+		in.ReadByte() //nolint:errcheck // the proxy sends nothing more, so this returns when the connection ends
 		close(ended)
 	}()
 	ws.sendEvents(conn, index, ended)
 }
 
-// sendEvents writes the events after an index, each as it is published, and the last index once
-// progressInterval has passed without one.
+// sendEvents writes the events after an index, each once it is published, until the connection ends or is to be
+// closed. While there is no new event, it writes a heartbeat every heartbeatInterval.
 func (ws *watchServer) sendEvents(conn net.Conn, index int, ended <-chan struct{}) {
-	lastProgress := time.Now()
+	lastHeartbeat := time.Now()
 	for {
 		select {
 		case <-ended:
@@ -122,10 +122,10 @@
 		}
 		line, event, lastIndex := ws.c.eventAfter(index)
 		if event == nil {
-			if time.Since(lastProgress) < heartbeatInterval {
+			if time.Since(lastHeartbeat) < heartbeatInterval {
 				continue
 			}
-			lastProgress = time.Now()
+			lastHeartbeat = time.Now()
 			ws.recordHeartbeat()
 			line = strconv.Itoa(lastIndex)
 		}
@@ -150,8 +150,8 @@
 	}
 }
 
-// byteInterval is the time between two bytes of a line; 0: the line is written at once. A slow stream is slow
-// for one event of the endpoint list, the same for all streams of the proxy.
+// byteInterval returns the pause between two bytes of a line, or 0 if the line is written at once. Slow streams are
+// slow for one event of the endpoint list only, the same one for all streams of the proxy.
 func (ws *watchServer) byteInterval(e *WatchEvent, size int) time.Duration {
 	ws.c.mu.Lock()
 	defer ws.c.mu.Unlock()
@@ -165,11 +165,11 @@
 	return slowLineTime / time.Duration(size)
 }
 
-// changesEndpoints reports whether an event is about the endpoint list.
+// changesEndpoints reports whether an event changes the endpoint list.
 func (e *WatchEvent) changesEndpoints() bool { return len(e.Withdrawn)+len(e.Serving) > 0 }
 
-// writePaced writes a line, byte by byte where an interval is given. It reports false once the connection has
-// ended.
+// writePaced writes a line, byte by byte with a pause before each if byteInterval is not 0. It returns false if the
+// connection has ended.
 func writePaced(conn net.Conn, line string, byteInterval time.Duration) bool {
 	if byteInterval == 0 {
 		_, err := conn.Write([]byte(line))
