--- a/internal/soak/answers.go
+++ b/internal/soak/answers.go
@@ -24,9 +24,9 @@
 
 // recordCall adds a call to the history. The words are those of its command: REQ, the ID, the fields and the
 // body.
-func (s *server) recordCall(words []string, firstByteAt time.Duration, late bool) *Call {
+func (s *server) recordCall(words []string, firstByteAt time.Duration, readLate bool) *Call {
 	call := &Call{
-		Server: s.id, ID: words[1], FirstByteAt: firstByteAt, CompleteAt: s.history.Now(), ReadLate: late,
+		Server: s.id, ID: words[1], FirstByteAt: firstByteAt, CompleteAt: s.history.Now(), ReadLate: readLate,
 		Serial: s.serials.next(),
 	}
 	for _, field := range strings.Split(words[2], ",") {
@@ -46,7 +46,7 @@
 	}
 	s.history.withLock(func() { s.history.Calls = append(s.history.Calls, call) })
 	s.history.Logf(s.id, "call %s %s k=%s src=%s w=%v maxage=%v read-late=%v serial=%d",
-		call.ID, call.Class, call.Object, call.FillSource, call.Timeout, call.MaxAge, late, call.Serial)
+		call.ID, call.Class, call.Object, call.FillSource, call.Timeout, call.MaxAge, readLate, call.Serial)
 	return call
 }
 
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -120,7 +120,8 @@
 }
 
 // setEnvironment sets the faults under which the next process runs. The schedule has no draws for the clock's offset
-// and the seed of failing calls: the fault's duration selects the offset, and the fault's time is the seed.
+// and the seed of failing calls: the remainder of the fault's duration selects the offset, and the fault's time is the
+// seed.
 func (r *run) setEnvironment(p *process, f Fault) {
 	p.environment = nil
 	switch f.Kind {
@@ -229,11 +230,11 @@
 // injectCoordinatorMode puts the coordinator into a faulty mode for every second proxy for a length of time. It does
 // nothing if the coordinator is in a faulty mode for them already, because one mode must not end another early.
 func (r *run) injectCoordinatorMode(f Fault, m coordinatorMode, length time.Duration) {
-	busy := &r.coordinatorModeMu[f.Target%len(r.coordinatorModeMu)]
-	if !busy.TryLock() {
+	modeMu := &r.coordinatorModeMu[f.Target%len(r.coordinatorModeMu)]
+	if !modeMu.TryLock() {
 		return
 	}
-	defer busy.Unlock()
+	defer modeMu.Unlock()
 	r.setCoordinatorMode(f, m)
 	time.Sleep(length)
 	r.setCoordinatorMode(f, modeHealthy)
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -82,7 +82,7 @@
 
 // start starts the next incarnation. Clients use it once it is ready.
 func (p *process) start() error {
-	knownEvents, err := p.writeConfig()
+	lastEvent, err := p.writeConfig()
 	if err != nil {
 		return err
 	}
@@ -92,7 +92,9 @@
 	if p.incarnation != nil {
 		number = p.incarnation.Number + 1
 	}
-	incarnation := &Incarnation{Proxy: p.number, Number: number, StartedAt: p.r.history.Now(), ConfigEventIndex: knownEvents}
+	incarnation := &Incarnation{
+		Proxy: p.number, Number: number, StartedAt: p.r.history.Now(), ConfigEventIndex: lastEvent,
+	}
 	cmd := p.command()
 	exited := make(chan struct{})
 	p.incarnation = incarnation
@@ -103,7 +105,7 @@
 		return err
 	}
 	p.r.history.withLock(func() { p.r.history.Incarnations = append(p.r.history.Incarnations, incarnation) })
-	p.r.history.Logf(p.name(), "incarnation %d starts, knows %d events, environment %v", number, knownEvents, p.environment)
+	p.r.history.Logf(p.name(), "incarnation %d starts, knows %d events, environment %v", number, lastEvent, p.environment)
 	logRead := make(chan struct{})
 	go func() {
 		defer close(logRead)
@@ -216,7 +218,7 @@
 
 // awaitState waits until the current incarnation has exited or reached returns true for it and its age. reached is
 // called with the history locked.
-func (p *process) awaitState(reached func(i *Incarnation, age time.Duration) bool) {
+func (p *process) awaitState(reached func(inc *Incarnation, age time.Duration) bool) {
 	for done := false; !done; time.Sleep(statePollInterval) {
 		p.mu.Lock()
 		incarnation := p.incarnation
@@ -229,12 +231,12 @@
 
 // awaitSignalHandling waits until the current incarnation is sure to handle signals.
 func (p *process) awaitSignalHandling() {
-	p.awaitState(func(i *Incarnation, age time.Duration) bool { return i.ReadyAt != 0 || age > signalHandlingDelay })
+	p.awaitState(func(inc *Incarnation, age time.Duration) bool { return inc.ReadyAt != 0 || age > signalHandlingDelay })
 }
 
 // awaitReloadable waits until the proxy may be ordered to reload its configuration.
 func (p *process) awaitReloadable() {
-	p.awaitState(func(i *Incarnation, age time.Duration) bool { return i.ReadyAt != 0 && age > reloadableAge })
+	p.awaitState(func(inc *Incarnation, age time.Duration) bool { return inc.ReadyAt != 0 && age > reloadableAge })
 }
 
 // signal sends a signal to the current incarnation.
@@ -302,7 +304,7 @@
 	if err := p.start(); err != nil {
 		return err
 	}
-	p.awaitState(func(i *Incarnation, _ time.Duration) bool { return i.ReadyAt != 0 })
+	p.awaitState(func(inc *Incarnation, _ time.Duration) bool { return inc.ReadyAt != 0 })
 	p.r.history.withLock(func() { old.SigtermAt = p.r.history.Now() })
 	oldCmd.Process.Signal(syscall.SIGTERM) //nolint:errcheck // it may have exited
 	select {
--- a/internal/soak/rule_calls.go
+++ b/internal/soak/rule_calls.go
@@ -22,7 +22,7 @@
 func (c *historyChecker) checkCall(call *Call) {
 	req := c.requests[call.ID]
 	if req == nil {
-		c.report("unknown call", call.FirstByteAt, []string{call.ID}, "%s got a call that no client sent", call.Server)
+		c.report("unknown call", call.FirstByteAt, []string{call.ID}, "%s got a call for a request that no client sent", call.Server)
 		return
 	}
 	if call.ReadLate {
@@ -43,7 +43,8 @@
 	last := req.CancelledAt + cancelGrace + c.history.observationSlack(req.CancelledAt, call.FirstByteAt)
 	if call.FirstByteAt > last {
 		since := call.FirstByteAt - req.CancelledAt
-		c.report("begun after left", call.FirstByteAt, keywords, "request %s began at %s %.3f after its client had cancelled it",
+		c.report("begun after left", call.FirstByteAt, keywords,
+			"a call for request %s began at %s %.3f after its client had cancelled it",
 			call.ID, call.Server, since.Seconds())
 	}
 }
@@ -53,7 +54,7 @@
 	remaining := req.SentAt + req.Timeout - call.CompleteAt
 	if req.SentAt != 0 && call.Timeout > remaining+deadlineSlack+c.history.observationSlack(req.SentAt, call.CompleteAt) {
 		c.report("deadline", call.CompleteAt, keywords,
-			"request %s gives its server %v when its client has %v left", call.ID, call.Timeout, remaining)
+			"a call for request %s gives its server %v when its client has %v left", call.ID, call.Timeout, remaining)
 	}
 }
 
@@ -67,7 +68,7 @@
 	last := since + c.history.Limits.DrainGrace + socketSlack + c.history.observationSlack(since, call.FirstByteAt)
 	if call.FirstByteAt > last {
 		c.report("drain", call.FirstByteAt, keywords,
-			"request %s went to or named %s %.3f after its proxy was notified of its drain or removal",
+			"a call for request %s went to or named %s %.3f after its proxy was notified of its drain or removal",
 			call.ID, server, (call.FirstByteAt - since).Seconds())
 	}
 }
--- a/internal/soak/rule_executions.go
+++ b/internal/soak/rule_executions.go
@@ -13,10 +13,10 @@
 	}
 	for _, a := range req.Answers {
 		if a.Status == "200" && executions == 0 {
-			c.report("served unrun", a.At, keywords, "request %s was answered as served and never executed", req.ID)
+			c.report("served unrun", a.At, keywords, "request %s was answered with 200 but never executed", req.ID)
 		}
 		if a.Rejected() && executions > 0 {
-			c.report("refused after run", a.At, keywords, "request %s was rejected and executed", req.ID)
+			c.report("refused after run", a.At, keywords, "request %s was rejected but executed", req.ID)
 		}
 	}
 }
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -29,7 +29,7 @@
 	id, kind, zone string
 	serials        *sequence
 	relayAddr      string     // address of the relay in front of it; empty: proxies connect to addr
-	faultMu        sync.Mutex // held while a restart of the server lasts
+	faultMu        sync.Mutex // held while a fault lasts that withdraws or restarts the server
 
 	mu            sync.Mutex // guards the fields below
 	addr          string
@@ -114,7 +114,7 @@
 	return err
 }
 
-// resetConns resets each connection with a probability.
+// resetConns resets a random fraction of the connections.
 func (s *server) resetConns(fraction float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -192,7 +192,7 @@
 			return
 		}
 		s.waitWhileHung()
-		late := s.readsLate()
+		readLate := s.readsLate()
 		firstByteAt := s.history.Now() - timeSinceArrival(conn)
 		words, err := readCommand(in)
 		if err != nil {
@@ -201,7 +201,7 @@
 		if words[0] != "REQ" || len(words) != 4 {
 			continue // STOP is ignored, as the answer and the STOP may always cross on the way
 		}
-		call := s.recordCall(words, firstByteAt, late)
+		call := s.recordCall(words, firstByteAt, readLate)
 		go s.answer(call, out)
 	}
 }
--- a/internal/soak/spoiling.go
+++ b/internal/soak/spoiling.go
@@ -19,7 +19,7 @@
 // corruption records what the coordinator has corrupted for one proxy since its mode was set.
 type corruption struct {
 	mode             coordinatorMode
-	heartbeatSent    bool        // since then, which shows that the streams before have not failed
+	heartbeatSent    bool        // since the mode was set; shows that the streams before have not failed
 	streamsToCorrupt int         // how many streams may still be corrupted
 	corruptedLines   map[int]int // by index of an event: how often its line was corrupted
 }
@@ -48,20 +48,20 @@
 
 // apply corrupts the line of an event according to the mode. modeHalfPrefix damages a single event, so it is used
 // only on events of the endpoint list: purges are many and soon have no effect any more.
-func (s *corruption) apply(e *WatchEvent, line string) (text string, next streamAction) {
+func (c *corruption) apply(e *WatchEvent, line string) (text string, next streamAction) {
 	whole := line + "\n"
 	half := line[:len(line)/2]
 	switch {
-	case s.mode == modeDuplicate:
+	case c.mode == modeDuplicate:
 		return whole + whole, continueDelivered
-	case s.mode == modeHalfPrefix && e.changesEndpoints() && s.corruptedLines[e.Index] < maxCorruptions:
-		s.corruptedLines[e.Index]++
+	case c.mode == modeHalfPrefix && e.changesEndpoints() && c.corruptedLines[e.Index] < maxCorruptions:
+		c.corruptedLines[e.Index]++
 		return half + whole, continueUndelivered
-	case s.mode == modeTruncateClose && s.streamsToCorrupt > 0:
-		s.streamsToCorrupt--
+	case c.mode == modeTruncateClose && c.streamsToCorrupt > 0:
+		c.streamsToCorrupt--
 		return half, closeStream
-	case s.mode == modeTruncateStall && s.streamsToCorrupt > 0:
-		s.streamsToCorrupt--
+	case c.mode == modeTruncateStall && c.streamsToCorrupt > 0:
+		c.streamsToCorrupt--
 		return half, stallStream
 	}
 	return whole, continueDelivered
