--- a/internal/soak/rule_answers.go
+++ b/internal/soak/rule_answers.go
@@ -38,8 +38,8 @@
 
 // answerDue returns the latest time for the answer to a request, and whether an answer is required. None is
 // required if the request was not sent in full or was cancelled, or if the process was killed before the answer
-// was due. A kill after SIGTERM is no excuse: it comes a fixed time after the signal, so the process has to
-// answer before it.
+// was due. A kill after SIGTERM is no excuse: it comes no earlier than maxShutdown after the signal. The process
+// knows that time and has to answer before it.
 func (c *historyChecker) answerDue(req *Request) (due time.Duration, required bool) {
 	incarnation := c.history.incarnation(req.Proxy, req.Incarnation)
 	if req.SentAt == 0 || req.CancelledAt != 0 || req.AnswerNotRequired || incarnation == nil {
