--- a/internal/soak/answers.go
+++ b/internal/soak/answers.go
@@ -12,19 +12,23 @@
 const (
 	bodySize      = 10 << 10 // bytes of an object
 	fillTime      = 8 * time.Millisecond
-	maxAnswerTime = 25 * time.Millisecond // of a server that is not slow
+	maxAnswerTime = 25 * time.Millisecond // for a server that is not slow
 	maxWriteTime  = 2 * maxAnswerTime
-	slowFactor    = 20 // by which a slow server takes longer
+	slowFactor    = 20 // how many times longer a slow server takes
 
-	overloadChance = 0.5 // that a call is rejected during an "overload" fault
-	crashedChance  = 0.02
-	joinChance     = 0.03 // that a call joins a fill that had begun before it
+	overloadChance = 0.5  // probability that a call is rejected during an "overload" fault
+	crashedChance  = 0.02 // probability that a write is answered with "crashed"
+	joinChance     = 0.03 // probability that a call joins a fill that began before it
 	maxJoinedAge   = time.Second
 )
 
-// record adds a call to the history.
-func (s *server) record(words []string, firstByteAt time.Duration, late bool) *Call {
-	call := &Call{Server: s.id, ID: words[1], FirstByteAt: firstByteAt, CompleteAt: s.h.Now(), ReadLate: late, Serial: s.serials.next()}
+// recordCall adds a call to the history. The words are those of its command: REQ, the ID, the fields and the
+// body.
+func (s *server) recordCall(words []string, firstByteAt time.Duration, readLate bool) *Call {
+	call := &Call{
+		Server: s.id, ID: words[1], FirstByteAt: firstByteAt, CompleteAt: s.history.Now(), ReadLate: readLate,
+		Serial: s.serials.next(),
+	}
 	for _, field := range strings.Split(words[2], ",") {
 		name, value, _ := strings.Cut(field, "=")
 		switch name {
@@ -33,20 +37,20 @@
 		case "k":
 			call.Object = value
 		case "src":
-			call.Source = value
+			call.FillSource = value
 		case "w":
 			call.Timeout = parseMillis(value)
 		case "maxage":
 			call.MaxAge = parseMillis(value)
 		}
 	}
-	s.h.locked(func() { s.h.Calls = append(s.h.Calls, call) })
-	s.h.Note(s.id, "call %s %s k=%s src=%s w=%v maxage=%v read-late=%v serial=%d",
-		call.ID, call.Class, call.Object, call.Source, call.Timeout, call.MaxAge, late, call.Serial)
+	s.history.withLock(func() { s.history.Calls = append(s.history.Calls, call) })
+	s.history.Logf(s.id, "call %s %s k=%s src=%s w=%v maxage=%v read-late=%v serial=%d",
+		call.ID, call.Class, call.Object, call.FillSource, call.Timeout, call.MaxAge, readLate, call.Serial)
 	return call
 }
 
-// parseMillis reads a number of milliseconds; 0: it is none.
+// parseMillis parses a number of milliseconds. It returns 0 if the text is not a number.
 func parseMillis(text string) time.Duration {
 	millis, err := strconv.Atoi(text)
 	if err != nil {
@@ -57,7 +61,7 @@
 
 // answer answers one call.
 func (s *server) answer(call *Call, out *lockedWriter) {
-	if s.isBefore(&s.overloadUntil) && s.draw() < overloadChance {
+	if s.faultActive(&s.overloadUntil) && s.draw() < overloadChance {
 		s.writeAnswer(call, out, "overload", "-", "")
 		return
 	}
@@ -65,27 +69,27 @@
 		s.execute(call, out)
 		return
 	}
-	s.work(maxAnswerTime)
+	s.simulateWork(maxAnswerTime)
 	madeAt, note, found := s.copyFor(call)
 	if !found {
 		s.writeAnswer(call, out, "not_here", "note=PEER_MISS", "")
 		return
 	}
-	s.h.locked(func() { call.CopyMadeAt = madeAt })
+	s.history.withLock(func() { call.CopyMadeAt = madeAt })
 	body := fmt.Sprintf("%d %s ", call.Serial, call.Object)
 	body += strings.Repeat("x", bodySize-len(body))
 	fields := fmt.Sprintf("etag=%016x,made=%d,note=%s,ttfb=3", madeAt.UnixMilli(), madeAt.UnixMilli(), note)
 	s.writeAnswer(call, out, "served", fields, body)
 }
 
-// execute executes a write, which the origin alone does.
+// execute executes a write at the origin, and answers "not_here" at any other server.
 func (s *server) execute(call *Call, out *lockedWriter) {
 	if s.kind != "origin" {
 		s.writeAnswer(call, out, "not_here", "-", "")
 		return
 	}
-	s.h.locked(func() { call.Ran = true })
-	s.work(maxWriteTime)
+	s.history.withLock(func() { call.Executed = true })
+	s.simulateWork(maxWriteTime)
 	result := "served"
 	if s.draw() < crashedChance {
 		result = "crashed"
@@ -93,18 +97,20 @@
 	s.writeAnswer(call, out, result, "-", fmt.Sprintf("%d written", call.Serial))
 }
 
-// work takes a time that it draws, and longer while the server is slow or hangs.
-func (s *server) work(maxTime time.Duration) {
+// simulateWork sleeps for a random time below maxTime, slowFactor times longer while the server is slow, and as
+// long as the server hangs.
+func (s *server) simulateWork(maxTime time.Duration) {
 	length := time.Duration(s.draw() * float64(maxTime))
-	if s.isBefore(&s.slowUntil) {
+	if s.faultActive(&s.slowUntil) {
 		length *= slowFactor
 	}
 	time.Sleep(length)
 	s.waitWhileHung()
 }
 
-// copyFor finds the copy that answers a call, or fills it from the source that the call names. It returns the
-// note by which the answer tells where the copy came from.
+// copyFor finds the cached copy that answers a call, or simulates a fill from the source that the call names. The
+// origin needs no source. The note tells the proxy where the copy came from. If found is false, the server has
+// neither a copy nor a source.
 func (s *server) copyFor(call *Call) (madeAt time.Time, note string, found bool) {
 	s.mu.Lock()
 	madeAt, cached := s.copies[call.Object]
@@ -112,7 +118,7 @@
 	if cached && (call.MaxAge == 0 || time.Since(madeAt) <= call.MaxAge) {
 		return madeAt, "TCP_HIT", true
 	}
-	if call.Source == "" && s.kind != "origin" {
+	if call.FillSource == "" && s.kind != "origin" {
 		return madeAt, "", false
 	}
 	if s.draw() < joinChance {
@@ -127,24 +133,24 @@
 	return madeAt, "TCP_MISS", true
 }
 
-// writeAnswer writes an answer, which a fault may malform.
+// writeAnswer writes an answer. During a "spoil" fault the answer may be malformed.
 func (s *server) writeAnswer(call *Call, out *lockedWriter, result, fields, body string) {
 	s.waitWhileHung()
-	s.h.locked(func() { call.Result = result })
+	s.history.withLock(func() { call.Result = result })
 	text := encodeBulks(call.ID, result, fields, body)
 	closes := false
-	if s.isBefore(&s.malformUntil) {
+	if s.faultActive(&s.malformUntil) {
 		text, closes = malform(text, s.draw())
 	}
 	out.write(text)
-	s.h.Note(s.id, "answered %s %s serial=%d", call.ID, result, call.Serial)
+	s.history.Logf(s.id, "answered %s %s serial=%d", call.ID, result, call.Serial)
 	if closes {
 		out.conn.Close() //nolint:errcheck // the proxy may have closed it
 	}
 }
 
-// malform makes an answer unreadable, cuts it off or doubles it, or leaves it as it is, by a draw from [0,
-// 1). It reports whether the connection is to be closed after it.
+// malform replaces an answer with garbage, truncates it, duplicates it or leaves it as it is, depending on a random
+// number from [0, 1). It reports whether the connection is to be closed after it.
 func malform(text []byte, draw float64) (malformed []byte, closes bool) {
 	half := text[:len(text)/2]
 	switch {
@@ -161,7 +167,7 @@
 	}
 }
 
-// lockedWriter is the writing side of a connection, which several answers share.
+// lockedWriter serializes the answers that are written to one connection.
 type lockedWriter struct {
 	mu   sync.Mutex
 	conn net.Conn
@@ -170,5 +176,5 @@
 func (w *lockedWriter) write(text []byte) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.conn.Write(text) //nolint:errcheck // a lost connection shows at the proxy
+	w.conn.Write(text) //nolint:errcheck // the proxy observes a lost connection itself
 }
--- a/internal/soak/clientconn.go
+++ b/internal/soak/clientconn.go
@@ -8,33 +8,33 @@
 )
 
 const (
-	// idleCloseRace is how short before the end of an idle connection a request may be sent whose proxy has
-	// not read it.
-	idleCloseRace = 60 * time.Millisecond
-	// freshConnection is for how long after it was opened a connection's first request must not meet a close. Later
-	// the connection counts as idle: a proxy may close it as no request is open on it.
-	freshConnection = 500 * time.Millisecond
+	// idleCloseRaceWindow is how shortly before the close of an idle connection a request may be sent that the proxy
+	// then has not read.
+	idleCloseRaceWindow = 60 * time.Millisecond
+	// unusedIdleAge is how long after its opening an unused connection counts as idle. The proxy may close it from
+	// then on, because no request is open on it; a first request before that must be answered.
+	unusedIdleAge = 500 * time.Millisecond
 	// keptBodyBytes is how much of an answer's body is recorded.
 	keptBodyBytes = 64
-	// notedBodyBytes is how much of it the timeline shows.
-	notedBodyBytes = 20
-	writeTimeout   = 5 * time.Second
-	// maxRequestID is the highest ID of a request on a connection.
+	// timelineBodyBytes is how much of an answer's body the timeline shows.
+	timelineBodyBytes = 20
+	writeTimeout      = 5 * time.Second
+	// maxRequestID is the highest FastCGI request ID that a client uses. The next request gets ID 1 again.
 	maxRequestID = 60000
 )
 
-// clientConn is a client's connection to a proxy. Its goroutine, readAnswers, closes it when the proxy ends
-// it.
+// clientConn is a client's connection to a proxy. A goroutine in readAnswers reads from it until it ends, and then
+// closes it.
 type clientConn struct {
 	clients     *proxyClients
-	h           *History
+	history     *History
 	conn        net.Conn
-	number      int // among the connections to the proxy, from 1
-	incarnation int // of the proxy
+	number      int // counts the connections to the proxy, from 1
+	incarnation int // number of the proxy's incarnation
 	openedAt    time.Duration
-	texts       map[uint16][]byte // output so far, of readAnswers alone
+	outputs     map[uint16][]byte // output so far by request ID; used only by readAnswers
 
-	mu       sync.Mutex // of the fields below
+	mu       sync.Mutex // guards the fields below
 	lastID   uint16
 	open     map[uint16]*Request
 	answered map[uint16]*Request
@@ -45,8 +45,9 @@
 
 func newClientConn(pc *proxyClients, conn net.Conn, incarnation int) *clientConn {
 	return &clientConn{
-		clients: pc, h: pc.h, conn: conn, number: pc.dialed, incarnation: incarnation, openedAt: pc.h.Now(),
-		open: map[uint16]*Request{}, answered: map[uint16]*Request{}, texts: map[uint16][]byte{}, lastUsed: pc.h.Now(),
+		clients: pc, history: pc.history, conn: conn, number: pc.dialed, incarnation: incarnation,
+		openedAt: pc.history.Now(), open: map[uint16]*Request{}, answered: map[uint16]*Request{},
+		outputs: map[uint16][]byte{}, lastUsed: pc.history.Now(),
 	}
 }
 
@@ -54,48 +55,49 @@
 func (c *clientConn) state() (idle, ended bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	idle = len(c.open) == 0 && c.h.Now()-c.lastUsed > idleCloseAfter
+	idle = len(c.open) == 0 && c.history.Now()-c.lastUsed > idleCloseAfter
 	return idle, c.ended
 }
 
-// register gives a request its ID on the connection and adds it to the history.
-func (c *clientConn) register(q *Request) (id uint16) {
+// register gives a request its FastCGI request ID and adds it to the history.
+func (c *clientConn) register(req *Request) (id uint16) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lastID = c.lastID%maxRequestID + 1
-	c.open[c.lastID] = q
-	q.Incarnation = c.incarnation
-	q.FirstOnConnection = c.requests == 0
+	c.open[c.lastID] = req
+	req.Incarnation = c.incarnation
+	req.FirstOnConnection = c.requests == 0
 	c.requests++
-	c.lastUsed = c.h.Now()
-	c.h.locked(func() { c.h.Requests = append(c.h.Requests, q) })
+	c.lastUsed = c.history.Now()
+	c.history.withLock(func() { c.history.Requests = append(c.history.Requests, req) })
 	return c.lastID
 }
 
-// send sends a request, and more bytes behind it in the same write.
-func (c *clientConn) send(q *Request, more []byte) (id uint16) {
-	id = c.register(q)
-	if c.write(append(encodeRequest(id, q), more...)) == nil {
-		c.h.locked(func() { q.SentAt = c.h.Now() })
+// send sends a request, followed by more bytes in the same write.
+func (c *clientConn) send(req *Request, more []byte) (id uint16) {
+	id = c.register(req)
+	if c.write(append(encodeRequest(id, req), more...)) == nil {
+		c.history.withLock(func() { req.SentAt = c.history.Now() })
 	}
-	c.h.Note("client", "requests from proxy-%d %s %s k=%s on connection %d", q.Proxy, q.Class, q.ID, q.Object, c.number)
+	c.history.Logf("client", "sent to proxy-%d: %s %s k=%s on connection %d",
+		req.Proxy, req.Class, req.ID, req.Object, c.number)
 	return id
 }
 
-// writeSlowly sends a request in small pieces.
-func (c *clientConn) writeSlowly(q *Request, records []byte) {
+// writeSlowly sends the records of a registered request in small chunks with pauses in between.
+func (c *clientConn) writeSlowly(req *Request, records []byte) {
 	for len(records) > 0 {
-		size := min(len(records), slowPieceBytes)
+		size := min(len(records), slowChunkBytes)
 		if c.write(records[:size]) != nil {
 			return
 		}
 		records = records[size:]
 		if len(records) > 0 {
-			time.Sleep(slowPieceGap)
+			time.Sleep(slowChunkInterval)
 		}
 	}
-	c.h.locked(func() { q.SentAt = c.h.Now() })
-	c.h.Note("client", "has requested slowly from proxy-%d %s %s on connection %d", q.Proxy, q.Class, q.ID, c.number)
+	c.history.withLock(func() { req.SentAt = c.history.Now() })
+	c.history.Logf("client", "sent slowly to proxy-%d: %s %s on connection %d", req.Proxy, req.Class, req.ID, c.number)
 }
 
 func (c *clientConn) write(data []byte) error {
@@ -104,23 +106,23 @@
 	return err
 }
 
-// disconnect ends the connection.
-func (c *clientConn) disconnect(way int) {
+// disconnect ends the connection by one of the disconnect methods.
+func (c *clientConn) disconnect(method int) {
 	tcp := c.conn.(*net.TCPConn)
-	switch way {
-	case byHalfClose:
+	switch method {
+	case disconnectByHalfClose:
 		tcp.CloseWrite() //nolint:errcheck // the proxy may have closed it
-	case byReset:
+	case disconnectByReset:
 		tcp.SetLinger(0) //nolint:errcheck // as above
 		tcp.Close()      //nolint:errcheck // as above
-	case byClose:
+	case disconnectByClose:
 		tcp.Close() //nolint:errcheck // as above
 	}
 }
 
-// readAnswers reads until the connection ends.
+// readAnswers reads and records answers until the connection ends.
 func (c *clientConn) readAnswers() {
-	defer c.closed()
+	defer c.recordClose()
 	for {
 		kind, id, content, err := readRecord(c.conn)
 		if err != nil {
@@ -128,80 +130,83 @@
 		}
 		switch kind {
 		case fcgiStdout:
-			c.texts[id] = append(c.texts[id], content...)
+			c.outputs[id] = append(c.outputs[id], content...)
 		case fcgiEndRequest:
-			c.takeAnswer(id, content)
+			c.recordAnswer(id, content)
 		}
 	}
 }
 
-// takeAnswer records the answer that an END_REQUEST completes.
-func (c *clientConn) takeAnswer(id uint16, endRequest []byte) {
-	q := c.finish(id)
-	text := string(c.texts[id])
-	delete(c.texts, id)
-	if q == nil {
+// recordAnswer records the answer that an END_REQUEST completes.
+func (c *clientConn) recordAnswer(id uint16, endRequest []byte) {
+	req := c.takeRequest(id)
+	text := string(c.outputs[id])
+	delete(c.outputs, id)
+	if req == nil {
 		return
 	}
 	header, body, _ := strings.Cut(text, "\r\n\r\n")
 	status, _, _ := strings.Cut(strings.TrimPrefix(header, "Status: "), "\r\n")
 	hasStatus := len(endRequest) > fcgiProtocolStatus
 	a := FinalAnswer{
-		At: c.h.Now(), Status: status, ProtocolOverloaded: hasStatus && endRequest[fcgiProtocolStatus] == fcgiOverloaded,
-		Body: body[:min(len(body), keptBodyBytes)],
+		At: c.history.Now(), Status: status,
+		ProtocolOverloaded: hasStatus && endRequest[fcgiProtocolStatus] == fcgiOverloaded,
+		Body:               body[:min(len(body), keptBodyBytes)],
 	}
 	confirmsAbort := hasStatus && text == "" && !a.ProtocolOverloaded
 	if !confirmsAbort {
-		c.h.locked(func() { q.Answers = append(q.Answers, a) })
+		c.history.withLock(func() { req.Answers = append(req.Answers, a) })
 	}
-	c.h.Note("client", "%s answered %s %q", q.ID, status, a.Body[:min(len(a.Body), notedBodyBytes)])
+	c.history.Logf("client", "%s answered %s %q", req.ID, status, a.Body[:min(len(a.Body), timelineBodyBytes)])
 }
 
-// finish returns the request of an answer, also of a second one; nil: the ID is unknown.
-func (c *clientConn) finish(id uint16) *Request {
+// takeRequest marks the request with an ID as answered and returns it, also if it was answered before. It returns nil
+// if the ID is unknown.
+func (c *clientConn) takeRequest(id uint16) *Request {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	q := c.open[id]
-	if q == nil {
-		q = c.answered[id]
+	req := c.open[id]
+	if req == nil {
+		req = c.answered[id]
 	}
 	delete(c.open, id)
-	c.answered[id] = q
-	c.lastUsed = c.h.Now()
-	return q
+	c.answered[id] = req
+	c.lastUsed = c.history.Now()
+	return req
 }
 
-// mayCrossClose reports whether a request may have crossed the close of its connection, which was idle until then.
-func (c *clientConn) mayCrossClose(q *Request, closedAt time.Duration) bool {
-	if q.SentAt == 0 || closedAt-q.SentAt >= idleCloseRace {
+// mayRaceIdleClose reports whether the proxy may have closed the connection as idle before it read a request: the
+// request was sent in full at most idleCloseRaceWindow before the close, and is not the first one on a connection
+// younger than unusedIdleAge.
+func (c *clientConn) mayRaceIdleClose(req *Request, closedAt time.Duration) bool {
+	if req.SentAt == 0 || closedAt-req.SentAt >= idleCloseRaceWindow {
 		return false
 	}
-	return !q.FirstOnConnection || q.SentAt-c.openedAt > freshConnection
+	return !req.FirstOnConnection || req.SentAt-c.openedAt > unusedIdleAge
 }
 
-// closed records which requests were open as the connection ended. Where all of them were sent just before, on a
-// connection that had been used or silent for a while, they may have met the proxy's close of an idle connection: no
-// answer is owed to them.
-func (c *clientConn) closed() {
+// recordClose records which requests were open when the connection ended. If all of them may have raced with the
+// proxy's close of an idle connection, they require no answer.
+func (c *clientConn) recordClose() {
 	c.conn.Close() //nolint:errcheck // the proxy has closed it
-	now := c.h.Now()
+	now := c.history.Now()
 	c.mu.Lock()
 	c.ended = true
 	open := c.open
 	c.open = map[uint16]*Request{}
 	c.mu.Unlock()
 	raced := true
-	c.h.locked(func() {
-		for _, q := range open {
-			raced = raced && c.mayCrossClose(q, now)
+	c.history.withLock(func() {
+		for _, req := range open {
+			raced = raced && c.mayRaceIdleClose(req, now)
 		}
 	})
-	for _, q := range open {
-		c.h.locked(func() {
-			q.DisconnectedAt = now
-			q.NoAnswerOwed = q.NoAnswerOwed || raced
+	for _, req := range open {
+		c.history.withLock(func() {
+			req.DisconnectedAt = now
+			req.AnswerNotRequired = req.AnswerNotRequired || raced
 		})
-		c.h.Note("client", "connection %d to proxy-%d, opened %.3f before, ended with %s open (idle close raced: %v)",
-			c.number, c.clients.p.number, (now - c.openedAt).Seconds(), q.ID, raced)
+		c.history.Logf("client", "connection %d to proxy-%d, opened %.3f before, ended with %s open (raced with an idle close: %v)",
+			c.number, c.clients.p.number, (now - c.openedAt).Seconds(), req.ID, raced)
 	}
 }
--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -11,12 +11,12 @@
 const (
 	classRead  = "artes"    // idempotent
 	classWrite = "registro" // must be executed at most once
-	classKeyed = "sellos"   // has an idempotency key, which servers know for a while
+	classKeyed = "sellos"   // has an idempotency key, which servers remember for DeduplicationWindow
 )
 
 const (
-	objects        = 60 // keys
-	groupsInUse    = 8
+	objectCount    = 60 // different keys
+	groupCount     = 8
 	requestTimeout = 1500 * time.Millisecond
 	shortTimeout   = 30 * time.Millisecond
 	longTimeout    = 5 * time.Second // longer than a process may run after SIGTERM
@@ -25,42 +25,43 @@
 
 	burstRequests      = 8
 	maxAbortDelay      = 30 * time.Millisecond // from a request to its abort
-	maxDisconnectDelay = 60 * time.Millisecond // from requests to the end of their connection
-	slowPieceBytes     = 40
-	slowPieceGap       = 2 * time.Millisecond
+	maxDisconnectDelay = 60 * time.Millisecond // from the requests to the disconnect
+	slowChunkBytes     = 40
+	slowChunkInterval  = 2 * time.Millisecond
 	idleConnections    = 10
-	idleFor            = time.Second
-	reuseFraction      = 0.85 // of the requests that go over an open connection
+	idleDuration       = time.Second
+	reuseFraction      = 0.85 // probability that an action uses an open connection
 )
 
-// proxyClients are the clients of one proxy. Their fields belong to the goroutine of run.
+// proxyClients holds the clients of one proxy. Its fields belong to the goroutine of run.
 type proxyClients struct {
-	p      *process
-	h      *History
-	rng    *rand.Rand
-	conns  []*clientConn
-	dialed int // connections so far
+	p       *process
+	history *History
+	rng     *rand.Rand
+	conns   []*clientConn
+	dialed  int // number of connections opened so far
 }
 
 func newProxyClients(p *process, seed uint64) *proxyClients {
-	return &proxyClients{p: p, h: p.r.h, rng: rand.New(rand.NewPCG(seed, uint64(p.number)))}
+	return &proxyClients{p: p, history: p.r.history, rng: rand.New(rand.NewPCG(seed, uint64(p.number)))}
 }
 
-// run makes requests until over is closed.
-func (pc *proxyClients) run(over <-chan struct{}) {
+// run performs random actions until stop is closed, with exponentially distributed pauses.
+func (pc *proxyClients) run(stop <-chan struct{}) {
 	for {
 		select {
-		case <-over:
+		case <-stop:
 			return
 		case <-time.After(time.Duration(pc.rng.ExpFloat64() * float64(pc.p.r.requestInterval()))):
 		}
-		pc.step()
+		pc.performRandomAction()
 	}
 }
 
-// step does one of the things that clients do, which it draws.
-func (pc *proxyClients) step() {
-	pc.closeIdle()
+// performRandomAction draws one action of clients and performs it, if clients may make requests and there is a
+// connection.
+func (pc *proxyClients) performRandomAction() {
+	pc.closeIdleConns()
 	state := pc.p.admission()
 	if !state.acceptsRequests {
 		return
@@ -97,7 +98,7 @@
 	}
 }
 
-// pickConn returns an open connection or a new one; nil: there is none.
+// pickConn returns an open connection or a new one, or nil if there is none and it can't connect.
 func (pc *proxyClients) pickConn(mayConnect bool) *clientConn {
 	if len(pc.conns) > 0 && (!mayConnect || pc.rng.Float64() < reuseFraction) {
 		return pc.conns[pc.rng.IntN(len(pc.conns))]
@@ -112,8 +113,9 @@
 	return c
 }
 
-// closeIdle closes connections that have been idle for idleCloseAfter, and forgets those that have ended.
-func (pc *proxyClients) closeIdle() {
+// closeIdleConns closes connections that have been idle for idleCloseAfter, and drops them and those that have ended
+// from conns.
+func (pc *proxyClients) closeIdleConns() {
 	open := pc.conns[:0]
 	for _, c := range pc.conns {
 		idle, ended := c.state()
@@ -127,7 +129,7 @@
 	pc.conns = open
 }
 
-// dial connects to the proxy; nil: clients may not connect now, or the proxy does not accept the connection.
+// dial connects to the proxy. It returns nil if clients may not connect now or the connection fails.
 func (pc *proxyClients) dial() *clientConn {
 	state := pc.p.admission()
 	if !state.acceptsConns {
@@ -135,7 +137,7 @@
 	}
 	conn, err := net.DialTimeout("tcp", pc.p.addr, dialTimeout)
 	if err != nil {
-		pc.h.Note("client", "proxy-%d refuses a connection: %v", pc.p.number, err)
+		pc.history.Logf("client", "connecting to proxy-%d failed: %v", pc.p.number, err)
 		return nil
 	}
 	pc.dialed++
@@ -144,90 +146,90 @@
 	return c
 }
 
-// newRequest draws a request.
+// newRequest returns a request of a class with a random ID and a random object.
 func (pc *proxyClients) newRequest(class string, timeout time.Duration) *Request {
-	number := pc.rng.IntN(objects)
+	number := pc.rng.IntN(objectCount)
 	return &Request{
-		ID: requestID(pc.rng.Uint64()), Class: class, Object: objectName(number), Group: number % groupsInUse,
+		ID: requestID(pc.rng.Uint64()), Class: class, Object: objectName(number), Group: number % groupCount,
 		Proxy: pc.p.number, Timeout: timeout,
 	}
 }
 
 // abortRequest aborts a request soon after it was sent.
 func (pc *proxyClients) abortRequest(c *clientConn) {
-	q := pc.newRequest(classRead, requestTimeout)
-	id := c.send(q, nil)
+	req := pc.newRequest(classRead, requestTimeout)
+	id := c.send(req, nil)
 	time.AfterFunc(pc.drawMillis(maxAbortDelay), func() {
-		c.write(encodeRecord(fcgiAbortRequest, id, "")) //nolint:errcheck // a lost connection shows in the answers
-		pc.h.locked(func() { q.CancelledAt = pc.h.Now() })
+		c.write(encodeRecord(fcgiAbortRequest, id, "")) //nolint:errcheck // readAnswers records a lost connection
+		pc.history.withLock(func() { req.CancelledAt = pc.history.Now() })
 	})
 }
 
-// drawMillis draws a number of whole milliseconds under a limit.
+// drawMillis returns a random number of whole milliseconds below a limit.
 func (pc *proxyClients) drawMillis(limit time.Duration) time.Duration {
 	return time.Duration(pc.rng.IntN(int(limit.Milliseconds()))) * time.Millisecond
 }
 
 // The ways in which a client ends its connection.
 const (
-	byHalfClose = iota
-	byReset
-	byClose
-	waysToDisconnect
+	disconnectByHalfClose = iota
+	disconnectByReset
+	disconnectByClose
+	disconnectMethods
 )
 
-// disconnect makes a read and a write on a new connection, and ends the connection soon after.
+// disconnect sends a read and a write on a new connection, and ends the connection soon after.
 func (pc *proxyClients) disconnect() {
 	c := pc.dial()
 	if c == nil {
 		return
 	}
 	requests := []*Request{pc.newRequest(classRead, requestTimeout), pc.newRequest(classWrite, requestTimeout)}
-	for _, q := range requests {
-		c.send(q, nil)
+	for _, req := range requests {
+		c.send(req, nil)
 	}
-	way := pc.rng.IntN(waysToDisconnect)
+	method := pc.rng.IntN(disconnectMethods)
 	time.AfterFunc(pc.drawMillis(maxDisconnectDelay), func() {
-		pc.h.Note("client", "disconnects with %s and %s open", requests[0].ID, requests[1].ID)
-		c.disconnect(way)
-		pc.h.locked(func() {
-			for _, q := range requests {
-				q.CancelledAt = pc.h.Now()
+		pc.history.Logf("client", "disconnects with %s and %s open", requests[0].ID, requests[1].ID)
+		c.disconnect(method)
+		pc.history.withLock(func() {
+			for _, req := range requests {
+				req.CancelledAt = pc.history.Now()
 			}
 		})
 	})
 }
 
-// sendMalformed makes a request with a malformed record right behind it.
+// sendMalformed sends a request and right after it a malformed record, on a new connection.
 func (pc *proxyClients) sendMalformed() {
 	c := pc.dial()
 	if c == nil {
 		return
 	}
-	q := pc.newRequest(classRead, requestTimeout)
+	req := pc.newRequest(classRead, requestTimeout)
 	malformed := []string{"GET / HTTP/1.1\r\n\r\n", "\x01\x01\x00\x09\x00\x00\x00\x00", strings.Repeat("\xff", 4000)}
-	c.send(q, []byte(malformed[pc.rng.IntN(len(malformed))]))
+	c.send(req, []byte(malformed[pc.rng.IntN(len(malformed))]))
 }
 
-// writeSlowly sends a request in small pieces.
+// writeSlowly sends a request in small chunks on a new connection.
 func (pc *proxyClients) writeSlowly() {
 	c := pc.dial()
 	if c == nil {
 		return
 	}
-	q := pc.newRequest(classRead, requestTimeout)
-	id := c.register(q)
-	go c.writeSlowly(q, encodeRequest(id, q))
+	req := pc.newRequest(classRead, requestTimeout)
+	id := c.register(req)
+	go c.writeSlowly(req, encodeRequest(id, req))
 }
 
-// connectIdle connects and sends nothing.
+// connectIdle opens idleConnections connections, sends nothing on them, and closes them after idleDuration.
 func (pc *proxyClients) connectIdle() {
 	for range idleConnections {
 		c := pc.dial()
 		if c == nil {
 			return
 		}
-		time.AfterFunc(idleFor, func() {
+		time.AfterFunc(idleDuration, func() {
 			c.conn.Close() //nolint:errcheck // the proxy may have closed it
 		})
 	}
--- a/internal/soak/coordinator.go
+++ b/internal/soak/coordinator.go
@@ -9,37 +9,38 @@
 	"time"
 )
 
-// reopenInterval is the time between two attempts to listen again on an address that a connection has taken.
+// reopenInterval is the time between two attempts to listen again on an address that a connection has taken in the
+// meantime.
 const reopenInterval = 10 * time.Millisecond
 
-// coordinatorMode is how the coordinator behaves to one proxy.
+// coordinatorMode says how the coordinator behaves toward one proxy.
 type coordinatorMode int
 
-// The modes.
+// The modes of the coordinator.
 const (
-	modeHealthy coordinatorMode = iota
-	modeDown                    // connects are refused, streams have ended
-	modeSilent                  // streams stay open and bring nothing
-	modeSlow                    // streams bring one event of the endpoint list a byte at a time
-	modeCut                     // some streams end within the line of an event
-	modeShort                   // some streams stop within the line of an event and stay open
-	modeHalf                    // half of an event's line comes before the whole of it, on some streams
-	modeDouble                  // each event comes twice
+	modeHealthy       coordinatorMode = iota
+	modeDown                          // connections are refused, and open streams are closed
+	modeSilent                        // streams stay open and send nothing
+	modeSlow                          // streams send one event of the endpoint list byte by byte
+	modeTruncateClose                 // some streams are closed within the line of an event
+	modeTruncateStall                 // some streams stop sending within the line of an event and stay open
+	modeHalfPrefix                    // some streams send half of an event's line before the whole line
+	modeDuplicate                     // each event is sent twice
 )
 
-// coordinator stands in for the coordinator. It serves each proxy at an address of its own, so that it knows
-// which proxy has been sent which event.
+// coordinator is a stand-in for the real coordinator. It serves each proxy at a separate address, so that it knows
+// which event has been sent to which proxy.
 type coordinator struct {
-	h *History
+	history *History
 
-	mu           sync.Mutex // of the fields below and those of the watch servers
-	lines        []string   // by event, from index 1
+	mu           sync.Mutex // guards the fields below and those of the watch servers
+	lines        []string   // of the events, whose indexes start at 1
 	events       []*WatchEvent
-	watchServers map[int]*watchServer // by proxy
+	watchServers map[int]*watchServer // by proxy number
 }
 
-func newCoordinator(h *History) *coordinator {
-	return &coordinator{h: h, watchServers: map[int]*watchServer{}}
+func newCoordinator(history *History) *coordinator {
+	return &coordinator{history: history, watchServers: map[int]*watchServer{}}
 }
 
 // serveProxy opens the address for a proxy.
@@ -51,27 +52,27 @@
 	return ws.listen()
 }
 
-// addrFor is the address for a proxy.
+// addrFor returns the address for a proxy.
 func (c *coordinator) addrFor(proxy int) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.watchServers[proxy].addr
 }
 
-// setMode changes how the coordinator behaves to a proxy. When it returns from modeDown, the address is open
-// again.
+// setMode sets the coordinator's mode for a proxy, and records in the history when events were withheld. After
+// modeDown, it returns when the address is open again.
 func (c *coordinator) setMode(proxy int, m coordinatorMode) {
 	c.mu.Lock()
 	ws := c.watchServers[proxy]
 	before := ws.mode
-	now := c.h.Now()
+	now := c.history.Now()
 	if before == modeDown || before == modeSilent {
-		c.h.locked(func() { c.h.Withheld[proxy] = append(c.h.Withheld[proxy], Span{ws.modeSetAt, now}) })
+		c.history.withLock(func() { c.history.Withheld[proxy] = append(c.history.Withheld[proxy], Span{ws.modeSetAt, now}) })
 	}
 	ws.mode = m
 	ws.modeSetAt = now
-	ws.slowEvent = 0
-	ws.spoiling = newSpoiling(m)
+	ws.slowEventIndex = 0
+	ws.corruption = newCorruption(m)
 	if m == modeDown && before != modeDown {
 		ws.closeAll()
 	}
@@ -83,22 +84,22 @@
 	}
 }
 
-// publish publishes an event. Its line is the format with the next index in place of the verb.
+// publish publishes an event with the next index. The format of its line has one verb, for the index.
 func (c *coordinator) publish(e *WatchEvent, format string) {
 	c.mu.Lock()
 	e.Index = len(c.events) + 1
-	e.PublishedAt = c.h.Now()
+	e.PublishedAt = c.history.Now()
 	e.DeliveredAt = map[int]time.Duration{}
 	c.events = append(c.events, e)
 	line := fmt.Sprintf(format, e.Index)
 	c.lines = append(c.lines, line)
 	c.mu.Unlock()
-	c.h.locked(func() { c.h.Events = append(c.h.Events, e) })
-	c.h.Note("coord", "event %s", line)
+	c.history.withLock(func() { c.history.Events = append(c.history.Events, e) })
+	c.history.Logf("coord", "event %s", line)
 }
 
-// knownEvents returns the index of the last event, and the list of those that are well formed as a
-// configuration holds it.
+// knownEvents returns the index of the last event, and the well-formed events as the JSON list of a
+// configuration.
 func (c *coordinator) knownEvents() (lastIndex int, updates string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -107,9 +108,9 @@
 	return len(c.lines), "[" + strings.Join(wellFormed, ",") + "]"
 }
 
-// after returns the event that follows an index, with its line, and the index of the last event. The event is
-// nil if none follows.
-func (c *coordinator) after(index int) (line string, e *WatchEvent, lastIndex int) {
+// eventAfter returns the event that follows an index, its line, and the index of the last event. The event is nil if
+// none follows.
+func (c *coordinator) eventAfter(index int) (line string, e *WatchEvent, lastIndex int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	lastIndex = len(c.lines)
@@ -119,15 +120,15 @@
 	return c.lines[index], c.events[index], lastIndex
 }
 
-// recordDelivery records that an event's line has been written to a proxy. The first delivery counts.
+// recordDelivery records that an event's line has been written to a proxy. Only the first delivery is kept.
 func (c *coordinator) recordDelivery(e *WatchEvent, proxy int) {
-	c.h.locked(func() {
+	c.history.withLock(func() {
 		_, delivered := e.DeliveredAt[proxy]
 		if !delivered {
-			e.DeliveredAt[proxy] = c.h.Now()
+			e.DeliveredAt[proxy] = c.history.Now()
 		}
 	})
-	c.h.Note("coord", "delivered event %d to proxy-%d", e.Index, proxy)
+	c.history.Logf("coord", "delivered event %d to proxy-%d", e.Index, proxy)
 }
 
 // stop closes all addresses.
--- a/internal/soak/fastcgi.go
+++ b/internal/soak/fastcgi.go
@@ -24,8 +24,8 @@
 	fcgiProtocolStatus = 4
 	// fcgiOverloaded is the protocol status of a request that is rejected.
 	fcgiOverloaded = 2
-	// beginResponder is the body of BEGIN_REQUEST: role responder, and keep the connection.
-	beginResponder = "\x00\x01\x01\x00\x00\x00\x00\x00"
+	// beginResponderBody is the body of BEGIN_REQUEST: the role is responder, and the connection stays open.
+	beginResponderBody = "\x00\x01\x01\x00\x00\x00\x00\x00"
 	// writeBodySize is the size of a write's body in bytes.
 	writeBodySize = 2000
 )
@@ -33,22 +33,23 @@
 // param is a FastCGI parameter.
 type param struct{ name, value string }
 
-// requestID is the ID of a request that is drawn by number.
+// requestID returns the ID of the request with a random number.
 func requestID(number uint64) string { return fmt.Sprintf("%016x", number) }
 
 // encodeRequest encodes all records of a request.
-func encodeRequest(id uint16, q *Request) []byte {
+func encodeRequest(id uint16, req *Request) []byte {
 	params := []param{
-		{"SCRIPT_NAME", "/ops/" + q.Class}, {"HTTP_REQ_ID", q.ID}, {"HTTP_REQ_KEY", q.Object},
-		{"HTTP_REQ_WAIT_MS", fmt.Sprint(q.Timeout.Milliseconds())}, {"HTTP_X_PIECE", "0"}, {"HTTP_X_LOT", fmt.Sprint(q.Group)},
+		{"SCRIPT_NAME", "/ops/" + req.Class}, {"HTTP_REQ_ID", req.ID}, {"HTTP_REQ_KEY", req.Object},
+		{"HTTP_REQ_WAIT_MS", fmt.Sprint(req.Timeout.Milliseconds())}, {"HTTP_X_PIECE", "0"},
+		{"HTTP_X_LOT", fmt.Sprint(req.Group)},
 	}
-	if q.Class == classKeyed {
-		params = append(params, param{"HTTP_REQ_TOKEN", q.ID})
+	if req.Class == classKeyed {
+		params = append(params, param{"HTTP_REQ_TOKEN", req.ID})
 	}
-	out := encodeRecord(fcgiBeginRequest, id, beginResponder)
+	out := encodeRecord(fcgiBeginRequest, id, beginResponderBody)
 	out = append(out, encodeRecord(fcgiParams, id, encodeParams(params))...)
 	out = append(out, encodeRecord(fcgiParams, id, "")...)
-	if q.Class == classWrite {
+	if req.Class == classWrite {
 		out = append(out, encodeRecord(fcgiStdin, id, strings.Repeat("w", writeBodySize))...)
 	}
 	return append(out, encodeRecord(fcgiStdin, id, "")...)
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// reportDistance is how long before and after a violation a report shows the timeline.
+// reportDistance is how much of the timeline a report shows before and after a violation.
 const reportDistance = 4 * time.Second
 
-// writeReport writes the schedule, and the timeline around each violation.
+// writeReport writes the schedule, and the timeline around each violation, to violations.txt.
 func (r *run) writeReport(result Result) error {
 	dir := seedDir(r.options.ReportDir, result.Seed)
 	if err := os.MkdirAll(dir, 0o755); err != nil {
@@ -20,7 +20,7 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "seed %d, %d proxies, %v\n\n%s\n", result.Seed, r.options.Fleet, r.options.Duration, formatSchedule(result.Schedule))
 	for _, v := range result.Violations {
-		fmt.Fprintf(&b, "\n%v\n%s", v, r.h.TimelineAround(v.At, reportDistance, v.Words...))
+		fmt.Fprintf(&b, "\n%v\n%s", v, r.history.TimelineAround(v.At, reportDistance, v.Keywords...))
 	}
 	return os.WriteFile(filepath.Join(dir, "violations.txt"), []byte(b.String()), 0o644)
 }
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -14,29 +14,29 @@
 const (
 	// lateReadsAfterHang is how long after a hang a server reads what was sent during it.
 	lateReadsAfterHang = 300 * time.Millisecond
-	// maxPurgeDelay is the longest time after which a server drops purged copies.
+	// maxPurgeDelay is the longest time until a server drops purged copies.
 	maxPurgeDelay = 5 * time.Second
-	// hangPollInterval is how often a hung server looks whether the hang is over.
+	// hangPollInterval is how often a hung server checks whether the hang is over.
 	hangPollInterval = time.Millisecond
-	// serverStream is the stream of a seed's random numbers that a server draws from.
-	serverStream = 7
+	// serverRNGStream is the stream of a seed's PCG random numbers that a server draws from.
+	serverRNGStream = 7
 )
 
-// server stands in for a cache, a parent or the origin. It caches objects, drops purged copies some time
-// after the purge, and records the calls that it reads.
+// server is a stand-in for a cache, the parent or the origin. It caches objects, drops purged copies some time after
+// the purge, and records the calls that it reads.
 type server struct {
-	h              *History
+	history        *History
 	id, kind, zone string
 	serials        *sequence
-	relayAddr      string     // where proxies reach it through a relay; empty: at addr
-	faultMu        sync.Mutex // held while a restart of the server lasts
+	relayAddr      string     // address of the relay in front of it; empty: proxies connect to addr
+	faultMu        sync.Mutex // held while a fault lasts that withdraws or restarts the server
 
-	mu            sync.Mutex // of the fields below
+	mu            sync.Mutex // guards the fields below
 	addr          string
 	rng           *rand.Rand
 	listener      net.Listener
 	conns         map[net.Conn]bool
-	copies        map[string]time.Time // by object: when the origin gave the copy out
+	copies        map[string]time.Time // by object: when the origin produced the copy
 	hungUntil     time.Duration        // reads and writes nothing until then
 	slowUntil     time.Duration
 	malformUntil  time.Duration // may malform its answers
@@ -45,7 +45,7 @@
 	state         string        // in the endpoint list
 }
 
-// sequence hands out numbers from 1.
+// sequence returns consecutive numbers, starting from 1.
 type sequence struct {
 	mu   sync.Mutex
 	last int
@@ -59,9 +59,10 @@
 }
 
 // newServer starts a server at an address.
-func newServer(h *History, id, kind, zone, addr string, seed uint64, serials *sequence) (*server, error) {
+func newServer(history *History, id, kind, zone, addr string, seed uint64, serials *sequence) (*server, error) {
 	s := &server{
-		h: h, id: id, kind: kind, zone: zone, addr: addr, rng: rand.New(rand.NewPCG(seed, serverStream)), serials: serials,
+		history: history, id: id, kind: kind, zone: zone, addr: addr,
+		rng: rand.New(rand.NewPCG(seed, serverRNGStream)), serials: serials,
 		conns: map[net.Conn]bool{}, copies: map[string]time.Time{}, state: "SERVING",
 	}
 	return s, s.listen()
@@ -92,7 +93,7 @@
 	return nil
 }
 
-// crash resets all connections, refuses new ones and loses all copies.
+// crash resets all connections, stops listening and drops all copies.
 func (s *server) crash() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,7 +105,7 @@
 	s.copies = map[string]time.Time{}
 }
 
-// restart accepts connections again after a crash.
+// restart listens again after a crash.
 func (s *server) restart() error {
 	err := s.listen()
 	s.mu.Lock()
@@ -113,7 +114,7 @@
 	return err
 }
 
-// resetConns resets a fraction of the connections.
+// resetConns resets a random fraction of the connections.
 func (s *server) resetConns(fraction float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -131,23 +132,23 @@
 	conn.Close()                     //nolint:errcheck // as above
 }
 
-// extend moves the end of a fault, one of the fields that end in Until, to a later time.
-func (s *server) extend(until *time.Duration, at time.Duration) {
+// extendFault moves the end of a fault, one of the fields whose names end in Until, to a time if that is later.
+func (s *server) extendFault(until *time.Duration, at time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	*until = max(*until, at)
 }
 
-// isBefore reports whether a fault, one of the fields that end in Until, lasts.
-func (s *server) isBefore(until *time.Duration) bool {
+// faultActive reports whether a fault, given by the field that holds its end, is active now.
+func (s *server) faultActive(until *time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.h.Now() < *until
+	return s.history.Now() < *until
 }
 
-// waitWhileHung returns when the server does not hang.
+// waitWhileHung blocks while the server hangs.
 func (s *server) waitWhileHung() {
-	for s.isBefore(&s.hungUntil) {
+	for s.faultActive(&s.hungUntil) {
 		time.Sleep(hangPollInterval)
 	}
 }
@@ -156,7 +157,7 @@
 func (s *server) readsLate() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.h.Now() < s.hungUntil+lateReadsAfterHang
+	return s.history.Now() < s.hungUntil+lateReadsAfterHang
 }
 
 // draw returns a random number from [0, 1).
@@ -166,7 +167,7 @@
 	return s.rng.Float64()
 }
 
-// purge drops matching copies made before a time, after a delay that it draws.
+// purge drops matching copies made before a time, after a random delay.
 func (s *server) purge(matches func(object string) bool, before time.Time) {
 	delay := time.Duration(s.draw() * float64(maxPurgeDelay))
 	time.AfterFunc(delay, func() {
@@ -180,7 +181,7 @@
 	})
 }
 
-// serve reads the commands of one connection.
+// serve reads the commands of one connection, and records and answers the calls.
 func (s *server) serve(conn net.Conn) {
 	defer conn.Close() //nolint:errcheck // the proxy may have closed it
 	in := bufio.NewReader(conn)
@@ -191,23 +192,23 @@
 			return
 		}
 		s.waitWhileHung()
-		late := s.readsLate()
-		firstByteAt := s.h.Now() - sinceArrival(conn)
+		readLate := s.readsLate()
+		firstByteAt := s.history.Now() - timeSinceArrival(conn)
 		words, err := readCommand(in)
 		if err != nil {
 			return
 		}
 		if words[0] != "REQ" || len(words) != 4 {
-			continue // STOP does not take effect: the answer and the STOP may always cross
+			continue // STOP is ignored, as the answer and the STOP may always cross on the way
 		}
-		call := s.record(words, firstByteAt, late)
+		call := s.recordCall(words, firstByteAt, readLate)
 		go s.answer(call, out)
 	}
 }
 
-// sinceArrival is how long ago the last bytes of a connection arrived at this machine. They may be read
-// later.
-func sinceArrival(conn net.Conn) (ago time.Duration) {
+// timeSinceArrival returns how long ago the last bytes of a connection arrived at this machine, which may be long
+// before they are read. It returns 0 if that is unknown.
+func timeSinceArrival(conn net.Conn) (ago time.Duration) {
 	raw, err := conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return 0
@@ -221,27 +222,28 @@
 	return ago
 }
 
-// setState sets the state in the endpoint list, and returns the entry there and when the server was
+// setState sets the server's state in the endpoint list. It returns the new entry, and when the server was
 // restarted.
-func (s *server) setState(state string) (entry string, restartedAt time.Time) {
+func (s *server) setState(state string) (endpointEntry string, restartedAt time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.state = state
-	return s.entry(), s.restartedAt
+	return s.endpointEntry(), s.restartedAt
 }
 
-// entry is the server's entry in the endpoint list. The caller holds mu, or the server is not shared yet.
-func (s *server) entry() string {
+// endpointEntry returns the server's entry in the endpoint list. The caller holds mu, or the server is not shared
+// yet.
+func (s *server) endpointEntry() string {
 	startedMS := int64(0)
 	if !s.restartedAt.IsZero() {
 		startedMS = s.restartedAt.UnixMilli()
 	}
 	return fmt.Sprintf(`{"id":%q,"addr":%q,"zone":%q,"kind":%q,"cell":0,"state":%q,"weight":%v,"started_ms":%d}`,
-		s.id, s.listedAddr(), s.zone, s.kind, s.state, cacheWeight, startedMS)
+		s.id, s.advertisedAddr(), s.zone, s.kind, s.state, cacheWeight, startedMS)
 }
 
-// listedAddr is where proxies reach the server.
-func (s *server) listedAddr() string {
+// advertisedAddr returns the address at which proxies reach the server.
+func (s *server) advertisedAddr() string {
 	if s.relayAddr != "" {
 		return s.relayAddr
 	}
--- a/internal/soak/spoiling.go
+++ b/internal/soak/spoiling.go
@@ -1,68 +1,68 @@
 package soak
 
-// This file holds how the coordinator spoils the lines of events: a proxy has to know each event within
-// notifyWithin all the same, as a new stream brings it clean.
+// This file corrupts the lines of events that the coordinator sends. A proxy still has to know each event within
+// maxNotifyDelay, because a new stream sends it again intact.
 
-// maxSpoiltStreams is how many streams in a row are spoilt, and how often one event is.
-const maxSpoiltStreams = 3
+// maxCorruptions is how many streams in a row are corrupted, and how often one event is.
+const maxCorruptions = 3
 
-// afterLine is what a stream does after a line.
-type afterLine int
+// streamAction says what a stream does after a line.
+type streamAction int
 
 const (
-	goOn        afterLine = iota // the line was brought whole
-	goOnWithout                  // it was spoilt, and the next event follows
-	holdStream                   // nothing more comes, and the stream stays open
-	endStream                    // the stream ends
+	continueDelivered   streamAction = iota // the line was sent intact; the next one follows
+	continueUndelivered                     // the line was corrupted; the next event follows
+	stallStream                             // the stream stays open and sends nothing more
+	closeStream                             // the stream is closed
 )
 
-// spoiling is what the coordinator has spoilt for one proxy since its mode was set.
-type spoiling struct {
-	mode        coordinatorMode
-	hadLine     bool        // a heartbeat was brought: the streams before have not failed
-	streamsLeft int         // that may still be spoilt
-	spoilt      map[int]int // by index of an event: how often it was spoilt
+// corruption records what the coordinator has corrupted for one proxy since its mode was set.
+type corruption struct {
+	mode             coordinatorMode
+	heartbeatSent    bool        // since the mode was set; shows that the streams before have not failed
+	streamsToCorrupt int         // how many streams may still be corrupted
+	corruptedLines   map[int]int // by index of an event: how often its line was corrupted
 }
 
-func newSpoiling(m coordinatorMode) spoiling {
-	return spoiling{mode: m, streamsLeft: maxSpoiltStreams, spoilt: map[int]int{}}
+func newCorruption(m coordinatorMode) corruption {
+	return corruption{mode: m, streamsToCorrupt: maxCorruptions, corruptedLines: map[int]int{}}
 }
 
-// noteHeartbeat notes that a stream has brought a heartbeat.
-func (ws *watchServer) noteHeartbeat() {
+// recordHeartbeat records that a stream has sent a heartbeat.
+func (ws *watchServer) recordHeartbeat() {
 	ws.c.mu.Lock()
 	defer ws.c.mu.Unlock()
-	ws.spoiling.hadLine = true
+	ws.corruption.heartbeatSent = true
 }
 
-// spoil returns what is written for a line, and what the stream does after it. The event is nil for a heartbeat,
-// which is never spoilt.
-func (ws *watchServer) spoil(e *WatchEvent, line string) (text string, next afterLine) {
+// corrupt returns the text to write for a line, and what the stream does after it. The event is nil for a heartbeat,
+// which is never corrupted. Nothing is corrupted before the first heartbeat since the mode was set.
+func (ws *watchServer) corrupt(e *WatchEvent, line string) (text string, next streamAction) {
 	ws.c.mu.Lock()
 	defer ws.c.mu.Unlock()
-	if e == nil || !ws.spoiling.hadLine {
-		return line + "\n", goOn
+	if e == nil || !ws.corruption.heartbeatSent {
+		return line + "\n", continueDelivered
 	}
-	return ws.spoiling.apply(e, line)
+	return ws.corruption.apply(e, line)
 }
 
-// apply spoils the line of an event as the mode says. Half a line before the whole spoils one event alone: that is
-// one of the endpoint list, as purges are many and soon without effect.
-func (s *spoiling) apply(e *WatchEvent, line string) (text string, next afterLine) {
+// apply corrupts the line of an event according to the mode. modeHalfPrefix damages a single event, so it is used
+// only on events of the endpoint list: purges are many and soon have no effect any more.
+func (c *corruption) apply(e *WatchEvent, line string) (text string, next streamAction) {
 	whole := line + "\n"
 	half := line[:len(line)/2]
 	switch {
-	case s.mode == modeDouble:
-		return whole + whole, goOn
-	case s.mode == modeHalf && e.changesEndpoints() && s.spoilt[e.Index] < maxSpoiltStreams:
-		s.spoilt[e.Index]++
-		return half + whole, goOnWithout
-	case s.mode == modeCut && s.streamsLeft > 0:
-		s.streamsLeft--
-		return half, endStream
-	case s.mode == modeShort && s.streamsLeft > 0:
-		s.streamsLeft--
-		return half, holdStream
+	case c.mode == modeDuplicate:
+		return whole + whole, continueDelivered
+	case c.mode == modeHalfPrefix && e.changesEndpoints() && c.corruptedLines[e.Index] < maxCorruptions:
+		c.corruptedLines[e.Index]++
+		return half + whole, continueUndelivered
+	case c.mode == modeTruncateClose && c.streamsToCorrupt > 0:
+		c.streamsToCorrupt--
+		return half, closeStream
+	case c.mode == modeTruncateStall && c.streamsToCorrupt > 0:
+		c.streamsToCorrupt--
+		return half, stallStream
 	}
-	return whole, goOn
+	return whole, continueDelivered
 }
--- a/internal/soak/watchserver.go
+++ b/internal/soak/watchserver.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	// progressInterval is how often a stream without events brings the index of the last event.
-	progressInterval = time.Second
-	// eventPollInterval is how often a stream looks for the next event.
+	// heartbeatInterval is how often a stream without new events sends a heartbeat: the index of the last event.
+	heartbeatInterval = time.Second
+	// eventPollInterval is how often a stream checks for the next event.
 	eventPollInterval = 2 * time.Millisecond
-	// slowLineTime is how long a slow stream takes for one line. With the line behind it, it stays within
-	// notifyWithin.
+	// slowLineTime is how long a slow stream takes for one line. Together with the line after it, that stays within
+	// maxNotifyDelay.
 	slowLineTime = 6 * time.Second
 )
 
-// watchServer is the coordinator's side for one proxy.
+// watchServer serves the coordinator's watch streams of one proxy.
 type watchServer struct {
 	c     *coordinator
 	proxy int
 
-	// Under the coordinator's mu:
-	addr      string
-	mode      coordinatorMode
-	modeSetAt time.Duration
-	slowEvent int // index of the event that slow streams bring slowly; 0: none yet
-	spoiling  spoiling
-	listener  net.Listener
-	streams   map[net.Conn]bool
+	// Guarded by the coordinator's mu:
+	addr           string
+	mode           coordinatorMode
+	modeSetAt      time.Duration
+	slowEventIndex int // index of the event that slow streams send slowly; 0: none yet
+	corruption     corruption
+	listener       net.Listener
+	streams        map[net.Conn]bool
 }
 
 // listen opens the address and serves streams until the listener is closed.
@@ -81,7 +81,7 @@
 	return ws.mode == modeSilent
 }
 
-// serve reads which event a proxy follows from, and brings it the events after that until the connection
+// serve reads from which index a proxy follows, and sends it the events after that index until the connection
 // ends.
 func (ws *watchServer) serve(conn net.Conn) {
 	ws.addStream(conn)
@@ -98,19 +98,19 @@
 	if _, err := fmt.Sscanf(line, "follow %d", &index); err != nil {
 		return
 	}
-	ws.c.h.Note("coord", "proxy-%d follows from %d", ws.proxy, index)
+	ws.c.history.Logf("coord", "proxy-%d follows from %d", ws.proxy, index)
 	ended := make(chan struct{})
 	go func() {
-		in.ReadByte() //nolint:errcheck // the proxy sends nothing more: it returns when the connection ends
+		in.ReadByte() //nolint:errcheck // the proxy sends nothing more, so this returns when the connection ends
 		close(ended)
 	}()
-	ws.bringEvents(conn, index, ended)
+	ws.sendEvents(conn, index, ended)
 }
 
-// bringEvents writes the events after an index, each as it is published, and the last index once
-// progressInterval has passed without one.
-func (ws *watchServer) bringEvents(conn net.Conn, index int, ended <-chan struct{}) {
-	lastProgress := time.Now()
+// sendEvents writes the events after an index, each once it is published, until the connection ends or is to be
+// closed. While there is no new event, it writes a heartbeat every heartbeatInterval.
+func (ws *watchServer) sendEvents(conn net.Conn, index int, ended <-chan struct{}) {
+	lastHeartbeat := time.Now()
 	for {
 		select {
 		case <-ended:
@@ -120,28 +120,28 @@
 		if ws.isSilent() {
 			continue
 		}
-		line, event, lastIndex := ws.c.after(index)
+		line, event, lastIndex := ws.c.eventAfter(index)
 		if event == nil {
-			if time.Since(lastProgress) < progressInterval {
+			if time.Since(lastHeartbeat) < heartbeatInterval {
 				continue
 			}
-			lastProgress = time.Now()
-			ws.noteHeartbeat()
+			lastHeartbeat = time.Now()
+			ws.recordHeartbeat()
 			line = strconv.Itoa(lastIndex)
 		}
-		text, next := ws.spoil(event, line)
+		text, next := ws.corrupt(event, line)
 		if !writePaced(conn, text, ws.byteInterval(event, len(line))) {
 			return
 		}
 		switch next {
-		case endStream:
+		case closeStream:
 			return
-		case holdStream:
+		case stallStream:
 			<-ended
 			return
-		case goOnWithout:
+		case continueUndelivered:
 			index++
-		case goOn:
+		case continueDelivered:
 			if event != nil {
 				index++
 				ws.c.recordDelivery(event, ws.proxy)
@@ -150,26 +150,26 @@
 	}
 }
 
-// byteInterval is the time between two bytes of a line; 0: the line is written at once. A slow stream is slow
-// for one event of the endpoint list, the same for all streams of the proxy.
+// byteInterval returns the pause between two bytes of a line, or 0 if the line is written at once. Slow streams are
+// slow for one event of the endpoint list only, the same one for all streams of the proxy.
 func (ws *watchServer) byteInterval(e *WatchEvent, size int) time.Duration {
 	ws.c.mu.Lock()
 	defer ws.c.mu.Unlock()
 	if ws.mode != modeSlow || e == nil || !e.changesEndpoints() {
 		return 0
 	}
-	if ws.slowEvent != 0 && ws.slowEvent != e.Index {
+	if ws.slowEventIndex != 0 && ws.slowEventIndex != e.Index {
 		return 0
 	}
-	ws.slowEvent = e.Index
+	ws.slowEventIndex = e.Index
 	return slowLineTime / time.Duration(size)
 }
 
-// changesEndpoints reports whether an event is about the endpoint list.
+// changesEndpoints reports whether an event changes the endpoint list.
 func (e *WatchEvent) changesEndpoints() bool { return len(e.Withdrawn)+len(e.Serving) > 0 }
 
-// writePaced writes a line, byte by byte where an interval is given. It reports false once the connection has
-// ended.
+// writePaced writes a line, byte by byte with a pause before each if byteInterval is not 0. It returns false if the
+// connection has ended.
 func writePaced(conn net.Conn, line string, byteInterval time.Duration) bool {
 	if byteInterval == 0 {
 		_, err := conn.Write([]byte(line))
