--- a/cmd/edgeproxy/config.go
+++ b/cmd/edgeproxy/config.go
@@ -37,7 +37,7 @@
 	} `json:"limits"`
 	Coordinator            string             `json:"coordinator"`
 	TransferBytesPerSecond float64            `json:"flow_bytes_per_s"` // rate of one transfer; 0: unknown
-	Known                  watch.InitialState `json:"known"`
+	InitialState           watch.InitialState `json:"known"`
 	Settings               json.RawMessage    `json:"settings"`
 
 	fields map[string]json.RawMessage // the file's, as they were read
@@ -127,7 +127,7 @@
 	c.proxy = proxy.Config{
 		Settings:               set,
 		Seed:                   seed,
-		InitialState:           c.Known,
+		InitialState:           c.InitialState,
 		MaxDescriptors:         c.Limits.Sockets,
 		MaxMemoryBytes:         c.Limits.MemoryMB << 20,
 		TransferBytesPerSecond: c.TransferBytesPerSecond,
--- a/cmd/edgeproxy/main.go
+++ b/cmd/edgeproxy/main.go
@@ -82,14 +82,14 @@
 	if err := openListeners(p, cfg); err != nil {
 		return err
 	}
-	p.WatchCoordinator(cfg.coordinator, cfg.Known.Index)
+	p.WatchCoordinator(cfg.coordinator, cfg.InitialState.Index)
 	return p.Run(proxy.Signals{Stop: s.stop, Reload: s.reload, Load: cfg.reloader(logger)})
 }
 
 // newLoop returns an event loop that goes by a clock.
 func newLoop(clock eventloop.TimeSource) (*eventloop.Loop, error) {
 	var loop *eventloop.Loop
-	err := retryOnLocalResources(func() error {
+	err := retryOnResourceShortage(func() error {
 		var err error
 		loop, err = eventloop.NewLoop(clock)
 		return err
@@ -100,7 +100,7 @@
 // openListeners opens the addresses for clients and for operators.
 func openListeners(p *proxy.Proxy, cfg *config) error {
 	maxClients := proxy.ClientSockets(cfg.Limits.Sockets)
-	err := retryOnLocalResources(func() error {
+	err := retryOnResourceShortage(func() error {
 		if cfg.inheritedListenFD != 0 {
 			return p.ListenOn(cfg.inheritedListenFD, maxClients)
 		}
@@ -109,12 +109,12 @@
 	if err != nil || cfg.Admin == "" {
 		return err
 	}
-	return retryOnLocalResources(func() error { return p.ListenAdmin(cfg.admin) })
+	return retryOnResourceShortage(func() error { return p.ListenAdmin(cfg.admin) })
 }
 
-// retryOnLocalResources retries a step of the start for a while if it fails for a lack of descriptors or
+// retryOnResourceShortage retries a step of the start for a while if it fails for a lack of descriptors or
 // memory, which may pass. It returns the last error.
-func retryOnLocalResources(start func() error) error {
+func retryOnResourceShortage(start func() error) error {
 	end := time.Now().Add(startupRetryTimeout)
 	for {
 		err := start()
--- a/cmd/edgeproxy/reload.go
+++ b/cmd/edgeproxy/reload.go
@@ -20,12 +20,12 @@
 		if err != nil {
 			return nil, err
 		}
-		return func() (proxy.ConfigUpdate, error) { return c.replaceBy(later, logger) }, nil
+		return func() (proxy.ConfigUpdate, error) { return c.replaceWith(later, logger) }, nil
 	}
 }
 
-// replaceBy checks a configuration that was read later and, if it can be used, makes it the one in use.
-func (c *config) replaceBy(later *config, logger *slog.Logger) (proxy.ConfigUpdate, error) {
+// replaceWith checks a configuration that was read later and, if it can be used, makes it the one in use.
+func (c *config) replaceWith(later *config, logger *slog.Logger) (proxy.ConfigUpdate, error) {
 	if err := c.checkReplacement(later); err != nil {
 		return proxy.ConfigUpdate{}, err
 	}
