--- a/cmd/edgeproxy/admin_test.go
+++ b/cmd/edgeproxy/admin_test.go
@@ -148,7 +148,7 @@
 	t.Parallel()
 	env := startTestEnv(t)
 	env.cache.answerAll("served", "-", strings.Repeat("x", 240_000))
-	conn, err := net.DialTCP("tcp", nil, net.TCPAddrFromAddrPort(mustAddr(t, env.addr)))
+	conn, err := net.DialTCP("tcp", nil, net.TCPAddrFromAddrPort(mustParseAddr(t, env.addr)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -193,6 +193,6 @@
 	closeOnce(t, env.origin)
 	ask("503", "attempts_used", "registro")
 	env.sendEvent(endpointEvent(2, false, endpoint("o1", "origin", "hub", "DELETED", env.origin.Addr())))
-	env.awaitEventsTaken()
+	env.awaitEventsApplied()
 	ask("503", "no_endpoint", "registro")
 }
--- a/cmd/edgeproxy/clock_test.go
+++ b/cmd/edgeproxy/clock_test.go
@@ -54,9 +54,9 @@
 }
 
 // advance advances the program's time. When it returns, the program has carried out all that became due.
-func (m *manualClock) advance(by time.Duration) {
+func (m *manualClock) advance(offset time.Duration) {
 	m.t.Helper()
-	m.now += by
+	m.now += offset
 	if _, err := m.out.Write(binary.BigEndian.AppendUint64(nil, uint64(m.now))); err != nil {
 		m.t.Fatal(err)
 	}
@@ -110,16 +110,16 @@
 // Now is the wrong time.
 func (c offsetClock) Now() eventloop.Timestamp { return c.TimeSource.Now() + c.by }
 
-// clockOffset is the environment variable with the offset of the program's wall clock.
-const clockOffset = "CLOVERDOOR_TEST_CLOCK_OFFSET"
+// clockOffsetEnv is the environment variable with the offset of the program's wall clock.
+const clockOffsetEnv = "CLOVERDOOR_TEST_CLOCK_OFFSET"
 
-// serveByTestClock runs the program with the clock and the system call faults that its environment says.
-func serveByTestClock() {
+// serveWithTestClock runs the program with the clock and the system call faults that its environment says.
+func serveWithTestClock() {
 	injectSyscallFaults()
 	onViolation = func(text string) { panic("rule broken: " + text) }
 	start, err1 := strconv.ParseInt(os.Getenv("CLOVERDOOR_TEST_CLOCK"), 10, 64)
 	fd, err2 := strconv.Atoi(os.Getenv("CLOVERDOOR_TEST_CLOCK_FD"))
-	if by, err := time.ParseDuration(os.Getenv(clockOffset)); err == nil {
+	if by, err := time.ParseDuration(os.Getenv(clockOffsetEnv)); err == nil {
 		serve(offsetClock{eventloop.SystemClock(), by})
 		return
 	}
@@ -136,14 +136,14 @@
 func TestWallClockWrongAtTheStart(t *testing.T) {
 	for _, by := range []string{"1h", "-1h", "4s", "-4s"} {
 		env := newTestEnv(t)
-		env.extraEnv = []string{clockOffset + "=" + by}
+		env.extraEnv = []string{clockOffsetEnv + "=" + by}
 		env.start(fullList(env.cache.Addr(), env.origin.Addr()))
 		env.awaitAlive("200")
 		receive(t, env.followLines, "follow")
 		c := env.dial()
 		moment := time.Now()
 		env.sendEvent(fmt.Sprintf(`{"index":2,"evict":{"ref":"0000000000000001","unix_ms":%d}}`, moment.UnixMilli()))
-		env.awaitEventsTaken()
+		env.awaitEventsApplied()
 		c.request(1, "artes", longTimeoutMS, 1, "")
 		got := receive(t, env.cache.calls, "call")
 		age, _ := strconv.ParseInt(got.fields["maxage"], 10, 64)
--- a/cmd/edgeproxy/coordinator_test.go
+++ b/cmd/edgeproxy/coordinator_test.go
@@ -12,7 +12,7 @@
 func TestDrainedCacheGetsNothingNew(t *testing.T) {
 	env := startTestEnv(t)
 	receive(t, env.followLines, "follow")
-	second := newStandIn(t)
+	second := newFakeServer(t)
 	env.cache.answerAll("served", "-", "first")
 	second.answerAll("served", "-", "second")
 	c := env.dial()
@@ -150,14 +150,14 @@
 func TestFullListAfterAReload(t *testing.T) {
 	env := startTestEnv(t)
 	receive(t, env.followLines, "follow")
-	second := newStandIn(t)
+	second := newFakeServer(t)
 	second.answerAll("served", "-", "second")
 	old := env.watchConn
 	env.reload(old.LocalAddr().String(), env.startCoordinator())
 	receive(t, env.followLines, "follow")
 	env.sendEvent(endpointEvent(2, true, endpoint("c2", "std", "edge", "SERVING", second.Addr()), endpoint("o1", "origin", "hub", "SERVING", env.origin.Addr())))
-	env.awaitEventsTaken()
-	env.servedOnlyBy("second")
+	env.awaitEventsApplied()
+	env.checkServedOnlyBy("second")
 }
 
 // TestReadyWithCoordinatorDown checks that a restarted process serves by the list in its configuration while
--- a/cmd/edgeproxy/coordinatorenv_test.go
+++ b/cmd/edgeproxy/coordinatorenv_test.go
@@ -90,16 +90,16 @@
 	}
 }
 
-// awaitEventsTaken waits until the program has taken all events sent so far: it reconnects at a malformed
+// awaitEventsApplied waits until the program has taken all events sent so far: it reconnects at a malformed
 // line behind them.
-func (env *testEnv) awaitEventsTaken() {
+func (env *testEnv) awaitEventsApplied() {
 	env.t.Helper()
 	env.sendEvent("nonsense")
 	receive(env.t, env.followLines, "follow")
 }
 
-// servedOnlyBy checks that reads of 30 objects are all answered with one body.
-func (env *testEnv) servedOnlyBy(body string) {
+// checkServedOnlyBy checks that reads of 30 objects are all answered with one body.
+func (env *testEnv) checkServedOnlyBy(body string) {
 	env.t.Helper()
 	c := env.dial()
 	for i := range 30 {
--- a/cmd/edgeproxy/coordinatorlines_test.go
+++ b/cmd/edgeproxy/coordinatorlines_test.go
@@ -14,7 +14,7 @@
 func TestDrainInHalfALine(t *testing.T) {
 	env := startTestEnv(t)
 	receive(t, env.followLines, "follow")
-	second := newStandIn(t)
+	second := newFakeServer(t)
 	second.answerAll("served", "-", "second")
 	env.sendEvent(endpointEvent(2, false, endpoint("c2", "std", "edge", "SERVING", second.Addr())))
 	drain := `{"index":3,"endpoints":{"version":3,"full":false,"servers":[{"id":"c1","addr":"` + env.cache.Addr().String() +
@@ -28,8 +28,8 @@
 		t.Errorf("%q", got)
 	}
 	env.sendEvent(drain)
-	env.awaitEventsTaken()
-	env.servedOnlyBy("second")
+	env.awaitEventsApplied()
+	env.checkServedOnlyBy("second")
 }
 
 // TestEndlessLineCountsAsSilence checks that a stream that sends bytes without ending a line is treated as
@@ -57,13 +57,13 @@
 func TestUnreadableEntryCountsAsRemoved(t *testing.T) {
 	env := startTestEnv(t)
 	receive(t, env.followLines, "follow")
-	second := newStandIn(t)
+	second := newFakeServer(t)
 	second.answerAll("served", "-", "second")
 	broken := endpoint("c1", "std", "edge", "DRAINING", env.cache.Addr())
 	broken["addr"] = "nowhere"
 	env.sendEvent(endpointEvent(2, false, broken, endpoint("c2", "std", "edge", "SERVING", second.Addr())))
-	env.awaitEventsTaken()
-	env.servedOnlyBy("second")
+	env.awaitEventsApplied()
+	env.checkServedOnlyBy("second")
 }
 
 // TestSlowLineIsReceived checks that an event that arrives slowly but steadily is taken: the bytes so far are
@@ -72,10 +72,10 @@
 	const inAll, step = 6 * time.Second, 100 * time.Millisecond
 	env := newTestEnv(t)
 	env.clock = newManualClock(t)
-	second := newStandIn(t)
+	second := newFakeServer(t)
 	second.answerAll("served", "-", "second")
 	drain := newSlowCoordinator(t, endpointEvent(2, false, endpoint("c1", "std", "edge", "DRAINING", env.cache.Addr())), env.followLines)
-	env.coordinatorVia = func(string) string { return drain.Addr().String() }
+	env.relayCoordinator = func(string) string { return drain.Addr().String() }
 	env.start(endpointEvent(1, true, endpoint("c1", "std", "edge", "SERVING", env.cache.Addr()), endpoint("c2", "std", "edge", "SERVING", second.Addr()),
 		endpoint("o1", "origin", "hub", "SERVING", env.origin.Addr())))
 	env.awaitAlive("200")
@@ -85,7 +85,7 @@
 		env.clock.advance(step)
 	}
 	env.awaitAlive("200") // a turn of the event loop later: all that came before has been read
-	env.servedOnlyBy("second")
+	env.checkServedOnlyBy("second")
 }
 
 // TestUnknownStateHidesNothing checks that an entry in an unknown state counts as removed, and that the rest
@@ -96,12 +96,12 @@
 		endpoint("o1", "origin", "hub", "SERVING", env.origin.Addr())))
 	env.awaitAlive("200")
 	receive(t, env.followLines, "follow")
-	second := newStandIn(t)
+	second := newFakeServer(t)
 	second.answerAll("served", "-", "second")
 	env.sendEvent(endpointEvent(2, false, endpoint("c1", "std", "edge", "RESTING", env.cache.Addr()), endpoint("c2", "std", "edge", "SERVING", second.Addr()),
 		endpoint("c3", "std", "edge", "SERVING", second.Addr())))
 	env.eventually("the rest of the event is taken", func() bool { return env.metric("svc_registry_entries") == 3 })
-	env.servedOnlyBy("second")
+	env.checkServedOnlyBy("second")
 	env.sendEvent(endpointEvent(3, false, endpoint("c3", "std", "edge", "DELETED", second.Addr())))
 	env.eventually("the next event is taken", func() bool { return env.metric("svc_registry_entries") == 2 })
 	if len(env.followLines) != 0 {
@@ -167,7 +167,7 @@
 func TestDrainBehindAnUnreadableLine(t *testing.T) {
 	env := startTestEnv(t)
 	receive(t, env.followLines, "follow")
-	second := newStandIn(t)
+	second := newFakeServer(t)
 	second.answerAll("served", "-", "second")
 	env.sendEvent(endpointEvent(2, false, endpoint("c2", "std", "edge", "SERVING", second.Addr())))
 	env.eventually("the second cache is known", func() bool { return env.metric("svc_registry_entries") == 3 })
@@ -198,7 +198,7 @@
 func TestSpoiltDrainIsRequestedAgain(t *testing.T) {
 	env := startTestEnv(t)
 	receive(t, env.followLines, "follow")
-	second := newStandIn(t)
+	second := newFakeServer(t)
 	second.answerAll("served", "-", "second")
 	text, err := json.Marshal(endpointEvent(2, false, endpoint("c1", "std", "edge", "DRAINING", env.cache.Addr())))
 	if err != nil {
@@ -216,6 +216,6 @@
 		t.Errorf("%q", got)
 	}
 	env.sendEvent(drain)
-	env.awaitEventsTaken()
-	env.servedOnlyBy("second")
+	env.awaitEventsApplied()
+	env.checkServedOnlyBy("second")
 }
--- a/cmd/edgeproxy/disconnect_test.go
+++ b/cmd/edgeproxy/disconnect_test.go
@@ -84,7 +84,7 @@
 				c.writeRecord(recordAbort, 2, "")
 				c.writeRecord(recordAbort, 3, "")
 			}
-			time.Sleep(overCancelGrace) // not a race: the disconnect is older than the grace period
+			time.Sleep(pastDisconnectGrace) // not a race: the disconnect is older than the grace period
 			resume()
 			if how == "half-close" { // it is told that nothing was executed
 				for range 2 {
--- a/cmd/edgeproxy/env_test.go
+++ b/cmd/edgeproxy/env_test.go
@@ -37,21 +37,21 @@
 	addr          string     // for clients
 	adminAddr     string     // for operators
 	exited        chan error // the result of each program that has exited
-	cache, origin *standIn
+	cache, origin *fakeServer
 
 	followLines         chan string              // what the program sends to the coordinator
 	coordinatorListener net.Listener             // may be closed
 	coordinatorDown     bool                     // the coordinator refuses connections at the start
-	coordinatorVia      func(addr string) string // returns where the program reaches the coordinator; nil: at its address
+	relayCoordinator    func(addr string) string // returns where the program reaches the coordinator; nil: at its address
 	mu                  sync.Mutex
 	watchConn           net.Conn // the present stream from the coordinator, under mu
 
 	// Set by a test before the start:
-	stderr     *os.File     // of the program
-	heldSocket *os.File     // for clients, as the platform hands it over; nil: the program listens by itself
-	clock      *manualClock // of the program; nil: the system's
-	memoryMB   int          // limit of the program
-	extraEnv   []string     // environment variables of the program
+	stderr          *os.File     // of the program
+	inheritedSocket *os.File     // for clients, as the platform hands it over; nil: the program listens by itself
+	clock           *manualClock // of the program; nil: the system's
+	memoryMB        int          // limit of the program
+	extraEnv        []string     // environment variables of the program
 }
 
 // startTestEnv starts a program whose configuration holds event 1: one cache and the origin.
@@ -67,7 +67,7 @@
 func newTestEnv(t *testing.T) *testEnv {
 	t.Helper()
 	return &testEnv{
-		t: t, followLines: make(chan string, 100), cache: newStandIn(t), origin: newStandIn(t), exited: make(chan error, 1),
+		t: t, followLines: make(chan string, 100), cache: newFakeServer(t), origin: newFakeServer(t), exited: make(chan error, 1),
 		stderr: os.Stderr, memoryMB: defaultMemoryMB,
 	}
 }
@@ -77,8 +77,8 @@
 	env.addr = freeAddr(env.t)
 	env.adminAddr = freeAddr(env.t)
 	coordinator := env.startCoordinator()
-	if env.coordinatorVia != nil {
-		coordinator = env.coordinatorVia(coordinator)
+	if env.relayCoordinator != nil {
+		coordinator = env.relayCoordinator(coordinator)
 	}
 	class := func(name, semantics string) map[string]any {
 		return map[string]any{"name": name, "semantics": semantics, "promise-us": 500000, "gain": 1}
@@ -110,8 +110,8 @@
 func (env *testEnv) startProgram() {
 	env.cmd.Stderr = env.stderr
 	env.cmd.Env = append(env.cmd.Env, env.extraEnv...)
-	if env.heldSocket != nil {
-		env.cmd.ExtraFiles = []*os.File{env.heldSocket}
+	if env.inheritedSocket != nil {
+		env.cmd.ExtraFiles = []*os.File{env.inheritedSocket}
 		env.cmd.Env = append(env.cmd.Env, "BALANCER_LISTEN_FD=3")
 	}
 	if env.clock != nil {
@@ -230,8 +230,8 @@
 	return len(descriptors)
 }
 
-// mustAddr parses an address.
-func mustAddr(t *testing.T, s string) netip.AddrPort {
+// mustParseAddr parses an address.
+func mustParseAddr(t *testing.T, s string) netip.AddrPort {
 	t.Helper()
 	addr, err := netip.ParseAddrPort(s)
 	if err != nil {
--- a/cmd/edgeproxy/fastcgi_client_test.go
+++ b/cmd/edgeproxy/fastcgi_client_test.go
@@ -162,5 +162,5 @@
 	return conn, out
 }
 
-// overCancelGrace is longer than the time after a disconnect in which an attempt may begin.
-const overCancelGrace = 150 * time.Millisecond
+// pastDisconnectGrace is longer than the time after a disconnect in which an attempt may begin.
+const pastDisconnectGrace = 150 * time.Millisecond
--- a/cmd/edgeproxy/fault_test.go
+++ b/cmd/edgeproxy/fault_test.go
@@ -22,7 +22,7 @@
 		`c down match "wri" : halfclose`:   1,
 	} {
 		env := newTestEnv(t)
-		origin := newFaultyAddr(t, env.origin.Addr().String(), strings.Replace(rule, "c ", "c conn 1 ", 1))
+		origin := newFaultyRelay(t, env.origin.Addr().String(), strings.Replace(rule, "c ", "c conn 1 ", 1))
 		env.startWith(env.cache.Addr(), origin.Addr())
 		var ran []*receivedCall
 		var mu sync.Mutex
@@ -64,10 +64,10 @@
 func TestCoordinatorSilentInADrain(t *testing.T) {
 	t.Parallel()
 	env := newTestEnv(t)
-	env.coordinatorVia = func(addr string) string {
-		return newFaultyAddr(t, addr, `c down conn 1 match "DRAIN" : silence`).Addr().String()
+	env.relayCoordinator = func(addr string) string {
+		return newFaultyRelay(t, addr, `c down conn 1 match "DRAIN" : silence`).Addr().String()
 	}
-	second := newStandIn(t)
+	second := newFakeServer(t)
 	second.answerAll("served", "-", "second")
 	env.start(endpointEvent(1, true, endpoint("c1", "std", "edge", "SERVING", env.cache.Addr()), endpoint("c2", "std", "edge", "SERVING", second.Addr()),
 		endpoint("o1", "origin", "hub", "SERVING", env.origin.Addr())))
@@ -79,15 +79,15 @@
 		t.Errorf("%q", got)
 	}
 	env.sendEvent(drain)
-	env.awaitEventsTaken()
-	env.servedOnlyBy("second")
+	env.awaitEventsApplied()
+	env.checkServedOnlyBy("second")
 }
 
 // TestClientResetsWithItsRequest checks that the calls of a request are stopped, and no others begin, when its
 // connection is reset with its last byte.
 func TestClientResetsWithItsRequest(t *testing.T) {
 	env := startTestEnv(t)
-	front := newFaultyAddr(t, env.addr, `c up conn 1 match "\x01\x05\x00\x01\x00\x00\x00\x00" : reset`)
+	front := newFaultyRelay(t, env.addr, `c up conn 1 match "\x01\x05\x00\x01\x00\x00\x00\x00" : reset`)
 	conn, err := net.Dial("tcp", front.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -116,7 +116,7 @@
 func TestStopWithAnswersHalfWritten(t *testing.T) {
 	t.Parallel()
 	env := startTestEnv(t)
-	front := newFaultyAddr(t, env.addr, "c down byte 300000 : silence 1500ms")
+	front := newFaultyRelay(t, env.addr, "c down byte 300000 : silence 1500ms")
 	conn, err := net.Dial("tcp", front.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -156,7 +156,7 @@
 		"c down conn 1 byte 30 : silence 1s": "200",
 	} {
 		env := newTestEnv(t)
-		env.startWith(newFaultyAddr(t, env.cache.Addr().String(), rule).Addr(), env.origin.Addr())
+		env.startWith(newFaultyRelay(t, env.cache.Addr().String(), rule).Addr(), env.origin.Addr())
 		env.cache.answerAll("served", "made=1,note=TCP_HIT", "whole")
 		env.origin.answerAll("served", "made=1", "whole")
 		c := env.dial()
--- a/cmd/edgeproxy/main_test.go
+++ b/cmd/edgeproxy/main_test.go
@@ -9,7 +9,7 @@
 // TestMain serves as the program if a test has started this binary as one.
 func TestMain(m *testing.M) {
 	if os.Getenv(programEnv) != "" {
-		serveByTestClock()
+		serveWithTestClock()
 		return
 	}
 	os.Exit(m.Run())
--- a/cmd/edgeproxy/replace_test.go
+++ b/cmd/edgeproxy/replace_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// startOnHeldSocket starts the program on a clients' socket that the test holds, as the platform does.
-func (env *testEnv) startOnHeldSocket() {
+// startOnInheritedSocket starts the program on a clients' socket that the test holds, as the platform does.
+func (env *testEnv) startOnInheritedSocket() {
 	env.t.Helper()
 	held := listen(env.t).(*net.TCPListener)
 	socket, err := held.File()
@@ -18,7 +18,7 @@
 		env.t.Fatal(err)
 	}
 	env.t.Cleanup(func() { closeOnce(env.t, socket) })
-	env.heldSocket = socket
+	env.inheritedSocket = socket
 	env.start(fullList(env.cache.Addr(), env.origin.Addr()))
 	env.addr = held.Addr().String()
 	env.awaitAlive("200")
@@ -40,7 +40,7 @@
 // answers what it has accepted and exits, and connections in the queue are not lost.
 func TestReplacingTheProcess(t *testing.T) {
 	env := newTestEnv(t)
-	env.startOnHeldSocket()
+	env.startOnInheritedSocket()
 	oldClient := env.dial()
 	oldClient.request(1, "artes", longTimeoutMS, 1, "")
 	open := receive(t, env.cache.calls, "call")
@@ -88,7 +88,7 @@
 		t.Fatal(err)
 	}
 	defer closeOnce(t, socket)
-	env.heldSocket = socket
+	env.inheritedSocket = socket
 	env.addr = held.Addr().String()
 	late := env.dial()
 	inTime := env.dial()
@@ -126,7 +126,7 @@
 func TestReplacementServesAllClients(t *testing.T) {
 	const clientConns = testSockets / 3
 	env := newTestEnv(t)
-	env.startOnHeldSocket()
+	env.startOnInheritedSocket()
 	env.cache.answerAll("served", "-", "fine")
 	old := env.startReplacement()
 	env.awaitReplacementReady()
--- a/cmd/edgeproxy/scriptplay_test.go
+++ b/cmd/edgeproxy/scriptplay_test.go
@@ -51,16 +51,16 @@
 		}
 	}()
 	env.origin.answerAll("served", "made=1", strings.Repeat("o", 200))
-	cache := newFaultyAddr(t, env.cache.Addr().String(), "c down every 2 byte 7000 : reset", "c down byte 9100 : close",
+	cache := newFaultyRelay(t, env.cache.Addr().String(), "c down every 2 byte 7000 : reset", "c down byte 9100 : close",
 		"c down every 3 byte 5000 : garble 9", "c up : pieces 50", "c : delay 1ms", "c down every 5 byte 3000 : repeat 600")
-	origin := newFaultyAddr(t, env.origin.Addr().String(), "c down byte 1100 : reset", "c up every 5 byte 900 : reset",
+	origin := newFaultyRelay(t, env.origin.Addr().String(), "c down byte 1100 : reset", "c up every 5 byte 900 : reset",
 		"c down every 3 byte 700 : halfclose")
-	env.coordinatorVia = func(addr string) string {
-		watch := newFaultyAddr(t, addr, "c down every 2 byte 400 : reset", "c down every 3 byte 300 : garble 3")
+	env.relayCoordinator = func(addr string) string {
+		watch := newFaultyRelay(t, addr, "c down every 2 byte 400 : reset", "c down every 3 byte 300 : garble 3")
 		return watch.Addr().String()
 	}
 	env.startWith(cache.Addr(), origin.Addr())
-	front := newFaultyAddr(t, env.addr, "c up every 3 byte 2500 : reset", "c down byte 14000 : close", "c : pieces 70")
+	front := newFaultyRelay(t, env.addr, "c up every 3 byte 2500 : reset", "c down byte 14000 : close", "c : pieces 70")
 	requests := int(length / clockStep)
 	var c *client
 	lost := 0
--- a/cmd/edgeproxy/standin_test.go
+++ b/cmd/edgeproxy/standin_test.go
@@ -25,17 +25,17 @@
 	io.WriteString(c.conn, text) //nolint:errcheck // the program may have closed the connection
 }
 
-// standIn stands in for a cache, a parent or the origin.
-type standIn struct {
+// fakeServer stands in for a cache, a parent or the origin.
+type fakeServer struct {
 	net.Listener
 	calls chan *receivedCall // REQ
 	stops chan *receivedCall // STOP
 }
 
-// newStandIn starts a server that answers nothing by itself.
-func newStandIn(t *testing.T) *standIn {
+// newFakeServer starts a server that answers nothing by itself.
+func newFakeServer(t *testing.T) *fakeServer {
 	t.Helper()
-	s := &standIn{listen(t), make(chan *receivedCall, 1000), make(chan *receivedCall, 1000)}
+	s := &fakeServer{listen(t), make(chan *receivedCall, 1000), make(chan *receivedCall, 1000)}
 	go serveEach(s, func(conn net.Conn) {
 		in := bufio.NewReader(conn)
 		for {
@@ -59,7 +59,7 @@
 }
 
 // answerAll answers every call in the same way from now on.
-func (s *standIn) answerAll(word, fields, body string) {
+func (s *fakeServer) answerAll(word, fields, body string) {
 	go func() {
 		for c := range s.calls {
 			c.answer(word, fields, body)
@@ -70,7 +70,7 @@
 // listen opens a listener until the end of the test.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
-	l, err := net.Listen("tcp", loopback(1))
+	l, err := net.Listen("tcp", loopbackAddr(1))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,10 +78,10 @@
 	return l
 }
 
-// loopback is a host on loopback that this process alone uses, with port 0. Ports of 127.0.0.1 are no use: an
+// loopbackAddr is a host on loopbackAddr that this process alone uses, with port 0. Ports of 127.0.0.1 are no use: an
 // outgoing connection may take one that a test has chosen before the program, or a coordinator that returns,
 // listens on it.
-func loopback(host int) string {
+func loopbackAddr(host int) string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d:0", 1+pid>>8&0x7f, pid&0xff, host)
 }
@@ -93,7 +93,7 @@
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	for {
-		l, err := net.Listen("tcp", loopback(2))
+		l, err := net.Listen("tcp", loopbackAddr(2))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/edgeproxy/syscallfaults_test.go
+++ b/cmd/edgeproxy/syscallfaults_test.go
@@ -19,13 +19,13 @@
 // block forever after TEXT.
 const syscallFaultsEnv = "CLOVERDOOR_TEST_FAULTS"
 
-// randomFailures is the environment variable with the seed by which system calls fail at random.
-const randomFailures = "CLOVERDOOR_TEST_RANDOM_FAULTS"
+// randomFaultsEnv is the environment variable with the seed by which system calls fail at random.
+const randomFaultsEnv = "CLOVERDOOR_TEST_RANDOM_FAULTS"
 
 const (
-	failureChance    = 0.01
-	disconnectChance = failureChance / 4 // that a connection that the program has opened fails
-	shortChance      = 0.05              // that a read or write transfers only a part
+	failureChance       = 0.01
+	disconnectChance    = failureChance / 4 // that a connection that the program has opened fails
+	shortTransferChance = 0.05              // that a read or write transfers only a part
 	// failureStream is the stream of a seed's random numbers that draws the failures.
 	failureStream = 5
 	// maxErrno is above all error numbers.
@@ -43,7 +43,7 @@
 
 // injectRandomSyscallFaults makes system calls fail at random if the environment holds a seed.
 func injectRandomSyscallFaults() {
-	seed, err := strconv.ParseUint(os.Getenv(randomFailures), 10, 64)
+	seed, err := strconv.ParseUint(os.Getenv(randomFaultsEnv), 10, 64)
 	if err != nil {
 		return
 	}
@@ -51,15 +51,15 @@
 	eventloop.System.Socket = r.socket
 	eventloop.System.Connect = r.connect
 	eventloop.System.Accept = r.accept
-	eventloop.System.Read = r.transfer(r.system.Read, unix.ECONNRESET, unix.ETIMEDOUT, unix.EHOSTUNREACH)
-	eventloop.System.Write = r.transfer(r.system.Write, unix.EPIPE, unix.ECONNRESET, unix.ETIMEDOUT, unix.EHOSTUNREACH)
+	eventloop.System.Read = r.wrapTransfer(r.system.Read, unix.ECONNRESET, unix.ETIMEDOUT, unix.EHOSTUNREACH)
+	eventloop.System.Write = r.wrapTransfer(r.system.Write, unix.EPIPE, unix.ECONNRESET, unix.ETIMEDOUT, unix.EHOSTUNREACH)
 	eventloop.System.SetOption = r.setOption
 	eventloop.System.Control = r.control
 	eventloop.System.Wait = r.wait
 }
 
-// failure draws whether a call fails, and with which of the codes; nil: it does not.
-func (r *randomSyscalls) failure(codes ...unix.Errno) error {
+// drawFailure draws whether a call fails, and with which of the codes; nil: it does not.
+func (r *randomSyscalls) drawFailure(codes ...unix.Errno) error {
 	if r.rng.Float64() < failureChance {
 		return codes[r.rng.IntN(len(codes))]
 	}
@@ -67,7 +67,7 @@
 }
 
 func (r *randomSyscalls) socket(family, kind, protocol int) (int, error) {
-	if err := r.failure(unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM); err != nil {
+	if err := r.drawFailure(unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM); err != nil {
 		return -1, err
 	}
 	fd, err := r.system.Socket(family, kind, protocol)
@@ -76,7 +76,7 @@
 }
 
 func (r *randomSyscalls) connect(fd int, addr unix.Sockaddr) error {
-	if err := r.failure(unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.EAGAIN); err != nil {
+	if err := r.drawFailure(unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.EAGAIN); err != nil {
 		return err
 	}
 	err := r.system.Connect(fd, addr)
@@ -87,7 +87,7 @@
 }
 
 func (r *randomSyscalls) accept(fd, flags int) (int, error) {
-	err := r.failure(unix.ECONNABORTED, unix.EINTR, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EPROTO, unix.EPERM,
+	err := r.drawFailure(unix.ECONNABORTED, unix.EINTR, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EPROTO, unix.EPERM,
 		unix.ENETDOWN, unix.EHOSTUNREACH)
 	if err != nil {
 		return -1, err
@@ -97,17 +97,17 @@
 	return accepted, err
 }
 
-// transfer wraps a read or a write, which fails, transfers only a part, or ends the connection with one of
+// wrapTransfer wraps a read or a write, which fails, transfers only a part, or ends the connection with one of
 // the codes.
-func (r *randomSyscalls) transfer(call func(int, []byte) (int, error), ends ...unix.Errno) func(int, []byte) (int, error) {
+func (r *randomSyscalls) wrapTransfer(call func(int, []byte) (int, error), ends ...unix.Errno) func(int, []byte) (int, error) {
 	return func(fd int, data []byte) (int, error) {
-		if err := r.failure(unix.EINTR, unix.EINTR, unix.ENOBUFS, unix.ENOMEM); err != nil {
+		if err := r.drawFailure(unix.EINTR, unix.EINTR, unix.ENOBUFS, unix.ENOMEM); err != nil {
 			return -1, err
 		}
 		if r.opened[fd] && r.rng.Float64() < disconnectChance {
 			return -1, ends[r.rng.IntN(len(ends))]
 		}
-		if len(data) > 1 && r.rng.Float64() < shortChance {
+		if len(data) > 1 && r.rng.Float64() < shortTransferChance {
 			data = data[:1+r.rng.IntN(len(data)-1)]
 		}
 		return call(fd, data)
@@ -115,21 +115,21 @@
 }
 
 func (r *randomSyscalls) setOption(fd, level, option, value int) error {
-	if err := r.failure(unix.ENOBUFS, unix.ENOMEM); err != nil {
+	if err := r.drawFailure(unix.ENOBUFS, unix.ENOMEM); err != nil {
 		return err
 	}
 	return r.system.SetOption(fd, level, option, value)
 }
 
 func (r *randomSyscalls) control(epoll, operation, fd int, event *unix.EpollEvent) error {
-	if err := r.failure(unix.ENOMEM, unix.ENOSPC); err != nil {
+	if err := r.drawFailure(unix.ENOMEM, unix.ENOSPC); err != nil {
 		return err
 	}
 	return r.system.Control(epoll, operation, fd, event)
 }
 
 func (r *randomSyscalls) wait(epoll int, events []unix.EpollEvent, timeoutMS int) (int, error) {
-	if err := r.failure(unix.EINTR); err != nil {
+	if err := r.drawFailure(unix.EINTR); err != nil {
 		return -1, err
 	}
 	return r.system.Wait(epoll, events, timeoutMS)
@@ -149,12 +149,12 @@
 		if _, err := fmt.Sscanf(bounds, "%d-%d", &from, &to); err != nil {
 			panic(word)
 		}
-		failCall(call, errno(name), from, to)
+		failCall(call, errnoByName(name), from, to)
 	}
 }
 
-// errno is the error number with a name.
-func errno(name string) unix.Errno {
+// errnoByName is the error number with a name.
+func errnoByName(name string) unix.Errno {
 	for code := unix.Errno(1); code < maxErrno; code++ {
 		if unix.ErrnoName(code) == name {
 			return code
