--- a/cmd/edgeproxy/admin_test.go
+++ b/cmd/edgeproxy/admin_test.go
@@ -175,9 +175,9 @@
 	}
 }
 
-// TestAnswersThatServeNothingShowTheirReason guards against answers that no figure shows: each answer that serves
+// TestUnservedRequestsAreCountedByReason guards against answers that no figure shows: each answer that serves
 // nothing is counted under its reason, also where the request was never submitted.
-func TestAnswersThatServeNothingShowTheirReason(t *testing.T) {
+func TestUnservedRequestsAreCountedByReason(t *testing.T) {
 	env := startTestEnv(t)
 	c := env.dial()
 	ask := func(want, reason, class string, params ...string) {
--- a/cmd/edgeproxy/cache_test.go
+++ b/cmd/edgeproxy/cache_test.go
@@ -148,9 +148,9 @@
 	}
 }
 
-// TestIdleConnectionsThatDieAreNotUsed checks that connections that a server closes when they are reused are
+// TestConnectionsClosedOnReuseAreAvoided checks that connections that a server closes when they are reused are
 // avoided after a few failures, above all by writes, which can't be retried.
-func TestIdleConnectionsThatDieAreNotUsed(t *testing.T) {
+func TestConnectionsClosedOnReuseAreAvoided(t *testing.T) {
 	t.Parallel()
 	env := startTestEnv(t)
 	c := env.dial()
@@ -203,9 +203,9 @@
 	})
 }
 
-// TestOnlyTheClientsOwnCopyIsCurrent checks that a client's copy is confirmed only if the server names its
+// TestOnlyTheClientsVersionIsConfirmed checks that a client's copy is confirmed only if the server names its
 // version. An answer that names another version fails its attempt, and its connection stays open.
-func TestOnlyTheClientsOwnCopyIsCurrent(t *testing.T) {
+func TestOnlyTheClientsVersionIsConfirmed(t *testing.T) {
 	env := startTestEnv(t)
 	c := env.dial()
 	for i, fields := range []string{"etag=4be0c1927d55a6f4,made=1,note=TCP_HIT", "made=1,note=TCP_HIT", "-"} {
@@ -227,9 +227,9 @@
 	}
 }
 
-// TestConnectionWithHalfAnAnswerIsNotUsedAgain checks that a connection with an incomplete answer gets no new
+// TestConnectionWithAnIncompleteAnswerIsNotUsedAgain checks that a connection with an incomplete answer gets no new
 // calls: their answers would be taken for the rest of it.
-func TestConnectionWithHalfAnAnswerIsNotUsedAgain(t *testing.T) {
+func TestConnectionWithAnIncompleteAnswerIsNotUsedAgain(t *testing.T) {
 	env := startTestEnv(t)
 	c := env.dial()
 	c.request(1, "registro", longTimeoutMS, 1, "x")
@@ -251,9 +251,9 @@
 	}
 }
 
-// TestSecondAndStrayAnswersAreIgnored checks that duplicate, late and unknown answers affect neither their
+// TestDuplicateAndUnknownAnswersAreIgnored checks that duplicate, late and unknown answers affect neither their
 // request nor the next one on the connection.
-func TestSecondAndStrayAnswersAreIgnored(t *testing.T) {
+func TestDuplicateAndUnknownAnswersAreIgnored(t *testing.T) {
 	env := startTestEnv(t)
 	c := env.dial()
 	stray := &receivedCall{words: []string{"", "ffffffffffffffff"}}
@@ -280,9 +280,9 @@
 	}
 }
 
-// TestCancelledBeforeARetry checks that with hedging off an attempt is cancelled by closing its connection
+// TestAttemptIsCancelledBeforeARetry checks that with hedging off an attempt is cancelled by closing its connection
 // before the next one begins, as a server that hangs does not read STOP.
-func TestCancelledBeforeARetry(t *testing.T) {
+func TestAttemptIsCancelledBeforeARetry(t *testing.T) {
 	t.Parallel()
 	env := startTestEnv(t)
 	env.reload(`"second-copies":true`, `"second-copies":false`)
--- a/cmd/edgeproxy/client_test.go
+++ b/cmd/edgeproxy/client_test.go
@@ -93,9 +93,9 @@
 	}
 }
 
-// TestNoAdviceWhereNoneIsAllowed checks that rejections carry no Retry-After advice where the settings forbid
+// TestNoRetryAfterWhereItIsOff checks that rejections carry no Retry-After advice where the settings forbid
 // it.
-func TestNoAdviceWhereNoneIsAllowed(t *testing.T) {
+func TestNoRetryAfterWhereItIsOff(t *testing.T) {
 	env := startTestEnv(t)
 	env.reload(`"second-copies":true`, `"retry-after":false,"second-copies":true`)
 	env.eventually("taken over", func() bool { return env.metric("svc_cfg_accepted") == 1 })
--- a/cmd/edgeproxy/clientlimits_test.go
+++ b/cmd/edgeproxy/clientlimits_test.go
@@ -34,9 +34,9 @@
 	}
 }
 
-// TestMemoryFullOfHalfRequests checks that complete requests are answered when incomplete ones have used up
+// TestMemoryFullOfIncompleteRequests checks that complete requests are answered when incomplete ones have used up
 // the memory, and that no connection is closed without an answer.
-func TestMemoryFullOfHalfRequests(t *testing.T) {
+func TestMemoryFullOfIncompleteRequests(t *testing.T) {
 	const clients = 200
 	env := newTestEnv(t)
 	env.memoryMB = 16
@@ -251,9 +251,9 @@
 	env.checkMemory()
 }
 
-// TestCrowdKeepsNobodyOut checks that many idle clients, while the coordinator is down, keep out neither new
+// TestManyIdleClientsKeepNobodyOut checks that many idle clients, while the coordinator is down, keep out neither new
 // clients nor the coordinator's connection.
-func TestCrowdKeepsNobodyOut(t *testing.T) {
+func TestManyIdleClientsKeepNobodyOut(t *testing.T) {
 	env := startTestEnv(t)
 	env.cache.answerAll("served", "-", "fine")
 	receive(t, env.followLines, "follow")
--- a/cmd/edgeproxy/config_test.go
+++ b/cmd/edgeproxy/config_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// TestLogWithoutReader checks that a closed log pipe does not end the program.
-func TestLogWithoutReader(t *testing.T) {
+// TestClosedLogPipe checks that a closed log pipe does not end the program.
+func TestClosedLogPipe(t *testing.T) {
 	env := newTestEnv(t)
 	r, log, err := os.Pipe()
 	if err != nil {
@@ -45,9 +45,9 @@
 	return read, write
 }
 
-// TestLogThatNobodyReads checks that a full log pipe holds up neither requests, nor admin calls, nor the
+// TestFullLogPipe checks that a full log pipe holds up neither requests, nor admin calls, nor the
 // shutdown.
-func TestLogThatNobodyReads(t *testing.T) {
+func TestFullLogPipe(t *testing.T) {
 	env := newTestEnv(t)
 	_, env.stderr = fullPipe(t)
 	env.cache.answerAll("served", "-", "fine")
@@ -189,8 +189,8 @@
 	}
 }
 
-// TestBadConfiguration checks that an invalid configuration ends the program with one line.
-func TestBadConfiguration(t *testing.T) {
+// TestInvalidConfiguration checks that an invalid configuration ends the program with one line.
+func TestInvalidConfiguration(t *testing.T) {
 	for want, config := range map[string]any{
 		"listen":      map[string]any{"listen": "nowhere"},
 		"coordinator": map[string]any{"listen": "127.0.0.1:1", "coordinator": "nowhere"},
@@ -207,9 +207,9 @@
 	}
 }
 
-// TestUnservableConfiguration checks that well-formed settings with invalid values end the program with one
+// TestInvalidSettings checks that well-formed settings with invalid values end the program with one
 // line instead of a panic.
-func TestUnservableConfiguration(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	for _, change := range [][]string{
 		{`"zone":1`, `"zone":-1`}, {`"zone":1`, `"zone":7`}, {`"streams-per-conn":32`, `"streams-per-conn":-32`},
 		{`"may-cancel"`, `"max-open":-1,"may-cancel"`}, {`"group-size":1`, `"group-size":-300`},
@@ -230,9 +230,9 @@
 	}
 }
 
-// TestStartThoughCallsFail checks that the program starts although descriptors or memory are lacking for a
+// TestStartIsRetriedOnResourceShortage checks that the program starts although descriptors or memory are lacking for a
 // while.
-func TestStartThoughCallsFail(t *testing.T) {
+func TestStartIsRetriedOnResourceShortage(t *testing.T) {
 	for _, failure := range []string{"socket:ENFILE:1-3", "socket:ENOBUFS:2-5", "socket:ENOMEM:1-1"} {
 		env := newTestEnv(t)
 		env.extraEnv = []string{syscallFaultsEnv + "=" + failure}
--- a/cmd/edgeproxy/coordinator_test.go
+++ b/cmd/edgeproxy/coordinator_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestDrainedCacheGetsNothingNew checks that a draining cache gets no new calls.
-func TestDrainedCacheGetsNothingNew(t *testing.T) {
+// TestDrainingCacheGetsNoNewCalls checks that a draining cache gets no new calls.
+func TestDrainingCacheGetsNoNewCalls(t *testing.T) {
 	env := startTestEnv(t)
 	receive(t, env.followLines, "follow")
 	second := newFakeServer(t)
--- a/cmd/edgeproxy/coordinatorlines_test.go
+++ b/cmd/edgeproxy/coordinatorlines_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// TestDrainInHalfALine checks that a drain whose line was cut off by the end of the stream takes effect when
+// TestDrainInACutOffLine checks that a drain whose line was cut off by the end of the stream takes effect when
 // it is sent again.
-func TestDrainInHalfALine(t *testing.T) {
+func TestDrainInACutOffLine(t *testing.T) {
 	env := startTestEnv(t)
 	receive(t, env.followLines, "follow")
 	second := newFakeServer(t)
@@ -88,9 +88,9 @@
 	env.checkServedOnlyBy("second")
 }
 
-// TestUnknownStateHidesNothing checks that an entry in an unknown state counts as removed, and that the rest
+// TestUnknownStateHidesNoOtherEntry checks that an entry in an unknown state counts as removed, and that the rest
 // of its event and later events are taken without a reconnect.
-func TestUnknownStateHidesNothing(t *testing.T) {
+func TestUnknownStateHidesNoOtherEntry(t *testing.T) {
 	env := newTestEnv(t)
 	env.start(endpointEvent(1, true, endpoint("c0", "std", "edge", "RESTING", env.cache.Addr()), endpoint("c1", "std", "edge", "SERVING", env.cache.Addr()),
 		endpoint("o1", "origin", "hub", "SERVING", env.origin.Addr())))
@@ -109,9 +109,9 @@
 	}
 }
 
-// TestLineThatIsNeverReadable checks that a malformed line is requested once more, in case it was corrupted
+// TestMalformedLineIsRequestedOnceMore checks that a malformed line is requested once more, in case it was corrupted
 // in transit, and then skipped.
-func TestLineThatIsNeverReadable(t *testing.T) {
+func TestMalformedLineIsRequestedOnceMore(t *testing.T) {
 	env := startTestEnv(t)
 	receive(t, env.followLines, "follow")
 	env.sendEvent("{broken")
@@ -127,8 +127,8 @@
 	}
 }
 
-// TestUnknownKindOfEventHidesNothing checks that an event of an unknown kind is skipped without a reconnect.
-func TestUnknownKindOfEventHidesNothing(t *testing.T) {
+// TestUnknownKindOfEventIsSkipped checks that an event of an unknown kind is skipped without a reconnect.
+func TestUnknownKindOfEventIsSkipped(t *testing.T) {
 	env := startTestEnv(t)
 	receive(t, env.followLines, "follow")
 	env.sendEvent(`{"index":2,"quota":{"server":"c1","share":0.5}}`)
@@ -139,9 +139,9 @@
 	}
 }
 
-// TestMissingEventHidesNothing checks that events that are missing after a reconnect too are skipped, and
+// TestMissingEventsAreSkipped checks that events that are missing after a reconnect too are skipped, and
 // that those behind them are taken.
-func TestMissingEventHidesNothing(t *testing.T) {
+func TestMissingEventsAreSkipped(t *testing.T) {
 	env := startTestEnv(t)
 	receive(t, env.followLines, "follow")
 	behind := endpointEvent(4, false, endpoint("c2", "std", "edge", "SERVING", env.cache.Addr()))
@@ -162,9 +162,9 @@
 	env.eventually("a late event is taken", func() bool { return env.metric("svc_registry_entries") == 4 })
 }
 
-// TestDrainBehindAnUnreadableLine checks that a drain that arrives right behind a malformed line takes effect
+// TestDrainBehindAMalformedLine checks that a drain that arrives right behind a malformed line takes effect
 // in the same turn of the event loop.
-func TestDrainBehindAnUnreadableLine(t *testing.T) {
+func TestDrainBehindAMalformedLine(t *testing.T) {
 	env := startTestEnv(t)
 	receive(t, env.followLines, "follow")
 	second := newFakeServer(t)
@@ -193,9 +193,9 @@
 	}
 }
 
-// TestSpoiltDrainIsRequestedAgain guards against a drain that is lost for good: its line was spoilt once in the
+// TestCorruptedDrainIsRequestedAgain guards against a drain that is lost for good: its line was spoilt once in the
 // middle of the input, and was never requested again. It takes effect although newer events were taken before it.
-func TestSpoiltDrainIsRequestedAgain(t *testing.T) {
+func TestCorruptedDrainIsRequestedAgain(t *testing.T) {
 	env := startTestEnv(t)
 	receive(t, env.followLines, "follow")
 	second := newFakeServer(t)
--- a/cmd/edgeproxy/disconnect_test.go
+++ b/cmd/edgeproxy/disconnect_test.go
@@ -62,9 +62,9 @@
 	}
 }
 
-// TestNothingBeginsForADisconnectedClient checks that no call begins for a request whose client had
+// TestNoCallForADisconnectedClient checks that no call begins for a request whose client had
 // disconnected or aborted it before it was read.
-func TestNothingBeginsForADisconnectedClient(t *testing.T) {
+func TestNoCallForADisconnectedClient(t *testing.T) {
 	for _, how := range []string{"half-close", "close", "abort"} {
 		t.Run(how, func(t *testing.T) {
 			env := startTestEnv(t)
@@ -198,9 +198,9 @@
 	}
 }
 
-// TestVanishedClientsAreClosed checks that connections are closed when they are idle for too long, between
+// TestIdleConnectionsAreClosed checks that connections are closed when they are idle for too long, between
 // requests or within one, unless an answer is owed.
-func TestVanishedClientsAreClosed(t *testing.T) {
+func TestIdleConnectionsAreClosed(t *testing.T) {
 	t.Parallel()
 	env := startTestEnv(t)
 	idle := env.dial()
--- a/cmd/edgeproxy/fault_test.go
+++ b/cmd/edgeproxy/fault_test.go
@@ -59,9 +59,9 @@
 	}
 }
 
-// TestCoordinatorSilentInADrain checks that a drain takes effect after a reconnect when the stream fell
+// TestCoordinatorSilentWithinADrain checks that a drain takes effect after a reconnect when the stream fell
 // silent within its line.
-func TestCoordinatorSilentInADrain(t *testing.T) {
+func TestCoordinatorSilentWithinADrain(t *testing.T) {
 	t.Parallel()
 	env := newTestEnv(t)
 	env.relayCoordinator = func(addr string) string {
@@ -83,9 +83,9 @@
 	env.checkServedOnlyBy("second")
 }
 
-// TestClientResetsWithItsRequest checks that the calls of a request are stopped, and no others begin, when its
+// TestConnectionResetWithTheLastByte checks that the calls of a request are stopped, and no others begin, when its
 // connection is reset with its last byte.
-func TestClientResetsWithItsRequest(t *testing.T) {
+func TestConnectionResetWithTheLastByte(t *testing.T) {
 	env := startTestEnv(t)
 	front := newFaultyRelay(t, env.addr, `c up conn 1 match "\x01\x05\x00\x01\x00\x00\x00\x00" : reset`)
 	conn, err := net.Dial("tcp", front.Addr().String())
@@ -112,8 +112,8 @@
 	}
 }
 
-// TestStopWithAnswersHalfWritten checks that answers that are partly written at SIGTERM arrive completely.
-func TestStopWithAnswersHalfWritten(t *testing.T) {
+// TestShutdownWithAnswersPartlyWritten checks that answers that are partly written at SIGTERM arrive completely.
+func TestShutdownWithAnswersPartlyWritten(t *testing.T) {
 	t.Parallel()
 	env := startTestEnv(t)
 	front := newFaultyRelay(t, env.addr, "c down byte 300000 : silence 1500ms")
--- a/cmd/edgeproxy/lateread_test.go
+++ b/cmd/edgeproxy/lateread_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// TestRequestReadTooLateIsRejected checks that a request that is read after its deadline is rejected at once
+// TestRequestReadAfterItsDeadline checks that a request that is read after its deadline is rejected at once
 // and not forwarded.
-func TestRequestReadTooLateIsRejected(t *testing.T) {
+func TestRequestReadAfterItsDeadline(t *testing.T) {
 	env := startTestEnv(t)
 	c := env.dial()
 	c.request(1, "artes", longTimeoutMS, 1, "")
@@ -30,9 +30,9 @@
 	}
 }
 
-// TestRequestBehindMuchInputTooLateIsRejected checks the same for a request behind more input than one turn of
+// TestRequestBehindMuchInputReadAfterItsDeadline checks the same for a request behind more input than one turn of
 // the event loop reads from a connection.
-func TestRequestBehindMuchInputTooLateIsRejected(t *testing.T) {
+func TestRequestBehindMuchInputReadAfterItsDeadline(t *testing.T) {
 	env := startTestEnv(t)
 	env.cache.answerAll("served", "-", "fine")
 	c := env.dial()
@@ -60,9 +60,9 @@
 	}
 }
 
-// TestRequestInTheQueueTooLateIsRejected checks the same for requests on connections that wait to be accepted:
+// TestRequestInTheAcceptQueuePastItsDeadline checks the same for requests on connections that wait to be accepted:
 // the time in the queue counts.
-func TestRequestInTheQueueTooLateIsRejected(t *testing.T) {
+func TestRequestInTheAcceptQueuePastItsDeadline(t *testing.T) {
 	env := startTestEnv(t)
 	env.cache.answerAll("served", "-", "fine")
 	resume := env.pause()
--- a/cmd/edgeproxy/replace_test.go
+++ b/cmd/edgeproxy/replace_test.go
@@ -77,9 +77,9 @@
 	}
 }
 
-// TestRequestFromBeforeTheStart checks that the time that a request waited in the held socket's queue before
+// TestRequestQueuedBeforeTheStart checks that the time that a request waited in the held socket's queue before
 // the start counts against its deadline.
-func TestRequestFromBeforeTheStart(t *testing.T) {
+func TestRequestQueuedBeforeTheStart(t *testing.T) {
 	env := newTestEnv(t)
 	env.cache.answerAll("served", "-", "fine")
 	held := listen(t).(*net.TCPListener)
@@ -106,8 +106,8 @@
 	}
 }
 
-// TestBadListenDescriptor checks that an invalid descriptor of a held socket ends the program with one line.
-func TestBadListenDescriptor(t *testing.T) {
+// TestInvalidListenDescriptor checks that an invalid descriptor of a held socket ends the program with one line.
+func TestInvalidListenDescriptor(t *testing.T) {
 	for _, fd := range []string{"x", "-1", "9"} {
 		env := newTestEnv(t)
 		env.start()
--- a/cmd/edgeproxy/shutdown_test.go
+++ b/cmd/edgeproxy/shutdown_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// TestTermAnswersEverything checks that all requests during a graceful shutdown are answered, and that the
+// TestShutdownAnswersAllRequests checks that all requests during a graceful shutdown are answered, and that the
 // program exits by itself.
-func TestTermAnswersEverything(t *testing.T) {
+func TestShutdownAnswersAllRequests(t *testing.T) {
 	env := startTestEnv(t)
 	c := env.dial()
 	c.request(1, "artes", longTimeoutMS, 1, "")
@@ -43,9 +43,9 @@
 	}
 }
 
-// TestTermEndsInTime checks that a request that arrives during the shutdown is answered before the process
+// TestShutdownEndsBeforeTheKill checks that a request that arrives during the shutdown is answered before the process
 // may be killed, however long its deadline.
-func TestTermEndsInTime(t *testing.T) {
+func TestShutdownEndsBeforeTheKill(t *testing.T) {
 	t.Parallel()
 	env := startTestEnv(t)
 	c := env.dial()
@@ -67,9 +67,9 @@
 	}
 }
 
-// TestHalfARequestWhileStopping checks that a request of which only some bytes have arrived at SIGTERM is
+// TestIncompleteRequestAtShutdown checks that a request of which only some bytes have arrived at SIGTERM is
 // awaited and answered.
-func TestHalfARequestWhileStopping(t *testing.T) {
+func TestIncompleteRequestAtShutdown(t *testing.T) {
 	for _, part := range []int{3, 16, 60} { // of a header, just BEGIN_REQUEST, and in the parameters
 		env := startTestEnv(t)
 		env.cache.answerAll("served", "-", "fine")
@@ -95,9 +95,9 @@
 	}
 }
 
-// TestWaitingConnectionWhileStopping checks that connections in the queue are accepted when the program stops
+// TestQueuedConnectionAtShutdown checks that connections in the queue are accepted when the program stops
 // listening.
-func TestWaitingConnectionWhileStopping(t *testing.T) {
+func TestQueuedConnectionAtShutdown(t *testing.T) {
 	env := startTestEnv(t)
 	env.cache.answerAll("served", "-", "fine")
 	env.signal(syscall.SIGTERM)
@@ -113,9 +113,9 @@
 	}
 }
 
-// TestSlowReaderWhileStopping checks that a client that reads slowly gets all its answers during the
+// TestSlowReaderAtShutdown checks that a client that reads slowly gets all its answers during the
 // shutdown.
-func TestSlowReaderWhileStopping(t *testing.T) {
+func TestSlowReaderAtShutdown(t *testing.T) {
 	env := startTestEnv(t)
 	conn, out := newUnreadingClient(env)
 	out.answer("served", "-", "last")
@@ -160,9 +160,9 @@
 	}
 }
 
-// TestTermAnswersWhatWasOpen checks that requests in flight at SIGTERM are answered before the process may be
+// TestShutdownAnswersRequestsInFlight checks that requests in flight at SIGTERM are answered before the process may be
 // killed, whatever their deadline, while their server hangs.
-func TestTermAnswersWhatWasOpen(t *testing.T) {
+func TestShutdownAnswersRequestsInFlight(t *testing.T) {
 	const untilKill, step = 3700 * time.Millisecond, 50 * time.Millisecond
 	env := newTestEnv(t)
 	env.clock = newManualClock(t)
@@ -192,9 +192,9 @@
 	}
 }
 
-// TestWaitingConnectionThoughAcceptFails checks that a connection in the queue is accepted after SIGTERM once
+// TestQueuedConnectionWhenAcceptFails checks that a connection in the queue is accepted after SIGTERM once
 // descriptors are available again.
-func TestWaitingConnectionThoughAcceptFails(t *testing.T) {
+func TestQueuedConnectionWhenAcceptFails(t *testing.T) {
 	t.Parallel()
 	env := newTestEnv(t)
 	env.cache.answerAll("served", "-", "fine")
@@ -214,8 +214,8 @@
 	}
 }
 
-// TestTermWhileStarting checks that a process without an endpoint list exits without an error at SIGTERM.
-func TestTermWhileStarting(t *testing.T) {
+// TestShutdownWhileStarting checks that a process without an endpoint list exits without an error at SIGTERM.
+func TestShutdownWhileStarting(t *testing.T) {
 	t.Parallel()
 	env := newTestEnv(t)
 	env.start()
