--- a/cmd/edgeproxy/config.go
+++ b/cmd/edgeproxy/config.go
@@ -19,17 +19,17 @@
 	// firstInheritableFD is the first descriptor after standard input, output and error.
 	firstInheritableFD = 3
 	// overlappingProcesses is how many processes of one router run at a time while a new one replaces the
-	// old one on the listening socket that they inherit. Each has its part of the memory and of the
-	// connections to caches; client connections are not divided.
+	// old one on the listening socket that both inherit. The memory limit and the connections to caches are
+	// divided among them; client connections are not.
 	overlappingProcesses = 2
 )
 
-// config is the configuration file that BALANCER_CONFIG names, with the values of the environment applied and
-// everything decoded.
+// config holds the configuration: the file that BALANCER_CONFIG names, overridden by the environment, and the
+// values decoded from it.
 type config struct {
-	Name   string `json:"name"`       // of this instance, in the log
+	Name   string `json:"name"`       // of this instance in the log
 	Listen string `json:"listen"`     // address for clients
-	Admin  string `json:"admin_addr"` // address for operators; empty: there is none
+	Admin  string `json:"admin_addr"` // address for operators; empty: none
 	Seed   string `json:"seed"`       // hexadecimal
 	Limits struct {
 		MemoryMB int `json:"memory_mb"` // MiB
@@ -40,15 +40,14 @@
 	InitialState           watch.InitialState `json:"known"`
 	Settings               json.RawMessage    `json:"settings"`
 
-	fields map[string]json.RawMessage // the file's, as they were read
+	fields map[string]json.RawMessage // top-level fields of the file, not decoded
 
 	listen, admin, coordinator netip.AddrPort
 	inheritedListenFD          int // descriptor of an open listening socket for clients; 0: none
 	proxy                      proxy.Config
 }
 
-// loadConfig reads and checks the configuration. Values of the environment take precedence over those of the
-// file.
+// loadConfig reads and checks the configuration. Environment variables take precedence over the file.
 func loadConfig(env func(name string) string) (*config, error) {
 	path := env("BALANCER_CONFIG")
 	if path == "" {
@@ -71,7 +70,7 @@
 	return &c, nil
 }
 
-// decode decodes the file, and keeps its fields for comparison with a later one.
+// decode decodes the file, and keeps its fields for comparison at a reload.
 func (c *config) decode(text []byte) error {
 	if err := json.Unmarshal(text, c); err != nil {
 		return err
@@ -79,7 +78,7 @@
 	return json.Unmarshal(text, &c.fields)
 }
 
-// applyEnvironment applies the values that the environment has.
+// applyEnvironment overrides values with those of the environment variables that are set.
 func (c *config) applyEnvironment(env func(name string) string) error {
 	for _, override := range []struct {
 		variable string
@@ -99,13 +98,13 @@
 	}
 	fd, err := strconv.Atoi(text)
 	if err != nil || fd < firstInheritableFD {
-		return fmt.Errorf("BALANCER_LISTEN_FD: %q is no descriptor", text)
+		return fmt.Errorf("BALANCER_LISTEN_FD: %q is not an inheritable descriptor", text)
 	}
 	c.inheritedListenFD = fd
 	return nil
 }
 
-// check decodes the values that the file holds as text, and checks all values.
+// check decodes the values that the file holds as text and checks all values.
 func (c *config) check() error {
 	if err := c.parseAddresses(); err != nil {
 		return err
@@ -117,15 +116,15 @@
 	if c.Limits.MemoryMB < minMemoryMB || c.Limits.Sockets < minSockets {
 		return fmt.Errorf("limits: memory_mb must be %d or more and sockets %d or more", minMemoryMB, minSockets)
 	}
-	set, err := settings.Decode(c.Settings)
+	decoded, err := settings.Decode(c.Settings)
 	if err != nil {
 		return err
 	}
-	if err := set.Check(); err != nil {
+	if err := decoded.Check(); err != nil {
 		return err
 	}
 	c.proxy = proxy.Config{
-		Settings:               set,
+		Settings:               decoded,
 		Seed:                   seed,
 		InitialState:           c.InitialState,
 		MaxDescriptors:         c.Limits.Sockets,
