--- a/cmd/edgeproxy/main.go
+++ b/cmd/edgeproxy/main.go
@@ -1,5 +1,5 @@
-// Command edgeproxy is one edge proxy: it takes requests from clients over FastCGI, has package policy decide
-// which cache answers each, and follows the coordinator's endpoint list and purges.
+// Command edgeproxy is an edge proxy. It accepts requests from clients over FastCGI, forwards each to the cache
+// that package policy chooses, and follows the endpoint list and the purges of the coordinator.
 package main
 
 import (
@@ -18,26 +18,25 @@
 )
 
 const (
-	// startupRetryTimeout is how long the start is retried while the machine lacks descriptors or memory for
-	// it.
+	// startupRetryTimeout is how long the start is retried while the machine lacks descriptors or memory.
 	startupRetryTimeout  = 5 * time.Second
 	startupRetryInterval = 20 * time.Millisecond
-	// logFlushTimeout is how long the end of the program waits for the last log lines to be written.
+	// logFlushTimeout is how long the program waits at its end for the last log lines to be written.
 	logFlushTimeout = proxy.KillMargin / 4
-	// heapLimitPercent is the part of the process's memory limit that the garbage collector is given. The
-	// rest is for memory that it does not count.
+	// heapLimitPercent is the percentage of the process's memory limit that is set as the garbage collector's
+	// limit. The rest is for memory that the collector does not count.
 	heapLimitPercent = 60
 )
 
-// onViolation is called when the invariant checker finds a violation. It is nil in service, where violations
-// are counted and logged; tests set it.
+// onViolation is called when the invariant checker finds a violation. Tests set it. In production it is nil, and
+// violations are only counted and logged.
 var onViolation func(text string)
 
 func main() { serve(eventloop.SystemClock()) }
 
-// serve runs the program by a clock until it has been stopped. It exits with status 1 on an error.
+// serve runs the program with a clock until it has been stopped. It exits with status 1 on an error.
 func serve(clock eventloop.TimeSource) {
-	signals := listenForSignals() // comes first: an early signal must not end the program unhandled
+	signals := listenForSignals() // first, so that an early signal does not kill the process
 	out := logging.NewWriter(os.Stderr)
 	name := "edgeproxy"
 	cfg, err := loadConfig(os.Getenv)
@@ -54,12 +53,12 @@
 	}
 }
 
-// signals are the signals that the program handles: SIGTERM and SIGINT stop it, SIGHUP reloads its
-// configuration.
+// signals are the channels of the signals that the program handles: SIGTERM and SIGINT stop it, SIGHUP reloads
+// its configuration.
 type signals struct{ stop, reload chan os.Signal }
 
-// listenForSignals starts to handle signals. SIGPIPE is ignored, as the program goes on when its log's reader
-// is gone.
+// listenForSignals starts to handle signals. SIGPIPE is ignored, so that the program continues when the reader
+// of its log has gone.
 func listenForSignals() signals {
 	signal.Ignore(syscall.SIGPIPE)
 	s := signals{stop: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
@@ -68,9 +67,10 @@
 	return s
 }
 
-// run starts a proxy by a configuration and serves until it has been stopped.
+// run starts a proxy with a configuration and serves until it has been stopped.
 func run(cfg *config, clock eventloop.TimeSource, s signals, logger *slog.Logger, out *logging.Writer) error {
-	// The platform kills the process at its memory limit; the garbage collector works harder before.
+	// The platform kills a process that reaches its memory limit, so the garbage collector has to work harder
+	// before that.
 	debug.SetMemoryLimit(int64(cfg.proxy.MaxMemoryBytes) * heapLimitPercent / 100)
 	loop, err := newLoop(clock)
 	if err != nil {
@@ -86,7 +86,7 @@
 	return p.Run(proxy.Signals{Stop: s.stop, Reload: s.reload, Load: cfg.reloader(logger)})
 }
 
-// newLoop returns an event loop that goes by a clock.
+// newLoop returns an event loop with a clock.
 func newLoop(clock eventloop.TimeSource) (*eventloop.Loop, error) {
 	var loop *eventloop.Loop
 	err := retryOnResourceShortage(func() error {
@@ -97,7 +97,7 @@
 	return loop, err
 }
 
-// openListeners opens the addresses for clients and for operators.
+// openListeners opens the listening sockets for clients and, if an address is configured, for operators.
 func openListeners(p *proxy.Proxy, cfg *config) error {
 	maxClients := proxy.ClientSockets(cfg.Limits.Sockets)
 	err := retryOnResourceShortage(func() error {
@@ -112,12 +112,12 @@
 	return retryOnResourceShortage(func() error { return p.ListenAdmin(cfg.admin) })
 }
 
-// retryOnResourceShortage retries a step of the start for a while if it fails for a lack of descriptors or
-// memory, which may pass. It returns the last error.
-func retryOnResourceShortage(start func() error) error {
+// retryOnResourceShortage retries a step of the start, for up to startupRetryTimeout, while it fails for a lack of
+// descriptors or memory, which may be temporary. It returns the last error.
+func retryOnResourceShortage(step func() error) error {
 	end := time.Now().Add(startupRetryTimeout)
 	for {
-		err := start()
+		err := step()
 		if !errors.Is(err, eventloop.ErrLocalResources) || time.Now().After(end) {
 			return err
 		}
