--- a/cmd/edgeproxy/reload.go
+++ b/cmd/edgeproxy/reload.go
@@ -11,9 +11,9 @@
 	"cloverdoor/internal/settings"
 )
 
-// reloader returns the function by which the proxy reads the configuration again. Reading does not touch the
-// configuration in use; the function that it returns checks what was read against that, and replaces it, on
-// the event loop's goroutine.
+// reloader returns the function that the proxy calls to read the configuration again. Reading leaves the
+// configuration in use unchanged. The function that it returns runs on the event loop's goroutine: it checks the
+// new configuration against the one in use and replaces that.
 func (c *config) reloader(logger *slog.Logger) func() (proxy.PrepareUpdate, error) {
 	return func() (proxy.PrepareUpdate, error) {
 		later, err := loadConfig(os.Getenv)
@@ -24,7 +24,7 @@
 	}
 }
 
-// replaceWith checks a configuration that was read later and, if it can be used, makes it the one in use.
+// replaceWith checks a configuration that was read later and, if it is valid, puts it into use.
 func (c *config) replaceWith(later *config, logger *slog.Logger) (proxy.ConfigUpdate, error) {
 	if err := c.checkReplacement(later); err != nil {
 		return proxy.ConfigUpdate{}, err
@@ -41,9 +41,8 @@
 	}, nil
 }
 
-// checkReplacement checks whether a later configuration may replace this one. Everything that is in this one
-// must be in the later one too: a file that was cut off, or lacks a key, would otherwise set values to their
-// defaults unnoticed.
+// checkReplacement checks whether a later configuration may replace this one. It must have every key of this one:
+// a file that was cut off or lacks a key would otherwise silently reset values to their defaults.
 func (c *config) checkReplacement(later *config) error {
 	for name, value := range c.fields {
 		laterValue, present := later.fields[name]
@@ -58,7 +57,7 @@
 }
 
 // checkKeys checks that a field's later value has all keys of the earlier one, with values of the same types.
-// The events of the initial state are exempt, as each kind of event has keys of its own.
+// The initial state is exempt, as each kind of event in it has keys of its own.
 func checkKeys(name string, earlier, later json.RawMessage) error {
 	if name == "known" {
 		return nil
@@ -73,10 +72,10 @@
 	return nil
 }
 
-// restartOnlyChanges names the fields that differ in a later configuration but take effect only at the next
-// start: addresses and limits are fixed while the proxy runs. The settings, the transfer rate and the
-// coordinator's address take effect at once. The seed and the initial state are not compared: they are only
-// used at the start, and the coordinator has reported everything since.
+// restartOnlyChanges returns the names of the fields that differ in a later configuration but take effect only at
+// the next start: the name, the addresses and the limits are fixed while the proxy runs. The settings, the
+// transfer rate and the coordinator's address take effect at once. The seed and the initial state are not
+// compared, as they are used only at the start and the coordinator has reported all changes since.
 func (c *config) restartOnlyChanges(later *config) string {
 	var names []string
 	for _, field := range []struct {
