--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,6 +1,6 @@
-// Command simadapter runs policy routers for the simulator: it reads batches of events from standard input
-// and writes the replies to standard output and messages to standard error. It exits with status 1 on
-// malformed input.
+// Command simadapter runs policy routers for the simulator: it reads batches of events from standard input and
+// writes the replies to standard output and log messages to standard error. It exits with status 1 on an error,
+// such as malformed input.
 package main
 
 import (
