--- a/cmd/edgeproxy/env_test.go
+++ b/cmd/edgeproxy/env_test.go
@@ -16,45 +16,46 @@
 	"time"
 )
 
-// programEnv is the environment variable by which this test binary serves as the program.
+// programEnv is the environment variable that makes this test binary run as the program.
 const programEnv = "CLOVERDOOR_TEST_PROGRAM"
 
 const (
-	// defaultMemoryMB is the memory limit of the program where a test sets none.
+	// defaultMemoryMB is the memory limit of the program, in MiB, unless a test sets another.
 	defaultMemoryMB = 192
-	// testSockets is the limit on descriptors of the program.
+	// testSockets is the limit of descriptors of the program.
 	testSockets = 1024
-	// retryInterval is how often eventually looks for what it waits for.
+	// retryInterval is the time between two checks of a condition in eventually.
 	retryInterval = 5 * time.Millisecond
 )
 
-// testEnv is a program under test with all its peers.
+// testEnv is a program under test with its peers: a cache, the origin and the coordinator.
 type testEnv struct {
 	t             *testing.T
 	cmd           *exec.Cmd
 	configPath    string
-	initialConfig string     // the text of the configuration at the start
+	initialConfig string     // configuration text at the start
 	addr          string     // for clients
 	adminAddr     string     // for operators
-	exited        chan error // the result of each program that has exited
+	exited        chan error // results of the processes that have exited
 	cache, origin *fakeServer
 
-	followLines         chan string              // what the program sends to the coordinator
-	coordinatorListener net.Listener             // may be closed
-	coordinatorDown     bool                     // the coordinator refuses connections at the start
-	relayCoordinator    func(addr string) string // returns where the program reaches the coordinator; nil: at its address
+	followLines         chan string              // lines that the program sends to the coordinator
+	coordinatorListener net.Listener             // closed while the coordinator is down
+	coordinatorDown     bool                     // at the start, the coordinator refuses connections
+	relayCoordinator    func(addr string) string // returns the address of a relay to addr; nil: no relay
 	mu                  sync.Mutex
-	watchConn           net.Conn // the present stream from the coordinator, under mu
+	watchConn           net.Conn // current stream from the coordinator; guarded by mu
 
 	// Set by a test before the start:
 	stderr          *os.File     // of the program
-	inheritedSocket *os.File     // for clients, as the platform hands it over; nil: the program listens by itself
-	clock           *manualClock // of the program; nil: the system's
-	memoryMB        int          // limit of the program
-	extraEnv        []string     // environment variables of the program
+	inheritedSocket *os.File     // listening socket for clients, as the platform passes it; nil: the program opens its own
+	clock           *manualClock // of the program; nil: the system clock
+	memoryMB        int          // memory limit of the program, MiB
+	extraEnv        []string     // additional environment variables of the program
 }
 
-// startTestEnv starts a program whose configuration holds event 1: one cache and the origin.
+// startTestEnv starts a program whose configuration holds event 1, with one cache and the origin, and waits until
+// it serves.
 func startTestEnv(t *testing.T) *testEnv {
 	t.Helper()
 	env := newTestEnv(t)
@@ -63,7 +64,7 @@
 	return env
 }
 
-// newTestEnv starts the peers of a program that is yet to be started.
+// newTestEnv starts a cache and an origin for a program that the test starts later.
 func newTestEnv(t *testing.T) *testEnv {
 	t.Helper()
 	return &testEnv{
@@ -72,7 +73,7 @@
 	}
 }
 
-// start starts the program with the given events in its configuration.
+// start starts the coordinator, and the program with the given events in its configuration.
 func (env *testEnv) start(known ...any) {
 	env.addr = freeAddr(env.t)
 	env.adminAddr = freeAddr(env.t)
@@ -106,7 +107,7 @@
 	env.startProgram()
 }
 
-// startProgram starts cmd, with what the test has set.
+// startProgram starts cmd with the options that the test has set.
 func (env *testEnv) startProgram() {
 	env.cmd.Stderr = env.stderr
 	env.cmd.Env = append(env.cmd.Env, env.extraEnv...)
@@ -125,9 +126,9 @@
 	env.t.Cleanup(func() { cmd.Process.Kill() }) //nolint:errcheck // it may have exited
 }
 
-// reload orders the program to read a changed configuration. The changes are pairs of texts: the first one
-// occurs in the initial configuration and is replaced by the second. Where the first one is empty, the second
-// is the new configuration.
+// reload writes a changed configuration and makes the program reload it. The changes are pairs of texts: the first
+// must occur in the initial configuration and is replaced by the second. If the first is empty, the second is the
+// whole configuration.
 func (env *testEnv) reload(changes ...string) {
 	env.t.Helper()
 	text := env.initialConfig
@@ -151,8 +152,8 @@
 	}
 }
 
-// startReplacement starts the program once more beside the running one, with an admin address of its own, and
-// returns the running one.
+// startReplacement starts a second process beside the running one, with an admin address of its own, and returns
+// the running one.
 func (env *testEnv) startReplacement() (old *exec.Cmd) {
 	old = env.cmd
 	env.adminAddr = freeAddr(env.t)
@@ -162,7 +163,7 @@
 	return old
 }
 
-// programCommand returns a command that starts the program, and the path of its configuration.
+// programCommand writes a configuration, and returns the command that starts the program with it and its path.
 func programCommand(t *testing.T, config any) (cmd *exec.Cmd, path string) {
 	t.Helper()
 	text, err := json.Marshal(config)
@@ -183,12 +184,12 @@
 	env.t.Helper()
 	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(retryInterval) {
 		if time.Now().After(end) {
-			env.t.Fatalf("never happened: %s", what)
+			env.t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
 
-// awaitAlive waits until the program answers /alive with a status.
+// awaitAlive waits until the program answers /alive with the given status.
 func (env *testEnv) awaitAlive(status string) {
 	env.t.Helper()
 	env.eventually("/alive "+status, func() bool {
@@ -204,7 +205,7 @@
 	})
 }
 
-// checkMemory checks the program's peak of resident memory against the default limit.
+// checkMemory checks that the program's peak of resident memory is within the default limit.
 func (env *testEnv) checkMemory() {
 	env.t.Helper()
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", env.cmd.Process.Pid))
@@ -214,9 +215,9 @@
 	_, peak, _ := strings.Cut(string(status), "VmHWM:")
 	const limitKB = defaultMemoryMB << 10
 	kb, err := strconv.Atoi(strings.Fields(peak)[0])
-	env.t.Logf("%d KB at the peak", kb)
+	env.t.Logf("peak of resident memory: %d KB", kb)
 	if err != nil || kb > limitKB {
-		env.t.Errorf("%d KB at the peak, %v", kb, err)
+		env.t.Errorf("peak of resident memory: %d KB, error %v", kb, err)
 	}
 }
 
@@ -257,10 +258,10 @@
 	}
 }
 
-// awaitNotListening waits until the program does not listen for clients any more.
+// awaitNotListening waits until the program has stopped listening for clients.
 func (env *testEnv) awaitNotListening() {
 	env.t.Helper()
-	env.eventually("no more connections taken", func() bool {
+	env.eventually("connections are refused", func() bool {
 		conn, err := net.Dial("tcp", env.addr)
 		if err == nil {
 			closeOnce(env.t, conn)
@@ -269,13 +270,14 @@
 	})
 }
 
-// pause stops all threads of the program until resume is called: what is sent meanwhile arrives at once.
+// pause stops all threads of the program until resume is called. The program then finds everything that was sent
+// meanwhile at once.
 func (env *testEnv) pause() (resume func()) {
 	env.t.Helper()
 	if err := env.cmd.Process.Signal(syscall.SIGSTOP); err != nil {
 		env.t.Fatal(err)
 	}
-	env.eventually("every thread has stopped", func() bool {
+	env.eventually("all threads have stopped", func() bool {
 		tasks, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/status", env.cmd.Process.Pid))
 		for _, task := range tasks {
 			status, err := os.ReadFile(task)
--- a/cmd/edgeproxy/helpers_test.go
+++ b/cmd/edgeproxy/helpers_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// mustWrite writes text to a connection that the program still reads.
+// mustWrite writes text to a connection that the program must still read.
 func mustWrite(tb testing.TB, conn io.Writer, text string) {
 	tb.Helper()
 	if _, err := io.WriteString(conn, text); err != nil {
--- a/cmd/edgeproxy/main_test.go
+++ b/cmd/edgeproxy/main_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// TestMain serves as the program if a test has started this binary as one.
+// TestMain runs the program instead of the tests if a test has started this binary for that.
 func TestMain(m *testing.M) {
 	if os.Getenv(programEnv) != "" {
 		serveWithTestClock()
@@ -15,16 +15,16 @@
 	os.Exit(m.Run())
 }
 
-// testTimeout limits every wait of a test. No test depends on how long a wait takes.
+// testTimeout limits every wait in a test. No result depends on how long a wait takes.
 const testTimeout = 20 * time.Second
 
-// receive returns the next value of a channel, and fails the test without one.
+// receive returns the next value of a channel, and fails the test if none comes within testTimeout.
 func receive[T any](t *testing.T, from <-chan T, what string) (v T) {
 	t.Helper()
 	select {
 	case v = <-from:
 	case <-time.After(testTimeout):
-		t.Fatalf("no %s", what)
+		t.Fatalf("timed out waiting for: %s", what)
 	}
 	return v
 }
