--- a/cmd/edgeproxy/scriptplay_test.go
+++ b/cmd/edgeproxy/scriptplay_test.go
@@ -11,14 +11,15 @@
 
 const (
 	defaultPlayTime = 5 * time.Second
-	// slowAnswer is longer than the program waits for an answer before it retries.
+	// slowAnswer is the delay of a slow answer. It is longer than the program waits for an answer before it
+	// retries.
 	slowAnswer = 300 * time.Millisecond
-	// clockStep is the time between two requests, by the program's clock.
+	// clockStep is the time between two requests on the program's clock.
 	clockStep = 25 * time.Millisecond
 )
 
-// playTime is how long the script is played, by the program's clock. The environment variable FAULT_SOAK sets
-// another duration than the default.
+// playTime returns how long the script is played on the program's clock: the duration in the environment variable
+// FAULT_SOAK, or defaultPlayTime.
 func playTime(t *testing.T) time.Duration {
 	t.Helper()
 	text := os.Getenv("FAULT_SOAK")
@@ -32,11 +33,11 @@
 	return d
 }
 
-// playScript plays a script of faults on the connections of clients, servers and the coordinator, always with
-// the same traffic, and returns the outcomes that the program has counted and the faults that have fired. The
-// program's clock advances between two requests alone, so that the speed of the machine has no effect. If
-// slow, some answers take longer than the program waits for one before it retries.
-func playScript(t *testing.T, length time.Duration, slow bool) (figures, faults string) {
+// playScript plays a fixed script of faults on the connections of clients, servers and the coordinator with fixed
+// traffic. It returns the program's counters of outcomes and the faults that fired. The program's clock advances
+// only between two requests, so that the speed of the machine has no effect. If slow is set, some answers take
+// longer than the program waits for an answer before it retries.
+func playScript(t *testing.T, length time.Duration, slow bool) (counters, faults string) {
 	t.Helper()
 	env := newTestEnv(t)
 	env.clock = newManualClock(t)
@@ -45,29 +46,29 @@
 		for got := range env.cache.calls {
 			calls++
 			if slow && calls%50 == 25 {
-				time.Sleep(slowAnswer) // not a race: the outcomes must not depend on it
+				time.Sleep(slowAnswer) // real time, which must not affect the outcomes
 			}
 			got.answer("served", "made=1,note=TCP_HIT", strings.Repeat("c", 500))
 		}
 	}()
 	env.origin.answerAll("served", "made=1", strings.Repeat("o", 200))
-	cache := newFaultyRelay(t, env.cache.Addr().String(), "c down every 2 byte 7000 : reset", "c down byte 9100 : close",
+	cacheRelay := newFaultyRelay(t, env.cache.Addr().String(), "c down every 2 byte 7000 : reset", "c down byte 9100 : close",
 		"c down every 3 byte 5000 : garble 9", "c up : pieces 50", "c : delay 1ms", "c down every 5 byte 3000 : repeat 600")
-	origin := newFaultyRelay(t, env.origin.Addr().String(), "c down byte 1100 : reset", "c up every 5 byte 900 : reset",
+	originRelay := newFaultyRelay(t, env.origin.Addr().String(), "c down byte 1100 : reset", "c up every 5 byte 900 : reset",
 		"c down every 3 byte 700 : halfclose")
 	env.relayCoordinator = func(addr string) string {
-		watch := newFaultyRelay(t, addr, "c down every 2 byte 400 : reset", "c down every 3 byte 300 : garble 3")
-		return watch.Addr().String()
+		watchRelay := newFaultyRelay(t, addr, "c down every 2 byte 400 : reset", "c down every 3 byte 300 : garble 3")
+		return watchRelay.Addr().String()
 	}
-	env.startWith(cache.Addr(), origin.Addr())
-	front := newFaultyRelay(t, env.addr, "c up every 3 byte 2500 : reset", "c down byte 14000 : close", "c : pieces 70")
+	env.startWith(cacheRelay.Addr(), originRelay.Addr())
+	clientRelay := newFaultyRelay(t, env.addr, "c up every 3 byte 2500 : reset", "c down byte 14000 : close", "c : pieces 70")
 	requests := int(length / clockStep)
 	var c *client
 	lost := 0
 	for i := range requests {
 		env.clock.advance(clockStep)
 		if c == nil || i%40 == 0 {
-			conn, err := net.Dial("tcp", front.Addr().String())
+			conn, err := net.Dial("tcp", clientRelay.Addr().String())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -81,37 +82,37 @@
 		c.request(uint16(i%1000+1), class, 5000, i%17, "")
 		a := receive(t, c.answers, "outcome")
 		switch {
-		case a.id == 0: // its connection has ended: the client gets no answer
+		case a.id == 0: // the connection has ended without an answer
 			lost++
 			c = nil
 		case int(a.id) != i%1000+1:
 			t.Fatalf("request %d: %+v", i, a)
 		}
 	}
-	env.eventually("nothing is open", func() bool { return env.metric("svc_open_requests") == 0 })
+	env.eventually("no request is open", func() bool { return env.metric("svc_open_requests") == 0 })
 	_, stats := env.adminCall("GET", "/ops/stats")
 	for _, line := range strings.Split(stats, "\n") {
 		if strings.HasPrefix(line, "svc_operations") {
-			figures += line + "\n"
+			counters += line + "\n"
 		}
 	}
-	t.Logf("%d requests, %d on broken connections\n%s", requests, lost, figures)
-	return figures, strings.Join([]string{cache.log(), origin.log(), front.log()}, "\n--\n")
+	t.Logf("%d requests, %d lost with their connection\n%s", requests, lost, counters)
+	return counters, strings.Join([]string{cacheRelay.log(), originRelay.log(), clientRelay.log()}, "\n--\n")
 }
 
-// TestSameScriptSameOutcomes checks that two runs of one fault script with one seed have the same faults and
-// the same outcomes, also when the answers of one run are delayed.
+// TestSameScriptSameOutcomes checks that two runs of one fault script with one seed have the same faults and the
+// same outcomes, although some answers are delayed in one of the runs.
 func TestSameScriptSameOutcomes(t *testing.T) {
 	t.Parallel()
 	length := playTime(t)
-	var figures, faults [2]string
+	var counters, faults [2]string
 	var both sync.WaitGroup
-	for i := range figures {
-		both.Go(func() { figures[i], faults[i] = playScript(t, length, i == 1) })
+	for i := range counters {
+		both.Go(func() { counters[i], faults[i] = playScript(t, length, i == 1) })
 	}
 	both.Wait()
-	if figures[0] != figures[1] {
-		t.Errorf("outcomes differ:\n%s\nand\n%s", figures[0], figures[1])
+	if counters[0] != counters[1] {
+		t.Errorf("outcomes differ:\n%s\nand\n%s", counters[0], counters[1])
 	}
 	if faults[0] != faults[1] || strings.Count(faults[0], "\n") < 10 {
 		t.Errorf("faults differ:\n%s\nand\n%s", faults[0], faults[1])
