--- a/cmd/edgeproxy/coordinatorenv_test.go
+++ b/cmd/edgeproxy/coordinatorenv_test.go
@@ -10,17 +10,18 @@
 	"testing"
 )
 
-// endpoint is an entry of the endpoint list.
+// endpoint returns an entry of the endpoint list.
 func endpoint(id, kind, zone, state string, at net.Addr) map[string]any {
 	return map[string]any{"id": id, "addr": at.String(), "zone": zone, "kind": kind, "state": state, "weight": 10000}
 }
 
-// fullList is event 1 with a full endpoint list: one cache and the origin.
+// fullList returns event 1 with a full endpoint list: one cache and the origin.
 func fullList(cache, origin net.Addr) map[string]any {
 	return endpointEvent(1, true, endpoint("c1", "std", "edge", "SERVING", cache), endpoint("o1", "origin", "hub", "SERVING", origin))
 }
 
-// endpointEvent is an event with entries of the endpoint list, which it replaces if it is full.
+// endpointEvent returns an event with entries of the endpoint list. A full event replaces the list, any other
+// changes only the entries that it has.
 func endpointEvent(index int, full bool, servers ...any) map[string]any {
 	return map[string]any{"index": index, "endpoints": map[string]any{"version": index, "full": full, "servers": servers}}
 }
@@ -32,7 +33,7 @@
 	return l.Addr().String()
 }
 
-// serveCoordinator serves the coordinator on a listener, or closes it if the coordinator is down at the
+// serveCoordinator serves the coordinator on a listener, or closes the listener if the coordinator is down at the
 // start.
 func (env *testEnv) serveCoordinator(l net.Listener) {
 	env.coordinatorListener = l
@@ -52,8 +53,8 @@
 	})
 }
 
-// stopCoordinator closes the coordinator and its stream. Its address refuses connections until
-// resumeCoordinator.
+// stopCoordinator closes the coordinator's listener and stream. Its address refuses connections until
+// resumeCoordinator is called.
 func (env *testEnv) stopCoordinator() {
 	env.mu.Lock()
 	defer env.mu.Unlock()
@@ -61,7 +62,7 @@
 	closeOnce(env.t, env.watchConn)
 }
 
-// resumeCoordinator opens the coordinator again at its address.
+// resumeCoordinator starts the coordinator again at the same address.
 func (env *testEnv) resumeCoordinator() {
 	env.t.Helper()
 	l, err := net.Listen("tcp", env.coordinatorListener.Addr().String())
@@ -72,7 +73,7 @@
 	env.serveCoordinator(l)
 }
 
-// sendEvent sends a line on the present stream: a string as it is, anything else as JSON.
+// sendEvent sends a line on the current stream: a string unchanged, any other value as JSON.
 func (env *testEnv) sendEvent(line any) {
 	env.t.Helper()
 	text, ok := line.(string)
@@ -90,15 +91,16 @@
 	}
 }
 
-// awaitEventsApplied waits until the program has taken all events sent so far: it reconnects at a malformed
-// line behind them.
+// awaitEventsApplied waits until the program has applied all events sent so far. It sends a malformed line behind
+// them, at which the program reconnects.
 func (env *testEnv) awaitEventsApplied() {
 	env.t.Helper()
 	env.sendEvent("nonsense")
 	receive(env.t, env.followLines, "follow")
 }
 
-// checkServedOnlyBy checks that reads of 30 objects are all answered with one body.
+// checkServedOnlyBy checks that reads of 30 objects are all answered with the given body and that none calls
+// env.cache.
 func (env *testEnv) checkServedOnlyBy(body string) {
 	env.t.Helper()
 	c := env.dial()
@@ -110,18 +112,19 @@
 		}
 	}
 	if len(env.cache.calls) > 0 {
-		env.t.Errorf("%q was sent to a cache that drains", (<-env.cache.calls).words)
+		env.t.Errorf("%q was sent to a draining cache", (<-env.cache.calls).words)
 	}
 }
 
-// slowCoordinator sends one line on each stream, as many bytes at a time as the test says.
+// slowCoordinator sends the same line on each stream, a few bytes at each writeNext.
 type slowCoordinator struct {
 	net.Listener
 	line string
 	mu   sync.Mutex
-	sent map[net.Conn]int // bytes of the line
+	sent map[net.Conn]int // bytes of the line sent on each stream; guarded by mu
 }
 
+// newSlowCoordinator starts a coordinator for a line. It passes the lines that the program sends to follows.
 func newSlowCoordinator(t *testing.T, line any, follows chan<- string) *slowCoordinator {
 	t.Helper()
 	text, err := json.Marshal(line)
@@ -141,7 +144,7 @@
 	return s
 }
 
-// writeNext writes the next bytes on each stream.
+// writeNext writes the next bytes of the line on each stream.
 func (s *slowCoordinator) writeNext(bytes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
