--- a/cmd/edgeproxy/adminenv_test.go
+++ b/cmd/edgeproxy/adminenv_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// adminRaw sends bytes to the admin address and returns the status and the body of the answer.
+// adminRaw sends raw bytes to the admin address and returns the status and the body of the answer.
 func (env *testEnv) adminRaw(raw string) (status int, body string) {
 	env.t.Helper()
 	conn, err := net.Dial("tcp", env.adminAddr)
@@ -19,8 +19,8 @@
 		env.t.Fatal(err)
 	}
 	defer closeOnce(env.t, conn)
-	conn.SetDeadline(time.Now().Add(testTimeout)) //nolint:errcheck // shows in the answer
-	io.WriteString(conn, raw)                     //nolint:errcheck // shows in the answer
+	conn.SetDeadline(time.Now().Add(testTimeout)) //nolint:errcheck // an error shows in the answer
+	io.WriteString(conn, raw)                     //nolint:errcheck // an error shows in the answer
 	answer, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		env.t.Fatalf("%.40q: %v", raw, err)
@@ -38,14 +38,14 @@
 	return env.adminRaw(method + " " + path + " HTTP/1.1\r\nHost: " + env.adminAddr + "\r\n\r\n")
 }
 
-// readiness is the status of /ops/readiness.
+// readiness returns the status of /ops/readiness.
 func (env *testEnv) readiness() int {
 	env.t.Helper()
 	status, _ := env.adminCall("GET", "/ops/readiness")
 	return status
 }
 
-// metric reads a metric of /ops/stats; -1: it is missing.
+// metric returns the value of a metric of /ops/stats, or -1 if it is missing.
 func (env *testEnv) metric(name string) int {
 	env.t.Helper()
 	_, body := env.adminCall("GET", "/ops/stats")
@@ -60,7 +60,7 @@
 	return value
 }
 
-// checkMetrics checks the values of metrics by name.
+// checkMetrics checks the values of metrics, given by name.
 func (env *testEnv) checkMetrics(wants map[string]int) {
 	env.t.Helper()
 	for name, want := range wants {
@@ -71,7 +71,7 @@
 	}
 }
 
-// operationsMetric is the name of the counter of requests of a class with an outcome.
+// operationsMetric returns the name of the metric that counts the requests of a class with an outcome.
 func operationsMetric(class, outcome string) string {
 	return fmt.Sprintf("svc_operations{priority=%q,status=%q}", class, outcome)
 }
