--- a/cmd/edgeproxy/fastcgi_client_test.go
+++ b/cmd/edgeproxy/fastcgi_client_test.go
@@ -20,21 +20,21 @@
 	recordStdout = 6
 )
 
-// beginKeepConn is the content of BEGIN_REQUEST: role responder, and keep the connection.
+// beginKeepConn is the content of BEGIN_REQUEST with the role RESPONDER and the flag KEEP_CONN.
 const beginKeepConn = "\x00\x01\x01\x00\x00\x00\x00\x00"
 
-// client is a FastCGI connection to the program.
+// client is a client with a FastCGI connection to the program.
 type client struct {
 	net.Conn
 	answers chan answer
 }
 
-// answer is a complete answer, or the end of the connection if id is 0.
+// answer is a complete answer, or, if id is 0, the end of the connection.
 type answer struct {
 	id           uint16
 	status, body string
 	headers      string
-	protocol     byte // the protocol status of END_REQUEST
+	protocol     byte // protocol status of END_REQUEST
 }
 
 // dial connects to the program.
@@ -48,14 +48,14 @@
 	return newClient(conn)
 }
 
-// newClient reads the answers of a connection.
+// newClient returns a client that reads the answers on a connection.
 func newClient(conn net.Conn) *client {
 	c := &client{conn, make(chan answer, 1000)}
 	go c.readAnswers()
 	return c
 }
 
-// readAnswers passes answers on until the connection ends.
+// readAnswers sends each answer to the channel, and a zero answer when the connection ends.
 func (c *client) readAnswers() {
 	defer func() { c.answers <- answer{} }()
 	texts := map[uint16]string{}
@@ -106,7 +106,8 @@
 	c.writeRecord(recordStdin, id, "")
 }
 
-// request makes a request for an object with a numbered key. Extra parameters are pairs of names and values.
+// request writes a request for the object whose key is a number. The extra parameters are pairs of name and value,
+// and override the others.
 func (c *client) request(id uint16, class string, timeoutMS int, object int, body string, extra ...string) {
 	params := map[string]string{
 		"SCRIPT_NAME": "/ops/" + class, "HTTP_REQ_ID": fmt.Sprintf("%016x", time.Now().UnixNano()),
@@ -118,7 +119,7 @@
 	c.writeRequest(id, params, body)
 }
 
-// bufferedConn is a connection whose output is written at once by flush.
+// bufferedConn is a connection that buffers its output until flush writes it in one call.
 type bufferedConn struct {
 	net.Conn
 	buffer []byte
@@ -134,14 +135,14 @@
 	b.buffer = nil
 }
 
-// longTimeoutMS is a client's timeout in milliseconds that no test reaches.
+// longTimeoutMS is a client's timeout, in milliseconds, that no test reaches.
 const longTimeoutMS = 60_000
 
 // closeWrite closes the sending direction.
-func (c *client) closeWrite() { c.Conn.(*net.TCPConn).CloseWrite() } //nolint:errcheck // shows in the answers
+func (c *client) closeWrite() { c.Conn.(*net.TCPConn).CloseWrite() } //nolint:errcheck // a lost connection shows in the answers
 
-// newUnreadingClient returns a connection with more than 1 MB of unread answers, and the call of its request
-// 99, which is in flight at the cache.
+// newUnreadingClient returns a connection with more than 1 MB of answers that nobody reads, and the call of its
+// request 99, which is in flight at the cache.
 func newUnreadingClient(env *testEnv) (stuck net.Conn, out *receivedCall) {
 	env.t.Helper()
 	conn, err := net.Dial("tcp", env.addr)
@@ -152,15 +153,15 @@
 	c := &client{Conn: conn}
 	c.request(99, "artes", longTimeoutMS, 99, "")
 	out = receive(env.t, env.cache.calls, "call")
-	for id := range uint16(31) { // 7.4 MB: more than both sockets buffer
+	for id := range uint16(31) { // 7.4 MB, more than the buffers of both sockets hold
 		c.request(id+1, "artes", longTimeoutMS, int(id), "")
 	}
 	for range 31 {
 		receive(env.t, env.cache.calls, "call").answer("served", "-", strings.Repeat("x", 240_000))
 	}
-	env.eventually("all others are answered", func() bool { return env.metric("svc_open_requests") == 1 })
+	env.eventually("all other requests are answered", func() bool { return env.metric("svc_open_requests") == 1 })
 	return conn, out
 }
 
-// pastDisconnectGrace is longer than the time after a disconnect in which an attempt may begin.
+// pastDisconnectGrace is longer than the time after a disconnect in which an attempt may still begin.
 const pastDisconnectGrace = 150 * time.Millisecond
