--- a/cmd/edgeproxy/faultyaddr_test.go
+++ b/cmd/edgeproxy/faultyaddr_test.go
@@ -11,40 +11,41 @@
 	"testing"
 )
 
-// faultyRelay is a relay before an address.
+// faultyRelay is a relay that injects faults into the connections to an address.
 type faultyRelay struct {
 	relay *relay.Relay
 	mu    sync.Mutex
-	fired []string // under mu
+	fired []string // guarded by mu
 }
 
-// Addr is the address of the relay.
-func (b *faultyRelay) Addr() net.Addr { return b.relay.Addr("c") }
+// Addr returns the address of the relay.
+func (r *faultyRelay) Addr() net.Addr { return r.relay.Addr("c") }
 
-// log returns the faults that have fired, by connection and direction.
-func (b *faultyRelay) log() string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	list := slices.Clone(b.fired)
+// log returns the faults that have fired, one a line, ordered by connection and direction.
+func (r *faultyRelay) log() string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	list := slices.Clone(r.fired)
 	slices.Sort(list)
 	return strings.Join(list, "\n")
 }
 
-// newFaultyRelay starts a relay to an address with rules for the link c.
+// newFaultyRelay starts a relay to an address with fault rules for the link "c", which is the name of the relay in
+// a script.
 func newFaultyRelay(t *testing.T, target string, rules ...string) *faultyRelay {
 	t.Helper()
 	script, err := fault.Parse(fmt.Sprintf("seed 3\nlink c listen 127.0.0.1:0 to %s\n%s", target, strings.Join(rules, "\n")))
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &faultyRelay{}
-	if b.relay, err = relay.Start(script, func(f fault.Firing) {
-		b.mu.Lock()
-		defer b.mu.Unlock()
-		b.fired = append(b.fired, f.String())
+	r := &faultyRelay{}
+	if r.relay, err = relay.Start(script, func(f fault.Firing) {
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		r.fired = append(r.fired, f.String())
 	}); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(b.relay.Close)
-	return b
+	t.Cleanup(r.relay.Close)
+	return r
 }
