--- a/cmd/edgeproxy/admin_test.go
+++ b/cmd/edgeproxy/admin_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// TestStats checks the counters after requests with different outcomes.
+// TestStats checks the metrics after requests with different outcomes and after an event.
 func TestStats(t *testing.T) {
 	env := startTestEnv(t)
 	c := env.dial()
@@ -20,7 +20,7 @@
 	receive(t, c.answers, "answer")
 	c.request(3, "registro", longTimeoutMS, 2, "body")
 	receive(t, env.origin.calls, "call").answer("overload", "-", "")
-	for range 8 { // attempts at an overloaded origin are retried until the request is rejected
+	for range 8 { // an overloaded origin is tried again until the request is rejected
 		select {
 		case again := <-env.origin.calls:
 			again.answer("overload", "-", "")
@@ -48,11 +48,11 @@
 	receive(t, c.answers, "END_REQUEST")
 	env.checkMetrics(map[string]int{operationsMetric("artes", "faulted"): 1, "svc_open_requests": 0})
 	env.sendEvent(endpointEvent(2, false, endpoint("c1", "std", "edge", "DRAINING", env.cache.Addr())))
-	env.eventually("one is out of rotation", func() bool { return env.metric("svc_out_of_rotation") == 1 })
+	env.eventually("a server is out of rotation", func() bool { return env.metric("svc_out_of_rotation") == 1 })
 }
 
-// TestOperatorsAreAnswered checks that idle and malformed connections to the admin address do not keep others
-// from an answer.
+// TestOperatorsAreAnswered checks that admin calls are answered while other connections to the admin address are
+// idle or have sent only a part of a call, and that malformed and unknown calls get an error status.
 func TestOperatorsAreAnswered(t *testing.T) {
 	env := startTestEnv(t)
 	for i := range 40 {
@@ -62,7 +62,7 @@
 		}
 		defer closeOnce(t, conn)
 		if i%2 == 0 {
-			io.WriteString(conn, "GET /ops/rea") //nolint:errcheck // may be closed by now
+			io.WriteString(conn, "GET /ops/rea") //nolint:errcheck // the program may have closed it
 		}
 	}
 	for raw, want := range map[string]int{
@@ -81,7 +81,8 @@
 	}
 }
 
-// requestUntilRejected makes reads on a connection, which is never idle, until one is rejected. It answers the others.
+// requestUntilRejected makes reads on a connection, one after the other, until one is rejected. The cache answers
+// the reads before that.
 func (env *testEnv) requestUntilRejected(c *client, firstID uint16) {
 	env.t.Helper()
 	for id := firstID; ; id++ {
@@ -99,8 +100,8 @@
 	}
 }
 
-// TestDrain checks that a drain closes connections without cutting answers off, and that the proxy serves
-// again after it.
+// TestDrain checks that a drain closes connections without cutting answers off, and that the proxy serves again
+// once the drain is stopped.
 func TestDrain(t *testing.T) {
 	env := startTestEnv(t)
 	idle := env.dial()
@@ -142,8 +143,8 @@
 	}
 }
 
-// TestSlowReaderGetsItsAnswers checks that a client that reads slowly gets all answers during a drain, and
-// the close behind them.
+// TestSlowReaderGetsItsAnswers checks that a client that reads slowly gets all its answers during a drain, and the
+// close of its connection after them.
 func TestSlowReaderGetsItsAnswers(t *testing.T) {
 	t.Parallel()
 	env := startTestEnv(t)
@@ -153,14 +154,14 @@
 		t.Fatal(err)
 	}
 	defer closeOnce(t, conn)
-	conn.SetReadBuffer(128 << 10) //nolint:errcheck // the machine's own size only makes the test weaker
+	conn.SetReadBuffer(128 << 10) //nolint:errcheck // with the default size the test is only weaker
 	slowClient := &client{Conn: conn}
 	for id := range uint16(32) {
 		slowClient.request(id+1, "artes", longTimeoutMS, int(id), "")
 	}
-	env.eventually("answers are ready", func() bool { return env.metric(operationsMetric("artes", "fulfilled")) == 32 })
+	env.eventually("all answers are ready", func() bool { return env.metric(operationsMetric("artes", "fulfilled")) == 32 })
 	env.adminCall("PUT", "/ops/drain/start")
-	time.Sleep(time.Second) // not a race: it reads nothing for longer than the program waits for a close
+	time.Sleep(time.Second) // not a race: the client reads nothing for longer than the program waits for a close
 	slowClient.request(100, "artes", longTimeoutMS, 100, "")
 	c := newClient(conn)
 	for range 33 {
@@ -175,24 +176,24 @@
 	}
 }
 
-// TestUnservedRequestsAreCountedByReason guards against answers that no figure shows: each answer that serves
-// nothing is counted under its reason, also where the request was never submitted.
+// TestUnservedRequestsAreCountedByReason guards against answers that appear in no metric: each answer that serves
+// nothing is counted under its reason, also if the request was never submitted.
 func TestUnservedRequestsAreCountedByReason(t *testing.T) {
 	env := startTestEnv(t)
 	c := env.dial()
-	ask := func(want, reason, class string, params ...string) {
+	checkCounted := func(want, reason, class string, params ...string) {
 		t.Helper()
 		c.request(1, class, longTimeoutMS, 1, "", params...)
 		a := receive(t, c.answers, "answer")
-		figure := fmt.Sprintf(`svc_not_served{reason=%q}`, reason)
-		if a.status != want || env.metric(figure) != 1 {
-			t.Errorf("%s: %+v, counted %d times", reason, a, env.metric(figure))
+		metric := fmt.Sprintf(`svc_not_served{reason=%q}`, reason)
+		if a.status != want || env.metric(metric) != 1 {
+			t.Errorf("%s: %+v, counted %d times", reason, a, env.metric(metric))
 		}
 	}
-	ask("400", "malformed", "artes", "HTTP_REQ_ID", "nonsense")
+	checkCounted("400", "malformed", "artes", "HTTP_REQ_ID", "nonsense")
 	closeOnce(t, env.origin)
-	ask("503", "attempts_used", "registro")
+	checkCounted("503", "attempts_used", "registro")
 	env.sendEvent(endpointEvent(2, false, endpoint("o1", "origin", "hub", "DELETED", env.origin.Addr())))
 	env.awaitEventsApplied()
-	ask("503", "no_endpoint", "registro")
+	checkCounted("503", "no_endpoint", "registro")
 }
