--- a/cmd/edgeproxy/cache_test.go
+++ b/cmd/edgeproxy/cache_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// TestReadIsServedThroughTheCache checks what a read sends to the cache, and the answers for a full and for
-// an unchanged object.
+// TestReadIsServedThroughTheCache checks the call that a read makes to the cache, and the answers to the client for
+// a full and for an unchanged object.
 func TestReadIsServedThroughTheCache(t *testing.T) {
 	env := startTestEnv(t)
 	big := strings.Repeat("0123456789", 24_000)
@@ -59,8 +59,8 @@
 	}
 }
 
-// TestWriteNeverRunsTwice checks that a write that may have been executed fails without a retry, and that one
-// that was not is rejected.
+// TestWriteNeverRunsTwice checks that a write that may have been executed fails without a retry, and that a write
+// that was not executed is rejected.
 func TestWriteNeverRunsTwice(t *testing.T) {
 	env := startTestEnv(t)
 	c := env.dial()
@@ -82,12 +82,12 @@
 		t.Errorf("after a refused connect: %+v", a)
 	}
 	if len(env.origin.calls) != 0 {
-		t.Error("it was retried")
+		t.Error("a write was retried")
 	}
 }
 
-// TestAnswerBeforeTheDeadline checks that a request to a server that does not answer is answered before its
-// deadline, and its call stopped.
+// TestAnswerBeforeTheDeadline checks that a request is answered before its deadline if the server does not answer,
+// and that its call is stopped.
 func TestAnswerBeforeTheDeadline(t *testing.T) {
 	env := startTestEnv(t)
 	c := env.dial()
@@ -125,8 +125,8 @@
 	}
 }
 
-// TestMalformedAnswerFailsOneRequest checks that a malformed answer fails one write alone: writes in flight to
-// one server have a connection each.
+// TestMalformedAnswerFailsOneRequest checks that a malformed answer fails only one write: each write in flight to a
+// server has its own connection.
 func TestMalformedAnswerFailsOneRequest(t *testing.T) {
 	env := startTestEnv(t)
 	c := env.dial()
@@ -148,8 +148,8 @@
 	}
 }
 
-// TestConnectionsClosedOnReuseAreAvoided checks that connections that a server closes when they are reused are
-// avoided after a few failures, above all by writes, which can't be retried.
+// TestConnectionsClosedOnReuseAreAvoided checks that idle connections are not used any more after a few failures if
+// the server closes each when it is reused. Writes need this most, as they can't be retried.
 func TestConnectionsClosedOnReuseAreAvoided(t *testing.T) {
 	t.Parallel()
 	env := startTestEnv(t)
@@ -166,22 +166,22 @@
 			got.answer("served", "-", "fine")
 		}
 	}()
-	in := 0
-	env.eventually("five writes in a row that were answered", func() bool {
+	consecutive := 0
+	env.eventually("five consecutive writes are answered", func() bool {
 		time.Sleep(100 * time.Millisecond)
 		id++
 		c.request(id, "registro", longTimeoutMS, 1, "x")
 		if receive(t, c.answers, "answer").body == "fine" {
-			in++
+			consecutive++
 		} else {
-			in = 0
+			consecutive = 0
 		}
-		return in == 5
+		return consecutive == 5
 	})
 }
 
-// TestQuietConnectionTakesNoNewCalls checks that a connection with calls in flight and no answers gets no new
-// calls, as it may be dead.
+// TestQuietConnectionTakesNoNewCalls checks that a connection on which calls are in flight and no answers arrive
+// gets no new calls, as it may be dead.
 func TestQuietConnectionTakesNoNewCalls(t *testing.T) {
 	t.Parallel()
 	env := startTestEnv(t)
@@ -189,7 +189,7 @@
 	c.request(1, "registro", longTimeoutMS, 1, "x")
 	silent := receive(t, env.origin.calls, "call").conn
 	id := uint16(1)
-	env.eventually("a call on another connection", func() bool {
+	env.eventually("a call uses another connection", func() bool {
 		id++
 		c.request(id, "registro", longTimeoutMS, 1, "x")
 		got := receive(t, env.origin.calls, "call")
@@ -203,8 +203,8 @@
 	})
 }
 
-// TestOnlyTheClientsVersionIsConfirmed checks that a client's copy is confirmed only if the server names its
-// version. An answer that names another version fails its attempt, and its connection stays open.
+// TestOnlyTheClientsVersionIsConfirmed checks that a client's copy is confirmed only if the server names the version
+// of that copy. An answer that names another version, or none, fails its attempt, and its connection stays open.
 func TestOnlyTheClientsVersionIsConfirmed(t *testing.T) {
 	env := startTestEnv(t)
 	c := env.dial()
@@ -228,7 +228,7 @@
 }
 
 // TestConnectionWithAnIncompleteAnswerIsNotUsedAgain checks that a connection with an incomplete answer gets no new
-// calls: their answers would be taken for the rest of it.
+// calls: the answers to them would be read as the rest of the incomplete one.
 func TestConnectionWithAnIncompleteAnswerIsNotUsedAgain(t *testing.T) {
 	env := startTestEnv(t)
 	c := env.dial()
@@ -242,7 +242,7 @@
 	c.request(2, "registro", longTimeoutMS, 2, "x")
 	second := receive(t, env.origin.calls, "call")
 	if second.conn == first.conn {
-		t.Error("the connection with half an answer is used again")
+		t.Error("the connection with an incomplete answer is used again")
 	}
 	second.answer("served", "-", "fine")
 	a := receive(t, c.answers, "answer")
@@ -251,8 +251,8 @@
 	}
 }
 
-// TestDuplicateAndUnknownAnswersAreIgnored checks that duplicate, late and unknown answers affect neither their
-// request nor the next one on the connection.
+// TestDuplicateAndUnknownAnswersAreIgnored checks that duplicate and late answers, and answers to unknown calls,
+// affect neither the request in flight nor the next one on the connection.
 func TestDuplicateAndUnknownAnswersAreIgnored(t *testing.T) {
 	env := startTestEnv(t)
 	c := env.dial()
@@ -273,23 +273,23 @@
 			t.Errorf("%+v", a)
 		}
 		first.conn = got.conn
-		first.answer("served", "-", "late") // may arrive after the next call was sent
+		first.answer("served", "-", "late") // may arrive after the next call has been sent
 	}
 	if len(env.cache.calls)+len(env.origin.calls)+len(c.answers) != 0 {
-		t.Error("something was sent or answered once more")
+		t.Error("a further call was made or a further answer given")
 	}
 }
 
-// TestAttemptIsCancelledBeforeARetry checks that with hedging off an attempt is cancelled by closing its connection
-// before the next one begins, as a server that hangs does not read STOP.
+// TestAttemptIsCancelledBeforeARetry checks that with hedging off an attempt is cancelled by the close of its
+// connection before the next one begins. STOP is not enough, as a server that hangs does not read it.
 func TestAttemptIsCancelledBeforeARetry(t *testing.T) {
 	t.Parallel()
 	env := startTestEnv(t)
 	env.reload(`"second-copies":true`, `"second-copies":false`)
-	env.eventually("taken over", func() bool { return env.metric("svc_cfg_accepted") == 1 })
+	env.eventually("the configuration is reloaded", func() bool { return env.metric("svc_cfg_accepted") == 1 })
 	c := env.dial()
 	var silent, next *receivedCall
-	env.eventually("a call that is retried", func() bool { // the server counts as quiet only some time after its last answer
+	env.eventually("a call is retried", func() bool { // the server counts as quiet only some time after its last answer
 		c.request(1, "artes", longTimeoutMS, 1, "")
 		receive(t, env.cache.calls, "call").answer("served", "made=1,note=TCP_HIT", "warm")
 		receive(t, c.answers, "answer")
@@ -303,7 +303,7 @@
 		}
 		return next.words[1] == silent.words[1]
 	})
-	env.eventually("the first connection has ended", func() bool {
+	env.eventually("the connection of the first call is closed", func() bool {
 		_, err := silent.conn.Write([]byte("*4\r\n$16\r\nffffffffffffffff\r\n$6\r\nnobody\r\n$1\r\n-\r\n$0\r\n\r\n"))
 		return err != nil
 	})
