--- a/cmd/edgeproxy/client_test.go
+++ b/cmd/edgeproxy/client_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestMalformedClients checks that malformed records close the connection, and that malformed parameters get
-// status 400.
+// TestMalformedClients checks that malformed records close the connection, and that a request with a malformed
+// parameter gets status 400.
 func TestMalformedClients(t *testing.T) {
 	env := startTestEnv(t)
 	env.cache.answerAll("served", "-", "fine")
@@ -56,7 +56,7 @@
 		(&client{Conn: out}).request(1, "registro", longTimeoutMS, 1, "x")
 		(&client{Conn: out}).request(2, "artes", longTimeoutMS, 1, "")
 		out.buffer = append(out.buffer, rest...)
-		(&client{Conn: out}).request(3, "artes", longTimeoutMS, 1, "") // behind the malformed record: is not read
+		(&client{Conn: out}).request(3, "artes", longTimeoutMS, 1, "") // follows the malformed record: must not be read
 		out.flush()
 		receive(t, env.origin.calls, name+": call").answer("served", "-", "written")
 		receive(t, env.cache.calls, name+": call").answer("served", "-", "read")
@@ -71,8 +71,8 @@
 	}
 }
 
-// TestBlockedRequestIsServed checks that a request that waits because its client reads no answers is served
-// once the client reads on.
+// TestBlockedRequestIsServed checks that a request that waits because its client does not read its answers is
+// served once the client reads them.
 func TestBlockedRequestIsServed(t *testing.T) {
 	env := startTestEnv(t)
 	conn, out := newUnreadingClient(env)
@@ -93,12 +93,11 @@
 	}
 }
 
-// TestNoRetryAfterWhereItIsOff checks that rejections carry no Retry-After advice where the settings forbid
-// it.
+// TestNoRetryAfterWhereItIsOff checks that rejections carry no Retry-After advice if the settings turn it off.
 func TestNoRetryAfterWhereItIsOff(t *testing.T) {
 	env := startTestEnv(t)
 	env.reload(`"second-copies":true`, `"retry-after":false,"second-copies":true`)
-	env.eventually("taken over", func() bool { return env.metric("svc_cfg_accepted") == 1 })
+	env.eventually("the configuration is reloaded", func() bool { return env.metric("svc_cfg_accepted") == 1 })
 	closeOnce(t, env.origin)
 	c := env.dial()
 	c.request(1, "registro", longTimeoutMS, 1, "x")
@@ -116,7 +115,7 @@
 	c := env.dial()
 	out := &bufferedConn{Conn: c.Conn}
 	(&client{Conn: out}).request(1, "artes", longTimeoutMS, 1, "")
-	for begin := time.Now(); len(out.buffer) > 0; time.Sleep(50 * time.Millisecond) { // not a race: the client's pace
+	for begin := time.Now(); len(out.buffer) > 0; time.Sleep(50 * time.Millisecond) { // not a race: the pace of the client
 		n := 1
 		if time.Since(begin) > 3*time.Second {
 			n = len(out.buffer)
