--- a/cmd/edgeproxy/clientlimits_test.go
+++ b/cmd/edgeproxy/clientlimits_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestRequestOverItsOwnLimitIsRejected checks that a request over a limit is rejected while its connection and
-// the other requests on it go on.
+// TestRequestOverItsOwnLimitIsRejected checks that a request that is too large is rejected, and that its connection
+// serves other requests.
 func TestRequestOverItsOwnLimitIsRejected(t *testing.T) {
 	env := startTestEnv(t)
 	env.cache.answerAll("served", "-", "fine")
@@ -25,7 +25,7 @@
 		if a.id != 2 || a.status != "503" {
 			t.Errorf("%s: %+v", name, a)
 		}
-		c.writeRecord(recordStdin, 2, "") // the rest of it is skipped
+		c.writeRecord(recordStdin, 2, "") // the rest of the rejected request is skipped
 		c.request(3, "artes", longTimeoutMS, 1, "")
 		a = receive(t, c.answers, name+": answer")
 		if a.id != 3 || a.body != "fine" {
@@ -34,8 +34,8 @@
 	}
 }
 
-// TestMemoryFullOfIncompleteRequests checks that complete requests are answered when incomplete ones have used up
-// the memory, and that no connection is closed without an answer.
+// TestMemoryFullOfIncompleteRequests checks that complete requests are answered although incomplete ones have used
+// up the memory, and that no connection is closed without an answer.
 func TestMemoryFullOfIncompleteRequests(t *testing.T) {
 	const clients = 200
 	env := newTestEnv(t)
@@ -64,8 +64,8 @@
 	}
 }
 
-// TestConnectionGoesOnAfterMemoryWasFull checks that a connection whose request was rejected for lack of
-// memory, before all of it had come, serves the next request.
+// TestConnectionGoesOnAfterMemoryWasFull checks that a connection serves the next request although the one before
+// was rejected for lack of memory when only a part of it had arrived.
 func TestConnectionGoesOnAfterMemoryWasFull(t *testing.T) {
 	const clients = 200
 	env := newTestEnv(t)
@@ -105,8 +105,8 @@
 	}
 }
 
-// TestBurstOfAnswersAfterAPause checks that no answer is lost when more of them than the memory limit allows
-// arrive in one turn of the event loop.
+// TestBurstOfAnswersAfterAPause checks that no answer is lost if the answers that arrive in one turn of the event
+// loop are larger than the memory limit allows.
 func TestBurstOfAnswersAfterAPause(t *testing.T) {
 	const clients, each = 20, 4
 	env := newTestEnv(t)
@@ -142,12 +142,12 @@
 	}
 }
 
-// TestClientThatDoesNotRead checks that clients that do not read hold up no others, and that the memory for
-// their answers is bounded.
+// TestClientThatDoesNotRead checks that clients that do not read delay no others, and that the memory for their
+// answers is bounded.
 func TestClientThatDoesNotRead(t *testing.T) {
 	env := startTestEnv(t)
 	env.cache.answerAll("served", "-", strings.Repeat("x", 240_000))
-	stick := func(requests uint16) {
+	addUnreadingClient := func(requests uint16) {
 		stuck, err := net.Dial("tcp", env.addr)
 		if err != nil {
 			t.Fatal(err)
@@ -157,7 +157,7 @@
 			(&client{Conn: stuck}).request(id+1, "artes", longTimeoutMS, int(id), "")
 		}
 	}
-	stick(30)
+	addUnreadingClient(30)
 	c := env.dial()
 	for id := range uint16(20) {
 		c.request(id+1, "artes", longTimeoutMS, int(id), "")
@@ -166,10 +166,10 @@
 			t.Fatalf("%s, %d bytes", a.status, len(a.body))
 		}
 	}
-	for range 60 { // 460 MB of answers, if all were buffered
-		stick(32)
+	for range 60 { // 460 MB of answers if all were buffered
+		addUnreadingClient(32)
 	}
-	for id := range uint16(200) { // some are rejected meanwhile
+	for id := range uint16(200) { // some are rejected
 		c.request(id+1, "artes", longTimeoutMS, int(id), "")
 		a := receive(t, c.answers, "answer")
 		if a.id != id+1 {
@@ -179,7 +179,7 @@
 	env.checkMemory()
 }
 
-// TestIdleClientsAreEvicted checks that idle connections, incomplete requests included, are closed to make
+// TestIdleClientsAreEvicted checks that idle connections, also those with an incomplete request, are closed to make
 // descriptors available to other clients.
 func TestIdleClientsAreEvicted(t *testing.T) {
 	t.Parallel()
@@ -201,9 +201,9 @@
 	}
 	served("late", env.dial())
 	served("early", early)
-	half := env.dial()
-	half.writeRecord(recordBegin, 1, beginKeepConn)
-	for _, c := range append(silent, half) {
+	incomplete := env.dial()
+	incomplete.writeRecord(recordBegin, 1, beginKeepConn)
+	for _, c := range append(silent, incomplete) {
 		a := receive(t, c.answers, "close")
 		if a.id != 0 {
 			t.Errorf("%+v", a)
@@ -214,8 +214,8 @@
 	}
 }
 
-// TestFloodIsRejected checks that requests over the memory limit are rejected, that the process stays within
-// its limit, and that it serves afterwards.
+// TestFloodIsRejected checks that requests beyond the memory limit are rejected, that the process stays within the
+// limit, and that it serves afterwards.
 func TestFloodIsRejected(t *testing.T) {
 	env := startTestEnv(t)
 	body := strings.Repeat("b", 48_000)
@@ -251,8 +251,8 @@
 	env.checkMemory()
 }
 
-// TestManyIdleClientsKeepNobodyOut checks that many idle clients, while the coordinator is down, keep out neither new
-// clients nor the coordinator's connection.
+// TestManyIdleClientsKeepNobodyOut checks that many idle clients prevent neither new clients from being served while
+// the coordinator is down, nor the connection to the coordinator once it is back.
 func TestManyIdleClientsKeepNobodyOut(t *testing.T) {
 	env := startTestEnv(t)
 	env.cache.answerAll("served", "-", "fine")
