--- a/cmd/edgeproxy/clock_test.go
+++ b/cmd/edgeproxy/clock_test.go
@@ -15,20 +15,20 @@
 	"cloverdoor/internal/eventloop"
 )
 
-// clockMessageSize is the size in bytes of a message between a test and a program with a manual clock: a
-// time, or the acknowledgment of one.
+// clockMessageSize is the size in bytes of a message between a test and a program with a manual clock. A message
+// is a time, or the acknowledgment of one.
 const clockMessageSize = 8
 
-// manualClock is the clock of a program whose time passes only when a test advances it.
+// manualClock is the test's side of the clock of a program whose time passes only when the test advances it.
 type manualClock struct {
 	t          *testing.T
 	now        time.Duration
-	out, acks  *os.File // the test's ends of the pipes
+	out, acks  *os.File // the test's ends of the two pipes
 	toProgram  *os.File // the program's end of out
 	ackProgram *os.File // the program's end of acks
 }
 
-// newManualClock opens the pipes of a clock.
+// newManualClock returns a clock that is set to the current time, and opens its pipes.
 func newManualClock(t *testing.T) *manualClock {
 	t.Helper()
 	m := &manualClock{t: t, now: time.Duration(time.Now().UnixNano())}
@@ -40,20 +40,20 @@
 	}
 	t.Cleanup(func() {
 		for _, f := range []*os.File{m.out, m.acks, m.toProgram, m.ackProgram} {
-			f.Close() //nolint:errcheck // nothing is written any more
+			f.Close() //nolint:errcheck // not used any more
 		}
 	})
 	return m
 }
 
-// attach hands the program's ends of the pipes to a program that is yet to be started.
+// attach passes the program's ends of the pipes to a command that has not been started yet.
 func (m *manualClock) attach(cmd *exec.Cmd) {
 	first := 3 + len(cmd.ExtraFiles)
 	cmd.ExtraFiles = append(cmd.ExtraFiles, m.toProgram, m.ackProgram)
 	cmd.Env = append(cmd.Env, fmt.Sprintf("CLOVERDOOR_TEST_CLOCK=%d", m.now), fmt.Sprintf("CLOVERDOOR_TEST_CLOCK_FD=%d", first))
 }
 
-// advance advances the program's time. When it returns, the program has carried out all that became due.
+// advance advances the program's time. When it returns, the program has carried out everything that became due.
 func (m *manualClock) advance(offset time.Duration) {
 	m.t.Helper()
 	m.now += offset
@@ -61,31 +61,31 @@
 		m.t.Fatal(err)
 	}
 	var ack [clockMessageSize]byte
-	m.acks.SetReadDeadline(time.Now().Add(testTimeout)) //nolint:errcheck // a pipe takes it
+	m.acks.SetReadDeadline(time.Now().Add(testTimeout)) //nolint:errcheck // a pipe supports it
 	if _, err := io.ReadFull(m.acks, ack[:]); err != nil {
-		m.t.Fatalf("the program has not carried out a step: %v", err)
+		m.t.Fatalf("the program has not acknowledged a step of its clock: %v", err)
 	}
 	got := time.Duration(binary.BigEndian.Uint64(ack[:]))
 	if got != m.now {
-		m.t.Fatalf("the program is at %v, want %v", got, m.now)
+		m.t.Fatalf("the program's clock is at %v, want %v", got, m.now)
 	}
 }
 
-// manualTimeSource is the time source of a program with a manual clock.
+// manualTimeSource is the program's side of a manual clock.
 type manualTimeSource struct {
 	now     time.Duration
-	in      int  // descriptor of the steps
-	acks    int  // descriptor of the acknowledgments
-	pending bool // a step has been taken and is not acknowledged yet
+	in      int  // descriptor from which the steps are read
+	acks    int  // descriptor to which the acknowledgments are written
+	pending bool // a step has been read and is not acknowledged yet
 }
 
 // stepPollInterval is how long, in real time, the program waits for events before it looks for the next step.
 const stepPollInterval = time.Millisecond
 
-// Now is the time of the last step.
+// Now returns the time of the last step.
 func (c *manualTimeSource) Now() eventloop.Timestamp { return c.now }
 
-// PollTimeout acknowledges the step of the last turn, and takes the next one.
+// PollTimeout acknowledges the step that the last turn has carried out, and reads the next one.
 func (c *manualTimeSource) PollTimeout(wanted time.Duration) time.Duration {
 	var step [clockMessageSize]byte
 	if c.pending {
@@ -101,22 +101,23 @@
 	return min(wanted, stepPollInterval)
 }
 
-// offsetClock is a wall clock that is wrong by an offset.
+// offsetClock is a wall clock that is wrong by a fixed offset.
 type offsetClock struct {
 	eventloop.TimeSource
 	by time.Duration
 }
 
-// Now is the wrong time.
+// Now returns the wrong time.
 func (c offsetClock) Now() eventloop.Timestamp { return c.TimeSource.Now() + c.by }
 
 // clockOffsetEnv is the environment variable with the offset of the program's wall clock.
 const clockOffsetEnv = "CLOVERDOOR_TEST_CLOCK_OFFSET"
 
-// serveWithTestClock runs the program with the clock and the system call faults that its environment says.
+// serveWithTestClock runs the program with the clock and the system call faults that its environment sets. A violation
+// of an invariant ends it with a panic.
 func serveWithTestClock() {
 	injectSyscallFaults()
-	onViolation = func(text string) { panic("rule broken: " + text) }
+	onViolation = func(text string) { panic("invariant violated: " + text) }
 	start, err1 := strconv.ParseInt(os.Getenv("CLOVERDOOR_TEST_CLOCK"), 10, 64)
 	fd, err2 := strconv.Atoi(os.Getenv("CLOVERDOOR_TEST_CLOCK_FD"))
 	if by, err := time.ParseDuration(os.Getenv(clockOffsetEnv)); err == nil {
@@ -127,12 +128,12 @@
 		main()
 		return
 	}
-	syscall.SetNonblock(fd, true) //nolint:errcheck // a pipe takes it
+	syscall.SetNonblock(fd, true) //nolint:errcheck // a pipe supports it
 	serve(&manualTimeSource{now: time.Duration(start), in: fd, acks: fd + 1})
 }
 
-// TestWallClockWrongAtTheStart checks that a process whose wall clock is wrong applies purges correctly once
-// the coordinator has sent the time.
+// TestWallClockWrongAtTheStart checks that a process whose wall clock is wrong at the start applies purges correctly
+// once the coordinator has sent the time.
 func TestWallClockWrongAtTheStart(t *testing.T) {
 	for _, by := range []string{"1h", "-1h", "4s", "-4s"} {
 		env := newTestEnv(t)
@@ -141,17 +142,17 @@
 		env.awaitAlive("200")
 		receive(t, env.followLines, "follow")
 		c := env.dial()
-		moment := time.Now()
-		env.sendEvent(fmt.Sprintf(`{"index":2,"evict":{"ref":"0000000000000001","unix_ms":%d}}`, moment.UnixMilli()))
+		purgedAt := time.Now()
+		env.sendEvent(fmt.Sprintf(`{"index":2,"evict":{"ref":"0000000000000001","unix_ms":%d}}`, purgedAt.UnixMilli()))
 		env.awaitEventsApplied()
 		c.request(1, "artes", longTimeoutMS, 1, "")
 		got := receive(t, env.cache.calls, "call")
 		age, _ := strconv.ParseInt(got.fields["maxage"], 10, 64)
-		maxAge := time.Since(moment).Milliseconds()
+		maxAge := time.Since(purgedAt).Milliseconds()
 		if age <= 0 || age > maxAge {
 			t.Errorf("%s: maxage is %d when the purge was %d ms ago", by, age, maxAge)
 		}
-		got.answer("served", fmt.Sprintf("etag=a,note=TCP_JOIN,made=%d", moment.UnixMilli()-1000), "from before the purge")
+		got.answer("served", fmt.Sprintf("etag=a,note=TCP_JOIN,made=%d", purgedAt.UnixMilli()-1000), "from before the purge")
 		got = receive(t, env.cache.calls, by+": further call")
 		got.answer("served", fmt.Sprintf("etag=b,note=TCP_MISS,made=%d", time.Now().UnixMilli()), "from after the purge")
 		a := receive(t, c.answers, "answer")
