--- a/cmd/edgeproxy/config_test.go
+++ b/cmd/edgeproxy/config_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// TestClosedLogPipe checks that a closed log pipe does not end the program.
+// TestClosedLogPipe checks that the program continues when the reader of its log pipe is closed.
 func TestClosedLogPipe(t *testing.T) {
 	env := newTestEnv(t)
 	r, log, err := os.Pipe()
@@ -26,7 +26,7 @@
 	env.awaitAlive("503")
 }
 
-// fullPipe returns both ends of a pipe whose buffer is full: a write to it blocks until somebody reads.
+// fullPipe returns both ends of a pipe whose buffer is full: a write blocks until somebody reads.
 func fullPipe(t *testing.T) (read, write *os.File) {
 	t.Helper()
 	var ends [2]int
@@ -45,8 +45,7 @@
 	return read, write
 }
 
-// TestFullLogPipe checks that a full log pipe holds up neither requests, nor admin calls, nor the
-// shutdown.
+// TestFullLogPipe checks that a full log pipe delays neither requests, nor admin calls, nor the shutdown.
 func TestFullLogPipe(t *testing.T) {
 	env := newTestEnv(t)
 	_, env.stderr = fullPipe(t)
@@ -72,8 +71,8 @@
 	}
 }
 
-// TestSlowConfigurationFile checks that requests are served while a configuration file is slow to read, and
-// that it is applied afterwards.
+// TestSlowConfigurationFile checks that requests are served while a configuration file is slow to read, and that the
+// configuration is applied afterwards.
 func TestSlowConfigurationFile(t *testing.T) {
 	env := startTestEnv(t)
 	env.cache.answerAll("served", "-", "fine")
@@ -83,7 +82,7 @@
 	if err := env.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	file, err := os.OpenFile(env.configPath, os.O_WRONLY, 0) // returns when the program opens it to read
+	file, err := os.OpenFile(env.configPath, os.O_WRONLY, 0) // returns when the program opens it for reading
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -97,16 +96,16 @@
 		t.Fatal(err)
 	}
 	closeOnce(t, file)
-	env.eventually("applied", func() bool { return env.metric("svc_cfg_accepted") == 1 })
+	env.eventually("the configuration is applied", func() bool { return env.metric("svc_cfg_accepted") == 1 })
 }
 
-// TestReloadFollowsTheNewCoordinator checks that a reload switches to a new coordinator at the present event
-// index, and that requests in flight are answered.
+// TestReloadFollowsTheNewCoordinator checks that a reload switches to a new coordinator and follows it from the
+// current event index, and that requests in flight are answered.
 func TestReloadFollowsTheNewCoordinator(t *testing.T) {
 	env := startTestEnv(t)
 	receive(t, env.followLines, "follow")
 	env.sendEvent(`{"index":2,"evict":{"shard":1,"unix_ms":1}}`)
-	env.sendEvent("nonsense") // makes the program reconnect, which shows that event 2 was taken
+	env.sendEvent("nonsense") // makes the program reconnect, which shows that event 2 was applied
 	receive(t, env.followLines, "follow")
 	c := env.dial()
 	c.request(1, "artes", longTimeoutMS, 1, "")
@@ -125,8 +124,8 @@
 	}
 }
 
-// TestReloadAppliesAllSettingsOrNone checks that an invalid configuration changes nothing, its
-// coordinator included, and that a valid one applies to new requests alone.
+// TestReloadAppliesAllSettingsOrNone checks that an invalid configuration changes nothing, not even the coordinator,
+// and that a valid one applies only to new requests.
 func TestReloadAppliesAllSettingsOrNone(t *testing.T) {
 	env := startTestEnv(t)
 	receive(t, env.followLines, "follow")
@@ -142,7 +141,7 @@
 		{addr, elsewhere, `"pass-on":[false,true]`, `"pass-on":[false]`}, {addr, elsewhere, `"zone":1`, `"zone":0`},
 	} {
 		env.reload(broken...)
-		env.eventually("rejected", func() bool { return env.metric("svc_cfg_invalid") == i+1 })
+		env.eventually("the configuration is rejected", func() bool { return env.metric("svc_cfg_invalid") == i+1 })
 	}
 	c.request(2, "artes", longTimeoutMS, 2, "")
 	receive(t, env.cache.calls, "call").answer("served", "-", "as before")
@@ -150,16 +149,17 @@
 	if a.body != "as before" || len(env.followLines) != 0 {
 		t.Errorf("%+v, or another coordinator was followed", a)
 	}
-	// registro, which is not idempotent, takes the place of artes in the list; a new class takes its place.
+	// The class registro, which is not idempotent, moves to the place of artes in the list, and a new class to the
+	// place of registro.
 	const artes, write = `{"gain":1,"name":"artes","promise-us":500000,"semantics":"read_like"}`,
 		`{"gain":1,"name":"registro","promise-us":500000,"semantics":"non_idempotent"}`
 	env.reload(artes+","+write, write+","+strings.Replace(artes, "artes", "nuevos", 1), `"pass-on":[false,true]`, `"pass-on":[true,false]`)
-	env.eventually("applied", func() bool { return env.metric("svc_cfg_accepted") == 1 })
+	env.eventually("the configuration is applied", func() bool { return env.metric("svc_cfg_accepted") == 1 })
 	c.request(3, "registro", longTimeoutMS, 3, "x")
 	receive(t, env.origin.calls, "call").answer("crashed", "-", "")
 	a = receive(t, c.answers, "answer")
 	if a.status != "502" {
-		t.Errorf("a write that may have run: %+v", a)
+		t.Errorf("a write that may have been executed: %+v", a)
 	}
 	c.request(4, "nuevos", longTimeoutMS, 4, "")
 	receive(t, env.cache.calls, "call").answer("served", "-", "new")
@@ -170,7 +170,7 @@
 	c.request(5, "artes", longTimeoutMS, 5, "")
 	a = receive(t, c.answers, "answer")
 	if a.status != "400" {
-		t.Errorf("a class that was removed: %+v", a)
+		t.Errorf("a removed class: %+v", a)
 	}
 	open.answer("served", "-", "fine")
 	a = receive(t, c.answers, "answer")
@@ -189,7 +189,7 @@
 	}
 }
 
-// TestInvalidConfiguration checks that an invalid configuration ends the program with one line.
+// TestInvalidConfiguration checks that an invalid configuration ends the program with an error of one line.
 func TestInvalidConfiguration(t *testing.T) {
 	for want, config := range map[string]any{
 		"listen":      map[string]any{"listen": "nowhere"},
@@ -207,8 +207,8 @@
 	}
 }
 
-// TestInvalidSettings checks that well-formed settings with invalid values end the program with one
-// line instead of a panic.
+// TestInvalidSettings checks that well-formed settings with invalid values end the program with an error of one
+// line, and not with a panic.
 func TestInvalidSettings(t *testing.T) {
 	for _, change := range [][]string{
 		{`"zone":1`, `"zone":-1`}, {`"zone":1`, `"zone":7`}, {`"streams-per-conn":32`, `"streams-per-conn":-32`},
@@ -216,7 +216,7 @@
 	} {
 		env := newTestEnv(t)
 		env.start(endpointEvent(1, true, endpoint("c1", "std", "edge", "SERVING", env.cache.Addr())))
-		env.cmd.Process.Kill() //nolint:errcheck // only its configuration is of use
+		env.cmd.Process.Kill() //nolint:errcheck // only its configuration is needed
 		text := strings.Replace(env.initialConfig, change[0], change[1], 1)
 		if err := os.WriteFile(env.configPath, []byte(text), 0o600); err != nil || text == env.initialConfig {
 			t.Fatal(change, err)
@@ -230,8 +230,8 @@
 	}
 }
 
-// TestStartIsRetriedOnResourceShortage checks that the program starts although descriptors or memory are lacking for a
-// while.
+// TestStartIsRetriedOnResourceShortage checks that the program starts although it lacks descriptors or memory at
+// first.
 func TestStartIsRetriedOnResourceShortage(t *testing.T) {
 	for _, failure := range []string{"socket:ENFILE:1-3", "socket:ENOBUFS:2-5", "socket:ENOMEM:1-1"} {
 		env := newTestEnv(t)
@@ -239,11 +239,11 @@
 		env.start(endpointEvent(1, true, endpoint("c1", "std", "edge", "SERVING", env.cache.Addr())))
 		select {
 		case err := <-env.exited:
-			t.Errorf("%s: ended with %v", failure, err)
+			t.Errorf("%s: exited with %v", failure, err)
 			continue
 		case <-env.followLines:
 		}
 		env.awaitAlive("200")
-		env.cmd.Process.Kill() //nolint:errcheck // the next one is another program
+		env.cmd.Process.Kill() //nolint:errcheck // the next case starts another process
 	}
 }
