--- a/cmd/edgeproxy/coordinator_test.go
+++ b/cmd/edgeproxy/coordinator_test.go
@@ -17,17 +17,17 @@
 	second.answerAll("served", "-", "second")
 	c := env.dial()
 	id := uint16(0)
-	served := func(object int) string {
+	readBody := func(object int) string {
 		id++
 		c.request(id, "artes", longTimeoutMS, object, "")
 		return receive(t, c.answers, "answer").body
 	}
 	env.sendEvent(endpointEvent(2, false, endpoint("c1", "std", "edge", "DRAINING", env.cache.Addr()), endpoint("c2", "std", "edge", "SERVING", second.Addr())))
-	env.eventually("the event was taken", func() bool { return served(1) == "second" })
+	env.eventually("the event is applied", func() bool { return readBody(1) == "second" })
 	for object := range 20 {
-		got := served(object)
+		got := readBody(object)
 		if got != "second" {
-			t.Errorf("object %d from %q", object, got)
+			t.Errorf("object %d is served by %q", object, got)
 		}
 	}
 }
@@ -56,7 +56,7 @@
 	}
 }
 
-// TestPurgeBoundsTheAge checks that calls after a purge ask for no older copy, and that an older copy from a
+// TestPurgeBoundsTheAge checks that calls after a purge ask for no copy from before it, and that such a copy from a
 // coalesced fill is not delivered.
 func TestPurgeBoundsTheAge(t *testing.T) {
 	for _, purge := range []string{`{"index":2,"evict":{"ref":"0000000000000001","unix_ms":%d}}`, `{"index":2,"evict":{"shard":17,"unix_ms":%d}}`} {
@@ -64,13 +64,13 @@
 		receive(t, env.followLines, "follow")
 		c := env.dial()
 		id := uint16(0)
-		moment := time.Now().Add(-2 * time.Second)
-		env.sendEvent(fmt.Sprintf(purge, moment.UnixMilli()))
-		env.eventually("an age in a call", func() bool {
+		purgedAt := time.Now().Add(-2 * time.Second)
+		env.sendEvent(fmt.Sprintf(purge, purgedAt.UnixMilli()))
+		env.eventually("a call has a maximum age", func() bool {
 			id++
 			c.request(id, "artes", longTimeoutMS, 1, "")
 			got := receive(t, env.cache.calls, "call")
-			maxAge := time.Since(moment).Milliseconds()
+			maxAge := time.Since(purgedAt).Milliseconds()
 			got.answer("served", "-", "")
 			receive(t, c.answers, "answer")
 			age, _ := strconv.ParseInt(got.fields["maxage"], 10, 64)
@@ -82,14 +82,14 @@
 		c.request(1000, "artes", longTimeoutMS, 1, "")
 		got := receive(t, env.cache.calls, "call")
 		if !strings.Contains(got.fields["flags"], "coalesce") {
-			t.Errorf("%q: all that miss after a purge would fill separately", got.words[2])
+			t.Errorf("%q: each call that misses after a purge would fill separately", got.words[2])
 		}
-		got.answer("served", fmt.Sprintf("etag=a,note=TCP_JOIN,made=%d", moment.UnixMilli()-1000), "from before the purge")
+		got.answer("served", fmt.Sprintf("etag=a,note=TCP_JOIN,made=%d", purgedAt.UnixMilli()-1000), "from before the purge")
 		got = receive(t, env.cache.calls, "further call")
 		if strings.Contains(got.fields["flags"], "coalesce") {
-			t.Errorf("%q: may join the same fill again", got.words[2])
+			t.Errorf("%q: the call may join the same fill again", got.words[2])
 		}
-		got.answer("served", fmt.Sprintf("etag=b,note=TCP_MISS,made=%d", moment.UnixMilli()+100), "from after the purge")
+		got.answer("served", fmt.Sprintf("etag=b,note=TCP_MISS,made=%d", purgedAt.UnixMilli()+100), "from after the purge")
 		a := receive(t, c.answers, "answer")
 		if a.id != 1000 || a.status != "200" || a.body != "from after the purge" {
 			t.Errorf("%+v", a)
@@ -97,9 +97,8 @@
 	}
 }
 
-// TestWatchReconnects checks that the watch reconnects from the last event taken after a malformed
-// line, a gap, an index that shows missing events, the end of the stream and silence, and that repeated
-// events are dropped.
+// TestWatchReconnects checks that the watch reconnects, from the last event that was applied, after a malformed line,
+// a gap, an index that shows missing events, the end of the stream and silence, and that repeated events are dropped.
 func TestWatchReconnects(t *testing.T) {
 	t.Parallel()
 	env := startTestEnv(t)
@@ -115,18 +114,18 @@
 	env.sendEvent(`{"index":2,"evict":{"shard":1,"unix_ms":1}}`)
 	env.sendEvent("2")
 	env.sendEvent("nonsense")
-	follow("after a bad line", "follow 2")
+	follow("after a malformed line", "follow 2")
 	env.sendEvent(`{"index":4,"evict":{"shard":1,"unix_ms":1}}`)
 	follow("after a gap", "follow 2")
 	env.sendEvent("3")
-	follow("after a number too high", "follow 2")
+	follow("after an index that is too high", "follow 2")
 	env.sendEvent(`{"index":3,"evict":{"shard":1,"unix_ms":1}}`)
 	closeWrite(t, env.watchConn)
-	follow("after the stream's end", "follow 3")
+	follow("after the end of the stream", "follow 3")
 	follow("after silence", "follow 3")
 }
 
-// TestAliveOnceTheListIsKnown checks that /alive answers 503 until the endpoint list is known.
+// TestAliveOnceTheListIsKnown checks that /alive answers 503 until the endpoint list is known, and 200 then.
 func TestAliveOnceTheListIsKnown(t *testing.T) {
 	env := newTestEnv(t)
 	env.start()
@@ -139,14 +138,14 @@
 	c.request(1, "artes", longTimeoutMS, 1, "")
 	a := receive(t, c.answers, "answer")
 	if a.status != "503" {
-		t.Errorf("without a list: %+v", a)
+		t.Errorf("without an endpoint list: %+v", a)
 	}
 	env.sendEvent(fullList(env.cache.Addr(), env.origin.Addr()))
 	env.awaitAlive("200")
 }
 
-// TestFullListAfterAReload checks that a server that a full list lacks counts as removed, also right after a
-// reload.
+// TestFullListAfterAReload checks that a server that is not in a full endpoint list counts as removed, also right
+// after a reload.
 func TestFullListAfterAReload(t *testing.T) {
 	env := startTestEnv(t)
 	receive(t, env.followLines, "follow")
@@ -160,8 +159,8 @@
 	env.checkServedOnlyBy("second")
 }
 
-// TestReadyWithCoordinatorDown checks that a restarted process serves by the list in its configuration while
-// the coordinator is down.
+// TestReadyWithCoordinatorDown checks that a process that starts while the coordinator is down serves with the
+// endpoint list in its configuration.
 func TestReadyWithCoordinatorDown(t *testing.T) {
 	env := newTestEnv(t)
 	env.cache.answerAll("served", "-", "fine")
