--- a/cmd/edgeproxy/coordinatorlines_test.go
+++ b/cmd/edgeproxy/coordinatorlines_test.go
@@ -1,6 +1,6 @@
 package main
 
-// This file holds the tests of lines from the coordinator that come slowly, in part, or can't be read.
+// This file holds the tests of lines from the coordinator that arrive slowly, are cut off, or can't be decoded.
 
 import (
 	"encoding/json"
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// TestDrainInACutOffLine checks that a drain whose line was cut off by the end of the stream takes effect when
-// it is sent again.
+// TestDrainInACutOffLine checks that a drain takes effect when it is sent again after the end of the stream has cut
+// off its line.
 func TestDrainInACutOffLine(t *testing.T) {
 	env := startTestEnv(t)
 	receive(t, env.followLines, "follow")
@@ -32,8 +32,7 @@
 	env.checkServedOnlyBy("second")
 }
 
-// TestEndlessLineCountsAsSilence checks that a stream that sends bytes without ending a line is treated as
-// silent.
+// TestEndlessLineCountsAsSilence checks that a stream that sends bytes but never ends a line is treated as silent.
 func TestEndlessLineCountsAsSilence(t *testing.T) {
 	t.Parallel()
 	env := startTestEnv(t)
@@ -52,8 +51,8 @@
 	}
 }
 
-// TestUnreadableEntryCountsAsRemoved checks that the server of a malformed entry, which may have announced a
-// drain, gets no new calls.
+// TestUnreadableEntryCountsAsRemoved checks that a server whose entry is malformed gets no new calls, as the entry may
+// have announced a drain.
 func TestUnreadableEntryCountsAsRemoved(t *testing.T) {
 	env := startTestEnv(t)
 	receive(t, env.followLines, "follow")
@@ -66,8 +65,8 @@
 	env.checkServedOnlyBy("second")
 }
 
-// TestSlowLineIsReceived checks that an event that arrives slowly but steadily is taken: the bytes so far are
-// not discarded.
+// TestSlowLineIsReceived checks that an event that arrives slowly but steadily is applied: the bytes that have
+// arrived are not discarded.
 func TestSlowLineIsReceived(t *testing.T) {
 	const inAll, step = 6 * time.Second, 100 * time.Millisecond
 	env := newTestEnv(t)
@@ -84,12 +83,12 @@
 		drain.writeNext(1 + len(drain.line)/int(inAll/step))
 		env.clock.advance(step)
 	}
-	env.awaitAlive("200") // a turn of the event loop later: all that came before has been read
+	env.awaitAlive("200") // a turn of the event loop later: everything sent before has been read
 	env.checkServedOnlyBy("second")
 }
 
-// TestUnknownStateHidesNoOtherEntry checks that an entry in an unknown state counts as removed, and that the rest
-// of its event and later events are taken without a reconnect.
+// TestUnknownStateHidesNoOtherEntry checks that an entry in an unknown state counts as removed, and that the other
+// entries of its event and later events are applied without a reconnect.
 func TestUnknownStateHidesNoOtherEntry(t *testing.T) {
 	env := newTestEnv(t)
 	env.start(endpointEvent(1, true, endpoint("c0", "std", "edge", "RESTING", env.cache.Addr()), endpoint("c1", "std", "edge", "SERVING", env.cache.Addr()),
@@ -100,17 +99,17 @@
 	second.answerAll("served", "-", "second")
 	env.sendEvent(endpointEvent(2, false, endpoint("c1", "std", "edge", "RESTING", env.cache.Addr()), endpoint("c2", "std", "edge", "SERVING", second.Addr()),
 		endpoint("c3", "std", "edge", "SERVING", second.Addr())))
-	env.eventually("the rest of the event is taken", func() bool { return env.metric("svc_registry_entries") == 3 })
+	env.eventually("the rest of the event is applied", func() bool { return env.metric("svc_registry_entries") == 3 })
 	env.checkServedOnlyBy("second")
 	env.sendEvent(endpointEvent(3, false, endpoint("c3", "std", "edge", "DELETED", second.Addr())))
-	env.eventually("the next event is taken", func() bool { return env.metric("svc_registry_entries") == 2 })
+	env.eventually("the next event is applied", func() bool { return env.metric("svc_registry_entries") == 2 })
 	if len(env.followLines) != 0 {
 		t.Errorf("reconnected: %q", <-env.followLines)
 	}
 }
 
-// TestMalformedLineIsRequestedOnceMore checks that a malformed line is requested once more, in case it was corrupted
-// in transit, and then skipped.
+// TestMalformedLineIsRequestedOnceMore checks that a malformed line is requested once more, as it may have been
+// corrupted in transit, and is then skipped.
 func TestMalformedLineIsRequestedOnceMore(t *testing.T) {
 	env := startTestEnv(t)
 	receive(t, env.followLines, "follow")
@@ -121,9 +120,9 @@
 	}
 	env.sendEvent("{broken")
 	env.sendEvent(endpointEvent(3, false, endpoint("c2", "std", "edge", "SERVING", env.cache.Addr())))
-	env.eventually("the event behind it is taken", func() bool { return env.metric("svc_registry_entries") == 3 })
+	env.eventually("the event after it is applied", func() bool { return env.metric("svc_registry_entries") == 3 })
 	if env.metric("svc_registry_unreadable") != 1 || len(env.followLines) != 0 {
-		t.Errorf("%d unreadable, %d followed", env.metric("svc_registry_unreadable"), len(env.followLines))
+		t.Errorf("%d unreadable lines, %d reconnects", env.metric("svc_registry_unreadable"), len(env.followLines))
 	}
 }
 
@@ -133,25 +132,25 @@
 	receive(t, env.followLines, "follow")
 	env.sendEvent(`{"index":2,"quota":{"server":"c1","share":0.5}}`)
 	env.sendEvent(endpointEvent(3, false, endpoint("c2", "std", "edge", "SERVING", env.cache.Addr())))
-	env.eventually("the next event is taken", func() bool { return env.metric("svc_registry_entries") == 3 })
+	env.eventually("the next event is applied", func() bool { return env.metric("svc_registry_entries") == 3 })
 	if len(env.followLines) != 0 || env.metric("svc_registry_unreadable") != 1 {
-		t.Errorf("%d followed, %d unreadable", len(env.followLines), env.metric("svc_registry_unreadable"))
+		t.Errorf("%d reconnects, %d unreadable events", len(env.followLines), env.metric("svc_registry_unreadable"))
 	}
 }
 
-// TestMissingEventsAreSkipped checks that events that are missing after a reconnect too are skipped, and
-// that those behind them are taken.
+// TestMissingEventsAreSkipped checks that events that are still missing after a reconnect are skipped, that the events
+// after them are applied, and that one of them is applied when it arrives late.
 func TestMissingEventsAreSkipped(t *testing.T) {
 	env := startTestEnv(t)
 	receive(t, env.followLines, "follow")
-	behind := endpointEvent(4, false, endpoint("c2", "std", "edge", "SERVING", env.cache.Addr()))
-	env.sendEvent(behind)
+	afterGap := endpointEvent(4, false, endpoint("c2", "std", "edge", "SERVING", env.cache.Addr()))
+	env.sendEvent(afterGap)
 	got := receive(t, env.followLines, "follow again")
 	if got != "follow 1" {
 		t.Errorf("%q", got)
 	}
-	env.sendEvent(behind)
-	env.eventually("the event behind the gap is taken", func() bool { return env.metric("svc_registry_entries") == 3 })
+	env.sendEvent(afterGap)
+	env.eventually("the event after the gap is applied", func() bool { return env.metric("svc_registry_entries") == 3 })
 	env.sendEvent("6") // shows that events are missing
 	got = receive(t, env.followLines, "follow again")
 	if got != "follow 4" {
@@ -159,11 +158,11 @@
 	}
 	env.sendEvent("6")
 	env.sendEvent(endpointEvent(5, false, endpoint("c3", "std", "edge", "SERVING", env.cache.Addr())))
-	env.eventually("a late event is taken", func() bool { return env.metric("svc_registry_entries") == 4 })
+	env.eventually("a late event is applied", func() bool { return env.metric("svc_registry_entries") == 4 })
 }
 
-// TestDrainBehindAMalformedLine checks that a drain that arrives right behind a malformed line takes effect
-// in the same turn of the event loop.
+// TestDrainBehindAMalformedLine checks that a drain that arrives right after a malformed line takes effect in the same
+// turn of the event loop.
 func TestDrainBehindAMalformedLine(t *testing.T) {
 	env := startTestEnv(t)
 	receive(t, env.followLines, "follow")
@@ -189,12 +188,13 @@
 		}
 	}
 	if len(env.cache.calls) > 0 || len(env.followLines) > 0 {
-		t.Errorf("%d calls to the cache that drains, %d reconnects", len(env.cache.calls), len(env.followLines))
+		t.Errorf("%d calls to the draining cache, %d reconnects", len(env.cache.calls), len(env.followLines))
 	}
 }
 
-// TestCorruptedDrainIsRequestedAgain guards against a drain that is lost for good: its line was spoilt once in the
-// middle of the input, and was never requested again. It takes effect although newer events were taken before it.
+// TestCorruptedDrainIsRequestedAgain guards against a drain that is lost for good because its line was corrupted once
+// in the middle of the input and never requested again. The drain takes effect although newer events were applied
+// before it.
 func TestCorruptedDrainIsRequestedAgain(t *testing.T) {
 	env := startTestEnv(t)
 	receive(t, env.followLines, "follow")
@@ -205,12 +205,12 @@
 		t.Fatal(err)
 	}
 	drain := string(text)
-	behind, err := json.Marshal(endpointEvent(3, false, endpoint("c2", "std", "edge", "SERVING", second.Addr())))
+	after, err := json.Marshal(endpointEvent(3, false, endpoint("c2", "std", "edge", "SERVING", second.Addr())))
 	if err != nil {
 		t.Fatal(err)
 	}
-	env.sendEvent(drain[:len(drain)/2] + drain + "\n" + string(behind))
-	env.eventually("the event behind it is taken", func() bool { return env.metric("svc_registry_entries") == 3 })
+	env.sendEvent(drain[:len(drain)/2] + drain + "\n" + string(after))
+	env.eventually("the event after it is applied", func() bool { return env.metric("svc_registry_entries") == 3 })
 	got := receive(t, env.followLines, "follow again")
 	if got != "follow 1" {
 		t.Errorf("%q", got)
