--- a/cmd/edgeproxy/disconnect_test.go
+++ b/cmd/edgeproxy/disconnect_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// TestAbortStopsTheCall checks that an abort and a disconnect stop the calls of their requests.
+// TestAbortStopsTheCall checks that an abort and a disconnect stop the calls of the requests that they end.
 func TestAbortStopsTheCall(t *testing.T) {
 	env := startTestEnv(t)
 	c := env.dial()
@@ -35,8 +35,9 @@
 	receive(t, env.cache.stops, "STOP")
 }
 
-// TestAbortInTheSameTurnIsReleased checks that requests that are aborted in the turn in which they came do not
-// stay counted as in flight: the link would look full, and later requests would be rejected.
+// TestAbortInTheSameTurnIsReleased checks that requests that are aborted in the turn of the event loop in which they
+// arrived are not counted as in flight any more. Otherwise the link would look full and later requests would be
+// rejected.
 func TestAbortInTheSameTurnIsReleased(t *testing.T) {
 	env := newTestEnv(t)
 	small := endpoint("c1", "std", "edge", "SERVING", env.cache.Addr())
@@ -62,8 +63,8 @@
 	}
 }
 
-// TestNoCallForADisconnectedClient checks that no call begins for a request whose client had
-// disconnected or aborted it before it was read.
+// TestNoCallForADisconnectedClient checks that no call begins for a request whose client had disconnected, or had
+// aborted it, before the program read it.
 func TestNoCallForADisconnectedClient(t *testing.T) {
 	for _, how := range []string{"half-close", "close", "abort"} {
 		t.Run(how, func(t *testing.T) {
@@ -86,7 +87,7 @@
 			}
 			time.Sleep(pastDisconnectGrace) // not a race: the disconnect is older than the grace period
 			resume()
-			if how == "half-close" { // it is told that nothing was executed
+			if how == "half-close" { // the client is told that nothing was executed
 				for range 2 {
 					a := receive(t, c.answers, "rejection")
 					if a.status != "503" {
@@ -106,8 +107,8 @@
 	}
 }
 
-// TestHalfClosedClientGetsItsAnswer checks that a client that closes its sending direction right after a
-// request gets one answer: served or rejected.
+// TestHalfClosedClientGetsItsAnswer checks that a client that closes its sending direction right after a request gets
+// one answer, either served or rejected.
 func TestHalfClosedClientGetsItsAnswer(t *testing.T) {
 	env := startTestEnv(t)
 	env.cache.answerAll("served", "-", "one")
@@ -124,15 +125,15 @@
 	}
 }
 
-// TestUnreadingClientDisconnects checks that a disconnect or an abort takes effect although the client does not
-// read: a retry could begin afterwards otherwise.
+// TestUnreadingClientDisconnects checks that a disconnect or an abort takes effect although the client does not read
+// its answers. Otherwise a retry could begin afterwards.
 func TestUnreadingClientDisconnects(t *testing.T) {
 	for _, how := range []string{"half-close", "abort"} {
 		t.Run(how, func(t *testing.T) {
 			env := startTestEnv(t)
 			conn, out := newUnreadingClient(env)
 			c := &client{Conn: conn}
-			c.request(100, "artes", longTimeoutMS, 100, "") // is delayed, as its client reads nothing
+			c.request(100, "artes", longTimeoutMS, 100, "") // waits, as its client reads nothing
 			if how == "abort" {
 				c.writeRecord(recordAbort, 99, "")
 				c.writeRecord(recordAbort, 100, "")
@@ -150,8 +151,8 @@
 	}
 }
 
-// TestHalfClosedSlowReader checks that a slow client that has closed its sending direction gets all earlier
-// answers, and one final answer to the request in flight.
+// TestHalfClosedSlowReader checks that a client that reads slowly and has closed its sending direction gets all
+// earlier answers, and one answer to the request in flight.
 func TestHalfClosedSlowReader(t *testing.T) {
 	env := startTestEnv(t)
 	conn, _ := newUnreadingClient(env)
@@ -175,8 +176,8 @@
 	}
 }
 
-// TestClosedOnBothSidesWithAnswersUnread checks that a client gets its unread answers although both sides
-// have closed their sending direction.
+// TestClosedOnBothSidesWithAnswersUnread checks that a client gets the answers that it has not read yet although both
+// sides have closed their sending direction.
 func TestClosedOnBothSidesWithAnswersUnread(t *testing.T) {
 	env := startTestEnv(t)
 	conn, _ := newUnreadingClient(env)
@@ -188,7 +189,7 @@
 	c.writeRecord(recordAbort, 99, "")
 	receive(t, env.cache.stops, "STOP") // no request is open: the program closes the connection
 	c.closeWrite()
-	env.awaitAlive("200") // a turn of the event loop later: it has done so
+	env.awaitAlive("200") // a turn of the event loop later: the program has closed its side
 	go c.readAnswers()
 	for range 31 {
 		a := receive(t, c.answers, "answer")
@@ -198,19 +199,19 @@
 	}
 }
 
-// TestIdleConnectionsAreClosed checks that connections are closed when they are idle for too long, between
-// requests or within one, unless an answer is owed.
+// TestIdleConnectionsAreClosed checks that connections that are idle for too long, between requests or within one, are
+// closed, except while a request on them waits for its answer.
 func TestIdleConnectionsAreClosed(t *testing.T) {
 	t.Parallel()
 	env := startTestEnv(t)
 	idle := env.dial()
-	half := env.dial()
+	incomplete := env.dial()
 	waiting := env.dial()
 	idle.writeRequest(1, map[string]string{"SCRIPT_NAME": "/alive"}, "")
 	receive(t, idle.answers, "answer")
-	half.writeRecord(recordBegin, 1, beginKeepConn)
+	incomplete.writeRecord(recordBegin, 1, beginKeepConn)
 	waiting.request(1, "artes", longTimeoutMS, 1, "")
-	for _, c := range []*client{idle, half} {
+	for _, c := range []*client{idle, incomplete} {
 		a := receive(t, c.answers, "close")
 		if a.id != 0 {
 			t.Errorf("%+v", a)
@@ -219,6 +220,6 @@
 	receive(t, env.cache.calls, "call").answer("served", "-", "late")
 	a := receive(t, waiting.answers, "answer")
 	if a.body != "late" {
-		t.Errorf("one that is owed an answer: %+v", a)
+		t.Errorf("the client that waits for an answer: %+v", a)
 	}
 }
