--- a/cmd/edgeproxy/fault_test.go
+++ b/cmd/edgeproxy/fault_test.go
@@ -9,16 +9,16 @@
 	"testing"
 )
 
-// TestResetAroundAWrite checks that a write whose connection is reset is executed at most once and gets one
-// answer, wherever the reset comes.
+// TestResetAroundAWrite checks that a write is executed at most once and gets one answer if the connection to the
+// origin is reset, at whatever point.
 func TestResetAroundAWrite(t *testing.T) {
-	const either = -1
+	const onceIfServed = -1 // one execution if the answer is served, none otherwise
 	for rule, runs := range map[string]int{
-		"c up byte 0 : reset":              either, // when it is established: if nothing was written yet, the call is retried
-		"c up byte 60 : reset":             0,      // in the middle of the call
-		`c up match "the end\r\n" : reset`: 1,      // just after it
-		`c down match "*4\r\n" : reset`:    1,      // as the answer begins
-		`c down match "wri" : reset`:       1,      // in the middle of it
+		"c up byte 0 : reset":              onceIfServed, // when the connection is established: if nothing was written yet, the call is retried
+		"c up byte 60 : reset":             0,            // in the middle of the call
+		`c up match "the end\r\n" : reset`: 1,            // just after the call
+		`c down match "*4\r\n" : reset`:    1,            // as the answer begins
+		`c down match "wri" : reset`:       1,            // in the middle of the answer
 		`c down match "wri" : halfclose`:   1,
 	} {
 		env := newTestEnv(t)
@@ -37,10 +37,10 @@
 		c := env.dial()
 		c.request(1, "registro", 2000, 1, "a body up to the end")
 		a := receive(t, c.answers, "outcome")
-		if a.id != 1 || a.status == "200" && runs != either {
+		if a.id != 1 || a.status == "200" && runs != onceIfServed {
 			t.Errorf("%s: %+v", rule, a)
 		}
-		if runs == either { // it was executed once if it was answered as served
+		if runs == onceIfServed {
 			runs = 0
 			if a.status == "200" {
 				runs = 1
@@ -49,18 +49,18 @@
 		c.request(2, "registro", longTimeoutMS, 2, "x") // reaches the origin on another connection, after all calls of the first
 		a = receive(t, c.answers, "answer")
 		if a.id != 2 || a.status != "200" {
-			t.Errorf("%s, then: %+v", rule, a)
+			t.Errorf("%s, next request: %+v", rule, a)
 		}
 		mu.Lock()
 		if len(ran) != runs+1 {
-			t.Errorf("%s: the first ran %d times, want %d", rule, len(ran)-1, runs)
+			t.Errorf("%s: the first write was executed %d times, want %d", rule, len(ran)-1, runs)
 		}
 		mu.Unlock()
 	}
 }
 
-// TestCoordinatorSilentWithinADrain checks that a drain takes effect after a reconnect when the stream fell
-// silent within its line.
+// TestCoordinatorSilentWithinADrain checks that a drain takes effect after a reconnect if the stream fell silent in the
+// middle of its line.
 func TestCoordinatorSilentWithinADrain(t *testing.T) {
 	t.Parallel()
 	env := newTestEnv(t)
@@ -83,18 +83,18 @@
 	env.checkServedOnlyBy("second")
 }
 
-// TestConnectionResetWithTheLastByte checks that the calls of a request are stopped, and no others begin, when its
-// connection is reset with its last byte.
+// TestConnectionResetWithTheLastByte checks that the calls of a request are stopped, and that no others begin, if the
+// client's connection is reset with the last byte of the request.
 func TestConnectionResetWithTheLastByte(t *testing.T) {
 	env := startTestEnv(t)
-	front := newFaultyRelay(t, env.addr, `c up conn 1 match "\x01\x05\x00\x01\x00\x00\x00\x00" : reset`)
-	conn, err := net.Dial("tcp", front.Addr().String())
+	clientRelay := newFaultyRelay(t, env.addr, `c up conn 1 match "\x01\x05\x00\x01\x00\x00\x00\x00" : reset`)
+	conn, err := net.Dial("tcp", clientRelay.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer closeOnce(t, conn)
 	newClient(conn).request(1, "artes", longTimeoutMS, 1, "")
-	env.eventually("the reset", func() bool { return front.log() != "" })
+	env.eventually("the connection is reset", func() bool { return clientRelay.log() != "" })
 	other := env.dial()
 	other.request(1, "artes", longTimeoutMS, 77, "")
 	for {
@@ -104,20 +104,20 @@
 			break
 		}
 		receive(t, env.cache.stops, "STOP")
-		got.answer("overload", "-", "") // there is no retry
+		got.answer("overload", "-", "") // must not be retried
 	}
 	receive(t, other.answers, "answer")
 	if len(env.cache.calls)+len(env.origin.calls) > 0 {
-		t.Error("something was sent for a client that had disconnected")
+		t.Error("a call was made for a client that had disconnected")
 	}
 }
 
-// TestShutdownWithAnswersPartlyWritten checks that answers that are partly written at SIGTERM arrive completely.
+// TestShutdownWithAnswersPartlyWritten checks that answers of which only a part is written at SIGTERM arrive completely.
 func TestShutdownWithAnswersPartlyWritten(t *testing.T) {
 	t.Parallel()
 	env := startTestEnv(t)
-	front := newFaultyRelay(t, env.addr, "c down byte 300000 : silence 1500ms")
-	conn, err := net.Dial("tcp", front.Addr().String())
+	clientRelay := newFaultyRelay(t, env.addr, "c down byte 300000 : silence 1500ms")
+	conn, err := net.Dial("tcp", clientRelay.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -129,7 +129,7 @@
 	for range 20 {
 		receive(t, env.cache.calls, "call").answer("served", "-", strings.Repeat("x", 240_000))
 	}
-	env.eventually("the silence", func() bool { return front.log() != "" })
+	env.eventually("the silence begins", func() bool { return clientRelay.log() != "" })
 	env.signal(syscall.SIGTERM)
 	for range 20 {
 		a := receive(t, c.answers, "answer")
@@ -142,8 +142,8 @@
 	}
 }
 
-// TestMalformedAnswersThroughTheRelay checks that truncated, duplicate and corrupted answers fail their own
-// attempt alone, and that each request gets one answer.
+// TestMalformedAnswersThroughTheRelay checks that truncated, duplicate and corrupted answers fail only their own
+// attempt, and that each request gets one answer.
 func TestMalformedAnswersThroughTheRelay(t *testing.T) {
 	for rule, want := range map[string]string{
 		"c down conn 1 byte 40 : close":      "200", // retried
@@ -168,7 +168,7 @@
 		for id := range uint16(3) {
 			c.request(id+2, "artes", longTimeoutMS, int(id), "")
 			if a := receive(t, c.answers, "answer"); a.id != id+2 || a.status != "200" || a.body != "whole" {
-				t.Errorf("%s, then: %+v", rule, a)
+				t.Errorf("%s, later request: %+v", rule, a)
 			}
 		}
 	}
