--- a/cmd/edgeproxy/lateread_test.go
+++ b/cmd/edgeproxy/lateread_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestRequestReadAfterItsDeadline checks that a request that is read after its deadline is rejected at once
-// and not forwarded.
+// TestRequestReadAfterItsDeadline checks that a request that is read after its deadline is rejected at once and not
+// forwarded.
 func TestRequestReadAfterItsDeadline(t *testing.T) {
 	env := startTestEnv(t)
 	c := env.dial()
@@ -18,7 +18,7 @@
 	resume := env.pause()
 	c.request(2, "artes", 500, 2, "")
 	c.request(3, "artes", longTimeoutMS, 3, "")
-	time.Sleep(600 * time.Millisecond) // not a race: the first one's deadline has passed
+	time.Sleep(600 * time.Millisecond) // not a race: the deadline of request 2 has passed
 	resume()
 	a := receive(t, c.answers, "rejection")
 	if a.id != 2 || a.status != "503" {
@@ -30,8 +30,8 @@
 	}
 }
 
-// TestRequestBehindMuchInputReadAfterItsDeadline checks the same for a request behind more input than one turn of
-// the event loop reads from a connection.
+// TestRequestBehindMuchInputReadAfterItsDeadline checks that a request is rejected after its deadline if it follows
+// more input than one turn of the event loop reads from a connection.
 func TestRequestBehindMuchInputReadAfterItsDeadline(t *testing.T) {
 	env := startTestEnv(t)
 	env.cache.answerAll("served", "-", "fine")
@@ -42,7 +42,7 @@
 	written := make(chan error, 1)
 	go func() {
 		out := &bufferedConn{Conn: c.Conn}
-		for range 40 { // 2.4 MB of a request that is not open: skipped
+		for range 40 { // 2.4 MB for a request that has not begun, which is skipped
 			(&client{Conn: out}).writeRecord(recordStdin, 9, strings.Repeat("x", 60_000))
 		}
 		(&client{Conn: out}).request(2, "artes", 500, 2, "")
@@ -60,8 +60,8 @@
 	}
 }
 
-// TestRequestInTheAcceptQueuePastItsDeadline checks the same for requests on connections that wait to be accepted:
-// the time in the queue counts.
+// TestRequestInTheAcceptQueuePastItsDeadline checks that a request is rejected after its deadline if its connection
+// was not accepted before: the time in the accept queue counts.
 func TestRequestInTheAcceptQueuePastItsDeadline(t *testing.T) {
 	env := startTestEnv(t)
 	env.cache.answerAll("served", "-", "fine")
@@ -70,7 +70,7 @@
 	inTime := env.dial()
 	late.request(2, "artes", 500, 2, "")
 	inTime.request(3, "artes", longTimeoutMS, 3, "")
-	time.Sleep(600 * time.Millisecond) // not a race: the first one's deadline has passed
+	time.Sleep(600 * time.Millisecond) // not a race: the deadline of request 2 has passed
 	late.request(4, "artes", longTimeoutMS, 4, "")
 	resume()
 	a := receive(t, late.answers, "rejection")
@@ -87,34 +87,34 @@
 	}
 }
 
-// TestRequestsAroundAnIdleClose checks that a request that arrived while the process was paused is served
-// although its connection has been idle for too long, and that one that arrives after the close is not
-// forwarded.
+// TestRequestsAroundAnIdleClose checks that a request that arrived while the process was paused is served although its
+// connection was idle for too long before, and that a request that arrives after the close of an idle connection is
+// not forwarded.
 func TestRequestsAroundAnIdleClose(t *testing.T) {
 	t.Parallel()
 	env := startTestEnv(t)
-	early := env.dial()
-	after := env.dial()
-	for _, c := range []*client{early, after} {
+	beforeClose := env.dial()
+	afterClose := env.dial()
+	for _, c := range []*client{beforeClose, afterClose} {
 		c.request(1, "artes", longTimeoutMS, 1, "")
 		receive(t, env.cache.calls, "call").answer("served", "-", "fine")
 		receive(t, c.answers, "answer")
 	}
 	resume := env.pause()
 	time.Sleep(5500 * time.Millisecond) // not a race: both connections have been idle for too long
-	early.request(2, "artes", longTimeoutMS, 2, "")
+	beforeClose.request(2, "artes", longTimeoutMS, 2, "")
 	resume()
 	receive(t, env.cache.calls, "call").answer("served", "-", "early")
-	a := receive(t, early.answers, "answer")
+	a := receive(t, beforeClose.answers, "answer")
 	if a.body != "early" {
 		t.Errorf("%+v", a)
 	}
-	a = receive(t, after.answers, "close")
+	a = receive(t, afterClose.answers, "close")
 	if a.id != 0 {
 		t.Errorf("%+v", a)
 	}
-	after.request(2, "artes", longTimeoutMS, 3, "")
-	early.request(3, "artes", longTimeoutMS, 4, "")
+	afterClose.request(2, "artes", longTimeoutMS, 3, "")
+	beforeClose.request(3, "artes", longTimeoutMS, 4, "")
 	got := receive(t, env.cache.calls, "call")
 	if got.fields["k"] != fmt.Sprintf("%016x", 4) {
 		t.Errorf("%q was forwarded after the close", got.words)
