--- a/cmd/edgeproxy/replace_test.go
+++ b/cmd/edgeproxy/replace_test.go
@@ -9,22 +9,22 @@
 	"time"
 )
 
-// startOnInheritedSocket starts the program on a clients' socket that the test holds, as the platform does.
+// startOnInheritedSocket starts the program on a listening socket that the test has opened, as the platform does.
 func (env *testEnv) startOnInheritedSocket() {
 	env.t.Helper()
-	held := listen(env.t).(*net.TCPListener)
-	socket, err := held.File()
+	listener := listen(env.t).(*net.TCPListener)
+	socket, err := listener.File()
 	if err != nil {
 		env.t.Fatal(err)
 	}
 	env.t.Cleanup(func() { closeOnce(env.t, socket) })
 	env.inheritedSocket = socket
 	env.start(fullList(env.cache.Addr(), env.origin.Addr()))
-	env.addr = held.Addr().String()
+	env.addr = listener.Addr().String()
 	env.awaitAlive("200")
 }
 
-// awaitReplacementReady waits until the process that startReplacement has started is ready.
+// awaitReplacementReady waits until the process that startReplacement has started is ready to serve.
 func (env *testEnv) awaitReplacementReady() {
 	env.t.Helper()
 	env.eventually("the new process is ready", func() bool {
@@ -36,8 +36,9 @@
 	})
 }
 
-// TestReplacingTheProcess checks a replacement on a held socket: the old process stops accepting at SIGTERM,
-// answers what it has accepted and exits, and connections in the queue are not lost.
+// TestReplacingTheProcess checks a replacement on an inherited socket: at SIGTERM, the old process stops accepting
+// connections, answers the requests on those that it has accepted and exits. No connection in the accept queue is
+// lost.
 func TestReplacingTheProcess(t *testing.T) {
 	env := newTestEnv(t)
 	env.startOnInheritedSocket()
@@ -50,7 +51,7 @@
 	if err := old.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	for id := range uint16(50) { // the new process alone accepts connections once the old one stops accepting
+	for id := range uint16(50) { // once the old process stops accepting, only the new one accepts connections
 		c := env.dial()
 		c.request(id+1, "artes", longTimeoutMS, int(id), "")
 		receive(t, env.cache.calls, "call").answer("served", "-", "new")
@@ -77,24 +78,24 @@
 	}
 }
 
-// TestRequestQueuedBeforeTheStart checks that the time that a request waited in the held socket's queue before
-// the start counts against its deadline.
+// TestRequestQueuedBeforeTheStart checks that the time that a request waits in the accept queue of the inherited
+// socket before the start counts against its deadline.
 func TestRequestQueuedBeforeTheStart(t *testing.T) {
 	env := newTestEnv(t)
 	env.cache.answerAll("served", "-", "fine")
-	held := listen(t).(*net.TCPListener)
-	socket, err := held.File()
+	listener := listen(t).(*net.TCPListener)
+	socket, err := listener.File()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer closeOnce(t, socket)
 	env.inheritedSocket = socket
-	env.addr = held.Addr().String()
+	env.addr = listener.Addr().String()
 	late := env.dial()
 	inTime := env.dial()
 	late.request(1, "artes", 500, 1, "")
 	inTime.request(2, "artes", longTimeoutMS, 2, "")
-	time.Sleep(600 * time.Millisecond) // not a race: the first one's deadline has passed
+	time.Sleep(600 * time.Millisecond) // not a race: the deadline of request 1 has passed
 	env.start(fullList(env.cache.Addr(), env.origin.Addr()))
 	a := receive(t, late.answers, "rejection")
 	if a.status != "503" {
@@ -106,7 +107,8 @@
 	}
 }
 
-// TestInvalidListenDescriptor checks that an invalid descriptor of a held socket ends the program with one line.
+// TestInvalidListenDescriptor checks that an invalid descriptor of the inherited socket ends the program with an error
+// of one line.
 func TestInvalidListenDescriptor(t *testing.T) {
 	for _, fd := range []string{"x", "-1", "9"} {
 		env := newTestEnv(t)
@@ -120,9 +122,9 @@
 	}
 }
 
-// TestReplacementServesAllClients guards against clients that are turned away because two processes share the
-// descriptors: each takes as many connections as clients may hold together, a third of the limit, and both
-// together stay within the limit.
+// TestReplacementServesAllClients guards against clients that are turned away because two processes share the limit of
+// descriptors: each process accepts as many connections as clients may hold in total, a third of the limit, and both
+// processes together stay within the limit.
 func TestReplacementServesAllClients(t *testing.T) {
 	const clientConns = testSockets / 3
 	env := newTestEnv(t)
@@ -130,7 +132,7 @@
 	env.cache.answerAll("served", "-", "fine")
 	old := env.startReplacement()
 	env.awaitReplacementReady()
-	if err := old.Process.Signal(syscall.SIGSTOP); err != nil { // the new process alone takes the clients
+	if err := old.Process.Signal(syscall.SIGSTOP); err != nil { // only the new process accepts the clients
 		t.Fatal(err)
 	}
 	var clients []*client
@@ -145,7 +147,7 @@
 	}
 	descriptors := env.countDescriptors(old.Process.Pid) + env.countDescriptors(env.cmd.Process.Pid)
 	if descriptors > testSockets {
-		t.Errorf("both processes hold %d descriptors of %d", descriptors, testSockets)
+		t.Errorf("both processes hold %d descriptors, the limit is %d", descriptors, testSockets)
 	}
 	if err := old.Process.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
