--- a/cmd/edgeproxy/shutdown_test.go
+++ b/cmd/edgeproxy/shutdown_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestShutdownAnswersAllRequests checks that all requests during a graceful shutdown are answered, and that the
-// program exits by itself.
+// TestShutdownAnswersAllRequests checks that all requests before and during a graceful shutdown are answered, and that
+// the program exits by itself.
 func TestShutdownAnswersAllRequests(t *testing.T) {
 	env := startTestEnv(t)
 	c := env.dial()
@@ -21,7 +21,7 @@
 	late := env.dial()
 	late.request(1, "artes", longTimeoutMS, 2, "")
 	second := receive(t, env.cache.calls, "call")
-	env.eventually("no more connections accepted", func() bool {
+	env.eventually("connections are refused", func() bool {
 		conn, err := net.Dial("tcp", env.addr)
 		if err == nil {
 			closeOnce(t, conn)
@@ -43,8 +43,8 @@
 	}
 }
 
-// TestShutdownEndsBeforeTheKill checks that a request that arrives during the shutdown is answered before the process
-// may be killed, however long its deadline.
+// TestShutdownEndsBeforeTheKill checks that a request that arrives during the shutdown is answered before the platform
+// may kill the process, however late the request's deadline is.
 func TestShutdownEndsBeforeTheKill(t *testing.T) {
 	t.Parallel()
 	env := startTestEnv(t)
@@ -67,10 +67,10 @@
 	}
 }
 
-// TestIncompleteRequestAtShutdown checks that a request of which only some bytes have arrived at SIGTERM is
-// awaited and answered.
+// TestIncompleteRequestAtShutdown checks that the program waits for the rest of a request of which only a part has
+// arrived at SIGTERM, and answers it.
 func TestIncompleteRequestAtShutdown(t *testing.T) {
-	for _, part := range []int{3, 16, 60} { // of a header, just BEGIN_REQUEST, and in the parameters
+	for _, part := range []int{3, 16, 60} { // bytes: within the first header, just BEGIN_REQUEST, and within the parameters
 		env := startTestEnv(t)
 		env.cache.answerAll("served", "-", "fine")
 		c := env.dial()
@@ -87,7 +87,7 @@
 		c.Write(rest) //nolint:errcheck // shows in the answers
 		a := receive(t, c.answers, "answer")
 		if a.id != 2 || a.body != "fine" && a.status != "503" {
-			t.Errorf("%d bytes before the stop: %+v", part, a)
+			t.Errorf("%d bytes before SIGTERM: %+v", part, a)
 		}
 		if err := receive(t, env.exited, "exit"); err != nil {
 			t.Error(err)
@@ -95,7 +95,7 @@
 	}
 }
 
-// TestQueuedConnectionAtShutdown checks that connections in the queue are accepted when the program stops
+// TestQueuedConnectionAtShutdown checks that connections in the accept queue are accepted when the program stops
 // listening.
 func TestQueuedConnectionAtShutdown(t *testing.T) {
 	env := startTestEnv(t)
@@ -105,7 +105,7 @@
 	resume := env.pause()
 	c := env.dial()
 	c.request(1, "artes", longTimeoutMS, 1, "")
-	time.Sleep(time.Second) // not a race: by the time it goes on, it listens no longer
+	time.Sleep(time.Second) // not a race: when it resumes, the time in which it listens is over
 	resume()
 	a := receive(t, c.answers, "answer")
 	if a.body != "fine" {
@@ -113,8 +113,7 @@
 	}
 }
 
-// TestSlowReaderAtShutdown checks that a client that reads slowly gets all its answers during the
-// shutdown.
+// TestSlowReaderAtShutdown checks that a client that reads slowly gets all its answers during the shutdown.
 func TestSlowReaderAtShutdown(t *testing.T) {
 	env := startTestEnv(t)
 	conn, out := newUnreadingClient(env)
@@ -134,8 +133,8 @@
 	}
 }
 
-// TestReloadThenStop checks that requests in flight are answered and the program exits without an error when
-// SIGHUP and SIGTERM arrive together.
+// TestReloadThenStop checks that requests in flight are answered and the program exits without an error if SIGHUP and
+// SIGTERM arrive together.
 func TestReloadThenStop(t *testing.T) {
 	env := startTestEnv(t)
 	receive(t, env.followLines, "follow")
@@ -160,8 +159,8 @@
 	}
 }
 
-// TestShutdownAnswersRequestsInFlight checks that requests in flight at SIGTERM are answered before the process may be
-// killed, whatever their deadline, while their server hangs.
+// TestShutdownAnswersRequestsInFlight checks that requests in flight at SIGTERM whose server hangs are answered before
+// the platform may kill the process, however late their deadlines are.
 func TestShutdownAnswersRequestsInFlight(t *testing.T) {
 	const untilKill, step = 3700 * time.Millisecond, 50 * time.Millisecond
 	env := newTestEnv(t)
@@ -192,13 +191,13 @@
 	}
 }
 
-// TestQueuedConnectionWhenAcceptFails checks that a connection in the queue is accepted after SIGTERM once
+// TestQueuedConnectionWhenAcceptFails checks that a connection in the accept queue at SIGTERM is accepted once
 // descriptors are available again.
 func TestQueuedConnectionWhenAcceptFails(t *testing.T) {
 	t.Parallel()
 	env := newTestEnv(t)
 	env.cache.answerAll("served", "-", "fine")
-	env.extraEnv = []string{syscallFaultsEnv + "=accept:ENFILE:2-60"} // one every 20 ms: longer than the socket stays open for others
+	env.extraEnv = []string{syscallFaultsEnv + "=accept:ENFILE:2-60"} // one failure every 20 ms: longer than the socket otherwise stays open
 	env.startWith(env.cache.Addr(), env.origin.Addr())
 	if err := env.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
@@ -214,7 +213,7 @@
 	}
 }
 
-// TestShutdownWhileStarting checks that a process without an endpoint list exits without an error at SIGTERM.
+// TestShutdownWhileStarting checks that a process that has no endpoint list yet exits without an error at SIGTERM.
 func TestShutdownWhileStarting(t *testing.T) {
 	t.Parallel()
 	env := newTestEnv(t)
