--- a/cmd/edgeproxy/soak_test.go
+++ b/cmd/edgeproxy/soak_test.go
@@ -12,12 +12,12 @@
 	"cloverdoor/internal/soak"
 )
 
-// envInt reads a number from an environment variable that may be unset.
-func envInt(t *testing.T, name string, unset int) int {
+// envInt returns the number in an environment variable, or defaultValue if the variable is unset.
+func envInt(t *testing.T, name string, defaultValue int) int {
 	t.Helper()
 	text := os.Getenv(name)
 	if text == "" {
-		return unset
+		return defaultValue
 	}
 	n, err := strconv.Atoi(text)
 	if err != nil {
@@ -26,8 +26,9 @@
 	return n
 }
 
-// TestSoak runs fleets of real processes under faults that seeds draw, and checks the rules. CI runs a few
-// short seeds, `make soak` more: the environment says which and how long.
+// TestSoak runs fleets of real processes under random faults, drawn from seeds, and checks the rules of the history.
+// The environment sets the seeds, the number of processes and the duration: CI runs a few short seeds, `make soak`
+// more.
 func TestSoak(t *testing.T) {
 	first := envInt(t, "SEED", 1)
 	seeds := envInt(t, "SEEDS", 4)
