--- a/cmd/edgeproxy/syscallfaults_test.go
+++ b/cmd/edgeproxy/syscallfaults_test.go
@@ -14,34 +14,34 @@
 	"cloverdoor/internal/eventloop"
 )
 
-// syscallFaultsEnv is the environment variable that says which system calls of a program fail. Its words have
-// the form CALL:ERRNO:FROM-TO, where FROM and TO are numbers of calls, or halfwrite:TEXT for writes that
-// block forever after TEXT.
+// syscallFaultsEnv is the environment variable that says which system calls of a program fail. It holds words of the
+// form CALL:ERRNO:FROM-TO, where FROM and TO number the first and the last of the failing calls, from 1, or
+// halfwrite:TEXT for a connection whose writes block forever after TEXT.
 const syscallFaultsEnv = "CLOVERDOOR_TEST_FAULTS"
 
-// randomFaultsEnv is the environment variable with the seed by which system calls fail at random.
+// randomFaultsEnv is the environment variable with the seed of random failures of system calls.
 const randomFaultsEnv = "CLOVERDOOR_TEST_RANDOM_FAULTS"
 
 const (
 	failureChance       = 0.01
 	disconnectChance    = failureChance / 4 // that a connection that the program has opened fails
 	shortTransferChance = 0.05              // that a read or write transfers only a part
-	// failureStream is the stream of a seed's random numbers that draws the failures.
+	// failureStream is the PCG stream of a seed that the failures are drawn from.
 	failureStream = 5
-	// maxErrno is above all error numbers.
+	// maxErrno is greater than all error numbers.
 	maxErrno = 200
 )
 
-// randomSyscalls makes the calls of a table fail at random, in the ways that their manual pages list. Only
-// connections that the program has opened fail for good: a client's stays sound, as its requests are owed an
+// randomSyscalls makes the calls of a table fail at random, with the errors that their manual pages list. Only
+// connections that the program has opened break: a client's connection never does, as its requests must get an
 // answer.
 type randomSyscalls struct {
 	rng    *rand.Rand
-	system eventloop.SystemCalls // the table without failures
+	system eventloop.SystemCalls // calls without failures
 	opened map[int]bool          // descriptors that the program has opened
 }
 
-// injectRandomSyscallFaults makes system calls fail at random if the environment holds a seed.
+// injectRandomSyscallFaults makes system calls fail at random if randomFaultsEnv holds a seed.
 func injectRandomSyscallFaults() {
 	seed, err := strconv.ParseUint(os.Getenv(randomFaultsEnv), 10, 64)
 	if err != nil {
@@ -58,7 +58,7 @@
 	eventloop.System.Wait = r.wait
 }
 
-// drawFailure draws whether a call fails, and with which of the codes; nil: it does not.
+// drawFailure draws whether a call fails, and returns one of the codes if it does and nil if it does not.
 func (r *randomSyscalls) drawFailure(codes ...unix.Errno) error {
 	if r.rng.Float64() < failureChance {
 		return codes[r.rng.IntN(len(codes))]
@@ -97,15 +97,15 @@
 	return accepted, err
 }
 
-// wrapTransfer wraps a read or a write, which fails, transfers only a part, or ends the connection with one of
-// the codes.
-func (r *randomSyscalls) wrapTransfer(call func(int, []byte) (int, error), ends ...unix.Errno) func(int, []byte) (int, error) {
+// wrapTransfer wraps a read or a write so that, at random, it fails temporarily, transfers only a part, or breaks the
+// connection with one of the codes.
+func (r *randomSyscalls) wrapTransfer(call func(int, []byte) (int, error), codes ...unix.Errno) func(int, []byte) (int, error) {
 	return func(fd int, data []byte) (int, error) {
 		if err := r.drawFailure(unix.EINTR, unix.EINTR, unix.ENOBUFS, unix.ENOMEM); err != nil {
 			return -1, err
 		}
 		if r.opened[fd] && r.rng.Float64() < disconnectChance {
-			return -1, ends[r.rng.IntN(len(ends))]
+			return -1, codes[r.rng.IntN(len(codes))]
 		}
 		if len(data) > 1 && r.rng.Float64() < shortTransferChance {
 			data = data[:1+r.rng.IntN(len(data)-1)]
@@ -135,7 +135,7 @@
 	return r.system.Wait(epoll, events, timeoutMS)
 }
 
-// injectSyscallFaults makes the system calls fail that the environment names.
+// injectSyscallFaults makes system calls fail as randomFaultsEnv and syscallFaultsEnv say.
 func injectSyscallFaults() {
 	injectRandomSyscallFaults()
 	for _, word := range strings.Fields(os.Getenv(syscallFaultsEnv)) {
@@ -153,7 +153,7 @@
 	}
 }
 
-// errnoByName is the error number with a name.
+// errnoByName returns the error number with the given name.
 func errnoByName(name string) unix.Errno {
 	for code := unix.Errno(1); code < maxErrno; code++ {
 		if unix.ErrnoName(code) == name {
@@ -163,7 +163,7 @@
 	panic(name)
 }
 
-// failCall makes one system call fail from one time to another, counted from 1.
+// failCall makes a system call fail with a code, from its call number from up to number to, counted from 1.
 func failCall(call string, code unix.Errno, from, to int) {
 	count := 0
 	fails := func() bool {
@@ -198,8 +198,8 @@
 	}
 }
 
-// blockWritesAfter blocks the writes of the first connection that writes a text, right after the text. Other
-// connections are not affected, nor is one that gets the same descriptor later.
+// blockWritesAfter blocks the writes of the first connection that writes the text, right after the text. Other
+// connections are not affected, nor is a later one with the same descriptor.
 func blockWritesAfter(text []byte) {
 	const (
 		notYet = -1
