--- a/cmd/edgeproxy/system_test.go
+++ b/cmd/edgeproxy/system_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestPartlyWrittenCallIsRetried checks that a call of which the server takes only a part is cancelled in time
-// for a retry, also if it is not idempotent: an incomplete call is never executed.
+// TestPartlyWrittenCallIsRetried checks that a call of which the server accepts only a part is cancelled in time for a
+// retry, also if it is not idempotent: an incomplete call is never executed.
 func TestPartlyWrittenCallIsRetried(t *testing.T) {
 	env := newTestEnv(t)
 	env.extraEnv = []string{syscallFaultsEnv + "=halfwrite:registro"}
@@ -19,11 +19,11 @@
 		t.Errorf("%+v", a)
 	}
 	if len(env.origin.calls) != 0 {
-		t.Error("it was executed twice")
+		t.Error("the call was executed twice")
 	}
 }
 
-// TestLocalFailureEjectsNoServer checks that a lack of local descriptors or ports does not eject a server.
+// TestLocalFailureEjectsNoServer checks that a lack of local descriptors, buffers or ports does not eject a server.
 func TestLocalFailureEjectsNoServer(t *testing.T) {
 	for _, failure := range []string{"socket:ENFILE:4-40", "socket:ENOBUFS:4-40", "connect:EADDRNOTAVAIL:2-40"} {
 		env := newTestEnv(t)
@@ -41,6 +41,6 @@
 		if n != 0 {
 			t.Errorf("%s: %d servers are ejected", failure, n)
 		}
-		env.cmd.Process.Signal(syscall.SIGKILL) //nolint:errcheck // the next one is another program
+		env.cmd.Process.Signal(syscall.SIGKILL) //nolint:errcheck // the next case starts another process
 	}
 }
