--- a/cmd/edgeproxy/config.go
+++ b/cmd/edgeproxy/config.go
@@ -37,7 +37,7 @@
 	} `json:"limits"`
 	Coordinator            string             `json:"coordinator"`
 	TransferBytesPerSecond float64            `json:"flow_bytes_per_s"` // rate of one transfer; 0: unknown
-	InitialState           watch.InitialState `json:"known"`
+	KnownState             watch.InitialState `json:"known"`
 	Settings               json.RawMessage    `json:"settings"`
 
 	fields map[string]json.RawMessage // top-level fields of the file, not decoded
@@ -126,7 +126,7 @@
 	c.proxy = proxy.Config{
 		Settings:               decoded,
 		Seed:                   seed,
-		InitialState:           c.InitialState,
+		InitialState:           c.KnownState,
 		MaxDescriptors:         c.Limits.Sockets,
 		MaxMemoryBytes:         c.Limits.MemoryMB << 20,
 		TransferBytesPerSecond: c.TransferBytesPerSecond,
--- a/cmd/edgeproxy/main.go
+++ b/cmd/edgeproxy/main.go
@@ -82,7 +82,7 @@
 	if err := openListeners(p, cfg); err != nil {
 		return err
 	}
-	p.WatchCoordinator(cfg.coordinator, cfg.InitialState.Index)
+	p.WatchCoordinator(cfg.coordinator, cfg.KnownState.Index)
 	return p.Run(proxy.Signals{Stop: s.stop, Reload: s.reload, Load: cfg.reloader(logger)})
 }
 
