--- a/cmd/edgeproxy/admin_test.go
+++ b/cmd/edgeproxy/admin_test.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// requestUntilRejected makes reads on a connection, one after the other, until one is rejected. The cache answers
-// the reads before that.
+// requestUntilRejected makes reads on a connection until one is rejected, and answers the ones before. As each read
+// follows at once, the connection is never idle.
 func (env *testEnv) requestUntilRejected(c *client, firstID uint16) {
 	env.t.Helper()
 	for id := firstID; ; id++ {
@@ -185,9 +185,9 @@
 		t.Helper()
 		c.request(1, class, longTimeoutMS, 1, "", params...)
 		a := receive(t, c.answers, "answer")
-		metric := fmt.Sprintf(`svc_not_served{reason=%q}`, reason)
-		if a.status != want || env.metric(metric) != 1 {
-			t.Errorf("%s: %+v, counted %d times", reason, a, env.metric(metric))
+		counter := fmt.Sprintf(`svc_not_served{reason=%q}`, reason)
+		if a.status != want || env.metric(counter) != 1 {
+			t.Errorf("%s: %+v, counted %d times", reason, a, env.metric(counter))
 		}
 	}
 	checkCounted("400", "malformed", "artes", "HTTP_REQ_ID", "nonsense")
--- a/cmd/edgeproxy/cache_test.go
+++ b/cmd/edgeproxy/cache_test.go
@@ -256,13 +256,13 @@
 func TestDuplicateAndUnknownAnswersAreIgnored(t *testing.T) {
 	env := startTestEnv(t)
 	c := env.dial()
-	stray := &receivedCall{words: []string{"", "ffffffffffffffff"}}
+	unknown := &receivedCall{words: []string{"", "ffffffffffffffff"}}
 	for i := range 5 {
 		c.request(1, "artes", longTimeoutMS, i, "")
 		got := receive(t, env.cache.calls, "call")
 		out := &bufferedConn{Conn: got.conn}
-		stray.conn = out
-		stray.answer("served", "-", "stray")
+		unknown.conn = out
+		unknown.answer("served", "-", "unknown")
 		first := &receivedCall{conn: out, words: got.words}
 		first.answer("served", "-", "first")
 		first.answer("served", "-", "second")
--- a/cmd/edgeproxy/clientlimits_test.go
+++ b/cmd/edgeproxy/clientlimits_test.go
@@ -148,13 +148,13 @@
 	env := startTestEnv(t)
 	env.cache.answerAll("served", "-", strings.Repeat("x", 240_000))
 	addUnreadingClient := func(requests uint16) {
-		stuck, err := net.Dial("tcp", env.addr)
+		unreading, err := net.Dial("tcp", env.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { closeOnce(t, stuck) })
+		t.Cleanup(func() { closeOnce(t, unreading) })
 		for id := range requests {
-			(&client{Conn: stuck}).request(id+1, "artes", longTimeoutMS, int(id), "")
+			(&client{Conn: unreading}).request(id+1, "artes", longTimeoutMS, int(id), "")
 		}
 	}
 	addUnreadingClient(30)
@@ -251,9 +251,9 @@
 	env.checkMemory()
 }
 
-// TestManyIdleClientsKeepNobodyOut checks that many idle clients prevent neither new clients from being served while
+// TestManyIdleClientsBlockNoOthers checks that many idle clients prevent neither new clients from being served while
 // the coordinator is down, nor the connection to the coordinator once it is back.
-func TestManyIdleClientsKeepNobodyOut(t *testing.T) {
+func TestManyIdleClientsBlockNoOthers(t *testing.T) {
 	env := startTestEnv(t)
 	env.cache.answerAll("served", "-", "fine")
 	receive(t, env.followLines, "follow")
--- a/cmd/edgeproxy/fastcgi_client_test.go
+++ b/cmd/edgeproxy/fastcgi_client_test.go
@@ -143,7 +143,7 @@
 
 // newUnreadingClient returns a connection with more than 1 MB of answers that nobody reads, and the call of its
 // request 99, which is in flight at the cache.
-func newUnreadingClient(env *testEnv) (stuck net.Conn, out *receivedCall) {
+func newUnreadingClient(env *testEnv) (clientConn net.Conn, inFlight *receivedCall) {
 	env.t.Helper()
 	conn, err := net.Dial("tcp", env.addr)
 	if err != nil {
@@ -152,7 +152,7 @@
 	env.t.Cleanup(func() { closeOnce(env.t, conn) })
 	c := &client{Conn: conn}
 	c.request(99, "artes", longTimeoutMS, 99, "")
-	out = receive(env.t, env.cache.calls, "call")
+	inFlight = receive(env.t, env.cache.calls, "call")
 	for id := range uint16(31) { // 7.4 MB, more than the buffers of both sockets hold
 		c.request(id+1, "artes", longTimeoutMS, int(id), "")
 	}
@@ -160,7 +160,7 @@
 		receive(env.t, env.cache.calls, "call").answer("served", "-", strings.Repeat("x", 240_000))
 	}
 	env.eventually("all other requests are answered", func() bool { return env.metric("svc_open_requests") == 1 })
-	return conn, out
+	return conn, inFlight
 }
 
 // pastDisconnectGrace is longer than the time after a disconnect in which an attempt may still begin.
--- a/cmd/edgeproxy/scriptplay_test.go
+++ b/cmd/edgeproxy/scriptplay_test.go
@@ -46,21 +46,21 @@
 		for got := range env.cache.calls {
 			calls++
 			if slow && calls%50 == 25 {
-				time.Sleep(slowAnswer) // real time, which must not affect the outcomes
+				time.Sleep(slowAnswer) // not a race: the outcomes must not depend on it
 			}
 			got.answer("served", "made=1,note=TCP_HIT", strings.Repeat("c", 500))
 		}
 	}()
 	env.origin.answerAll("served", "made=1", strings.Repeat("o", 200))
-	cacheRelay := newFaultyRelay(t, env.cache.Addr().String(), "c down every 2 byte 7000 : reset", "c down byte 9100 : close",
+	cache := newFaultyRelay(t, env.cache.Addr().String(), "c down every 2 byte 7000 : reset", "c down byte 9100 : close",
 		"c down every 3 byte 5000 : garble 9", "c up : pieces 50", "c : delay 1ms", "c down every 5 byte 3000 : repeat 600")
-	originRelay := newFaultyRelay(t, env.origin.Addr().String(), "c down byte 1100 : reset", "c up every 5 byte 900 : reset",
+	origin := newFaultyRelay(t, env.origin.Addr().String(), "c down byte 1100 : reset", "c up every 5 byte 900 : reset",
 		"c down every 3 byte 700 : halfclose")
 	env.relayCoordinator = func(addr string) string {
 		watchRelay := newFaultyRelay(t, addr, "c down every 2 byte 400 : reset", "c down every 3 byte 300 : garble 3")
 		return watchRelay.Addr().String()
 	}
-	env.startWith(cacheRelay.Addr(), originRelay.Addr())
+	env.startWith(cache.Addr(), origin.Addr())
 	clientRelay := newFaultyRelay(t, env.addr, "c up every 3 byte 2500 : reset", "c down byte 14000 : close", "c : pieces 70")
 	requests := int(length / clockStep)
 	var c *client
@@ -97,7 +97,7 @@
 		}
 	}
 	t.Logf("%d requests, %d lost with their connection\n%s", requests, lost, counters)
-	return counters, strings.Join([]string{cacheRelay.log(), originRelay.log(), clientRelay.log()}, "\n--\n")
+	return counters, strings.Join([]string{cache.log(), origin.log(), clientRelay.log()}, "\n--\n")
 }
 
 // TestSameScriptSameOutcomes checks that two runs of one fault script with one seed have the same faults and the
--- a/cmd/edgeproxy/shutdown_test.go
+++ b/cmd/edgeproxy/shutdown_test.go
@@ -191,7 +191,7 @@
 	}
 }
 
-// TestQueuedConnectionWhenAcceptFails checks that a connection in the accept queue at SIGTERM is accepted once
+// TestQueuedConnectionWhenAcceptFails checks that a connection in the accept queue is accepted after SIGTERM once
 // descriptors are available again.
 func TestQueuedConnectionWhenAcceptFails(t *testing.T) {
 	t.Parallel()
