--- a/cmd/edgeproxy/lateread_test.go
+++ b/cmd/edgeproxy/lateread_test.go
@@ -42,7 +42,7 @@
 	written := make(chan error, 1)
 	go func() {
 		out := &bufferedConn{Conn: c.Conn}
-		for range 40 { // 2.4 MB for a request that has not begun, which is skipped
+		for range 40 { // 2.4 MB for a request that has not begun: skipped
 			(&client{Conn: out}).writeRecord(recordStdin, 9, strings.Repeat("x", 60_000))
 		}
 		(&client{Conn: out}).request(2, "artes", 500, 2, "")
--- a/cmd/edgeproxy/syscallfaults_test.go
+++ b/cmd/edgeproxy/syscallfaults_test.go
@@ -163,7 +163,8 @@
 	panic(name)
 }
 
-// failCall makes a system call fail with a code, from its call number from up to number to, counted from 1.
+// failCall makes a system call fail with a code. The numbers of its first and last failing calls, counted from 1, are
+// from and to.
 func failCall(call string, code unix.Errno, from, to int) {
 	count := 0
 	fails := func() bool {
