--- a/cmd/edgeproxy/standin_test.go
+++ b/cmd/edgeproxy/standin_test.go
@@ -11,31 +11,31 @@
 	"testing"
 )
 
-// receivedCall is a command that a server has read.
+// receivedCall is a command that a fake server has read.
 type receivedCall struct {
 	conn   net.Conn
-	words  []string          // of the command
-	fields map[string]string // of a REQ
+	words  []string          // the command and its arguments
+	fields map[string]string // argument 2 of REQ, decoded
 }
 
-// answer writes an answer to the call.
-func (c *receivedCall) answer(word, fields, body string) {
+// answer writes an answer to the call. The fields are NAME=VALUE pairs separated by commas, or "-" for none.
+func (c *receivedCall) answer(status, fields, body string) {
 	text := fmt.Sprintf("*4\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n",
-		len(c.words[1]), c.words[1], len(word), word, len(fields), fields, len(body), body)
+		len(c.words[1]), c.words[1], len(status), status, len(fields), fields, len(body), body)
 	io.WriteString(c.conn, text) //nolint:errcheck // the program may have closed the connection
 }
 
-// standIn stands in for a cache, a parent or the origin.
-type standIn struct {
+// fakeServer is a cache, a parent or the origin whose answers a test determines.
+type fakeServer struct {
 	net.Listener
-	calls chan *receivedCall // REQ
-	stops chan *receivedCall // STOP
+	calls chan *receivedCall // each REQ
+	stops chan *receivedCall // each STOP
 }
 
-// newStandIn starts a server that answers nothing by itself.
-func newStandIn(t *testing.T) *standIn {
+// newFakeServer starts a server that reads calls and answers none by itself.
+func newFakeServer(t *testing.T) *fakeServer {
 	t.Helper()
-	s := &standIn{listen(t), make(chan *receivedCall, 1000), make(chan *receivedCall, 1000)}
+	s := &fakeServer{listen(t), make(chan *receivedCall, 1000), make(chan *receivedCall, 1000)}
 	go serveEach(s, func(conn net.Conn) {
 		in := bufio.NewReader(conn)
 		for {
@@ -58,19 +58,19 @@
 	return s
 }
 
-// answerAll answers every call in the same way from now on.
-func (s *standIn) answerAll(word, fields, body string) {
+// answerAll answers every call with the same answer from now on.
+func (s *fakeServer) answerAll(status, fields, body string) {
 	go func() {
 		for c := range s.calls {
-			c.answer(word, fields, body)
+			c.answer(status, fields, body)
 		}
 	}()
 }
 
-// listen opens a listener until the end of the test.
+// listen opens a listener and closes it at the end of the test.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
-	l, err := net.Listen("tcp", loopback(1))
+	l, err := net.Listen("tcp", loopbackAddr(1))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,22 +78,22 @@
 	return l
 }
 
-// loopback is a host on loopback that this process alone uses, with port 0. Ports of 127.0.0.1 are no use: an
-// outgoing connection may take one that a test has chosen before the program, or a coordinator that returns,
-// listens on it.
-func loopback(host int) string {
+// loopbackAddr returns the address, with port 0, of a loopback host that only this process uses. Ports of 127.0.0.1
+// are unsuitable: between the choice of a port and the program, or a restarted coordinator, listening on it, an
+// outgoing connection may take it as its local port.
+func loopbackAddr(host int) string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d:0", 1+pid>>8&0x7f, pid&0xff, host)
 }
 
-// handedOutAddrs are the addresses that freeAddr has returned.
+// handedOutAddrs holds the addresses that freeAddr has returned.
 var handedOutAddrs sync.Map
 
-// freeAddr returns an address for the program to listen on, and no address twice.
+// freeAddr returns an address for the program to listen on. It returns no address twice.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	for {
-		l, err := net.Listen("tcp", loopback(2))
+		l, err := net.Listen("tcp", loopbackAddr(2))
 		if err != nil {
 			t.Fatal(err)
 		}
