--- a/internal/fastcgi/decoder.go
+++ b/internal/fastcgi/decoder.go
@@ -58,7 +58,7 @@
 	recordType := data[1]
 	id := binary.BigEndian.Uint16(data[2:])
 	content := data[headerBytes : headerBytes+contentBytes(data)]
-	ev, err = d.record(recordType, id, content)
+	ev, err = d.handleRecord(recordType, id, content)
 	return used, ev, err
 }
 
@@ -80,16 +80,16 @@
 	return headerBytes + contentBytes(header) + paddingBytes
 }
 
-// record handles one complete record.
-func (d *Decoder) record(recordType byte, id uint16, content []byte) (Event, error) {
+// handleRecord handles one complete record.
+func (d *Decoder) handleRecord(recordType byte, id uint16, content []byte) (Event, error) {
 	if id == 0 {
-		return management(recordType, content)
+		return answerManagement(recordType, content)
 	}
 	switch recordType {
 	case typeBegin:
-		return d.begin(id, content)
+		return d.handleBegin(id, content)
 	case typeAbort:
-		return d.abort(id), nil
+		return d.handleAbort(id), nil
 	}
 	p := d.receiving[id]
 	if p == nil {
@@ -103,11 +103,11 @@
 	case typeData:
 		return nil, nil // unused in the Responder role
 	}
-	return Reply{Data: unknownType(recordType)}, nil
+	return Reply{Data: encodeUnknownType(recordType)}, nil
 }
 
-// begin starts a request.
-func (d *Decoder) begin(id uint16, content []byte) (Event, error) {
+// handleBegin starts a request.
+func (d *Decoder) handleBegin(id uint16, content []byte) (Event, error) {
 	if len(content) != beginContentBytes {
 		return nil, fmt.Errorf("%w: BEGIN_REQUEST of %d bytes", ErrRecord, len(content))
 	}
@@ -130,9 +130,9 @@
 	return nil, nil
 }
 
-// abort handles an ABORT_REQUEST. A request that is not complete is answered here, as the application does
+// handleAbort handles an ABORT_REQUEST. A request that is not complete is answered here, as the application does
 // not know it.
-func (d *Decoder) abort(id uint16) Event {
+func (d *Decoder) handleAbort(id uint16) Event {
 	p := d.receiving[id]
 	if p != nil {
 		d.drop(p)
--- a/internal/fastcgi/fastcgi_test.go
+++ b/internal/fastcgi/fastcgi_test.go
@@ -8,20 +8,20 @@
 	"testing"
 )
 
-// begin encodes BEGIN_REQUEST.
-func begin(id uint16, role, flags byte) []byte {
+// encodeBegin encodes BEGIN_REQUEST.
+func encodeBegin(id uint16, role, flags byte) []byte {
 	return append(appendHeader(nil, typeBegin, id, 8), 0, role, flags, 0, 0, 0, 0, 0)
 }
 
-// record encodes a record without padding.
-func record(kind byte, id uint16, content string) []byte {
+// encodeRecord encodes a record without padding.
+func encodeRecord(kind byte, id uint16, content string) []byte {
 	return append(appendHeader(nil, kind, id, len(content)), content...)
 }
 
 func join(parts ...[]byte) []byte { return bytes.Join(parts, nil) }
 
-// params encodes names and values.
-func params(pairs ...string) string {
+// encodeParams encodes names and values.
+func encodeParams(pairs ...string) string {
 	var out []byte
 	for i := 0; i < len(pairs); i += 2 {
 		out = appendPair(out, pairs[i], pairs[i+1])
@@ -31,9 +31,9 @@
 
 // completeRequest is a request with a long value and a body in two records.
 func completeRequest(id uint16) []byte {
-	return join(begin(id, roleResponder, flagKeepConn),
-		record(typeParams, id, params("SCRIPT_NAME", "/ops/artes", "LONG", strings.Repeat("x", 300))),
-		record(typeParams, id, ""), record(typeStdin, id, "ab"), record(typeStdin, id, "cd"), record(typeStdin, id, ""))
+	return join(encodeBegin(id, roleResponder, flagKeepConn),
+		encodeRecord(typeParams, id, encodeParams("SCRIPT_NAME", "/ops/artes", "LONG", strings.Repeat("x", 300))),
+		encodeRecord(typeParams, id, ""), encodeRecord(typeStdin, id, "ab"), encodeRecord(typeStdin, id, "cd"), encodeRecord(typeStdin, id, ""))
 }
 
 // decode decodes data that arrives in pieces of the given size.
@@ -81,7 +81,7 @@
 	return events
 }
 
-func TestRequestInAnyPieces(t *testing.T) {
+func TestDecodeInPieces(t *testing.T) {
 	for _, piece := range []int{1, 7, 1 << 20} {
 		events, err := decode(t, join(completeRequest(1), completeRequest(2)), piece)
 		if err != nil || len(events) != 2 {
@@ -94,24 +94,24 @@
 	}
 }
 
-func TestWhatTheProtocolAnswers(t *testing.T) {
+func TestProtocolReplies(t *testing.T) {
 	for name, c := range map[string]struct {
 		in   []byte
 		want Event
 	}{
-		"abort of an open request": {join(completeRequest(3), record(typeAbort, 3, "")), Abort{ID: 3}},
+		"abort of an open request": {join(completeRequest(3), encodeRecord(typeAbort, 3, "")), Abort{ID: 3}},
 		"abort of a partial request": {
-			join(begin(3, 1, 1), record(typeAbort, 3, "")),
+			join(encodeBegin(3, 1, 1), encodeRecord(typeAbort, 3, "")),
 			Reply{Data: AppendEnd(nil, 3, 1, Complete)},
 		},
-		"another role":                      {begin(3, 2, 1), Reply{Data: AppendEnd(nil, 3, 0, UnknownRole)}},
-		"another role, connection not kept": {begin(3, 2, 0), Reply{Data: AppendEnd(nil, 3, 0, UnknownRole), Close: true}},
-		"unknown management record":         {record(77, 0, ""), Reply{Data: unknownType(77)}},
+		"another role":                      {encodeBegin(3, 2, 1), Reply{Data: AppendEnd(nil, 3, 0, UnknownRole)}},
+		"another role, connection not kept": {encodeBegin(3, 2, 0), Reply{Data: AppendEnd(nil, 3, 0, UnknownRole), Close: true}},
+		"unknown management record":         {encodeRecord(77, 0, ""), Reply{Data: encodeUnknownType(77)}},
 		"values": {
-			record(typeGetValues, 0, params("FCGI_MPXS_CONNS", "")),
-			Reply{Data: record(typeGetResult, 0, params("FCGI_MPXS_CONNS", "1"))},
+			encodeRecord(typeGetValues, 0, encodeParams("FCGI_MPXS_CONNS", "")),
+			Reply{Data: encodeRecord(typeGetResult, 0, encodeParams("FCGI_MPXS_CONNS", "1"))},
 		},
-		"records of no open request": {join(record(typeStdin, 9, "x"), record(typeAbort, 9, "")), nil},
+		"records of no open request": {join(encodeRecord(typeStdin, 9, "x"), encodeRecord(typeAbort, 9, "")), nil},
 	} {
 		events, err := decode(t, c.in, 5)
 		if err != nil {
@@ -128,17 +128,17 @@
 	}
 }
 
-func TestBadRecordsEndTheConnection(t *testing.T) {
+func TestMalformedRecords(t *testing.T) {
 	for name, c := range map[string]struct {
 		in   []byte
 		want error
 	}{
 		"version":          {[]byte{2, 1, 0, 1, 0, 0, 0, 0}, ErrVersion},
-		"short begin":      {record(typeBegin, 1, "abc"), ErrRecord},
-		"begun twice":      {join(begin(1, 1, 1), begin(1, 1, 1)), ErrRecord},
-		"begun while open": {join(completeRequest(1), begin(1, 1, 1)), ErrRecord},
-		"cut pair":         {join(begin(1, 1, 1), record(typeParams, 1, "\x05\x05ab"), record(typeParams, 1, "")), ErrRecord},
-		"body first":       {join(begin(1, 1, 1), record(typeStdin, 1, "")), ErrRecord},
+		"short begin":      {encodeRecord(typeBegin, 1, "abc"), ErrRecord},
+		"begun twice":      {join(encodeBegin(1, 1, 1), encodeBegin(1, 1, 1)), ErrRecord},
+		"begun while open": {join(completeRequest(1), encodeBegin(1, 1, 1)), ErrRecord},
+		"cut pair":         {join(encodeBegin(1, 1, 1), encodeRecord(typeParams, 1, "\x05\x05ab"), encodeRecord(typeParams, 1, "")), ErrRecord},
+		"body first":       {join(encodeBegin(1, 1, 1), encodeRecord(typeStdin, 1, "")), ErrRecord},
 	} {
 		if _, err := decode(t, c.in, 1<<20); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v, want %v", name, err, c.want)
@@ -148,30 +148,30 @@
 
 // A request that exceeds a limit is rejected once and its further records are ignored. One request too many
 // on its connection is answered as overloaded.
-func TestRequestsOverALimitAreRejected(t *testing.T) {
+func TestRequestsOverLimitsAreRejected(t *testing.T) {
 	var many []byte
 	for id := range uint16(maxRequests) {
-		many = append(many, begin(id+2, 1, 1)...)
+		many = append(many, encodeBegin(id+2, 1, 1)...)
 	}
 	big := strings.Repeat("x", 60000)
-	rest := join(record(typeStdin, 1, "more"), record(typeParams, 1, ""), record(typeStdin, 1, ""))
+	rest := join(encodeRecord(typeStdin, 1, "more"), encodeRecord(typeParams, 1, ""), encodeRecord(typeStdin, 1, ""))
 	for name, c := range map[string]struct {
 		in   []byte
 		want Event
 	}{
 		"params too big": {
-			join(begin(1, 1, 1), record(typeParams, 1, big)),
+			join(encodeBegin(1, 1, 1), encodeRecord(typeParams, 1, big)),
 			Rejected{1, true, ErrTooLarge},
 		},
 		"params twice": {
-			join(begin(1, 1, 1), record(typeParams, 1, ""), record(typeParams, 1, "x")),
+			join(encodeBegin(1, 1, 1), encodeRecord(typeParams, 1, ""), encodeRecord(typeParams, 1, "x")),
 			Rejected{1, true, ErrTooLarge},
 		},
 		"body too big": {
-			join(begin(1, 1, 0), record(typeStdin, 1, big), record(typeStdin, 1, big)),
+			join(encodeBegin(1, 1, 0), encodeRecord(typeStdin, 1, big), encodeRecord(typeStdin, 1, big)),
 			Rejected{1, false, ErrTooLarge},
 		},
-		"too many": {join(many, begin(1, 1, 1)), Reply{Data: AppendEnd(nil, 1, 0, Overloaded)}},
+		"too many": {join(many, encodeBegin(1, 1, 1)), Reply{Data: AppendEnd(nil, 1, 0, Overloaded)}},
 	} {
 		var d Decoder
 		events := decodeAll(t, &d, join(c.in, rest))
@@ -189,7 +189,7 @@
 }
 
 // An ID may be reused once its request is done, and the bytes buffered for it are released.
-func TestIDsAndBytesAreReleased(t *testing.T) {
+func TestFinishedRequestsAreReleased(t *testing.T) {
 	var d Decoder
 	for range 3 {
 		decodeAll(t, &d, completeRequest(1))
@@ -222,7 +222,7 @@
 
 func FuzzDecode(f *testing.F) {
 	f.Add(completeRequest(1))
-	f.Add(join(begin(1, 2, 0), record(typeGetValues, 0, params("FCGI_MAX_REQS", ""))))
+	f.Add(join(encodeBegin(1, 2, 0), encodeRecord(typeGetValues, 0, encodeParams("FCGI_MAX_REQS", ""))))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		var d Decoder
 		for len(data) > 0 {
--- a/internal/fastcgi/management.go
+++ b/internal/fastcgi/management.go
@@ -1,24 +1,24 @@
 package fastcgi
 
-// knownValues are the variables that FCGI_GET_VALUES may ask for, in the order of the answer. The first two
+// knownVariables are the variables that FCGI_GET_VALUES may ask for, in the order of the answer. The first two
 // are announced alone: nothing enforces them.
-var knownValues = []struct{ name, value string }{
+var knownVariables = []struct{ name, value string }{
 	{"FCGI_MAX_CONNS", "256"}, // connections at once
 	{"FCGI_MAX_REQS", "2048"}, // requests at once, of all connections
 	{"FCGI_MPXS_CONNS", "1"},  // requests may share a connection
 }
 
-// management answers a record that belongs to no request.
-func management(recordType byte, content []byte) (Event, error) {
+// answerManagement answers a record that belongs to no request.
+func answerManagement(recordType byte, content []byte) (Event, error) {
 	if recordType != typeGetValues {
-		return Reply{Data: unknownType(recordType)}, nil
+		return Reply{Data: encodeUnknownType(recordType)}, nil
 	}
 	requested, err := decodePairs(content)
 	if err != nil {
 		return nil, err
 	}
 	var body []byte
-	for _, known := range knownValues {
+	for _, known := range knownVariables {
 		_, isRequested := requested[known.name]
 		if isRequested {
 			body = appendPair(body, known.name, known.value)
@@ -27,7 +27,7 @@
 	return Reply{Data: append(appendHeader(nil, typeGetResult, 0, len(body)), body...)}, nil
 }
 
-// unknownType encodes the answer to a record whose type is unknown.
-func unknownType(recordType byte) []byte {
+// encodeUnknownType encodes the answer to a record whose type is unknown.
+func encodeUnknownType(recordType byte) []byte {
 	return append(appendHeader(nil, typeUnknown, 0, 8), recordType, 0, 0, 0, 0, 0, 0, 0)
 }
--- a/internal/fastcgi/pairs.go
+++ b/internal/fastcgi/pairs.go
@@ -17,12 +17,12 @@
 func decodePairs(data []byte) (map[string]string, error) {
 	pairs := map[string]string{}
 	for len(data) > 0 {
-		nameLength, nameSize := pairLength(data)
-		valueLength, valueSize := pairLength(data[nameSize:])
-		if nameSize == 0 || valueSize == 0 {
+		nameLength, nameLengthBytes := decodePairLength(data)
+		valueLength, valueLengthBytes := decodePairLength(data[nameLengthBytes:])
+		if nameLengthBytes == 0 || valueLengthBytes == 0 {
 			return nil, fmt.Errorf("%w: cut name-value pair", ErrRecord)
 		}
-		data = data[nameSize+valueSize:]
+		data = data[nameLengthBytes+valueLengthBytes:]
 		if nameLength > len(data) || valueLength > len(data)-nameLength {
 			return nil, fmt.Errorf("%w: cut name-value pair", ErrRecord)
 		}
@@ -33,8 +33,8 @@
 	return pairs, nil
 }
 
-// pairLength decodes one length. size is how many bytes it takes, 0 if data ends within it.
-func pairLength(data []byte) (length, size int) {
+// decodePairLength decodes one length. size is how many bytes it takes, 0 if data ends within it.
+func decodePairLength(data []byte) (length, size int) {
 	if len(data) == 0 {
 		return 0, 0
 	}
