--- a/internal/resp/answer.go
+++ b/internal/resp/answer.go
@@ -10,7 +10,7 @@
 // Limits of one answer, in bytes. An object has at most 240,000 bytes.
 const (
 	maxIDBytes     = 64
-	maxWordBytes   = 32
+	maxStatusBytes = 32
 	maxFieldsBytes = 4 << 10
 	maxBodyBytes   = 256 << 10
 )
@@ -27,7 +27,7 @@
 // elementLimits are the most bytes that each element of an answer may have.
 var elementLimits = [answerElements]int{
 	elementID:     maxIDBytes,
-	elementStatus: maxWordBytes,
+	elementStatus: maxStatusBytes,
 	elementFields: maxFieldsBytes,
 	elementBody:   maxBodyBytes,
 }
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// raw encodes an array of bulk strings.
-func raw(parts ...string) string {
+// encodeBulks encodes an array of bulk strings.
+func encodeBulks(parts ...string) string {
 	out := []byte("*" + string('0'+rune(len(parts))) + "\r\n")
 	for _, p := range parts {
 		out = appendBulk(out, p)
@@ -17,19 +17,19 @@
 	return string(out)
 }
 
-func TestCalls(t *testing.T) {
+func TestEncodeCalls(t *testing.T) {
 	full := Call{
 		ID: "9b1f", Class: "artes", Object: "7f3a", Part: "3", Timeout: 1500 * time.Millisecond, Source: "s-1",
 		RetentionRank: 2, MaxAge: 2500 * time.Microsecond, KnownVersion: "4be0",
 		CoalesceFill: true, StaleWhileRevalidate: true, Body: []byte("B"),
 	}
-	tiny := Call{ID: "1", Class: "c", Object: "k", Part: "0", MaxAge: time.Microsecond, CachedOnly: true}
+	shortMaxAge := Call{ID: "1", Class: "c", Object: "k", Part: "0", MaxAge: time.Microsecond, CachedOnly: true}
 	for _, tt := range []struct{ got, want string }{
-		{string(AppendCall(nil, &full)), raw("REQ", "9b1f",
+		{string(AppendCall(nil, &full)), encodeBulks("REQ", "9b1f",
 			"c=artes,k=7f3a,p=3,w=1500,src=s-1,keep=2,maxage=2,flags=coalesce+freshen,have=4be0", "B")},
 		// An age under a millisecond must not become 0, which would ask for any fresh copy.
-		{string(AppendCall(nil, &tiny)), raw("REQ", "1", "c=c,k=k,p=0,w=0,maxage=1,flags=shallow", "")},
-		{string(AppendStop(nil, "9b1f")), raw("STOP", "9b1f")},
+		{string(AppendCall(nil, &shortMaxAge)), encodeBulks("REQ", "1", "c=c,k=k,p=0,w=0,maxage=1,flags=shallow", "")},
+		{string(AppendStop(nil, "9b1f")), encodeBulks("STOP", "9b1f")},
 	} {
 		if tt.got != tt.want {
 			t.Errorf("got  %q\nwant %q", tt.got, tt.want)
@@ -37,10 +37,10 @@
 	}
 }
 
-func TestAnswersInAnyPieces(t *testing.T) {
+func TestDecodeInPieces(t *testing.T) {
 	const fields = "etag=4be0,made=1764576000123,note=TCP_MISS_ROOT,ttfb=12.5,load=util:0.6;inflight:7"
-	text := raw("9b1f", "served", fields, "bytes\r\n") +
-		raw("2", "overload", "-", "")
+	text := encodeBulks("9b1f", "served", fields, "bytes\r\n") +
+		encodeBulks("2", "overload", "-", "")
 	want := []Answer{
 		{
 			ID: "9b1f", Status: StatusServed, CacheStatus: CacheStatusFilledByOrigin, SourceFirstByte: 12500 * time.Microsecond,
@@ -76,9 +76,9 @@
 func TestMalformedAnswers(t *testing.T) {
 	for _, text := range []string{
 		"hello", "*3\r\n", "*x\r\n", "*4\rx", "*\r\n", "*99999999999\r\n", "*4\r\n:1\r\n", "*4\r\n$-1\r\n",
-		"*4\r\n$1\r\n1xx", "*4\r\n$999\r\n", raw("1", "perhaps", "-", ""), raw("1", "served", "note", ""),
-		raw("1", "served", "made=soon", ""), raw("1", "served", "ttfb=x", ""),
-		raw("1", "served", "-", strings.Repeat("x", maxBodyBytes+1)),
+		"*4\r\n$1\r\n1xx", "*4\r\n$999\r\n", encodeBulks("1", "perhaps", "-", ""), encodeBulks("1", "served", "note", ""),
+		encodeBulks("1", "served", "made=soon", ""), encodeBulks("1", "served", "ttfb=x", ""),
+		encodeBulks("1", "served", "-", strings.Repeat("x", maxBodyBytes+1)),
 	} {
 		if used, _, err := Decode([]byte(text)); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%.40q: used %d, %v", text, used, err)
@@ -87,7 +87,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add([]byte(raw("9b1f", "still_good", "etag=4be0,made=1", "")))
+	f.Add([]byte(encodeBulks("9b1f", "still_good", "etag=4be0,made=1", "")))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		used, a, err := Decode(data)
 		if used < 0 || used > len(data) || err == nil && used > 0 && a.Status == 0 {
