--- a/internal/watch/decode.go
+++ b/internal/watch/decode.go
@@ -24,7 +24,7 @@
 	}
 	var e Event
 	if err := json.Unmarshal(line, &e); err != nil {
-		return Event{}, fmt.Errorf("%w: %w", ErrLine, err)
+		return Event{}, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	return e, nil
 }
@@ -40,7 +40,7 @@
 		return err
 	}
 	if number.Index <= 0 {
-		return fmt.Errorf("%w: no index", ErrLine)
+		return fmt.Errorf("%w: no index", ErrMalformed)
 	}
 	*e = Event{Index: number.Index}
 	for name, part := range parts {
--- a/internal/watch/framing.go
+++ b/internal/watch/framing.go
@@ -6,14 +6,14 @@
 	"fmt"
 )
 
-// MaxLine is how many bytes a line may have. A complete list of a large fleet has far fewer.
-const MaxLine = 1 << 20
+// MaxLineBytes is how many bytes a line may have. A complete list of a large fleet has far fewer.
+const MaxLineBytes = 1 << 20
 
-// ErrLine says that a line is neither an event nor a heartbeat.
-var ErrLine = errors.New("watch: malformed line")
+// ErrMalformed says that a line is neither an event nor a heartbeat.
+var ErrMalformed = errors.New("watch: malformed line")
 
 // ErrTooLong says that a line has exceeded MaxLine without an end.
-var ErrTooLong = fmt.Errorf("%w: over %d bytes", ErrLine, MaxLine)
+var ErrTooLong = fmt.Errorf("%w: over %d bytes", ErrMalformed, MaxLineBytes)
 
 // NextLine splits the first line off data. used is its length with the line feed, 0 if there is no complete
 // line.
@@ -22,7 +22,7 @@
 	if end >= 0 {
 		return end + 1, data[:end], nil
 	}
-	if len(data) > MaxLine {
+	if len(data) > MaxLineBytes {
 		return 0, nil, ErrTooLong
 	}
 	return 0, nil, nil
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func TestLines(t *testing.T) {
+func TestDecode(t *testing.T) {
 	group := 0
 	endpoint := Endpoint{
 		ID: "s-1", Addr: "10.1.0.9:7001", Zone: "east", Kind: "std", Cell: 2,
@@ -47,7 +47,7 @@
 			t.Errorf("%q: heartbeat is %v", tt.line, got.IsHeartbeat())
 		}
 	}
-	if _, err := Decode([]byte("43 44")); !errors.Is(err, ErrLine) {
+	if _, err := Decode([]byte("43 44")); !errors.Is(err, ErrMalformed) {
 		t.Errorf("two numbers were accepted: %v", err)
 	}
 }
@@ -56,7 +56,7 @@
 	for _, line := range []string{
 		"", "hello", "-1", "{", "[]", "{}", `{"index":-3}`, `{"index":"1"}`, `{"evict":{"ref":"x","unix_ms":1}}`,
 	} {
-		if ev, err := Decode([]byte(line)); !errors.Is(err, ErrLine) {
+		if ev, err := Decode([]byte(line)); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%q was accepted: %+v %v", line, ev, err)
 		}
 	}
@@ -114,7 +114,7 @@
 	}
 }
 
-func TestNext(t *testing.T) {
+func TestFraming(t *testing.T) {
 	used, line, err := NextLine([]byte("one\ntwo"))
 	if used != 4 || string(line) != "one" || err != nil {
 		t.Errorf("%d %q %v", used, line, err)
@@ -122,7 +122,7 @@
 	if used, _, err := NextLine([]byte("two")); used != 0 || err != nil {
 		t.Errorf("%d %v", used, err)
 	}
-	if _, _, err := NextLine([]byte(strings.Repeat("x", MaxLine+1))); !errors.Is(err, ErrLine) {
+	if _, _, err := NextLine([]byte(strings.Repeat("x", MaxLineBytes+1))); !errors.Is(err, ErrMalformed) {
 		t.Errorf("an endless line: %v", err)
 	}
 	if got := string(AppendFollow(7)); got != "follow 7\n" {
