--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -8,8 +8,8 @@
 	"cloverdoor/policy"
 )
 
-// started is a batch that starts the instance "proxy/1" with two endpoints.
-const started = `{"moment-us":1000,"happened":[{"op":"Born","proxy-id":"proxy/1","prng":7,"conf":` +
+// startBatch is a batch that starts the instance "proxy/1" with two endpoints.
+const startBatch = `{"moment-us":1000,"happened":[{"op":"Born","proxy-id":"proxy/1","prng":7,"conf":` +
 	`{"classes":[{"name":"k","semantics":"read_like","promise-us":400000,"aim-stretch":2,"deadline-us":3000000}],` +
 	`"domain":{"root-kind":2,"upper-kind":1,"direct":true,"one-flow-kb-per-s":1000,"class-fresh-us":[8000000],` +
 	`"new-key":[1]},"zone":1,"later":null}},` +
@@ -25,8 +25,8 @@
 	return out.String(), log.String(), err
 }
 
-func TestTranscript(t *testing.T) {
-	out, log, err := serve(t, started,
+func TestRequestYieldsFetch(t *testing.T) {
+	out, log, err := serve(t, startBatch,
 		`{"moment-us":2000,"happened":[{"op":"Ingress","proxy-id":"proxy/1","job":5,"asset":"f-1","kind":0,`+
 			`"expires-in-us":2000000,"retry":null,"size-kb":50,"part":0,"set-no":3,"mutates":false,"x":1},`+
 			`{"op":"Whatever","proxy-id":"proxy/1"}]}`)
@@ -44,14 +44,14 @@
 	}
 }
 
-func TestEventForUnknownInstanceIsIgnoredWithMessage(t *testing.T) {
+func TestEventForUnknownInstanceIsLogged(t *testing.T) {
 	out, log, err := serve(t, `{"moment-us":1,"happened":[{"op":"Due","proxy-id":"proxy/9","mark":1}]}`)
 	if err != nil || out != "{\"cmds\":[]}\n" || !strings.Contains(log, "proxy/9") {
 		t.Fatalf("%q %q %v", out, log, err)
 	}
 }
 
-func TestNotABatch(t *testing.T) {
+func TestInvalidBatches(t *testing.T) {
 	for _, line := range []string{`hello`, `[]`, `{}`, `{"moment-us":1,"happened":[7]}`} {
 		if _, _, err := serve(t, line); err == nil {
 			t.Errorf("%s was accepted", line)
@@ -61,9 +61,9 @@
 
 // A list's number may be reused within a batch: each event refers to the list that has the number at that
 // point.
-func TestListsResolveInOrder(t *testing.T) {
+func TestReusedListNumbers(t *testing.T) {
 	h := NewHost(&bytes.Buffer{})
-	if _, err := h.HandleBatch([]byte(started)); err != nil {
+	if _, err := h.HandleBatch([]byte(startBatch)); err != nil {
 		t.Fatal(err)
 	}
 	out, err := h.HandleBatch([]byte(`{"moment-us":3000,"happened":[` +
@@ -76,14 +76,14 @@
 	}
 }
 
-func TestUnknownVerdictMayHaveRun(t *testing.T) {
+func TestUnknownResultIsError(t *testing.T) {
 	if resultOf[999] != policy.ResultError {
 		t.Fatal("an unknown result must count as an error")
 	}
 }
 
 // A panic of a router is reported to the simulator and does not end the process.
-func TestPanicBecomesFault(t *testing.T) {
+func TestPanicIsReported(t *testing.T) {
 	h := NewHost(&bytes.Buffer{})
 	h.routers["proxy/1"] = &policy.Router{} // not made by New: its maps are nil
 	out, err := h.HandleBatch([]byte(`{"moment-us":1,"happened":[` +
