--- a/internal/fastcgi/decoder.go
+++ b/internal/fastcgi/decoder.go
@@ -11,23 +11,23 @@
 type Decoder struct {
 	receiving     map[uint16]*partialRequest // requests that are not complete
 	inProgress    map[uint16]bool            // complete requests that have not been answered
-	bufferedBytes int                        // of the requests in receiving
+	bufferedBytes int                        // parameters and bodies of the requests in receiving
 }
 
 // partialRequest is a request of which some records have been decoded.
 type partialRequest struct {
 	req        Request
-	params     []byte // encoded pairs, until the empty PARAMS record
+	params     []byte // encoded pairs; nil after the empty PARAMS record
 	paramsDone bool
 }
 
-// Done reports to the decoder that a request has been answered or dropped, so that its ID may be reused.
+// Done tells the decoder that a complete request has been answered or dropped, so that its ID may be reused.
 func (d *Decoder) Done(id uint16) { delete(d.inProgress, id) }
 
-// BufferedBytes is the size of the parameters and bodies of requests that are not complete.
+// BufferedBytes returns the size of the parameters and bodies buffered for requests that are not complete.
 func (d *Decoder) BufferedBytes() int { return d.bufferedBytes }
 
-// DropPartial drops all requests that are not complete and returns their IDs. Further records of them are
+// DropPartial drops all requests that are not complete and returns their IDs. Their further records are
 // ignored.
 func (d *Decoder) DropPartial() []uint16 {
 	ids := slices.Sorted(maps.Keys(d.receiving))
@@ -36,14 +36,15 @@
 	return ids
 }
 
-// Receiving reports whether there is a request that is not complete.
+// Receiving reports whether a request has been begun that is not complete.
 func (d *Decoder) Receiving() bool { return len(d.receiving) > 0 }
 
-// Busy reports whether a request is being received or waits for its answer.
+// Busy reports whether a request is being received or waits for its response.
 func (d *Decoder) Busy() bool { return len(d.receiving)+len(d.inProgress) > 0 }
 
-// Decode decodes one record from the start of data. It returns how many bytes the record has, 0 when it is
-// not complete, and the event that the record completed, nil if none. An error is final for the connection.
+// Decode decodes one record from the start of data. It returns how many bytes the record has, 0 if data ends
+// before the record does, and the event that the record leads to, nil if none. After an error nothing more can
+// be decoded from the connection.
 func (d *Decoder) Decode(data []byte) (used int, ev Event, err error) {
 	if len(data) < headerBytes {
 		return 0, nil, nil
@@ -62,8 +63,8 @@
 	return used, ev, err
 }
 
-// MissingBytes is how many bytes the record at the start of data lacks; 0 if it is complete, or its header is
-// not.
+// MissingBytes returns how many bytes are missing from the record at the start of data: 0 if the record is
+// complete, or if not even its header is.
 func MissingBytes(data []byte) int {
 	if len(data) < headerBytes {
 		return 0
@@ -71,10 +72,10 @@
 	return max(0, recordBytes(data)-len(data))
 }
 
-// contentBytes is the content length in a record header.
+// contentBytes returns the content length in a record header.
 func contentBytes(header []byte) int { return int(binary.BigEndian.Uint16(header[4:])) }
 
-// recordBytes is the length of a record with its header and padding.
+// recordBytes returns the length of a record with its header and padding.
 func recordBytes(header []byte) int {
 	paddingBytes := int(header[6])
 	return headerBytes + contentBytes(header) + paddingBytes
@@ -106,7 +107,7 @@
 	return Reply{Data: encodeUnknownType(recordType)}, nil
 }
 
-// handleBegin starts a request.
+// handleBegin handles a BEGIN_REQUEST.
 func (d *Decoder) handleBegin(id uint16, content []byte) (Event, error) {
 	if len(content) != beginContentBytes {
 		return nil, fmt.Errorf("%w: BEGIN_REQUEST of %d bytes", ErrRecord, len(content))
@@ -130,8 +131,8 @@
 	return nil, nil
 }
 
-// handleAbort handles an ABORT_REQUEST. A request that is not complete is answered here, as the application does
-// not know it.
+// handleAbort handles an ABORT_REQUEST. A request that is not complete is answered here, as the application
+// has not received it.
 func (d *Decoder) handleAbort(id uint16) Event {
 	p := d.receiving[id]
 	if p != nil {
@@ -156,7 +157,8 @@
 	d.bufferedBytes -= len(p.params) + len(p.req.Body)
 }
 
-// addParams handles a PARAMS record; an empty one ends the parameters.
+// addParams handles a PARAMS record; an empty one ends the parameters. Parameters after the end are rejected
+// like parameters over the limit.
 func (d *Decoder) addParams(p *partialRequest, content []byte) (Event, error) {
 	if len(content) > 0 {
 		if p.paramsDone || len(p.params)+len(content) > maxParamBytes {
--- a/internal/fastcgi/event.go
+++ b/internal/fastcgi/event.go
@@ -2,10 +2,10 @@
 
 import "errors"
 
-// Event is what a record completed: a *Request, Rejected, Abort or Reply.
+// Event is what a record leads to: a *Request, Rejected, Abort or Reply.
 type Event interface{ isEvent() }
 
-// Request is one complete request.
+// Request is a complete request.
 type Request struct {
 	ID       uint16            // unique among the connection's requests in progress
 	KeepConn bool              // the connection stays open after the response
@@ -14,21 +14,21 @@
 	Body     []byte
 }
 
-// Rejected is a request that exceeds a limit of its own. The rest of it is skipped; the connection continues.
+// Rejected is a request that exceeds a limit on its parameters or body. The rest of it is skipped; the
+// connection continues.
 type Rejected struct {
 	ID       uint16
 	KeepConn bool
-	Err      error
+	Err      error // ErrTooLarge
 }
 
-// Abort says that the client has aborted a request that it sent completely.
+// Abort says that the client has aborted a request that it had sent completely.
 type Abort struct{ ID uint16 }
 
-// Reply is bytes that the protocol itself requires to be sent to the client; no request for the application
-// is involved.
+// Reply is an answer that the protocol itself requires, without a request for the application.
 type Reply struct {
-	Data  []byte
-	Close bool // the connection is to be closed afterwards, as the client did not set KEEP_CONN
+	Data  []byte // to be sent to the client
+	Close bool   // the connection is to be closed afterwards, as the client did not set KEEP_CONN
 }
 
 func (*Request) isEvent() {}
@@ -36,5 +36,5 @@
 func (Abort) isEvent()    {}
 func (Reply) isEvent()    {}
 
-// ErrTooLarge is the reason of Rejected.
+// ErrTooLarge is the error of a rejected request. Its text is sent to the client.
 var ErrTooLarge = errors.New("fastcgi: request exceeds its limit")
--- a/internal/fastcgi/fastcgi.go
+++ b/internal/fastcgi/fastcgi.go
@@ -1,12 +1,12 @@
-// Package fastcgi is the codec of the client side: FastCGI 1.0 in the Responder role. It decodes the bytes of
-// a connection into requests and encodes responses. It uses no socket and buffers no more than its limits
-// allow.
+// Package fastcgi is the codec for connections from clients, which speak FastCGI 1.0 in the Responder role. It
+// decodes the bytes of a connection into requests and encodes responses. It does no I/O and buffers no more
+// than its limits allow.
 //
 // A connection carries records: a header of 8 bytes (version, type, request ID, content length, padding
 // length), the content and the padding. A request is a BEGIN_REQUEST record, PARAMS records with name-value
 // pairs up to an empty one, and STDIN records with the body up to an empty one. A response is STDOUT records
-// up to an empty one, then END_REQUEST. Requests of one connection may be interleaved; the request ID
-// identifies them apart.
+// up to an empty one, then END_REQUEST. Requests of one connection may be interleaved; the request ID tells
+// them apart.
 package fastcgi
 
 import "errors"
@@ -35,33 +35,33 @@
 	maxContentBytes   = 65535
 )
 
-// Limits of one connection.
+// Limits of a connection and of a request.
 const (
-	maxRequests   = 40       // requests being received or answered at once; clients keep to 32
-	maxParamBytes = 16 << 10 // one request's parameters
-	maxBodyBytes  = 64 << 10 // one request's body; a write has at most 48,000 bytes
+	maxRequests   = 40       // requests of a connection being received or answered at once; clients use at most 32
+	maxParamBytes = 16 << 10 // a request's encoded parameters
+	maxBodyBytes  = 64 << 10 // a request's body; a write has at most 48,000 bytes
 )
 
-// ProtocolStatus is the protocol-level result in END_REQUEST.
+// ProtocolStatus is the protocol's own result of a request, carried by END_REQUEST.
 type ProtocolStatus uint8
 
-// Protocol statuses in use. 1, for a server that handles one request per connection, is not.
+// Protocol statuses in use. Status 1 is not: it is for a server that handles one request per connection.
 const (
 	Complete    ProtocolStatus = 0 // the request was processed
 	Overloaded  ProtocolStatus = 2 // the server rejects the request for lack of capacity
 	UnknownRole ProtocolStatus = 3 // the request's role is not supported
 )
 
-// applicationAborted is the application status in END_REQUEST of a request that the client aborted.
+// applicationAborted is the application status in the END_REQUEST of a request that the client aborted.
 const applicationAborted = 1
 
-// ErrVersion and ErrRecord are errors after which nothing more can be decoded from a connection.
+// Errors of Decode, after which nothing more can be decoded from the connection.
 var (
-	ErrVersion = errors.New("fastcgi: not version 1")
+	ErrVersion = errors.New("fastcgi: protocol version is not 1")
 	ErrRecord  = errors.New("fastcgi: malformed record")
 )
 
-// appendHeader encodes a record header without padding.
+// appendHeader appends the header of a record without padding.
 func appendHeader(dst []byte, recordType byte, id uint16, contentBytes int) []byte {
 	return append(dst, version, recordType, byte(id>>8), byte(id), byte(contentBytes>>8), byte(contentBytes), 0, 0)
 }
--- a/internal/fastcgi/fastcgi_test.go
+++ b/internal/fastcgi/fastcgi_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// encodeBegin encodes BEGIN_REQUEST.
+// encodeBegin encodes a BEGIN_REQUEST.
 func encodeBegin(id uint16, role, flags byte) []byte {
 	return append(appendHeader(nil, typeBegin, id, 8), 0, role, flags, 0, 0, 0, 0, 0)
 }
@@ -20,7 +20,7 @@
 
 func join(parts ...[]byte) []byte { return bytes.Join(parts, nil) }
 
-// encodeParams encodes names and values.
+// encodeParams encodes parameters, given as names and values by turns.
 func encodeParams(pairs ...string) string {
 	var out []byte
 	for i := 0; i < len(pairs); i += 2 {
@@ -29,14 +29,15 @@
 	return string(out)
 }
 
-// completeRequest is a request with a long value and a body in two records.
+// completeRequest encodes a request with a long value and a body in two records.
 func completeRequest(id uint16) []byte {
 	return join(encodeBegin(id, roleResponder, flagKeepConn),
 		encodeRecord(typeParams, id, encodeParams("SCRIPT_NAME", "/ops/artes", "LONG", strings.Repeat("x", 300))),
-		encodeRecord(typeParams, id, ""), encodeRecord(typeStdin, id, "ab"), encodeRecord(typeStdin, id, "cd"), encodeRecord(typeStdin, id, ""))
+		encodeRecord(typeParams, id, ""), encodeRecord(typeStdin, id, "ab"),
+		encodeRecord(typeStdin, id, "cd"), encodeRecord(typeStdin, id, ""))
 }
 
-// decode decodes data that arrives in pieces of the given size.
+// decode decodes data that arrives in pieces of the given number of bytes.
 func decode(t *testing.T, data []byte, piece int) (events []Event, err error) {
 	t.Helper()
 	var d Decoder
@@ -71,7 +72,7 @@
 	for len(data) > 0 {
 		used, ev, err := d.Decode(data)
 		if used == 0 || err != nil {
-			t.Fatalf("%d %v", used, err)
+			t.Fatalf("record of %d bytes, error %v", used, err)
 		}
 		data = data[used:]
 		if ev != nil {
@@ -85,33 +86,36 @@
 	for _, piece := range []int{1, 7, 1 << 20} {
 		events, err := decode(t, join(completeRequest(1), completeRequest(2)), piece)
 		if err != nil || len(events) != 2 {
-			t.Fatalf("pieces of %d: %v %v", piece, events, err)
+			t.Fatalf("pieces of %d: got events %v, error %v", piece, events, err)
 		}
 		r := events[1].(*Request)
 		if r.ID != 2 || !r.KeepConn || r.Script != "/ops/artes" || len(r.Params["LONG"]) != 300 || string(r.Body) != "abcd" {
-			t.Fatalf("pieces of %d: %+v", piece, r)
+			t.Fatalf("pieces of %d: got request %+v", piece, r)
 		}
 	}
 }
 
-func TestProtocolReplies(t *testing.T) {
+func TestAbortsAndReplies(t *testing.T) {
 	for name, c := range map[string]struct {
 		in   []byte
 		want Event
 	}{
-		"abort of an open request": {join(completeRequest(3), encodeRecord(typeAbort, 3, "")), Abort{ID: 3}},
+		"abort of a complete request": {join(completeRequest(3), encodeRecord(typeAbort, 3, "")), Abort{ID: 3}},
 		"abort of a partial request": {
 			join(encodeBegin(3, 1, 1), encodeRecord(typeAbort, 3, "")),
 			Reply{Data: AppendEnd(nil, 3, 1, Complete)},
 		},
-		"another role":                      {encodeBegin(3, 2, 1), Reply{Data: AppendEnd(nil, 3, 0, UnknownRole)}},
-		"another role, connection not kept": {encodeBegin(3, 2, 0), Reply{Data: AppendEnd(nil, 3, 0, UnknownRole), Close: true}},
-		"unknown management record":         {encodeRecord(77, 0, ""), Reply{Data: encodeUnknownType(77)}},
-		"values": {
+		"unsupported role": {encodeBegin(3, 2, 1), Reply{Data: AppendEnd(nil, 3, 0, UnknownRole)}},
+		"unsupported role, connection not kept": {
+			encodeBegin(3, 2, 0),
+			Reply{Data: AppendEnd(nil, 3, 0, UnknownRole), Close: true},
+		},
+		"unknown management record": {encodeRecord(77, 0, ""), Reply{Data: encodeUnknownType(77)}},
+		"requested variables": {
 			encodeRecord(typeGetValues, 0, encodeParams("FCGI_MPXS_CONNS", "")),
 			Reply{Data: encodeRecord(typeGetResult, 0, encodeParams("FCGI_MPXS_CONNS", "1"))},
 		},
-		"records of no open request": {join(encodeRecord(typeStdin, 9, "x"), encodeRecord(typeAbort, 9, "")), nil},
+		"records of an unknown request": {join(encodeRecord(typeStdin, 9, "x"), encodeRecord(typeAbort, 9, "")), nil},
 	} {
 		events, err := decode(t, c.in, 5)
 		if err != nil {
@@ -133,21 +137,24 @@
 		in   []byte
 		want error
 	}{
-		"version":          {[]byte{2, 1, 0, 1, 0, 0, 0, 0}, ErrVersion},
-		"short begin":      {encodeRecord(typeBegin, 1, "abc"), ErrRecord},
-		"begun twice":      {join(encodeBegin(1, 1, 1), encodeBegin(1, 1, 1)), ErrRecord},
-		"begun while open": {join(completeRequest(1), encodeBegin(1, 1, 1)), ErrRecord},
-		"cut pair":         {join(encodeBegin(1, 1, 1), encodeRecord(typeParams, 1, "\x05\x05ab"), encodeRecord(typeParams, 1, "")), ErrRecord},
-		"body first":       {join(encodeBegin(1, 1, 1), encodeRecord(typeStdin, 1, "")), ErrRecord},
+		"unsupported version":             {[]byte{2, 1, 0, 1, 0, 0, 0, 0}, ErrVersion},
+		"short BEGIN_REQUEST":             {encodeRecord(typeBegin, 1, "abc"), ErrRecord},
+		"begun twice while partial":       {join(encodeBegin(1, 1, 1), encodeBegin(1, 1, 1)), ErrRecord},
+		"begun again before the response": {join(completeRequest(1), encodeBegin(1, 1, 1)), ErrRecord},
+		"truncated pair": {
+			join(encodeBegin(1, 1, 1), encodeRecord(typeParams, 1, "\x05\x05ab"), encodeRecord(typeParams, 1, "")),
+			ErrRecord,
+		},
+		"body ended before parameters": {join(encodeBegin(1, 1, 1), encodeRecord(typeStdin, 1, "")), ErrRecord},
 	} {
 		if _, err := decode(t, c.in, 1<<20); !errors.Is(err, c.want) {
-			t.Errorf("%s: %v, want %v", name, err, c.want)
+			t.Errorf("%s: got error %v, want %v", name, err, c.want)
 		}
 	}
 }
 
-// A request that exceeds a limit is rejected once and its further records are ignored. One request too many
-// on its connection is answered as overloaded.
+// A request that exceeds a limit is rejected once and its further records are ignored. A request over the
+// connection's limit on requests is answered as overloaded.
 func TestRequestsOverLimitsAreRejected(t *testing.T) {
 	var many []byte
 	for id := range uint16(maxRequests) {
@@ -159,31 +166,31 @@
 		in   []byte
 		want Event
 	}{
-		"params too big": {
+		"parameters too large": {
 			join(encodeBegin(1, 1, 1), encodeRecord(typeParams, 1, big)),
 			Rejected{1, true, ErrTooLarge},
 		},
-		"params twice": {
+		"parameters after their end": {
 			join(encodeBegin(1, 1, 1), encodeRecord(typeParams, 1, ""), encodeRecord(typeParams, 1, "x")),
 			Rejected{1, true, ErrTooLarge},
 		},
-		"body too big": {
+		"body too large": {
 			join(encodeBegin(1, 1, 0), encodeRecord(typeStdin, 1, big), encodeRecord(typeStdin, 1, big)),
 			Rejected{1, false, ErrTooLarge},
 		},
-		"too many": {join(many, encodeBegin(1, 1, 1)), Reply{Data: AppendEnd(nil, 1, 0, Overloaded)}},
+		"too many requests": {join(many, encodeBegin(1, 1, 1)), Reply{Data: AppendEnd(nil, 1, 0, Overloaded)}},
 	} {
 		var d Decoder
 		events := decodeAll(t, &d, join(c.in, rest))
 		if len(events) != 1 || !reflect.DeepEqual(events[0], c.want) {
-			t.Errorf("%s: %+v", name, events)
+			t.Errorf("%s: got events %+v", name, events)
 		}
-		if name != "too many" && (d.BufferedBytes() != 0 || d.Busy()) {
-			t.Errorf("%s: %d bytes are held", name, d.BufferedBytes())
+		if name != "too many requests" && (d.BufferedBytes() != 0 || d.Busy()) {
+			t.Errorf("%s: %d bytes buffered, or still busy", name, d.BufferedBytes())
 		}
 		dropped := len(d.DropPartial())
-		if d.Busy() || (dropped > 0) != (name == "too many") {
-			t.Errorf("%s: %d dropped", name, dropped)
+		if d.Busy() || (dropped > 0) != (name == "too many requests") {
+			t.Errorf("%s: %d partial requests dropped, or still busy", name, dropped)
 		}
 	}
 }
@@ -199,7 +206,7 @@
 		d.Done(1)
 	}
 	if d.Busy() {
-		t.Fatal("still busy")
+		t.Fatal("busy although every request is done")
 	}
 }
 
@@ -216,7 +223,7 @@
 	}
 	want := "Status: 200\r\nX-Unchanged: 1\r\n\r\n" + string(body)
 	if string(text) != want {
-		t.Fatalf("%d bytes, want %d", len(text), len(want))
+		t.Fatalf("got other output of %d bytes, want %d", len(text), len(want))
 	}
 }
 
--- a/internal/fastcgi/management.go
+++ b/internal/fastcgi/management.go
@@ -1,11 +1,11 @@
 package fastcgi
 
 // knownVariables are the variables that FCGI_GET_VALUES may ask for, in the order of the answer. The first two
-// are announced alone: nothing enforces them.
+// are only announced: nothing enforces their values.
 var knownVariables = []struct{ name, value string }{
-	{"FCGI_MAX_CONNS", "256"}, // connections at once
-	{"FCGI_MAX_REQS", "2048"}, // requests at once, of all connections
-	{"FCGI_MPXS_CONNS", "1"},  // requests may share a connection
+	{"FCGI_MAX_CONNS", "256"}, // most connections at once
+	{"FCGI_MAX_REQS", "2048"}, // most requests at once, on all connections
+	{"FCGI_MPXS_CONNS", "1"},  // 1: requests may share a connection
 }
 
 // answerManagement answers a record that belongs to no request.
@@ -27,7 +27,7 @@
 	return Reply{Data: append(appendHeader(nil, typeGetResult, 0, len(body)), body...)}, nil
 }
 
-// encodeUnknownType encodes the answer to a record whose type is unknown.
+// encodeUnknownType encodes the answer to a record of an unknown type.
 func encodeUnknownType(recordType byte) []byte {
 	return append(appendHeader(nil, typeUnknown, 0, 8), recordType, 0, 0, 0, 0, 0, 0, 0)
 }
--- a/internal/fastcgi/pairs.go
+++ b/internal/fastcgi/pairs.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// Name-value pairs are the name's length, the value's length, the name and the value. A length under 128
-// takes one byte, others take four with the top bit set.
+// A name-value pair is encoded as the name's length, the value's length, the name and the value. A length
+// under 128 takes one byte; any other takes four, with the top bit set.
 const (
 	maxShortLength  = 0x7f
 	longLengthFlag  = 1 << 31
@@ -20,11 +20,11 @@
 		nameLength, nameLengthBytes := decodePairLength(data)
 		valueLength, valueLengthBytes := decodePairLength(data[nameLengthBytes:])
 		if nameLengthBytes == 0 || valueLengthBytes == 0 {
-			return nil, fmt.Errorf("%w: cut name-value pair", ErrRecord)
+			return nil, fmt.Errorf("%w: truncated name-value pair", ErrRecord)
 		}
 		data = data[nameLengthBytes+valueLengthBytes:]
 		if nameLength > len(data) || valueLength > len(data)-nameLength {
-			return nil, fmt.Errorf("%w: cut name-value pair", ErrRecord)
+			return nil, fmt.Errorf("%w: truncated name-value pair", ErrRecord)
 		}
 		name := string(data[:nameLength])
 		pairs[name] = string(data[nameLength : nameLength+valueLength])
@@ -33,7 +33,7 @@
 	return pairs, nil
 }
 
-// decodePairLength decodes one length. size is how many bytes it takes, 0 if data ends within it.
+// decodePairLength decodes a length. size is how many bytes the length itself takes, 0 if data ends within it.
 func decodePairLength(data []byte) (length, size int) {
 	if len(data) == 0 {
 		return 0, 0
@@ -47,7 +47,7 @@
 	return int(binary.BigEndian.Uint32(data) &^ longLengthFlag), longLengthBytes
 }
 
-// appendPair encodes a name-value pair.
+// appendPair appends an encoded name-value pair.
 func appendPair(dst []byte, name, value string) []byte {
 	dst = appendPairLength(dst, len(name))
 	dst = appendPairLength(dst, len(value))
--- a/internal/fastcgi/response.go
+++ b/internal/fastcgi/response.go
@@ -5,22 +5,22 @@
 	"strconv"
 )
 
-// Response is one complete CGI response.
+// Response is a complete CGI response.
 type Response struct {
 	Status  int         // HTTP status code
 	Headers [][2]string // names and values
 	Body    []byte
 }
 
-// AppendResponse encodes the response to a request, with its END_REQUEST.
+// AppendResponse appends to dst the encoded response to a request, with its END_REQUEST.
 func AppendResponse(dst []byte, id uint16, r Response) []byte {
 	dst = appendStdout(dst, id, r.head())
 	dst = appendStdout(dst, id, r.Body)
-	dst = appendHeader(dst, typeStdout, id, 0) // the end of the output
+	dst = appendHeader(dst, typeStdout, id, 0) // ends the output
 	return AppendEnd(dst, id, 0, Complete)
 }
 
-// head is the CGI header block with the empty line after it.
+// head returns the CGI header block with the empty line after it.
 func (r *Response) head() []byte {
 	head := strconv.AppendInt([]byte("Status: "), int64(r.Status), 10)
 	for _, header := range r.Headers {
@@ -32,7 +32,7 @@
 	return append(head, "\r\n\r\n"...)
 }
 
-// appendStdout encodes output in as few records as possible, none if it is empty.
+// appendStdout appends output as STDOUT records, as few as possible and none if data is empty.
 func appendStdout(dst []byte, id uint16, data []byte) []byte {
 	for len(data) > 0 {
 		n := min(len(data), maxContentBytes)
@@ -43,12 +43,12 @@
 	return dst
 }
 
-// AppendAborted encodes END_REQUEST of a request that the client aborted.
+// AppendAborted appends to dst the END_REQUEST of a request that the client aborted.
 func AppendAborted(dst []byte, id uint16) []byte {
 	return AppendEnd(dst, id, applicationAborted, Complete)
 }
 
-// AppendEnd encodes END_REQUEST.
+// AppendEnd appends to dst an END_REQUEST with the application's status and the protocol's.
 func AppendEnd(dst []byte, id uint16, appStatus uint32, status ProtocolStatus) []byte {
 	dst = appendHeader(dst, typeEnd, id, 8)
 	dst = binary.BigEndian.AppendUint32(dst, appStatus)
