--- a/internal/resp/answer.go
+++ b/internal/resp/answer.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Limits of one answer, in bytes. An object has at most 240,000 bytes.
+// Limits of the elements of an answer, in bytes. An object has at most 240,000 bytes.
 const (
 	maxIDBytes     = 64
 	maxStatusBytes = 32
@@ -15,16 +15,16 @@
 	maxBodyBytes   = 256 << 10
 )
 
-// Elements of an answer's array.
+// Indexes of the elements in an answer's array.
 const (
 	elementID = iota
 	elementStatus
 	elementFields
 	elementBody
-	answerElements
+	answerElements // the number of elements
 )
 
-// elementLimits are the most bytes that each element of an answer may have.
+// elementLimits has the limit of each element of an answer, in bytes.
 var elementLimits = [answerElements]int{
 	elementID:     maxIDBytes,
 	elementStatus: maxStatusBytes,
@@ -35,18 +35,18 @@
 // Status is how a call ended.
 type Status int
 
-// Statuses of an answer; 0 is none of them.
+// Statuses of an answer; 0 is not a status.
 const (
 	StatusServed      Status = iota + 1 // the body is the object
 	StatusNotModified                   // the client's copy is current
 	StatusNotFound                      // the object is not cached; the call was not executed
 	StatusOverloaded                    // the server rejected the call, which was not executed
 	StatusCrashed                       // the server failed during the call, which may have been executed
-	StatusNotRun                        // the request had ended before; the call was not executed
+	StatusNotRun                        // the request had already ended; the call was not executed
 )
 
-// statusOfWord maps the status words on the wire.
-var statusOfWord = map[string]Status{
+// statusByWireName maps the values on the wire to statuses.
+var statusByWireName = map[string]Status{
 	"served":     StatusServed,
 	"still_good": StatusNotModified,
 	"not_here":   StatusNotFound,
@@ -58,7 +58,7 @@
 // CacheStatus says how a cache got an answer or why a fill failed.
 type CacheStatus int
 
-// Cache statuses of an answer; 0 is none of them: not reported, or not known here.
+// Cache statuses of an answer; 0 means that it is not reported, or that its value on the wire is unknown.
 const (
 	CacheStatusHit            CacheStatus = iota + 1 // the server had a copy
 	CacheStatusFilled                                // filled from the source's copy
@@ -66,14 +66,14 @@
 	CacheStatusCoalesced                             // waited for a fill that was in progress
 	CacheStatusStale                                 // the server had a stale copy
 	CacheStatusSourceRejected                        // the source rejected the fill
-	CacheStatusSourceFailed                          // the source did not answer, or with an error
+	CacheStatusSourceFailed                          // the source did not answer, or answered with an error
 	CacheStatusSourceMissing                         // the source does not have the object
 	CacheStatusNoFillCapacity                        // the server had no capacity for a fill
 	CacheStatusOriginFailed                          // the origin failed behind the source
 )
 
-// cacheStatusOfNote maps the values of the field "note".
-var cacheStatusOfNote = map[string]CacheStatus{
+// cacheStatusByWireName maps the values of the field "note" to cache statuses.
+var cacheStatusByWireName = map[string]CacheStatus{
 	"TCP_HIT":       CacheStatusHit,
 	"TCP_MISS":      CacheStatusFilled,
 	"TCP_MISS_ROOT": CacheStatusFilledByOrigin,
@@ -94,10 +94,11 @@
 	fieldCreatedAt       = "made" // Unix milliseconds
 )
 
-// maxFirstByteMillis bounds a plausible time to first byte, in milliseconds; others are ignored.
+// maxFirstByteMillis is the limit of a plausible time to first byte, in milliseconds. Negative times and times
+// that are not below the limit are ignored.
 const maxFirstByteMillis = 1e9
 
-// Answer is one decoded answer. It shares no memory with the bytes that it was decoded from.
+// Answer is a decoded answer. It shares no memory with the bytes that it was decoded from.
 type Answer struct {
 	ID              string // of the call
 	Status          Status
@@ -108,15 +109,15 @@
 	Body            []byte
 }
 
-// Decode decodes one answer from the start of data. It returns how many bytes the answer has, 0 when it is
-// not complete.
+// Decode decodes one answer from the start of data. It returns how many bytes the answer has, 0 if it is not
+// complete. Its errors wrap ErrMalformed.
 func Decode(data []byte) (used int, a Answer, err error) {
 	n, count, err := decodeNumber(data, arrayPrefix)
 	if n == 0 || err != nil {
 		return 0, a, err
 	}
 	if count != answerElements {
-		return 0, a, fmt.Errorf("%w: array of %d", ErrMalformed, count)
+		return 0, a, fmt.Errorf("%w: array of %d elements", ErrMalformed, count)
 	}
 	used = n
 	var elements [answerElements][]byte
@@ -132,11 +133,11 @@
 	return used, a, err
 }
 
-// newAnswer interprets the elements of an answer.
+// newAnswer decodes the elements of an answer.
 func newAnswer(elements [answerElements][]byte) (Answer, error) {
-	a := Answer{ID: string(elements[elementID]), Status: statusOfWord[string(elements[elementStatus])]}
+	a := Answer{ID: string(elements[elementID]), Status: statusByWireName[string(elements[elementStatus])]}
 	if a.Status == 0 {
-		return a, fmt.Errorf("%w: word %q", ErrMalformed, elements[elementStatus])
+		return a, fmt.Errorf("%w: unknown status %q", ErrMalformed, elements[elementStatus])
 	}
 	if err := a.decodeFields(elements[elementFields]); err != nil {
 		return a, err
@@ -162,10 +163,11 @@
 	return nil
 }
 
+// decodeField decodes one field. Unknown fields are ignored.
 func (a *Answer) decodeField(name, value string) (err error) {
 	switch name {
 	case fieldCacheStatus:
-		a.CacheStatus = cacheStatusOfNote[value]
+		a.CacheStatus = cacheStatusByWireName[value]
 	case fieldSourceFirstByte:
 		millis, err := strconv.ParseFloat(value, 64)
 		if err != nil {
--- a/internal/resp/call.go
+++ b/internal/resp/call.go
@@ -33,15 +33,15 @@
 	flagStaleWhileRevalidate = "freshen"
 )
 
-// Call is one request to a cache, a parent or the origin.
+// Call is a request to a cache, a parent or the origin.
 type Call struct {
-	ID             string
+	ID             string // of the request; the answer carries it too
 	Class          string // name of the request's class
 	Object         string
 	Part           string
-	Timeout        time.Duration // how long the answer is waited for; sent in whole milliseconds
+	Timeout        time.Duration // how long the caller waits for the answer; sent in whole milliseconds
 	Source         string        // ID of the server to fill from on a cache miss; empty: none
-	RetentionRank  int           // rank with which the copy is cached, 1 to 3: the lowest is evicted first; 0: not cached
+	RetentionRank  int           // of the cached copy, 1 to 3: copies of rank 1 are evicted first; 0: not cached
 	MaxAge         time.Duration // age up to which a cached copy may be served; 0: the class's freshness
 	KnownVersion   string        // tag of the copy that the client has; empty: none
 	IdempotencyKey string        // empty: none
@@ -53,7 +53,7 @@
 	Body []byte
 }
 
-// AppendCall encodes a call.
+// AppendCall appends an encoded call to dst.
 func AppendCall(dst []byte, c *Call) []byte {
 	dst = appendArray(dst, 4)
 	dst = appendBulk(dst, commandCall)
@@ -62,14 +62,14 @@
 	return appendBulk(dst, c.Body)
 }
 
-// AppendStop encodes the cancellation of a call.
+// AppendStop appends the cancellation of a call to dst.
 func AppendStop(dst []byte, id string) []byte {
 	dst = appendArray(dst, 2)
 	dst = appendBulk(dst, commandCancel)
 	return appendBulk(dst, id)
 }
 
-// callFields encodes the fields of a call. Optional ones are omitted if they have their default.
+// callFields encodes the fields of a call. Optional fields are omitted if they have their zero value.
 func callFields(c *Call) []byte {
 	fields := appendField(nil, fieldClass, c.Class)
 	fields = appendField(fields, fieldObject, c.Object)
@@ -82,8 +82,8 @@
 		fields = appendField(fields, fieldRetentionRank, strconv.Itoa(c.RetentionRank))
 	}
 	if c.MaxAge > 0 {
-		// Rounded down, as an older copy may be from before a purge, but not to 0, which would allow any
-		// fresh copy.
+		// MaxAge is rounded down, as an older copy may be from before a purge, but not to 0, which would allow
+		// any copy that is fresh by its class.
 		fields = appendField(fields, fieldMaxAge, formatMillis(max(c.MaxAge, time.Millisecond)))
 	}
 	flags := callFlags(c)
@@ -114,10 +114,10 @@
 	return strings.Join(flags, "+")
 }
 
-// formatMillis is d in milliseconds, rounded down.
+// formatMillis formats d in milliseconds, rounded down.
 func formatMillis(d time.Duration) string { return strconv.FormatInt(d.Milliseconds(), 10) }
 
-// appendField encodes a field, after a comma if it is not the first.
+// appendField appends a field, after a comma if it is not the first.
 func appendField(dst []byte, name, value string) []byte {
 	if len(dst) > 0 {
 		dst = append(dst, ',')
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -1,10 +1,10 @@
-// Package resp is the codec of the upstream side: calls to caches, parents and the origin, and their answers.
-// It uses no socket.
+// Package resp is the codec for connections to caches, parents and the origin: it encodes calls and decodes
+// their answers. It does no I/O.
 //
 // Both directions carry RESP arrays of bulk strings. A call is "REQ", the request's ID, fields and the body;
-// "STOP" and an ID cancels a call. An answer is the ID, a word for its status, fields and the body. Fields
-// are name=value pairs joined by commas, "-" if there are none. Names and words on the wire are those of the
-// upstream protocol; this package alone maps them to the terms that the rest of the program uses.
+// "STOP" and an ID cancels a call. An answer is the ID, its status, fields and the body. Fields are name=value
+// pairs joined by commas, "-" if there are none. The names and values on the wire are those of the upstream
+// protocol; this package alone maps them to the terms that the rest of the program uses.
 package resp
 
 import "errors"
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -27,7 +27,7 @@
 	for _, tt := range []struct{ got, want string }{
 		{string(AppendCall(nil, &full)), encodeBulks("REQ", "9b1f",
 			"c=artes,k=7f3a,p=3,w=1500,src=s-1,keep=2,maxage=2,flags=coalesce+freshen,have=4be0", "B")},
-		// An age under a millisecond must not become 0, which would ask for any fresh copy.
+		// A MaxAge under a millisecond must not become 0, which would allow any copy that is fresh by its class.
 		{string(AppendCall(nil, &shortMaxAge)), encodeBulks("REQ", "1", "c=c,k=k,p=0,w=0,maxage=1,flags=shallow", "")},
 		{string(AppendStop(nil, "9b1f")), encodeBulks("STOP", "9b1f")},
 	} {
@@ -68,7 +68,7 @@
 			}
 		}
 		if !reflect.DeepEqual(got, want) {
-			t.Fatalf("pieces of %d: %+v", piece, got)
+			t.Fatalf("pieces of %d: got answers %+v", piece, got)
 		}
 	}
 }
@@ -81,7 +81,7 @@
 		encodeBulks("1", "served", "-", strings.Repeat("x", maxBodyBytes+1)),
 	} {
 		if used, _, err := Decode([]byte(text)); !errors.Is(err, ErrMalformed) {
-			t.Errorf("%.40q: used %d, %v", text, used, err)
+			t.Errorf("%.40q: used %d bytes, error %v", text, used, err)
 		}
 	}
 }
@@ -91,7 +91,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		used, a, err := Decode(data)
 		if used < 0 || used > len(data) || err == nil && used > 0 && a.Status == 0 {
-			t.Fatalf("used %d of %d, %+v", used, len(data), a)
+			t.Fatalf("used %d bytes of %d, answer %+v", used, len(data), a)
 		}
 	})
 }
