--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,6 +1,6 @@
-// Package http1 is the codec of the admin interface: HTTP/1.1 with one request for each connection. It
-// decodes the head of a request and encodes the response. It uses no socket. A request's body has no meaning
-// here and is not read.
+// Package http1 is the codec of the admin interface: HTTP/1.1 with one request per connection. It decodes the
+// head of a request and encodes the response. It does no I/O. A request's body has no meaning here and is not
+// decoded.
 package http1
 
 import (
@@ -11,7 +11,7 @@
 	"strings"
 )
 
-// maxHeadBytes is how long the request line and the headers may be together.
+// maxHeadBytes is the limit on the request line and the headers together.
 const maxHeadBytes = 8 << 10
 
 const (
@@ -19,13 +19,14 @@
 	headEnd = "\r\n\r\n"
 )
 
-// Errors of a request that can't be decoded. The text of ErrMalformed is sent, as the body of status 400.
+// Errors of a request that can't be decoded. The text of an error that wraps ErrMalformed is sent to the
+// client, as the body of status 400.
 var (
 	ErrMalformed = errors.New("http: malformed call")
 	ErrTooLarge  = errors.New("http: head of a request exceeds its limit")
 )
 
-// Request is the head of a request, without its headers.
+// Request is what the request line says. The headers are not used.
 type Request struct {
 	Method string
 	Path   string // without the query
@@ -33,12 +34,12 @@
 
 // Response is the response to a request.
 type Response struct {
-	Status int    // one of those that reasonPhrases has
-	Allow  string // allowed methods, with status 405; empty: no such header
+	Status int    // a key of reasonPhrases
+	Allow  string // value of the Allow header, for status 405; empty: no such header
 	Body   string // plain text
 }
 
-// reasonPhrases has the status codes in use.
+// reasonPhrases maps the status codes in use to their reason phrases.
 var reasonPhrases = map[int]string{
 	200: "OK",
 	400: "Bad Request",
@@ -49,8 +50,8 @@
 	503: "Service Unavailable",
 }
 
-// Decode decodes the head of a request from the start of data. It returns how many bytes the head has, 0 when
-// it is not complete.
+// Decode decodes the head of a request from the start of data. It returns how many bytes the head has,
+// including any empty lines before it, or 0 if it is not complete.
 func Decode(data []byte) (used int, r Request, err error) {
 	start := emptyLineBytes(data)
 	headBytes := bytes.Index(data[start:], []byte(headEnd))
@@ -71,7 +72,7 @@
 	return start + headBytes + len(headEnd), r, nil
 }
 
-// emptyLineBytes is the length of the empty lines before a request, which a server ignores.
+// emptyLineBytes returns the length of the empty lines before a request, which a server ignores.
 func emptyLineBytes(data []byte) int {
 	n := 0
 	for n < len(data) && (data[n] == '\r' || data[n] == '\n') {
@@ -97,7 +98,7 @@
 
 func malformedLine(line string) error { return fmt.Errorf("%w: line %.40q", ErrMalformed, line) }
 
-// checkHeaders checks that each header has a name. The headers are not used otherwise.
+// checkHeaders checks that each header has a valid name. Nothing else of the headers is used.
 func checkHeaders(headers string) error {
 	if headers == "" {
 		return nil
@@ -111,7 +112,7 @@
 	return nil
 }
 
-// AppendResponse encodes a response, after which the connection is to be closed.
+// AppendResponse appends an encoded response to dst. The connection is to be closed after it.
 func AppendResponse(dst []byte, r Response) []byte {
 	dst = fmt.Appendf(dst, "HTTP/1.1 %d %s\r\n", r.Status, reasonPhrases[r.Status])
 	dst = append(dst, "Content-Type: text/plain; charset=utf-8\r\n"...)
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -30,7 +30,7 @@
 	} {
 		used, got, err := Decode([]byte(tt.in))
 		if used != tt.used || tt.err == nil && got != tt.want || !errors.Is(err, tt.err) {
-			t.Errorf("%.60q: %d %+v %v", tt.in, used, got, err)
+			t.Errorf("%.60q: used %d bytes, request %+v, error %v", tt.in, used, got, err)
 		}
 	}
 }
@@ -40,7 +40,7 @@
 	want := "HTTP/1.1 405 Method Not Allowed\r\nContent-Type: text/plain; charset=utf-8\r\nAllow: GET\r\n" +
 		"Content-Length: 3\r\nConnection: close\r\n\r\nno\n"
 	if got != want {
-		t.Errorf("%q", got)
+		t.Errorf("got %q", got)
 	}
 }
 
@@ -49,7 +49,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		used, r, err := Decode(data)
 		if used < 0 || used > len(data) || err != nil && used != 0 || used > 0 && r.Method == "" {
-			t.Errorf("%d %+v %v", used, r, err)
+			t.Errorf("used %d bytes, request %+v, error %v", used, r, err)
 		}
 	})
 }
