--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -2,14 +2,14 @@
 
 import "cloverdoor/policy"
 
-// stateOf maps the states of endpoints. Any other value means policy.Removed.
+// stateOf maps the simulator's numbers for states of endpoints. Any other number means policy.Removed.
 var stateOf = map[int]policy.State{
 	1: policy.Draining,
 	2: policy.Ready,
 }
 
-// resultOf maps the results of attempts. Any other value means policy.ResultError: the attempt may have been
-// executed.
+// resultOf maps the simulator's numbers for results of attempts. Any other number means policy.ResultError, as
+// the attempt may have been executed.
 var resultOf = map[int]policy.Result{
 	0:   policy.ResultOK,
 	2:   policy.ResultNotFound,
@@ -22,8 +22,8 @@
 	125: policy.ResultCancelled,
 }
 
-// cacheStatusOf converts a cache status, which package policy numbers as the simulator does. Unknown ones
-// mean policy.CacheStatusNone.
+// cacheStatusOf converts a cache status, which package policy numbers as the simulator does. Any other number
+// means policy.CacheStatusNone.
 func cacheStatusOf(number int) policy.CacheStatus {
 	if number < int(policy.CacheStatusNone) || number > int(policy.CacheStatusOriginFailed) {
 		return policy.CacheStatusNone
@@ -31,7 +31,7 @@
 	return policy.CacheStatus(number)
 }
 
-// decodeEndpoints converts a numbered list.
+// decodeEndpoints converts a list of endpoints.
 func decodeEndpoints(list []endpoint) []policy.Endpoint {
 	endpoints := make([]policy.Endpoint, 0, len(list))
 	for _, e := range list {
@@ -48,8 +48,8 @@
 	return endpoints
 }
 
-// decodeEvent converts an event for one instance. It returns nil for an event that package policy has no use
-// for.
+// decodeEvent converts an event for one instance. It returns nil for an unknown event and for an endpoint update
+// that failed.
 func (h *Host) decodeEvent(e *event) policy.Event {
 	switch e.Name {
 	case eventEndpointUpdate:
@@ -86,8 +86,8 @@
 	return nil
 }
 
-// decodeEndpointUpdate resolves the numbered list that an update refers to. An update that failed brings
-// nothing.
+// decodeEndpointUpdate converts an endpoint update, with the numbered list that it refers to. It returns nil if
+// the update failed, which is the meaning of every unknown mode.
 func (h *Host) decodeEndpointUpdate(e *event) policy.Event {
 	switch e.UpdateMode {
 	case updateChanges:
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -6,7 +6,7 @@
 	"cloverdoor/policy"
 )
 
-// Flags of a fetch, which are added up.
+// Flags of a fetch. The wire carries their sum.
 const (
 	flagCoalesceFill         = 1
 	flagCachedOnly           = 2
@@ -45,7 +45,7 @@
 	panic("unknown action")
 }
 
-// fetchFlags is the sum of the flags that are set.
+// fetchFlags returns the sum of the flags that are set.
 func fetchFlags(f policy.Fetch) int {
 	sum := 0
 	if f.CoalesceFill {
--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -12,17 +12,17 @@
 	"cloverdoor/policy"
 )
 
-// readBufferBytes is the size of the buffer for the input. Lines may be longer.
+// readBufferBytes is the size of the buffer for the input. A line may be longer.
 const readBufferBytes = 1 << 20
 
-// Host runs the router instances of one process.
+// Host runs the simulated router instances, all in one process.
 type Host struct {
-	routers       map[string]*policy.Router // by instance
-	endpointLists map[int][]policy.Endpoint // by number; a number may be reused
+	routers       map[string]*policy.Router // by the name of the instance
+	endpointLists map[int][]policy.Endpoint // by number, which a later list may reuse
 	log           io.Writer
 }
 
-// NewHost returns a host without instances that writes messages to log.
+// NewHost returns a host without instances. It writes messages about ignored events to log.
 func NewHost(log io.Writer) *Host {
 	return &Host{
 		routers:       map[string]*policy.Router{},
@@ -31,7 +31,8 @@
 	}
 }
 
-// Serve answers the batches of in until it ends. Each reply is flushed. Empty lines are ignored.
+// Serve answers the batches that it reads from in, until in ends. It flushes each reply. Empty lines are
+// ignored. It stops with an error at an invalid batch.
 func (h *Host) Serve(in io.Reader, out io.Writer) error {
 	input := bufio.NewReaderSize(in, readBufferBytes)
 	output := bufio.NewWriter(out)
@@ -51,7 +52,7 @@
 	}
 }
 
-// serveLine answers one batch.
+// serveLine answers a batch.
 func (h *Host) serveLine(line []byte, output *bufio.Writer) error {
 	answer, err := h.HandleBatch(line)
 	if err != nil {
@@ -67,16 +68,16 @@
 func (h *Host) HandleBatch(line []byte) ([]byte, error) {
 	var b batch
 	if err := json.Unmarshal(line, &b); err != nil {
-		return nil, fmt.Errorf("not a batch: %w", err)
+		return nil, fmt.Errorf("invalid batch: %w", err)
 	}
 	if b.Now == nil {
-		return nil, errors.New("not a batch: no moment-us")
+		return nil, errors.New("invalid batch: no moment-us")
 	}
 	answer := reply{Actions: []action{}}
 	for _, raw := range b.Events {
 		var e event
 		if err := json.Unmarshal(raw, &e); err != nil {
-			return nil, fmt.Errorf("not an event: %w", err)
+			return nil, fmt.Errorf("invalid event: %w", err)
 		}
 		actions, err := h.handleEvent(*b.Now, &e)
 		if err != nil {
@@ -108,17 +109,17 @@
 	return h.handleInstanceEvent(now, e), nil
 }
 
-// start starts an instance.
+// start starts an instance. It replaces a running one of the same name.
 func (h *Host) start(e *event) error {
 	decoded, err := settings.Decode(e.Settings)
 	if err != nil {
-		return fmt.Errorf("bad settings: %w", err)
+		return fmt.Errorf("invalid settings: %w", err)
 	}
 	h.routers[e.Instance] = policy.New(decoded.Policy, e.Seed)
 	return nil
 }
 
-// handleInstanceEvent has an instance's router handle an event. An event for an instance that is not running
+// handleInstanceEvent passes an event to the router of its instance. An event for an instance that is not running
 // is logged and ignored.
 func (h *Host) handleInstanceEvent(now microseconds, e *event) (actions []action) {
 	router := h.routers[e.Instance]
--- a/internal/simwire/message.go
+++ b/internal/simwire/message.go
@@ -10,23 +10,23 @@
 
 func (m microseconds) duration() time.Duration { return time.Duration(m) * time.Microsecond }
 
-// batch is a line of input.
+// batch is a line of input: events that happen at the same time.
 type batch struct {
-	Now    *microseconds     `json:"moment-us"` // time of all events
+	Now    *microseconds     `json:"moment-us"` // time of all events; required
 	Events []json.RawMessage `json:"happened"`
 }
 
-// reply is a line of output.
+// reply is a line of output: the answer to a batch.
 type reply struct {
 	Actions []action `json:"cmds"`
 }
 
 // Names of events. Others are ignored.
 const (
-	eventEndpointList       = "Page"       // defines a numbered list, for no instance in particular
+	eventEndpointList       = "Page"       // defines a numbered list of endpoints, which any instance may use
 	eventStart              = "Born"       // starts an instance
 	eventStop               = "PowerOff"   // stops an instance
-	eventEndpointUpdate     = "Membership" // refers to a numbered list
+	eventEndpointUpdate     = "Membership" // gives an instance a numbered list
 	eventRequest            = "Ingress"
 	eventOutcome            = "Reply"
 	eventStreamStarted      = "FirstByte"
@@ -35,7 +35,7 @@
 	eventTimerFired         = "Due"
 )
 
-// event is an event of any kind. Fields that its kind does not have are zero.
+// event is an event of any kind. Fields that are not of its kind are zero.
 type event struct {
 	Name     string `json:"op"`
 	Instance string `json:"proxy-id"`
@@ -49,7 +49,7 @@
 	Endpoints  []endpoint `json:"hosts"`
 	UpdateMode updateMode `json:"mode"`
 
-	// eventRequest; Object and Group also of eventPurge, Request of all that concern a request
+	// eventRequest; Object and Group also of eventPurge, Request also of all other events about a request
 	Request   int64        `json:"job"`
 	Object    string       `json:"asset"`
 	Class     int          `json:"kind"`
@@ -73,7 +73,7 @@
 	Age microseconds `json:"age-us"` // time since the purge
 }
 
-// updateMode says what an eventEndpointUpdate brings.
+// updateMode says what the list of an eventEndpointUpdate holds. Any other number means that the update failed.
 type updateMode int
 
 const (
@@ -103,7 +103,7 @@
 	actionFault      = "Fault" // reports a panic; ends the simulation
 )
 
-// action is an action of any kind. The order of its fields is their order on the wire.
+// action is an action of any kind. Its fields are sent in their order here.
 type action struct {
 	Name          string        `json:"op"`
 	Instance      string        `json:"proxy-id"`
@@ -111,7 +111,7 @@
 	Target        string        `json:"store,omitempty"`
 	Source        string        `json:"from-where,omitempty"`
 	RetentionRank *int          `json:"hold-rank,omitempty"`
-	FetchFlags    int           `json:"manner,omitempty"` // sum of flagCoalesceFill and others
+	FetchFlags    int           `json:"manner,omitempty"` // sum of flags such as flagCoalesceFill
 	MaxAge        microseconds  `json:"age-us,omitempty"`
 	RetryAfter    microseconds  `json:"cool-down-us,omitempty"`
 	Attempt       *int          `json:"try,omitempty"`
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -1,8 +1,8 @@
 // Package simwire translates between the simulator's messages and the events and actions of package policy.
-// It decides nothing.
+// It makes no decisions of its own.
 //
-// The simulator writes batches, one JSON object a line: the time and the events of all router instances at
-// that time. Each is answered by a line with the instances' actions, which take effect at the same time. The
-// names on the wire are the simulator's; this package alone maps them to the terms that the rest of the
+// The simulator writes batches, one JSON object per line: a time, and the events of all router instances at
+// that time. Each batch is answered by a line with the instances' actions, which take effect at the same time.
+// The names on the wire are the simulator's; this package alone maps them to the terms that the rest of the
 // program uses.
 package simwire
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -17,7 +17,7 @@
 	`{"store":"10.0.0.2:7001","status":2,"class-of-host":1,"rack-zone":0,"share":9,"online-since-us":null}]},` +
 	`{"op":"Membership","proxy-id":"proxy/1","mode":2,"revision":1,"ref":0}]}`
 
-// serve runs a host on lines of input and returns its output and its log.
+// serve runs a host on lines of input and returns its output, its log and its error.
 func serve(t *testing.T, lines ...string) (string, string, error) {
 	t.Helper()
 	var out, log bytes.Buffer
@@ -35,7 +35,7 @@
 	}
 	lines := strings.Split(strings.TrimSpace(out), "\n")
 	if len(lines) != 2 || lines[0] != `{"cmds":[]}` {
-		t.Fatalf("%q", lines)
+		t.Fatalf("got replies %q", lines)
 	}
 	want := `{"cmds":[{"op":"FetchThrough","proxy-id":"proxy/1","job":5,"store":"10.0.0.1:7001",` +
 		`"from-where":"10.0.0.2:7001","hold-rank":1,"manner":8},`
@@ -47,20 +47,20 @@
 func TestEventForUnknownInstanceIsLogged(t *testing.T) {
 	out, log, err := serve(t, `{"moment-us":1,"happened":[{"op":"Due","proxy-id":"proxy/9","mark":1}]}`)
 	if err != nil || out != "{\"cmds\":[]}\n" || !strings.Contains(log, "proxy/9") {
-		t.Fatalf("%q %q %v", out, log, err)
+		t.Fatalf("output %q, log %q, error %v", out, log, err)
 	}
 }
 
 func TestInvalidBatches(t *testing.T) {
 	for _, line := range []string{`hello`, `[]`, `{}`, `{"moment-us":1,"happened":[7]}`} {
 		if _, _, err := serve(t, line); err == nil {
-			t.Errorf("%s was accepted", line)
+			t.Errorf("line %s was accepted", line)
 		}
 	}
 }
 
-// A list's number may be reused within a batch: each event refers to the list that has the number at that
-// point.
+// The number of a list may be reused within a batch: each event refers to the list that has the number at that
+// point of the batch.
 func TestReusedListNumbers(t *testing.T) {
 	h := NewHost(&bytes.Buffer{})
 	if _, err := h.HandleBatch([]byte(startBatch)); err != nil {
@@ -72,7 +72,7 @@
 		`{"op":"Page","ref":0,"hosts":[]},` +
 		`{"op":"Ingress","proxy-id":"proxy/1","job":5,"asset":"f-1","kind":0,"expires-in-us":2000000}]}`))
 	if err != nil || !strings.Contains(string(out), `"store":"10.0.0.7:7001"`) {
-		t.Fatalf("%s %v", out, err)
+		t.Fatalf("reply %s, error %v", out, err)
 	}
 }
 
@@ -82,7 +82,7 @@
 	}
 }
 
-// A panic of a router is reported to the simulator and does not end the process.
+// A panic of a router is reported to the simulator as an action and does not end the process.
 func TestPanicIsReported(t *testing.T) {
 	h := NewHost(&bytes.Buffer{})
 	h.routers["proxy/1"] = &policy.Router{} // not made by New: its maps are nil
@@ -90,6 +90,6 @@
 		`{"op":"Page","ref":0,"hosts":[{"store":"a","status":2}]},` +
 		`{"op":"Membership","proxy-id":"proxy/1","mode":1,"ref":0}]}`))
 	if err != nil || !strings.Contains(string(out), `"op":"Fault"`) {
-		t.Fatalf("%s %v", out, err)
+		t.Fatalf("reply %s, error %v", out, err)
 	}
 }
