--- a/internal/watch/decode.go
+++ b/internal/watch/decode.go
@@ -15,7 +15,7 @@
 	partPurge     = "evict"
 )
 
-// Decode decodes one line, without its line feed.
+// Decode decodes a line, without its line feed. Its errors wrap ErrMalformed.
 func Decode(line []byte) (Event, error) {
 	line = bytes.TrimSpace(line)
 	index, err := strconv.ParseInt(string(line), 10, 64)
@@ -29,8 +29,9 @@
 	return e, nil
 }
 
-// UnmarshalJSON decodes what it can of an event: a part that this version does not know must not hide the
-// others. Only an event without an index of its own is an error. One that says nothing counts as unreadable.
+// UnmarshalJSON decodes an event. A part that is malformed, or that this version does not know, must not hide
+// the others: it is counted in Unreadable. Only an event that is not an object or has no index above 0 is an
+// error. An event without any part counts as one unreadable part.
 func (e *Event) UnmarshalJSON(text []byte) error {
 	var number struct {
 		Index int64 `json:"index"`
@@ -46,13 +47,13 @@
 	for name, part := range parts {
 		e.decodePart(name, part)
 	}
-	if e.IsHeartbeat() { // a heartbeat is a line with a number alone
+	if e.IsHeartbeat() { // no part was found; a real heartbeat is a line with a number alone
 		e.Unreadable++
 	}
 	return nil
 }
 
-// decodePart decodes one part of an event. Unknown parts count as unreadable.
+// decodePart decodes one part of an event. Unknown parts count as unreadable, and null as no part.
 func (e *Event) decodePart(name string, part json.RawMessage) {
 	if string(part) == "null" {
 		return
@@ -87,8 +88,8 @@
 	}
 }
 
-// decodeEndpoint decodes one entry of the endpoint list. An entry with an ID that is not legible otherwise
-// counts as deleted.
+// decodeEndpoint decodes an entry of the endpoint list. An entry that has an ID but is otherwise unreadable is
+// decoded as deleted.
 func (e *Event) decodeEndpoint(text json.RawMessage) (endpoint Endpoint, hasID bool) {
 	err := json.Unmarshal(text, &endpoint)
 	if err == nil && isKnownState(endpoint.State) && endpoint.ID != "" {
@@ -108,7 +109,7 @@
 	return state == StateServing || state == StateDraining || state == StateDeleted
 }
 
-// decodePurge decodes a purge. One that does not say legibly what to purge is a purge of everything.
+// decodePurge decodes a purge. A purge that is malformed or has no target becomes a purge of everything.
 func (e *Event) decodePurge(text json.RawMessage) {
 	var purge Purge
 	err := json.Unmarshal(text, &purge)
--- a/internal/watch/framing.go
+++ b/internal/watch/framing.go
@@ -6,16 +6,16 @@
 	"fmt"
 )
 
-// MaxLineBytes is how many bytes a line may have. A complete list of a large fleet has far fewer.
+// MaxLineBytes is the limit on a line. The complete endpoint list of a large fleet has far fewer bytes.
 const MaxLineBytes = 1 << 20
 
 // ErrMalformed says that a line is neither an event nor a heartbeat.
 var ErrMalformed = errors.New("watch: malformed line")
 
-// ErrTooLong says that a line has exceeded MaxLine without an end.
+// ErrTooLong says that a line has not ended within MaxLineBytes. It wraps ErrMalformed.
 var ErrTooLong = fmt.Errorf("%w: over %d bytes", ErrMalformed, MaxLineBytes)
 
-// NextLine splits the first line off data. used is its length with the line feed, 0 if there is no complete
+// NextLine splits the first line off data. used is its length with the line feed, 0 if data has no complete
 // line.
 func NextLine(data []byte) (used int, line []byte, err error) {
 	end := bytes.IndexByte(data, '\n')
@@ -28,5 +28,5 @@
 	return 0, nil, nil
 }
 
-// AppendFollow encodes the request for all events after the one with the index last.
+// AppendFollow returns the encoded request for all events after the one with the index last.
 func AppendFollow(last int64) []byte { return fmt.Appendf(nil, "follow %d\n", last) }
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -1,9 +1,9 @@
-// Package watch is the codec of the coordinator's stream of events. It uses no socket.
+// Package watch is the codec of the coordinator's stream of events. It does no I/O.
 //
 // The client sends one line, "follow N", where N is the index of the last event that it has. The stream then
-// carries every later event, one JSON object a line, and lines with only the index of the last event as
-// heartbeats. The names on the wire are those of the coordinator's protocol, such as "evict" for a purge and
-// "shard" for a group of objects; this package alone maps them to the terms that the rest of the program
+// carries every later event, one JSON object per line, and heartbeats, which are lines with only the index of
+// the last event. The names on the wire are those of the coordinator's protocol, such as "evict" for a purge
+// and "shard" for a group of objects; this package alone maps them to the terms that the rest of the program
 // uses.
 package watch
 
@@ -14,7 +14,7 @@
 	StateDeleted  = "DELETED"
 )
 
-// Endpoint is one entry of the endpoint list. One whose State is none of the above counts as deleted.
+// Endpoint is an entry of the endpoint list. An entry with an unknown state is decoded as deleted.
 type Endpoint struct {
 	ID      string  `json:"id"`
 	Addr    string  `json:"addr"` // IP address and port
@@ -23,7 +23,7 @@
 	Cell    int     `json:"cell"` // group of servers that share deduplication state
 	State   string  `json:"state"`
 	Weight  float64 `json:"weight"`     // relative capacity
-	Started int64   `json:"started_ms"` // Unix milliseconds of its last start; 0: long ago
+	Started int64   `json:"started_ms"` // Unix milliseconds of the server's last start; 0: long ago
 }
 
 // EndpointUpdate is the complete endpoint list, or changes to it.
@@ -32,30 +32,30 @@
 	Endpoints []Endpoint
 }
 
-// Purge removes cached copies of an object, of a group if Object is empty, or of everything if Group is nil
-// too because the event does not say legibly what to purge.
+// Purge is the removal of cached copies: of an object, of a group if Object is empty, or of everything if
+// Group is nil too. A purge that is malformed or has no target is decoded as one of everything.
 type Purge struct {
 	Object string `json:"ref"`
 	Group  *int   `json:"shard"`
 	At     int64  `json:"unix_ms"` // Unix milliseconds of the purge; 0: unknown
 }
 
-// Event is one event of the stream, or a heartbeat.
+// Event is an event of the stream, or a heartbeat.
 type Event struct {
 	Index     int64           // of the event, or of the last one for a heartbeat
 	Endpoints *EndpointUpdate // nil: none
 	Purge     *Purge          // nil: none
 
-	// Unreadable counts the parts that could not be decoded. Requesting the event again would bring the same
-	// text.
+	// Unreadable counts the parts that could not be decoded. They are not worth another request, which would
+	// bring the same text.
 	Unreadable int
 }
 
-// InitialState is what the configuration says of the events before the start.
+// InitialState is the part of the configuration that holds events from before the start of the process.
 type InitialState struct {
-	Index  int64   `json:"index"` // of the last of the events
+	Index  int64   `json:"index"` // of the last of these events
 	Events []Event `json:"updates"`
 }
 
-// IsHeartbeat reports whether the event carries nothing but an index.
+// IsHeartbeat reports whether the event has nothing but an index.
 func (e *Event) IsHeartbeat() bool { return e.Endpoints == nil && e.Purge == nil && e.Unreadable == 0 }
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -44,11 +44,11 @@
 			t.Errorf("%q: got %+v, want %+v", tt.line, got, tt.want)
 		}
 		if got.IsHeartbeat() != tt.heartbeat {
-			t.Errorf("%q: heartbeat is %v", tt.line, got.IsHeartbeat())
+			t.Errorf("%q: IsHeartbeat is %v", tt.line, got.IsHeartbeat())
 		}
 	}
 	if _, err := Decode([]byte("43 44")); !errors.Is(err, ErrMalformed) {
-		t.Errorf("two numbers were accepted: %v", err)
+		t.Errorf("a line of two numbers: got error %v", err)
 	}
 }
 
@@ -57,15 +57,15 @@
 		"", "hello", "-1", "{", "[]", "{}", `{"index":-3}`, `{"index":"1"}`, `{"evict":{"ref":"x","unix_ms":1}}`,
 	} {
 		if ev, err := Decode([]byte(line)); !errors.Is(err, ErrMalformed) {
-			t.Errorf("%q was accepted: %+v %v", line, ev, err)
+			t.Errorf("%q: got event %+v, error %v", line, ev, err)
 		}
 	}
 }
 
-// The legible entries of an endpoint list are decoded. An endpoint that has an ID and is not legible
-// otherwise counts as deleted, and each illegible entry counts as unreadable.
+// An unreadable entry of an endpoint list does not hide the others and is counted. If it has an ID, the
+// endpoint is decoded as deleted.
 func TestUnreadableEndpoints(t *testing.T) {
-	const legible = `{"id":"b","addr":"10.1.0.9:7001","zone":"east","kind":"std","state":"SERVING","weight":4}`
+	const readable = `{"id":"b","addr":"10.1.0.9:7001","zone":"east","kind":"std","state":"SERVING","weight":4}`
 	deleted := func(id string) Endpoint { return Endpoint{ID: id, State: StateDeleted} }
 	for entry, want := range map[string][]Endpoint{
 		`{"id":"a"}`:                                   {deleted("a")},
@@ -76,57 +76,59 @@
 		`{"id":7,"state":"SERVING"}`:                   {},
 		`"a"`:                                          {},
 	} {
-		ev, err := Decode([]byte(`{"index":4,"endpoints":{"full":true,"servers":[` + entry + "," + legible + `]}}`))
+		ev, err := Decode([]byte(`{"index":4,"endpoints":{"full":true,"servers":[` + entry + "," + readable + `]}}`))
 		if err != nil || ev.Index != 4 || ev.Unreadable != 1 || ev.IsHeartbeat() || !ev.Endpoints.Full {
-			t.Fatalf("%s: %+v %v", entry, ev, err)
+			t.Fatalf("%s: got event %+v, error %v", entry, ev, err)
 		}
 		list := ev.Endpoints.Endpoints
 		last := len(list) - 1
 		if !slices.Equal(list[:last], want) || list[last].ID != "b" || list[last].State != StateServing {
-			t.Errorf("%s: %+v", entry, list)
+			t.Errorf("%s: got endpoints %+v", entry, list)
 		}
 	}
 }
 
-// A purge that is not legible is one of everything and counts as unreadable.
+// A purge that is malformed or has no target becomes a purge of everything and counts as unreadable.
 func TestUnreadablePurges(t *testing.T) {
 	for _, evict := range []string{`{}`, `{"unix_ms":5}`, `{"shard":"x","unix_ms":5}`, `7`, `[]`} {
 		ev, err := Decode([]byte(`{"index":4,"evict":` + evict + `}`))
 		if err != nil || ev.Unreadable != 1 || ev.Purge == nil || *ev.Purge != (Purge{}) {
-			t.Errorf("%s: %+v %v", evict, ev, err)
+			t.Errorf("%s: got event %+v, error %v", evict, ev, err)
 		}
 	}
 }
 
-// A part that is not legible or not known hides nothing of the others and counts as unreadable; null is no
-// part. An event without any part is no heartbeat, which is a number alone, and counts as unreadable.
+// A part that is malformed or unknown does not hide the others and counts as unreadable; null is no part. An
+// event without any part is not a heartbeat, which is a number alone, and counts as unreadable.
 func TestUnreadableParts(t *testing.T) {
 	for _, line := range []string{`{"index":4,"endpoints":7}`, `{"index":4,"quota":{}}`} {
 		if ev, err := Decode([]byte(line)); err != nil || ev.Unreadable != 1 || ev.IsHeartbeat() || ev.Index != 4 {
-			t.Errorf("%s: %+v %v", line, ev, err)
+			t.Errorf("%s: got event %+v, error %v", line, ev, err)
 		}
 	}
-	if ev, err := Decode([]byte(`{"index":4,"quota":null,"evict":null}`)); err != nil || ev.IsHeartbeat() || ev.Unreadable != 1 {
-		t.Errorf("%+v %v", ev, err)
+	if ev, err := Decode([]byte(`{"index":4,"quota":null,"evict":null}`)); err != nil || ev.IsHeartbeat() ||
+		ev.Unreadable != 1 {
+		t.Errorf("event without parts: got %+v, error %v", ev, err)
 	}
-	if ev, err := Decode([]byte(`{"index":4,"quota":null,"evict":{"ref":"x"}}`)); err != nil || ev.Unreadable != 0 || ev.Purge == nil {
-		t.Errorf("%+v %v", ev, err)
+	if ev, err := Decode([]byte(`{"index":4,"quota":null,"evict":{"ref":"x"}}`)); err != nil || ev.Unreadable != 0 ||
+		ev.Purge == nil {
+		t.Errorf("null beside a purge: got %+v, error %v", ev, err)
 	}
 }
 
 func TestFraming(t *testing.T) {
 	used, line, err := NextLine([]byte("one\ntwo"))
 	if used != 4 || string(line) != "one" || err != nil {
-		t.Errorf("%d %q %v", used, line, err)
+		t.Errorf("complete line: used %d bytes, line %q, error %v", used, line, err)
 	}
 	if used, _, err := NextLine([]byte("two")); used != 0 || err != nil {
-		t.Errorf("%d %v", used, err)
+		t.Errorf("incomplete line: used %d bytes, error %v", used, err)
 	}
 	if _, _, err := NextLine([]byte(strings.Repeat("x", MaxLineBytes+1))); !errors.Is(err, ErrMalformed) {
-		t.Errorf("an endless line: %v", err)
+		t.Errorf("line over MaxLineBytes: got error %v", err)
 	}
 	if got := string(AppendFollow(7)); got != "follow 7\n" {
-		t.Errorf("%q", got)
+		t.Errorf("AppendFollow(7) = %q", got)
 	}
 }
 
@@ -135,7 +137,7 @@
 	f.Add([]byte("43"))
 	f.Fuzz(func(t *testing.T, line []byte) {
 		if ev, err := Decode(line); err == nil && ev.Index < 0 {
-			t.Fatalf("%+v", ev)
+			t.Fatalf("negative index: %+v", ev)
 		}
 	})
 }
