--- a/internal/watch/framing.go
+++ b/internal/watch/framing.go
@@ -6,7 +6,7 @@
 	"fmt"
 )
 
-// MaxLineBytes is the limit on a line. The complete endpoint list of a large fleet has far fewer bytes.
+// MaxLineBytes is the longest that a line may be. The complete endpoint list of a large fleet is far shorter.
 const MaxLineBytes = 1 << 20
 
 // ErrMalformed says that a line is neither an event nor a heartbeat.
