--- a/internal/proxy/cachestatus_test.go
+++ b/internal/proxy/cachestatus_test.go
@@ -18,7 +18,7 @@
 		"TCP_STALE":     policy.CacheStatusStale,
 		"PEER_DENY":     policy.CacheStatusSourceRejected,
 		"PEER_DEAD":     policy.CacheStatusSourceFailed,
-		"PEER_MISS":     policy.CacheStatusSourceMissing,
+		"PEER_MISS":     policy.CacheStatusSourceMiss,
 		"FILL_FULL":     policy.CacheStatusNoFillCapacity,
 		"ROOT_FAIL":     policy.CacheStatusOriginFailed,
 		"OTHER":         policy.CacheStatusNone,
--- a/internal/proxy/result.go
+++ b/internal/proxy/result.go
@@ -47,7 +47,7 @@
 	resp.CacheStatusStale:          policy.CacheStatusStale,
 	resp.CacheStatusSourceRejected: policy.CacheStatusSourceRejected,
 	resp.CacheStatusSourceFailed:   policy.CacheStatusSourceFailed,
-	resp.CacheStatusSourceMissing:  policy.CacheStatusSourceMissing,
+	resp.CacheStatusSourceMiss:     policy.CacheStatusSourceMiss,
 	resp.CacheStatusNoFillCapacity: policy.CacheStatusNoFillCapacity,
 	resp.CacheStatusOriginFailed:   policy.CacheStatusOriginFailed,
 }
--- a/internal/resp/answer.go
+++ b/internal/resp/answer.go
@@ -67,7 +67,7 @@
 	CacheStatusStale                                 // the server had a stale copy
 	CacheStatusSourceRejected                        // the source rejected the fill
 	CacheStatusSourceFailed                          // the source did not answer, or answered with an error
-	CacheStatusSourceMissing                         // the source does not have the object
+	CacheStatusSourceMiss                            // the source does not have the object
 	CacheStatusNoFillCapacity                        // the server had no capacity for a fill
 	CacheStatusOriginFailed                          // the origin failed behind the source
 )
@@ -81,7 +81,7 @@
 	"TCP_STALE":     CacheStatusStale,
 	"PEER_DENY":     CacheStatusSourceRejected,
 	"PEER_DEAD":     CacheStatusSourceFailed,
-	"PEER_MISS":     CacheStatusSourceMissing,
+	"PEER_MISS":     CacheStatusSourceMiss,
 	"FILL_FULL":     CacheStatusNoFillCapacity,
 	"ROOT_FAIL":     CacheStatusOriginFailed,
 }
--- a/policy/cacheindex.go
+++ b/policy/cacheindex.go
@@ -42,7 +42,7 @@
 	if o.Result == ResultOK && fromCache && !req.class.Uncacheable {
 		r.recordCached(a.target, req, !o.servedFromCache())
 	}
-	if o.CacheStatus != CacheStatusSourceMissing {
+	if o.CacheStatus != CacheStatusSourceMiss {
 		return
 	}
 	req.avoid[a.source] = true
--- a/policy/events.go
+++ b/policy/events.go
@@ -92,7 +92,7 @@
 	CacheStatusStale                             // the target had a stale copy
 	CacheStatusSourceRejected                    // the source rejected the fill
 	CacheStatusSourceFailed                      // the source did not answer, or answered with an error
-	CacheStatusSourceMissing                     // the source does not have the object
+	CacheStatusSourceMiss                        // the source does not have the object
 	CacheStatusNoFillCapacity                    // the target had no capacity for a fill
 	CacheStatusOriginFailed                      // the origin failed behind the source
 )
--- a/policy/fillsource.go
+++ b/policy/fillsource.go
@@ -103,9 +103,9 @@
 
 // updateMisindication counts whether a sibling that was believed to have an object had it.
 func (r *Router) updateMisindication(a *attempt, o Outcome) {
-	missing := o.CacheStatus == CacheStatusSourceMissing
-	if r.hasSiblingSource(a) && (o.filled() || missing) {
-		a.source.misindication.add(missing)
+	missed := o.CacheStatus == CacheStatusSourceMiss
+	if r.hasSiblingSource(a) && (o.filled() || missed) {
+		a.source.misindication.add(missed)
 	}
 }
 
--- a/policy/fillsource_test.go
+++ b/policy/fillsource_test.go
@@ -40,7 +40,7 @@
 		t.Fatalf("want %s filled from %s, got %+v", home, next, f)
 	}
 	actions := h.handle(Outcome{
-		ID: 3, Result: ResultNotFound, CacheStatus: CacheStatusSourceMissing, Elapsed: 10 * ms,
+		ID: 3, Result: ResultNotFound, CacheStatus: CacheStatusSourceMiss, Elapsed: 10 * ms,
 	})
 	if f = fetchOf(actions); f == nil || f.Source != "p" && f.Source != "q" {
 		t.Fatalf("after CacheStatusSourceMissing got %+v, want a parent as the source", actions)
--- a/policy/outliers.go
+++ b/policy/outliers.go
@@ -34,7 +34,7 @@
 	switch o.CacheStatus {
 	case CacheStatusSourceFailed:
 		r.ejectAfter(a, a.source)
-	case CacheStatusOriginFailed, CacheStatusSourceMissing, CacheStatusFilled, CacheStatusFilledByOrigin:
+	case CacheStatusOriginFailed, CacheStatusSourceMiss, CacheStatusFilled, CacheStatusFilledByOrigin:
 		a.source.recordResponse(r.now)
 	}
 }
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -54,7 +54,7 @@
 // not exclude its target, unless that is ejected, as the target still has its cached copy.
 func (r *Router) avoidAfter(a *attempt, o Outcome) {
 	switch o.CacheStatus {
-	case CacheStatusSourceMissing:
+	case CacheStatusSourceMiss:
 		return // updateCacheIndex has excluded the source
 	case CacheStatusSourceFailed, CacheStatusSourceRejected, CacheStatusOriginFailed:
 		a.request.avoid[a.source] = true
