--- a/internal/proxy/result.go
+++ b/internal/proxy/result.go
@@ -160,14 +160,14 @@
 	a.result = result
 	p.invariants.observeEnd(a, result)
 	p.notify(policy.Outcome{
-		ID:              a.req.number,
-		Attempt:         a.number,
-		Result:          result,
-		CacheStatus:     cacheStatuses[ans.CacheStatus],
-		Elapsed:         p.loop.Now() - a.createdAt,
-		SourceFirstByte: ans.SourceFirstByte,
-		TransferTime:    p.config.transferTime(len(ans.Body)),
-		RequestFinished: a.req.finished,
+		ID:                   a.req.number,
+		Attempt:              a.number,
+		Result:               result,
+		CacheStatus:          cacheStatuses[ans.CacheStatus],
+		Elapsed:              p.loop.Now() - a.createdAt,
+		SourceFirstByte:      ans.SourceFirstByte,
+		FullPaceTransferTime: p.config.transferTime(len(ans.Body)),
+		RequestFinished:      a.req.finished,
 	})
 	p.releaseIfDone(a.req)
 }
--- a/policy/events.go
+++ b/policy/events.go
@@ -99,14 +99,14 @@
 
 // Outcome reports how one attempt ended.
 type Outcome struct {
-	ID              int64 // of the request
-	Attempt         int   // number of the attempt, from 0
-	Result          Result
-	CacheStatus     CacheStatus
-	Elapsed         time.Duration // from the start of the attempt to its end
-	SourceFirstByte time.Duration // the target's wait for the source's first byte; 0: unknown
-	TransferTime    time.Duration // of the answer's bytes at full pace (transfertime.go); 0: unknown
-	RequestFinished bool          // no retry follows
+	ID                   int64 // of the request
+	Attempt              int   // number of the attempt, from 0
+	Result               Result
+	CacheStatus          CacheStatus
+	Elapsed              time.Duration // from the start of the attempt to its end
+	SourceFirstByte      time.Duration // the target's wait for the source's first byte; 0: unknown
+	FullPaceTransferTime time.Duration // of the answer's bytes at full pace (transfertime.go); 0: unknown
+	RequestFinished      bool          // no retry follows
 }
 
 // StreamStarted says that a streamed answer has started. The request is finished; the attempt continues.
--- a/policy/linkpace.go
+++ b/policy/linkpace.go
@@ -33,8 +33,8 @@
 func newTransferSample(a *attempt, o Outcome) transferSample {
 	sample := transferSample{
 		hit:             o.servedFromCache(),
-		bytesReported:   o.TransferTime > 0,
-		sizeKnown:       o.TransferTime > 0 || a.request.sizeKnown,
+		bytesReported:   o.FullPaceTransferTime > 0,
+		sizeKnown:       o.FullPaceTransferTime > 0 || a.request.sizeKnown,
 		fullPaceSeconds: a.request.transferSeconds,
 		expectedSeconds: a.expectedSeconds,
 		measuredSeconds: (o.Elapsed - o.SourceFirstByte).Seconds(),
@@ -43,7 +43,7 @@
 		sample.expectedSeconds = a.targetSeconds
 	}
 	if sample.bytesReported {
-		sample.fullPaceSeconds = o.TransferTime.Seconds()
+		sample.fullPaceSeconds = o.FullPaceTransferTime.Seconds()
 		sample.expectedSeconds *= sample.fullPaceSeconds / a.request.transferSeconds
 	}
 	return sample
--- a/policy/linkpace_test.go
+++ b/policy/linkpace_test.go
@@ -31,7 +31,7 @@
 			full = req.attempts[0].slowestLink
 			h.now += ms
 			h.handle(Outcome{ID: id + 1, Result: ResultOK, CacheStatus: CacheStatusFilled,
-				Elapsed: 2 * time.Second, TransferTime: c.sending, RequestFinished: true})
+				Elapsed: 2 * time.Second, FullPaceTransferTime: c.sending, RequestFinished: true})
 			break
 		}
 		if full == nil {
--- a/policy/originlimit.go
+++ b/policy/originlimit.go
@@ -114,6 +114,7 @@
 	}
 	missedObjective := r.now > a.request.objectiveAt
 	transferSeconds := (o.Elapsed - o.SourceFirstByte).Seconds()
-	slow := o.TransferTime > 0 && transferSeconds > slowTransferMultiple*o.TransferTime.Seconds()
+	slow := o.FullPaceTransferTime > 0 &&
+		transferSeconds > slowTransferMultiple*o.FullPaceTransferTime.Seconds()
 	return missedObjective && slow
 }
--- a/policy/originlimit_test.go
+++ b/policy/originlimit_test.go
@@ -96,7 +96,7 @@
 		before := h.router.originLimit.limit
 		h.now += c.elapsed
 		h.handle(Outcome{ID: 1, Result: ResultOK, CacheStatus: CacheStatusFilledByOrigin, Elapsed: c.elapsed,
-			SourceFirstByte: 50 * ms, TransferTime: c.transferTime, RequestFinished: true})
+			SourceFirstByte: 50 * ms, FullPaceTransferTime: c.transferTime, RequestFinished: true})
 		if lowered := h.router.originLimit.limit < before; lowered != c.lowers {
 			t.Errorf("%+v: limit %v, %v before", c, h.router.originLimit.limit, before)
 		}
--- a/policy/router_test.go
+++ b/policy/router_test.go
@@ -65,5 +65,5 @@
 		t.Errorf("got %+v for a removed class, want one final answer", actions)
 	}
 	// Request 2 is still of the removed class 2.
-	h.handle(Outcome{ID: 2, Result: ResultOK, TransferTime: time.Second, RequestFinished: true})
+	h.handle(Outcome{ID: 2, Result: ResultOK, FullPaceTransferTime: time.Second, RequestFinished: true})
 }
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -91,7 +91,7 @@
 		}
 		h.now += 100 * ms
 		h.handle(Outcome{ID: id, Result: ResultOK, CacheStatus: CacheStatusFilled, Elapsed: elapsed,
-			TransferTime: 200 * ms, RequestFinished: true})
+			FullPaceTransferTime: 200 * ms, RequestFinished: true})
 		h.handle(Purge{Object: object}) // so that no sibling counts as having it cached
 		return f.Source
 	}
--- a/policy/transfertime.go
+++ b/policy/transfertime.go
@@ -46,7 +46,7 @@
 	if o.Result != ResultOK || req.SizeKB != 0 || req.class.Uncacheable {
 		return
 	}
-	seconds := o.TransferTime.Seconds()
+	seconds := o.FullPaceTransferTime.Seconds()
 	uncongested := a.targetSeconds < congestedMultiple*req.transferSeconds
 	if seconds == 0 && o.servedFromCache() && uncongested {
 		seconds = o.Elapsed.Seconds()
--- a/policy/transfertime_test.go
+++ b/policy/transfertime_test.go
@@ -18,7 +18,7 @@
 		h.handle(Request{ID: id + 1, Object: object, Remaining: 6 * time.Second})
 		h.now += 2 * sending
 		h.handle(Outcome{ID: id + 1, Result: ResultOK, CacheStatus: CacheStatusHit, Elapsed: 2 * sending,
-			TransferTime: sending, RequestFinished: true})
+			FullPaceTransferTime: sending, RequestFinished: true})
 	}
 	for object, want := range map[string]float64{"small": 0.05, "large": 0.75, "unknown": 0.4} {
 		h.handle(Request{ID: 99, Object: object, Remaining: 6 * time.Second})
