--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -277,7 +277,7 @@
 		OpenRequests:   len(c.openRequests),
 		QueuedBytes:    queuedBytes,
 		PartialRequest: c.hasPartialRequest(),
-		InUse:          c.expectsRequest(),
+		RecentlyUsed:   c.expectsRequest(),
 		HasUnreadInput: c.conn.HasUnreadInput,
 		UnackedBytes:   c.conn.UnackedBytes,
 	}
--- a/policy/guard.go
+++ b/policy/guard.go
@@ -89,7 +89,7 @@
 	OpenRequests   int  // that arrived completely and are not answered
 	PartialRequest bool // a request has arrived in part
 	QueuedBytes    int  // not yet written
-	InUse          bool // used so recently that a request may be on its way
+	RecentlyUsed   bool // used so recently that a request may be on its way
 
 	// HasUnreadInput reports whether input has arrived that was not read. It is called last, as it makes a
 	// system call.
@@ -108,7 +108,7 @@
 		return Verdict{RuleAnswer, ReasonUnsentOutput}
 	case info.PartialRequest:
 		return Verdict{RuleAnswer, ReasonPartialRequest}
-	case info.InUse:
+	case info.RecentlyUsed:
 		return Verdict{RuleAnswer, ReasonInUse}
 	case info.UnackedBytes != nil && info.UnackedBytes() > 0:
 		return Verdict{RuleAnswer, ReasonUnsentOutput}
