--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -31,15 +31,15 @@
 
 // classDocument describes one class of requests.
 type classDocument struct {
-	Name                    string        `json:"name"`
-	Idempotency             string        `json:"semantics"` // see idempotencyOf
-	DeduplicationScope      string        `json:"key-scope"` // see scopeOf
-	DeduplicationWindow     microseconds  `json:"window-us"` // how long a repeat with the same key is dropped
-	Deadline                *microseconds `json:"deadline-us"`
-	LatencyObjective        microseconds  `json:"promise-us"`
-	LatencyObjectiveStretch float64       `json:"aim-stretch"` // multiple of the transfer time added to it
-	PriorityWeight          float64       `json:"gain"`
-	Stream                  bool          `json:"stream"` // its answers are streamed
+	Name                        string        `json:"name"`
+	Idempotency                 string        `json:"semantics"` // see idempotencyOf
+	DeduplicationScope          string        `json:"key-scope"` // see scopeOf
+	DeduplicationWindow         microseconds  `json:"window-us"` // how long a repeat with the same key is dropped
+	Deadline                    *microseconds `json:"deadline-us"`
+	LatencyObjective            microseconds  `json:"promise-us"`
+	LatencyObjectivePerTransfer float64       `json:"aim-stretch"` // multiple of the transfer time added to it
+	PriorityWeight              float64       `json:"gain"`
+	Stream                      bool          `json:"stream"` // its answers are streamed
 }
 
 // costsDocument holds the prices of operations.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -95,17 +95,17 @@
 	var classes []policy.Class
 	for i, class := range d.Classes {
 		classes = append(classes, policy.Class{
-			Name:                    class.Name,
-			Idempotency:             idempotencyOf[class.Idempotency],
-			DeduplicationScope:      scopeOf[class.DeduplicationScope],
-			DeduplicationWindow:     class.DeduplicationWindow.duration(),
-			LatencyObjective:        class.LatencyObjective.duration(),
-			LatencyObjectiveStretch: class.LatencyObjectiveStretch,
-			PriorityWeight:          class.PriorityWeight,
-			FreshFor:                elementOrZero(d.Domain.FreshFor, i).duration(),
-			StaleFor:                elementOrZero(d.Domain.StaleFor, i).duration(),
-			Uncacheable:             elementOrZero(d.Domain.Uncacheable, i),
-			Stream:                  class.Stream,
+			Name:                        class.Name,
+			Idempotency:                 idempotencyOf[class.Idempotency],
+			DeduplicationScope:          scopeOf[class.DeduplicationScope],
+			DeduplicationWindow:         class.DeduplicationWindow.duration(),
+			LatencyObjective:            class.LatencyObjective.duration(),
+			LatencyObjectivePerTransfer: class.LatencyObjectivePerTransfer,
+			PriorityWeight:              class.PriorityWeight,
+			FreshFor:                    elementOrZero(d.Domain.FreshFor, i).duration(),
+			StaleFor:                    elementOrZero(d.Domain.StaleFor, i).duration(),
+			Uncacheable:                 elementOrZero(d.Domain.Uncacheable, i),
+			Stream:                      class.Stream,
 		})
 	}
 	return classes
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -17,11 +17,11 @@
 		Classes: []Class{
 			{
 				Idempotency: Idempotent, PriorityWeight: 1,
-				LatencyObjective: 500 * ms, LatencyObjectiveStretch: 2,
+				LatencyObjective: 500 * ms, LatencyObjectivePerTransfer: 2,
 			},
 			{
 				Idempotency: Idempotent, PriorityWeight: 1,
-				LatencyObjective: 500 * ms, LatencyObjectiveStretch: 2,
+				LatencyObjective: 500 * ms, LatencyObjectivePerTransfer: 2,
 				FreshFor: 8 * time.Second, StaleFor: 10 * time.Second,
 			},
 			{Idempotency: NonIdempotent, LatencyObjective: 500 * ms, PriorityWeight: 3, Uncacheable: true},
--- a/policy/request.go
+++ b/policy/request.go
@@ -48,7 +48,7 @@
 		avoid:    map[*endpointState]bool{},
 	}
 	r.estimateTransferTime(req)
-	objective := class.LatencyObjective + durationOf(class.LatencyObjectiveStretch*req.transferSeconds)
+	objective := class.LatencyObjective + durationOf(class.LatencyObjectivePerTransfer*req.transferSeconds)
 	req.objectiveAt = min(r.now+objective-clientDeliveryTime, req.deadline)
 	return req
 }
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -31,10 +31,10 @@
 	DeduplicationScope  DeduplicationScope
 	DeduplicationWindow time.Duration // how long a repeat with the same key is dropped
 
-	// An answer is in time within LatencyObjective plus LatencyObjectiveStretch times its transfer time.
-	LatencyObjective        time.Duration
-	LatencyObjectiveStretch float64
-	PriorityWeight          float64 // value of an answer that is in time, relative to other classes
+	// An answer is in time within LatencyObjective plus LatencyObjectivePerTransfer times its transfer time.
+	LatencyObjective            time.Duration
+	LatencyObjectivePerTransfer float64
+	PriorityWeight              float64 // value of an answer that is in time, relative to other classes
 
 	FreshFor    time.Duration // age up to which a copy is fresh; 0: until it is purged
 	StaleFor    time.Duration // how long after that it may be served stale
