--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -82,7 +82,7 @@
 	MaxAttempts       *int         `json:"max-attempts"`     // of one request; after them it is not retried
 	RetryAfter        *bool        `json:"retry-after"`      // rejected clients get a Retry-After; absent: true
 	MaxRetryAfter     microseconds `json:"max-retry-after-us"`
-	MayCancel         bool         `json:"may-cancel"`    // attempts may be cancelled
+	CancelAttempts    bool         `json:"may-cancel"`    // attempts may be cancelled
 	Hedging           bool         `json:"second-copies"` // an overdue attempt may be repeated while it is in flight
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -75,7 +75,7 @@
 		CoalesceFills:           d.Domain.CoalesceFills,
 		Siblings:                siblingsOf[d.Domain.Siblings],
 		MaxAttempts:             valueOr(d.Limits.MaxAttempts, 0),
-		MayCancel:               d.Limits.MayCancel,
+		CancelAttempts:          d.Limits.CancelAttempts,
 		Hedging:                 d.Limits.Hedging,
 		MaxRetryAfter:           d.Limits.MaxRetryAfter.duration(),
 		SlowStartCapacity:       d.Rules.SlowStartCapacity,
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -26,7 +26,7 @@
 			},
 			{Idempotency: NonIdempotent, LatencyObjective: 500 * ms, PriorityWeight: 3, Uncacheable: true},
 		},
-		MaxAttempts: 6, MayCancel: true, MaxRetryAfter: time.Second,
+		MaxAttempts: 6, CancelAttempts: true, MaxRetryAfter: time.Second,
 		SlowStartCapacity: 0.2, SlowStartDuration: 10 * time.Second, OverloadMultiple: 2,
 		OverloadWindow:          2 * time.Second,
 		ParentSlowStartCapacity: 0.1, ParentSlowStartDuration: 20 * time.Second, ParentOverloadMultiple: 2,
--- a/policy/overdue.go
+++ b/policy/overdue.go
@@ -48,7 +48,7 @@
 	}
 	if r.settings.Hedging {
 		r.route(a.request)
-	} else if r.settings.MayCancel {
+	} else if r.settings.CancelAttempts {
 		r.emit(Cancel{ID: a.request.ID, Attempt: a.number})
 	}
 }
--- a/policy/request.go
+++ b/policy/request.go
@@ -105,7 +105,7 @@
 		return
 	}
 	req.finished = true
-	if r.settings.MayCancel && !req.class.Stream {
+	if r.settings.CancelAttempts && !req.class.Stream {
 		r.cancelPending(req)
 	}
 	if req.pendingAttempts == 0 {
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -77,10 +77,10 @@
 	CoalesceFills  bool // a miss may wait for a fill of the same object that is in progress
 	Siblings       Siblings
 
-	MaxAttempts   int           // of one request, retries and hedges included; 0: 2
-	MayCancel     bool          // attempts may be cancelled
-	Hedging       bool          // an overdue attempt may be repeated while it is pending
-	MaxRetryAfter time.Duration // longest Retry-After of a rejection; less than 300 ms counts as 300 ms
+	MaxAttempts    int           // of one request, retries and hedges included; 0: 2
+	CancelAttempts bool          // attempts may be cancelled
+	Hedging        bool          // an overdue attempt may be repeated while it is pending
+	MaxRetryAfter  time.Duration // longest Retry-After of a rejection; less than 300 ms counts as 300 ms
 
 	// Slow start of a cache. It fails when it receives OverloadMultiple times its current capacity for
 	// OverloadWindow.
