--- a/internal/proxy/call.go
+++ b/internal/proxy/call.go
@@ -68,7 +68,7 @@
 		KnownVersion:         a.req.KnownVersion,
 		IdempotencyKey:       a.req.IdempotencyKey,
 		CoalesceFill:         fetch.CoalesceFill,
-		CachedOnly:           fetch.CachedOnly,
+		SourceCachedOnly:     fetch.SourceCachedOnly,
 		StaleWhileRevalidate: fetch.StaleWhileRevalidate,
 		Body:                 a.req.Body,
 	}
--- a/internal/resp/call.go
+++ b/internal/resp/call.go
@@ -47,7 +47,7 @@
 	IdempotencyKey string        // empty: none
 
 	CoalesceFill         bool // wait for a fill of the object that is in progress
-	CachedOnly           bool // the source of a fill must answer from its cache or not at all
+	SourceCachedOnly     bool // the source of a fill must answer from its cache or not at all
 	StaleWhileRevalidate bool // a stale copy is served and refreshed in the background
 
 	Body []byte
@@ -105,7 +105,7 @@
 	if c.CoalesceFill {
 		flags = append(flags, flagCoalesceFill)
 	}
-	if c.CachedOnly {
+	if c.SourceCachedOnly {
 		flags = append(flags, flagCachedOnly)
 	}
 	if c.StaleWhileRevalidate {
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -23,7 +23,7 @@
 		RetentionRank: 2, MaxAge: 2500 * time.Microsecond, KnownVersion: "4be0",
 		CoalesceFill: true, StaleWhileRevalidate: true, Body: []byte("B"),
 	}
-	shortMaxAge := Call{ID: "1", Class: "c", Object: "k", Part: "0", MaxAge: time.Microsecond, CachedOnly: true}
+	shortMaxAge := Call{ID: "1", Class: "c", Object: "k", Part: "0", MaxAge: time.Microsecond, SourceCachedOnly: true}
 	for _, tt := range []struct{ got, want string }{
 		{string(AppendCall(nil, &full)), encodeBulks("REQ", "9b1f",
 			"c=artes,k=7f3a,p=3,w=1500,src=s-1,keep=2,maxage=2,flags=coalesce+freshen,have=4be0", "B")},
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -51,7 +51,7 @@
 	if f.CoalesceFill {
 		sum += flagCoalesceFill
 	}
-	if f.CachedOnly {
+	if f.SourceCachedOnly {
 		sum += flagCachedOnly
 	}
 	if f.StaleWhileRevalidate {
--- a/policy/actions.go
+++ b/policy/actions.go
@@ -16,7 +16,7 @@
 	RetentionRank        int           // of the filled copy, see fillorders.go; 0: it is not cached
 	MaxAge               time.Duration // maximum age of a copy; 0: that of the class
 	CoalesceFill         bool          // a miss may wait for a fill that is in progress
-	CachedOnly           bool          // the source answers only with what it has cached
+	SourceCachedOnly     bool          // the source answers only with what it has cached
 	StaleWhileRevalidate bool          // a stale copy is served and refreshed in the background
 }
 
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -60,9 +60,9 @@
 	firstByteSeconds float64 // expected wait for the source's first byte
 	missProbability  float64 // of a fill, 0 to 1
 
-	expectHit      bool // the target probably has the object cached
-	cachedOnly     bool // the source may answer only with what it has cached
-	countsAtOrigin bool // it counts against the origin's concurrency limit
+	expectHit        bool // the target probably has the object cached
+	sourceCachedOnly bool // the source may answer only with what it has cached
+	countsAtOrigin   bool // it counts against the origin's concurrency limit
 }
 
 // pendingAttempt returns a request's attempt with the given number if it has no result yet, otherwise nil.
@@ -87,7 +87,7 @@
 	}
 	r.estimate(a)
 	r.applyOriginLimit(a)
-	originHasNoCapacity := a.cachedOnly && source == r.origin
+	originHasNoCapacity := a.sourceCachedOnly && source == r.origin
 	if originHasNoCapacity {
 		r.rejectOrFail(req, ReasonOriginBusy)
 		return
--- a/policy/fillorders.go
+++ b/policy/fillorders.go
@@ -24,10 +24,10 @@
 	}
 	fetch.RetentionRank = r.retentionRank(req)
 	fetch.CoalesceFill = r.settings.CoalesceFills
-	fetch.CachedOnly = a.cachedOnly
-	fetch.StaleWhileRevalidate = req.class.FreshFor > 0 && !a.cachedOnly
+	fetch.SourceCachedOnly = a.sourceCachedOnly
+	fetch.StaleWhileRevalidate = req.class.FreshFor > 0 && !a.sourceCachedOnly
 	// A stale copy is better than no answer on a retry, or where the source may not fetch a fresh one.
-	mayBeStale := a.number > 0 || a.cachedOnly
+	mayBeStale := a.number > 0 || a.sourceCachedOnly
 	if mayBeStale && req.class.FreshFor > 0 {
 		fetch.MaxAge = req.class.FreshFor + req.class.StaleFor
 	}
--- a/policy/originlimit.go
+++ b/policy/originlimit.go
@@ -73,7 +73,7 @@
 		return
 	}
 	a.countsAtOrigin = r.originLimit.admits(r.rng.Float64)
-	a.cachedOnly = !a.countsAtOrigin
+	a.sourceCachedOnly = !a.countsAtOrigin
 }
 
 // updateOriginLimit updates the limit from an attempt's outcome.
--- a/policy/originlimit_test.go
+++ b/policy/originlimit_test.go
@@ -9,13 +9,13 @@
 func TestOriginLimitFalls(t *testing.T) {
 	h := newHarness(t)
 	for i := int64(1); i < 8; i++ {
-		if fetchOf(h.request(i, string(rune('a'+i)), 0)).CachedOnly {
+		if fetchOf(h.request(i, string(rune('a'+i)), 0)).SourceCachedOnly {
 			t.Fatal("limited before any failure")
 		}
 	}
 	h.handle(Outcome{ID: 1, Result: ResultError, CacheStatus: CacheStatusOriginFailed, Elapsed: 20 * ms})
-	if f := fetchOf(h.request(20, "new", 0)); f == nil || !f.CachedOnly {
-		t.Fatalf("got %+v after the origin failed, want CachedOnly", f)
+	if f := fetchOf(h.request(20, "new", 0)); f == nil || !f.SourceCachedOnly {
+		t.Fatalf("got %+v after the origin failed, want SourceCachedOnly", f)
 	}
 }
 
