--- a/internal/connpool/conn.go
+++ b/internal/connpool/conn.go
@@ -81,14 +81,14 @@
 	c.pool.pools.connCount -= before - len(c.pool.conns)
 }
 
-// ConnectPatience returns how long a connection to this endpoint may take to be established before it is
+// OverdueAfter returns how long a connection to this endpoint may take to be established before it is
 // overdue.
-func (c *PooledConn) ConnectPatience() time.Duration {
+func (c *PooledConn) OverdueAfter() time.Duration {
 	return max(minOverdueAfter, overdueFactor*c.pool.medianConnectTime)
 }
 
-// overdue reports whether the connection has not been established within ConnectPatience.
-func (c *PooledConn) overdue() bool { return !c.Connected() && c.Age() > c.ConnectPatience() }
+// overdue reports whether the connection has not been established within OverdueAfter.
+func (c *PooledConn) overdue() bool { return !c.Connected() && c.Age() > c.OverdueAfter() }
 
 // recordConnect updates the estimated median with the connection's connect time, once. The estimate moves up
 // or down by a small step whatever the difference, so that a few very long connect times do not raise it
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -86,7 +86,7 @@
 	if conn.Connected() || reassignmentsLeft == 0 {
 		return
 	}
-	untilOverdue := max(0, conn.ConnectPatience()-conn.Age())
+	untilOverdue := max(0, conn.OverdueAfter()-conn.Age())
 	a.p.loop.At(a.p.loop.Now()+untilOverdue, func() { a.reassign(conn, reassignmentsLeft) })
 }
 
