--- a/internal/connpool/conn.go
+++ b/internal/connpool/conn.go
@@ -49,9 +49,9 @@
 // EndpointID returns the ID of the endpoint that the connection belongs to.
 func (c *PooledConn) EndpointID() string { return c.pool.id }
 
-// MarkAlive records that input has arrived since the first use in progress began, which shows that the
+// RecordInput records that input has arrived since the first use in progress began, which shows that the
 // connection had not been lost.
-func (c *PooledConn) MarkAlive() {
+func (c *PooledConn) RecordInput() {
 	if c.pendingBucket != noBucket {
 		c.pool.pools.idleLoss.recordSuccess(c.pendingBucket)
 		c.pendingBucket = noBucket
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -73,7 +73,7 @@
 // Receive handles the complete answers in data. An answer to a call that is no longer open has crossed the
 // call's STOP command and is ignored.
 func (u *upstream) Receive(data []byte) (used int, err error) {
-	u.conn.MarkAlive()
+	u.conn.RecordInput()
 	defer u.recordReceived()
 	for {
 		size, ans, err := resp.Decode(data[used:])
