--- a/internal/connpool/acquire.go
+++ b/internal/connpool/acquire.go
@@ -69,7 +69,7 @@
 
 // prefersNew reports whether a use gets a new connection although an existing one accepts it. While there are
 // fewer connections than DedicatedConns, uses share a connection only if they are idempotent, and at most
-// SharedUses of them: whatever ends or corrupts a connection affects all its uses. A non-idempotent use also
+// MaxSharedUses of them: whatever ends or corrupts a connection affects all its uses. A non-idempotent use also
 // gets a new connection instead of an idle one if new connections have recently been lost less often than
 // connections that were idle for as long as the existing one.
 func (ps *Pools) prefersNew(existing *PooledConn, use UseInfo) bool {
@@ -77,7 +77,7 @@
 		return false
 	}
 	if existing.InUse > 0 {
-		return use.NonIdempotent || existing.InUse >= ps.limits.SharedUses
+		return use.NonIdempotent || existing.InUse >= ps.limits.MaxSharedUses
 	}
 	return use.NonIdempotent && ps.idleLoss[existing.idleBucket()] > ps.idleLoss[newConnBucket]
 }
--- a/internal/connpool/pools.go
+++ b/internal/connpool/pools.go
@@ -16,7 +16,7 @@
 	MaxUsesPerConn int           // uses that one connection carries at once
 	MaxConns       int           // connections of all pools together
 	DedicatedConns int           // connections of all pools together up to which uses get connections of their own
-	SharedUses     int           // idempotent uses that may share a connection below DedicatedConns; 0: none
+	MaxSharedUses  int           // idempotent uses that may share a connection below DedicatedConns; 0: none
 	ConnectTimeout time.Duration // after which a connect fails
 	IdleTimeout    time.Duration // after which an unused connection is closed
 }
--- a/internal/connpool/pools_test.go
+++ b/internal/connpool/pools_test.go
@@ -81,7 +81,7 @@
 func acceptsAll(*PooledConn) bool { return true }
 
 // newTestPools returns pools with the endpoint "s" at addr, and their loop.
-func newTestPools(t *testing.T, addr netip.AddrPort, sharedUses int) (*eventloop.Loop, *Pools) {
+func newTestPools(t *testing.T, addr netip.AddrPort, maxSharedUses int) (*eventloop.Loop, *Pools) {
 	t.Helper()
 	l, err := eventloop.NewLoop(eventloop.SystemClock())
 	if err != nil {
@@ -91,7 +91,7 @@
 		MaxUsesPerConn: 8,
 		MaxConns:       10,
 		DedicatedConns: 8,
-		SharedUses:     sharedUses,
+		MaxSharedUses:  maxSharedUses,
 		ConnectTimeout: time.Minute,
 		IdleTimeout:    time.Minute,
 	}
@@ -166,7 +166,7 @@
 // use if the limit is 0.
 func TestSharedConnections(t *testing.T) {
 	for _, tt := range []struct {
-		sharedUses    int
+		maxSharedUses int
 		nonIdempotent []bool // of each use
 		wantConns     int
 	}{
@@ -176,7 +176,7 @@
 		{3, []bool{false, true, false}, 2},
 		{3, []bool{true, true}, 2},
 	} {
-		_, ps := newTestPools(t, newFullServer(t).addr, tt.sharedUses)
+		_, ps := newTestPools(t, newFullServer(t).addr, tt.maxSharedUses)
 		for _, nonIdempotent := range tt.nonIdempotent {
 			use := UseInfo{NonIdempotent: nonIdempotent, Accepts: acceptsAll}
 			if _, err := ps.Acquire("s", use); err != nil {
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -78,7 +78,7 @@
 	serverIdleTimeout := cmp.Or(c.ServerIdleTimeout, defaultServerIdleTimeout)
 	return connpool.Limits{
 		MaxUsesPerConn: max(1, c.MaxStreamsPerConn),
-		SharedUses:     sharedCalls,
+		MaxSharedUses:  sharedCalls,
 		MaxConns:       maxConns,
 		DedicatedConns: maxConns / 2,
 		ConnectTimeout: cmp.Or(c.ConnectTimeout, defaultConnectTimeout),
