--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -79,8 +79,8 @@
 // EarliestArrival returns a time before which none of the input that is read in this turn had arrived.
 func (l *Loop) EarliestArrival() Timestamp { return l.previousPollEnd }
 
-// CurrentTime reads the clock. It is for uses for which the time of the turn may be too old.
-func (l *Loop) CurrentTime() Timestamp { return l.clock.Now() }
+// ReadClock reads the clock. It is for uses for which the time of the turn may be too old.
+func (l *Loop) ReadClock() Timestamp { return l.clock.Now() }
 
 // BufferedBytes returns the size of all connections' buffers: input not consumed and output not written.
 func (l *Loop) BufferedBytes() int { return l.bufferedBytes }
--- a/internal/proxy/call.go
+++ b/internal/proxy/call.go
@@ -41,7 +41,7 @@
 	if a.ended || a.started || a.lastSequence != e.sequence {
 		return nil, false
 	}
-	now := a.p.loop.CurrentTime() // the process may have been suspended since the turn began
+	now := a.p.loop.ReadClock() // the process may have been suspended since the turn began
 	fetch, allowed := a.maySend(now)
 	if !allowed {
 		a.p.endAttempt(a, resp.Answer{}, policy.ResultNotSent)
@@ -109,7 +109,7 @@
 	a.upstream.recordSent()
 	a.p.invariants.checkSent(a)
 	if !complete {
-		a.p.loop.At(a.p.loop.CurrentTime()+maxPartialWriteTime, a.failPartialWrite)
+		a.p.loop.At(a.p.loop.ReadClock()+maxPartialWriteTime, a.failPartialWrite)
 	}
 }
 
--- a/internal/proxy/disconnect.go
+++ b/internal/proxy/disconnect.go
@@ -35,14 +35,14 @@
 	if c.disconnectedSince == 0 {
 		return DisconnectState{}
 	}
-	graceOver := c.server.loop.CurrentTime() >= c.disconnectedSince+disconnectGrace
+	graceOver := c.server.loop.ReadClock() >= c.disconnectedSince+disconnectGrace
 	return DisconnectState{Since: c.disconnectedSince, GraceOver: graceOver}
 }
 
 // pollClient reads what the client has sent since the turn began, if both the start of the turn and the last
 // poll are longer ago than clientPollInterval: the client may have disconnected or aborted a request meanwhile.
 func (c *clientConn) pollClient() {
-	now := c.server.loop.CurrentTime()
+	now := c.server.loop.ReadClock()
 	lastRead := max(c.polledAt, c.server.loop.Now())
 	if now-lastRead > clientPollInterval {
 		c.polledAt = now
--- a/internal/proxy/invariants.go
+++ b/internal/proxy/invariants.go
@@ -161,7 +161,7 @@
 
 // checkSent checks an attempt when the first byte of its call has been written.
 func (c *invariantChecker) checkSent(a *attempt) {
-	now := c.p.loop.CurrentTime()
+	now := c.p.loop.ReadClock()
 	for _, id := range []string{a.target, a.source} {
 		since, draining := c.drainingSince[id]
 		if draining && now-since > drainGracePeriod+checkTolerance {
