--- a/cmd/edgeproxy/main.go
+++ b/cmd/edgeproxy/main.go
@@ -118,7 +118,7 @@
 	end := time.Now().Add(startupRetryTimeout)
 	for {
 		err := step()
-		if !errors.Is(err, eventloop.ErrLocalResources) || time.Now().After(end) {
+		if !errors.Is(err, eventloop.ErrLocalResourcesExhausted) || time.Now().After(end) {
 			return err
 		}
 		time.Sleep(startupRetryInterval)
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -10,7 +10,7 @@
 
 // Dial starts a connection to addr. Output may be queued at once; it is written when the connection is
 // established. A connection that is not established within timeout fails with ErrConnectTimeout. The error of
-// Dial wraps ErrNotConnected, and ErrLocalResources too if it says nothing about the peer.
+// Dial wraps ErrNotConnected, and ErrLocalResourcesExhausted too if it says nothing about the peer.
 func (l *Loop) Dial(addr netip.AddrPort, timeout time.Duration, h Handler) (*Conn, error) {
 	fd, err := newSocket(addr)
 	if err != nil {
@@ -64,7 +64,7 @@
 // connectError wraps the error of connecting to addr.
 func connectError(addr netip.AddrPort, err error) error {
 	if isLocalError(err) {
-		err = fmt.Errorf("%w: %w", ErrLocalResources, err)
+		err = fmt.Errorf("%w: %w", ErrLocalResourcesExhausted, err)
 	}
 	return fmt.Errorf("%w: connect %s: %w", ErrNotConnected, addr, err)
 }
--- a/internal/eventloop/errors.go
+++ b/internal/eventloop/errors.go
@@ -16,15 +16,15 @@
 // ErrWriteStalled is the error of a connection whose peer does not read its output.
 var ErrWriteStalled = errors.New("peer accepts no output")
 
-// ErrLocalResources wraps failures of this host or process, such as a lack of descriptors, ports or memory.
-// They say nothing about the peer.
-var ErrLocalResources = errors.New("local resources exhausted")
+// ErrLocalResourcesExhausted wraps failures of this host or process, such as a lack of descriptors, ports or
+// memory. They say nothing about the peer.
+var ErrLocalResourcesExhausted = errors.New("local resources exhausted")
 
-// wrapSetupError wraps an error of setting up the loop or a listener with ErrLocalResources if it may be
-// temporary.
+// wrapSetupError wraps an error of setting up the loop or a listener with ErrLocalResourcesExhausted if it
+// may be temporary.
 func wrapSetupError(err error) error {
 	if isExhausted(err) {
-		return fmt.Errorf("%w: %w", ErrLocalResources, err)
+		return fmt.Errorf("%w: %w", ErrLocalResourcesExhausted, err)
 	}
 	return err
 }
--- a/internal/eventloop/listen.go
+++ b/internal/eventloop/listen.go
@@ -24,7 +24,7 @@
 
 // Listen accepts connections on addr. ensureCapacity is called before each accept; while it returns false,
 // connections wait in the accept queue. accept returns the handler of a new connection. Neither must block.
-// The error wraps ErrLocalResources if it may be temporary.
+// The error wraps ErrLocalResourcesExhausted if it may be temporary.
 func (l *Loop) Listen(addr netip.AddrPort, ensureCapacity func() bool, accept func(*Conn) Handler) (*Listener, error) {
 	fd, err := newSocket(addr)
 	if err != nil {
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -55,8 +55,8 @@
 	previousPollEnd Timestamp     // pollEnd of the last complete poll before this turn; this turn's events are later
 }
 
-// NewLoop returns an empty loop that reads its time from clock. The error wraps ErrLocalResources if it may
-// be temporary.
+// NewLoop returns an empty loop that reads its time from clock. The error wraps ErrLocalResourcesExhausted if
+// it may be temporary.
 func NewLoop(clock TimeSource) (*Loop, error) {
 	epollFD, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
--- a/internal/proxy/result.go
+++ b/internal/proxy/result.go
@@ -107,7 +107,7 @@
 // resultOfConnectError returns the result of an attempt whose connection was not established. A lack of
 // resources on this machine does not count against the server.
 func resultOfConnectError(err error) policy.Result {
-	if errors.Is(err, eventloop.ErrLocalResources) || errors.Is(err, connpool.ErrConnLimit) {
+	if errors.Is(err, eventloop.ErrLocalResourcesExhausted) || errors.Is(err, connpool.ErrConnLimit) {
 		return policy.ResultNotSent
 	}
 	return policy.ResultConnectFailed
--- a/internal/proxy/result_test.go
+++ b/internal/proxy/result_test.go
@@ -52,7 +52,7 @@
 		{resp.ErrMalformed, policy.ResultReset},
 		{nil, policy.ResultReset},
 		{eventloop.ErrNotConnected, policy.ResultConnectFailed},
-		{fmt.Errorf("%w: %w", eventloop.ErrNotConnected, eventloop.ErrLocalResources), policy.ResultNotSent},
+		{fmt.Errorf("%w: %w", eventloop.ErrNotConnected, eventloop.ErrLocalResourcesExhausted), policy.ResultNotSent},
 		{fmt.Errorf("%w: %w", eventloop.ErrNotConnected, connpool.ErrConnLimit), policy.ResultNotSent},
 	} {
 		if got := resultOfClose(c.err); got != c.want {
