--- a/cmd/edgeproxy/soak_test.go
+++ b/cmd/edgeproxy/soak_test.go
@@ -37,9 +37,10 @@
 	violations := 0
 	for seed := first; seed < first+seeds; seed++ {
 		result, err := soak.Run(uint64(seed), soak.Options{
-			Program: os.Args[0], Environment: []string{programEnv + "=1"}, ClockOffset: clockOffsetEnv, FailingCalls: randomFaultsEnv,
-			Host: loopbackAddr, Fleet: fleet, Duration: time.Duration(seconds) * time.Second, ConfigDir: t.TempDir(),
-			ReportDir: filepath.Join("..", "..", "found", "soak"), Kinds: strings.Fields(os.Getenv("KINDS")), Shrink: os.Getenv("SHRINK") != "",
+			Program: os.Args[0], ProgramEnv: []string{programEnv + "=1"}, ClockOffsetEnv: clockOffsetEnv, FailingCalls: randomFaultsEnv,
+			LoopbackAddr: loopbackAddr, FleetSize: fleet, Duration: time.Duration(seconds) * time.Second, ConfigDir: t.TempDir(),
+			ReportDir: filepath.Join("..", "..", "found", "soak"), FaultKinds: strings.Fields(os.Getenv("KINDS")),
+			Shrink: os.Getenv("SHRINK") != "",
 		})
 		if err != nil {
 			t.Fatalf("seed %d could not be played: %v", seed, err)
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -27,7 +27,7 @@
 		return err
 	}
 	r.publishEndpoints()
-	for i := range r.options.Fleet {
+	for i := range r.options.FleetSize {
 		if err := r.startProxy(i); err != nil {
 			return err
 		}
@@ -55,7 +55,7 @@
 
 func (r *run) startServer(id, kind, zone string, serials *sequence) (*server, error) {
 	seed := r.seed + uint64(serials.next())
-	s, err := newServer(r.history, id, kind, zone, r.options.Host(serverHost), seed, serials)
+	s, err := newServer(r.history, id, kind, zone, r.options.LoopbackAddr(serverHost), seed, serials)
 	if err != nil {
 		return nil, err
 	}
@@ -80,14 +80,14 @@
 // startProxy starts one proxy of the fleet. Every second proxy listens on a socket that the soak test holds, so
 // that one process can take over from another without a pause.
 func (r *run) startProxy(number int) error {
-	if err := r.coordinator.serveProxy(number, r.options.Host(coordinatorHost)); err != nil {
+	if err := r.coordinator.serveProxy(number, r.options.LoopbackAddr(coordinatorHost)); err != nil {
 		return err
 	}
-	host := r.options.Host(proxyHost + number)
+	host := r.options.LoopbackAddr(proxyHost + number)
 	p := &process{
 		r: r, number: number, addr: freeAddr(host), admin: freeAddr(host),
 		config:   filepath.Join(r.options.ConfigDir, fmt.Sprintf("proxy-%d.json", number)),
-		settings: settingsFor(number, r.options.Fleet, true),
+		settings: settingsFor(number, r.options.FleetSize, true),
 	}
 	if p.addr == "" || p.admin == "" {
 		return fmt.Errorf("no free address for proxy %d", number)
@@ -138,7 +138,8 @@
 	if s.kind != "std" || len(r.caches)%2 == 0 {
 		return nil
 	}
-	script, err := fault.Parse(fmt.Sprintf("seed %d\nlink c listen %s to %s\n%s", r.seed, r.options.Host(relayHost), s.addr, relayFaults))
+	script, err := fault.Parse(fmt.Sprintf("seed %d\nlink c listen %s to %s\n%s",
+		r.seed, r.options.LoopbackAddr(relayHost), s.addr, relayFaults))
 	if err != nil {
 		return err
 	}
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -72,7 +72,7 @@
 		return p.truncateConfig()
 	}
 	hedging := f.At%2 == 0
-	p.settings = settingsFor(p.number, r.options.Fleet, hedging)
+	p.settings = settingsFor(p.number, r.options.FleetSize, hedging)
 	_, err := p.writeConfig()
 	return err
 }
@@ -129,7 +129,7 @@
 		p.logUnread = true
 	case "wrong-clock":
 		offsets := []string{"1h", "-1h", "3s", "-3s"}
-		p.environment = []string{r.options.ClockOffset + "=" + offsets[int(f.Duration)%len(offsets)]}
+		p.environment = []string{r.options.ClockOffsetEnv + "=" + offsets[int(f.Duration)%len(offsets)]}
 	case "failing-calls":
 		p.environment = []string{fmt.Sprintf("%s=%d", r.options.FailingCalls, f.At)}
 	}
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -119,7 +119,7 @@
 // command returns the command that starts the next incarnation.
 func (p *process) command() *exec.Cmd {
 	cmd := exec.Command(p.r.options.Program)
-	cmd.Env = append(os.Environ(), p.r.options.Environment...)
+	cmd.Env = append(os.Environ(), p.r.options.ProgramEnv...)
 	cmd.Env = append(cmd.Env, "BALANCER_CONFIG="+p.config)
 	cmd.Env = append(cmd.Env, p.environment...)
 	if p.socket != nil {
@@ -299,7 +299,7 @@
 	old := p.incarnation
 	oldCmd := p.cmd
 	oldExited := p.exited
-	p.admin = freeAddr(p.r.options.Host(proxyHost + p.number))
+	p.admin = freeAddr(p.r.options.LoopbackAddr(proxyHost + p.number))
 	p.mu.Unlock()
 	if err := p.start(); err != nil {
 		return err
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -18,7 +18,8 @@
 		return err
 	}
 	var b strings.Builder
-	fmt.Fprintf(&b, "seed %d, %d proxies, %v\n\n%s\n", result.Seed, r.options.Fleet, r.options.Duration, formatSchedule(result.Schedule))
+	fmt.Fprintf(&b, "seed %d, %d proxies, %v\n\n%s\n",
+		result.Seed, r.options.FleetSize, r.options.Duration, formatSchedule(result.Schedule))
 	for _, v := range result.Violations {
 		fmt.Fprintf(&b, "\n%v\n%s", v, r.history.TimelineAround(v.At, reportDistance, v.Keywords...))
 	}
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -19,17 +19,17 @@
 
 // Options configures a run.
 type Options struct {
-	Program      string                // path of the test binary that runs as the proxy
-	Environment  []string              // variables that make the test binary run as the proxy
-	ClockOffset  string                // name of the environment variable for the offset of the proxy's clock
-	FailingCalls string                // name of the environment variable for the seed of failing system calls
-	Host         func(host int) string // returns the address of a host on loopback, with port 0
-	Fleet        int                   // number of proxies
-	Duration     time.Duration         // of the run
-	ConfigDir    string                // directory for the proxies' configurations
-	ReportDir    string                // directory for reports on violations; empty: none are written
-	Kinds        []string              // kinds of faults to draw from; empty: all
-	Shrink       bool                  // after a violation, look for a shorter schedule that breaks the same rule
+	Program        string                // path of the test binary that runs as the proxy
+	ProgramEnv     []string              // NAME=VALUE variables that make the test binary run as the proxy
+	ClockOffsetEnv string                // name of the environment variable for the offset of the proxy's clock
+	FailingCalls   string                // name of the environment variable for the seed of failing system calls
+	LoopbackAddr   func(host int) string // returns the address of a host on loopback, with port 0
+	FleetSize      int                   // number of proxies
+	Duration       time.Duration         // of the run
+	ConfigDir      string                // directory for the proxies' configurations
+	ReportDir      string                // directory for reports on violations; empty: none are written
+	FaultKinds     []string              // kinds of faults to draw from; empty: all
+	Shrink         bool                  // after a violation, look for a shorter schedule that breaks the same rule
 }
 
 // Result is the outcome of the run of one seed.
@@ -66,11 +66,11 @@
 // Run runs a fleet under the schedule that a seed draws, checks the history and returns the violations. An error
 // means that the soak test itself failed, so that the run says nothing about the proxies.
 func Run(seed uint64, o Options) (Result, error) {
-	kinds := o.Kinds
+	kinds := o.FaultKinds
 	if len(kinds) == 0 {
-		kinds = Kinds()
+		kinds = FaultKinds()
 	}
-	schedule := Schedule(seed, o.Duration, o.Fleet, cacheCount, kinds)
+	schedule := Schedule(seed, o.Duration, o.FleetSize, cacheCount, kinds)
 	result, err := runSchedule(seed, o, schedule)
 	if err != nil || len(result.Violations) == 0 || !o.Shrink {
 		return result, err
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -43,8 +43,8 @@
 // scheduleRNGStream is the stream of a seed's PCG random numbers that draws its schedule.
 const scheduleRNGStream = 11
 
-// Kinds returns all kinds of faults.
-func Kinds() []string {
+// FaultKinds returns all kinds of faults.
+func FaultKinds() []string {
 	return slices.Concat(processFaults, cacheFaults, coordinatorFaults, otherFaults)
 }
 
