--- a/cmd/edgeproxy/main.go
+++ b/cmd/edgeproxy/main.go
@@ -99,12 +99,12 @@
 
 // openListeners opens the listening sockets for clients and, if an address is configured, for operators.
 func openListeners(p *proxy.Proxy, cfg *config) error {
-	maxClients := proxy.ClientSockets(cfg.Limits.Sockets)
+	maxClientConns := proxy.MaxClientConns(cfg.Limits.Sockets)
 	err := retryOnResourceShortage(func() error {
 		if cfg.inheritedListenFD != 0 {
-			return p.ListenOn(cfg.inheritedListenFD, maxClients)
+			return p.ListenOn(cfg.inheritedListenFD, maxClientConns)
 		}
-		return p.Listen(cfg.listen, maxClients)
+		return p.Listen(cfg.listen, maxClientConns)
 	})
 	if err != nil || cfg.Admin == "" {
 		return err
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -103,9 +103,9 @@
 	return a
 }
 
-// ClientSockets returns how many of the process's descriptors clients may hold: two fifths.
-func ClientSockets(descriptors int) int { return descriptors * 2 / 5 }
+// MaxClientConns returns how many of the process's descriptors clients may hold: two fifths.
+func MaxClientConns(descriptors int) int { return descriptors * 2 / 5 }
 
-// UpstreamSockets returns how many of the process's descriptors connections to caches, parents and the origin
+// MaxUpstreamConns returns how many of the process's descriptors connections to caches, parents and the origin
 // may hold: half of them less reservedDescriptors.
-func UpstreamSockets(descriptors int) int { return max(1, descriptors/2-reservedDescriptors) }
+func MaxUpstreamConns(descriptors int) int { return max(1, descriptors/2-reservedDescriptors) }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -62,7 +62,7 @@
 		memory:            newMemoryBudget(loop, cfg.MaxMemoryBytes),
 		counters:          newCounters(),
 		requests:          map[int64]*request{},
-		maxUpstreamConns:  UpstreamSockets(cfg.MaxDescriptors),
+		maxUpstreamConns:  MaxUpstreamConns(cfg.MaxDescriptors),
 		countDroppedLines: cfg.DroppedLogLines,
 	}
 	p.invariants = newInvariantChecker(p, cfg.OnViolation)
