--- a/cmd/edgeproxy/main.go
+++ b/cmd/edgeproxy/main.go
@@ -22,7 +22,7 @@
 	startupRetryTimeout  = 5 * time.Second
 	startupRetryInterval = 20 * time.Millisecond
 	// logFlushTimeout is how long the program waits at its end for the last log lines to be written.
-	logFlushTimeout = proxy.KillMargin / 4
+	logFlushTimeout = proxy.ExitMargin / 4
 	// heapLimitPercent is the percentage of the process's memory limit that is set as the garbage collector's
 	// limit. The rest is for memory that the collector does not count.
 	heapLimitPercent = 60
--- a/internal/proxy/lifecycle.go
+++ b/internal/proxy/lifecycle.go
@@ -18,8 +18,8 @@
 	shutdownAcceptTime = 700 * time.Millisecond
 	// killGrace is how long the platform waits after the longest deadline before it kills the process.
 	killGrace = 700 * time.Millisecond
-	// KillMargin is how long before the kill all requests are answered. The rest of the exit must fit into it.
-	KillMargin = 200 * time.Millisecond
+	// ExitMargin is how long before the kill all requests are answered. The rest of the exit must fit into it.
+	ExitMargin = 200 * time.Millisecond
 	// maxShutdownDeadline bounds the longest deadline that the platform waits for. It is also the default if the
 	// settings have no deadline.
 	maxShutdownDeadline = 3 * time.Second
@@ -90,7 +90,7 @@
 		l.disconnectFrom = l.loop.Now()
 	}
 	killDelay := min(maxShutdownDeadline, cmp.Or(longestDeadline, maxShutdownDeadline)) + killGrace
-	l.answerBy = l.loop.Now() + killDelay - KillMargin
+	l.answerBy = l.loop.Now() + killDelay - ExitMargin
 	l.rejectFrom = l.answerBy - shutdownRejectTime
 }
 
