--- a/cmd/edgeproxy/reload.go
+++ b/cmd/edgeproxy/reload.go
@@ -14,8 +14,8 @@
 // reloader returns the function that the proxy calls to read the configuration again. Reading leaves the
 // configuration in use unchanged. The function that it returns runs on the event loop's goroutine: it checks the
 // new configuration against the one in use and replaces that.
-func (c *config) reloader(logger *slog.Logger) func() (proxy.PrepareUpdate, error) {
-	return func() (proxy.PrepareUpdate, error) {
+func (c *config) reloader(logger *slog.Logger) func() (proxy.PrepareUpdateFunc, error) {
+	return func() (proxy.PrepareUpdateFunc, error) {
 		later, err := loadConfig(os.Getenv)
 		if err != nil {
 			return nil, err
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -24,13 +24,13 @@
 	// Load reads the configuration. It may block, so it is called on a separate goroutine and must not access the
 	// proxy. A call that exceeds loadTimeout is not ended but its result is discarded, so the next call may overlap
 	// with it.
-	Load func() (PrepareUpdate, error)
+	Load func() (PrepareUpdateFunc, error)
 }
 
-// PrepareUpdate checks a configuration that has been read against the one in use and returns what the proxy must
+// PrepareUpdateFunc checks a configuration that has been read against the one in use and returns what the proxy must
 // replace. It is called once, on the event loop's goroutine, and must not block. An error rejects the whole
 // configuration.
-type PrepareUpdate func() (ConfigUpdate, error)
+type PrepareUpdateFunc func() (ConfigUpdate, error)
 
 // ConfigUpdate is what a reload replaces while the proxy serves.
 type ConfigUpdate struct {
@@ -51,12 +51,12 @@
 
 // loadResult is the result of a read: a configuration or an error.
 type loadResult struct {
-	prepare PrepareUpdate
+	prepare PrepareUpdateFunc
 	err     error
 }
 
 // start starts a read if one has been requested and none is awaited.
-func (l *configLoader) start(load func() (PrepareUpdate, error), now eventloop.Timestamp) {
+func (l *configLoader) start(load func() (PrepareUpdateFunc, error), now eventloop.Timestamp) {
 	if !l.requested || l.results != nil {
 		return
 	}
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -24,7 +24,7 @@
 func TestConfigLoaderReadsOneAtATime(t *testing.T) {
 	errRead := errors.New("read")
 	goOn, begun := make(chan bool), make(chan bool, 10)
-	load := func() (PrepareUpdate, error) {
+	load := func() (PrepareUpdateFunc, error) {
 		begun <- true
 		<-goOn
 		return nil, errRead
@@ -62,7 +62,7 @@
 	slow := make(chan bool)
 	errLate, errNext := errors.New("late"), errors.New("next")
 	l := configLoader{requested: true}
-	l.start(func() (PrepareUpdate, error) { <-slow; return nil, errLate }, time.Second)
+	l.start(func() (PrepareUpdateFunc, error) { <-slow; return nil, errLate }, time.Second)
 	if _, done := l.poll(time.Second + loadTimeout - 1); done {
 		t.Error("the read has failed too early")
 	}
@@ -71,7 +71,7 @@
 		t.Errorf("done %v, error %v", done, result.err)
 	}
 	l.requested = true
-	l.start(func() (PrepareUpdate, error) { return nil, errNext }, 2*time.Second)
+	l.start(func() (PrepareUpdateFunc, error) { return nil, errNext }, 2*time.Second)
 	slow <- true
 	if result := awaitLoad(t, &l, 2*time.Second); !errors.Is(result.err, errNext) {
 		t.Errorf("%v", result.err)
