--- a/cmd/edgeproxy/main.go
+++ b/cmd/edgeproxy/main.go
@@ -83,7 +83,7 @@
 		return err
 	}
 	p.WatchCoordinator(cfg.coordinator, cfg.KnownState.Index)
-	return p.Run(proxy.Signals{Stop: s.stop, Reload: s.reload, Load: cfg.reloader(logger)})
+	return p.Run(proxy.Signals{Stop: s.stop, Reload: s.reload, LoadConfig: cfg.reloader(logger)})
 }
 
 // newLoop returns an event loop with a clock.
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -21,10 +21,10 @@
 type Signals struct {
 	Stop   <-chan os.Signal // starts a graceful shutdown
 	Reload <-chan os.Signal // reloads the configuration
-	// Load reads the configuration. It may block, so it is called on a separate goroutine and must not access the
-	// proxy. A call that exceeds loadTimeout is not ended but its result is discarded, so the next call may overlap
-	// with it.
-	Load func() (PrepareUpdateFunc, error)
+	// LoadConfig reads the configuration. It may block, so it is called on a separate goroutine and must not access
+	// the proxy. A call that exceeds loadTimeout is not ended but its result is discarded, so the next call may
+	// overlap with it.
+	LoadConfig func() (PrepareUpdateFunc, error)
 }
 
 // PrepareUpdateFunc checks a configuration that has been read against the one in use and returns what the proxy must
@@ -96,7 +96,7 @@
 	if done {
 		p.finishReload(result)
 	}
-	p.configLoader.start(signals.Load, p.loop.Now())
+	p.configLoader.start(signals.LoadConfig, p.loop.Now())
 }
 
 // finishReload applies a configuration that has been read. If it is rejected, the proxy keeps the one in use.
