--- a/internal/fastcgi/decoder.go
+++ b/internal/fastcgi/decoder.go
@@ -118,10 +118,10 @@
 	role := binary.BigEndian.Uint16(content)
 	keepConn := content[2]&flagKeepConn != 0
 	if len(d.receiving)+len(d.inProgress) >= maxRequests {
-		return Reply{Data: AppendEnd(nil, id, 0, Overloaded), Close: !keepConn}, nil
+		return Reply{Data: AppendEnd(nil, id, 0, StatusOverloaded), Close: !keepConn}, nil
 	}
 	if role != roleResponder {
-		return Reply{Data: AppendEnd(nil, id, 0, UnknownRole), Close: !keepConn}, nil
+		return Reply{Data: AppendEnd(nil, id, 0, StatusUnknownRole), Close: !keepConn}, nil
 	}
 	if d.receiving == nil {
 		d.receiving = map[uint16]*partialRequest{}
--- a/internal/fastcgi/fastcgi.go
+++ b/internal/fastcgi/fastcgi.go
@@ -47,9 +47,9 @@
 
 // Protocol statuses in use. Status 1 is not: it is for a server that handles one request per connection.
 const (
-	Complete    ProtocolStatus = 0 // the request was processed
-	Overloaded  ProtocolStatus = 2 // the server rejects the request for lack of capacity
-	UnknownRole ProtocolStatus = 3 // the request's role is not supported
+	StatusComplete    ProtocolStatus = 0 // the request was processed
+	StatusOverloaded  ProtocolStatus = 2 // the server rejects the request for lack of capacity
+	StatusUnknownRole ProtocolStatus = 3 // the request's role is not supported
 )
 
 // applicationAborted is the application status in the END_REQUEST of a request that the client aborted.
--- a/internal/fastcgi/fastcgi_test.go
+++ b/internal/fastcgi/fastcgi_test.go
@@ -103,12 +103,12 @@
 		"abort of a complete request": {join(completeRequest(3), encodeRecord(typeAbort, 3, "")), Abort{ID: 3}},
 		"abort of a partial request": {
 			join(encodeBegin(3, 1, 1), encodeRecord(typeAbort, 3, "")),
-			Reply{Data: AppendEnd(nil, 3, 1, Complete)},
+			Reply{Data: AppendEnd(nil, 3, 1, StatusComplete)},
 		},
-		"unsupported role": {encodeBegin(3, 2, 1), Reply{Data: AppendEnd(nil, 3, 0, UnknownRole)}},
+		"unsupported role": {encodeBegin(3, 2, 1), Reply{Data: AppendEnd(nil, 3, 0, StatusUnknownRole)}},
 		"unsupported role, connection not kept": {
 			encodeBegin(3, 2, 0),
-			Reply{Data: AppendEnd(nil, 3, 0, UnknownRole), Close: true},
+			Reply{Data: AppendEnd(nil, 3, 0, StatusUnknownRole), Close: true},
 		},
 		"unknown management record": {encodeRecord(77, 0, ""), Reply{Data: encodeUnknownType(77)}},
 		"requested variables": {
@@ -178,7 +178,7 @@
 			join(encodeBegin(1, 1, 0), encodeRecord(typeStdin, 1, big), encodeRecord(typeStdin, 1, big)),
 			Rejected{1, false, ErrTooLarge},
 		},
-		"too many requests": {join(many, encodeBegin(1, 1, 1)), Reply{Data: AppendEnd(nil, 1, 0, Overloaded)}},
+		"too many requests": {join(many, encodeBegin(1, 1, 1)), Reply{Data: AppendEnd(nil, 1, 0, StatusOverloaded)}},
 	} {
 		var d Decoder
 		events := decodeAll(t, &d, join(c.in, rest))
--- a/internal/fastcgi/response.go
+++ b/internal/fastcgi/response.go
@@ -17,7 +17,7 @@
 	dst = appendStdout(dst, id, r.head())
 	dst = appendStdout(dst, id, r.Body)
 	dst = appendHeader(dst, typeStdout, id, 0) // ends the output
-	return AppendEnd(dst, id, 0, Complete)
+	return AppendEnd(dst, id, 0, StatusComplete)
 }
 
 // head returns the CGI header block with the empty line after it.
@@ -45,7 +45,7 @@
 
 // AppendAborted appends to dst the END_REQUEST of a request that the client aborted.
 func AppendAborted(dst []byte, id uint16) []byte {
-	return AppendEnd(dst, id, applicationAborted, Complete)
+	return AppendEnd(dst, id, applicationAborted, StatusComplete)
 }
 
 // AppendEnd appends to dst an END_REQUEST with the application's status and the protocol's.
--- a/internal/proxy/partialrequest.go
+++ b/internal/proxy/partialrequest.go
@@ -23,7 +23,7 @@
 	for _, id := range c.decoder.DropPartial() {
 		c.completeRequests++
 		c.server.counters.countNotServed(policy.ReasonMemory)
-		c.conn.Write(fastcgi.AppendEnd(nil, id, 0, fastcgi.Overloaded))
+		c.conn.Write(fastcgi.AppendEnd(nil, id, 0, fastcgi.StatusOverloaded))
 	}
 	missing := fastcgi.MissingBytes(record)
 	if missing == 0 || len(record) < minSkippedBytes {
--- a/internal/proxy/responder.go
+++ b/internal/proxy/responder.go
@@ -34,7 +34,7 @@
 	case Rejected:
 		r.write(fastcgi.Response{Status: statusServiceUnavailable, Headers: retryAfterHeader(a)})
 	case Overloaded:
-		r.conn.finishRequest(r.id, fastcgi.AppendEnd(nil, r.id, 0, fastcgi.Overloaded))
+		r.conn.finishRequest(r.id, fastcgi.AppendEnd(nil, r.id, 0, fastcgi.StatusOverloaded))
 	default:
 		r.write(fastcgi.Response{Status: statusBadGateway})
 	}
