--- a/internal/proxy/watchstream.go
+++ b/internal/proxy/watchstream.go
@@ -75,7 +75,7 @@
 func (s *watchStream) Receive(data []byte) (used int, err error) {
 	for {
 		n, line, err := watch.NextLine(data[used:])
-		if errors.Is(err, watch.ErrTooLong) { // a new stream would carry the same line
+		if errors.Is(err, watch.ErrLineTooLong) { // a new stream would carry the same line
 			s.discardingLine = true
 			return len(data), nil
 		}
--- a/internal/watch/framing.go
+++ b/internal/watch/framing.go
@@ -12,8 +12,8 @@
 // ErrMalformed says that a line is neither an event nor a heartbeat.
 var ErrMalformed = errors.New("watch: malformed line")
 
-// ErrTooLong says that a line has not ended within MaxLineBytes. It wraps ErrMalformed.
-var ErrTooLong = fmt.Errorf("%w: over %d bytes", ErrMalformed, MaxLineBytes)
+// ErrLineTooLong says that a line has not ended within MaxLineBytes. It wraps ErrMalformed.
+var ErrLineTooLong = fmt.Errorf("%w: over %d bytes", ErrMalformed, MaxLineBytes)
 
 // NextLine splits the first line off data. used is its length with the line feed, 0 if data has no complete
 // line.
@@ -23,7 +23,7 @@
 		return end + 1, data[:end], nil
 	}
 	if len(data) > MaxLineBytes {
-		return 0, nil, ErrTooLong
+		return 0, nil, ErrLineTooLong
 	}
 	return 0, nil, nil
 }
