--- a/internal/proxy/coordinatorclock_test.go
+++ b/internal/proxy/coordinatorclock_test.go
@@ -41,7 +41,7 @@
 // decision module.
 func (c *clockTest) report(ago time.Duration) time.Duration {
 	c.p.pendingEvents = nil
-	c.p.applyEvent(watch.Event{Purge: &watch.Purge{Object: "x", At: (c.correctStart - ago).Milliseconds()}}, c.p.loop.Now())
+	c.p.applyEvent(watch.Event{Purge: &watch.Purge{Object: "x", AtMillis: (c.correctStart - ago).Milliseconds()}}, c.p.loop.Now())
 	return c.p.pendingEvents[len(c.p.pendingEvents)-1].(policy.Purge).Age
 }
 
@@ -90,7 +90,7 @@
 func TestInitialPurgeAgesWithWrongClock(t *testing.T) {
 	c := newClockTest(t, time.Hour)
 	purge := func(ago time.Duration) watch.Event {
-		return watch.Event{Purge: &watch.Purge{Object: "x", At: (c.correctStart - ago).Milliseconds()}}
+		return watch.Event{Purge: &watch.Purge{Object: "x", AtMillis: (c.correctStart - ago).Milliseconds()}}
 	}
 	c.p.applyInitialState([]watch.Event{purge(5 * time.Second), purge(2 * time.Second)})
 	for i, want := range []time.Duration{3 * time.Second, 0} {
@@ -121,7 +121,7 @@
 			object = "x"
 		}
 		c.p.pendingEvents = nil
-		c.p.applyEvent(watch.Event{Purge: &watch.Purge{Object: object, At: (loop.Now() - ago).Milliseconds()}}, c.p.loop.Now())
+		c.p.applyEvent(watch.Event{Purge: &watch.Purge{Object: object, AtMillis: (loop.Now() - ago).Milliseconds()}}, c.p.loop.Now())
 		for _, ev := range c.p.pendingEvents {
 			router.Handle(loop.Now(), ev)
 		}
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -96,8 +96,8 @@
 // converted, because each may correct the clock.
 func (t *endpointTable) observeStarts(update *watch.EndpointUpdate) {
 	for _, entry := range update.Endpoints {
-		if entry.Started != 0 {
-			t.clock.observe(time.Duration(entry.Started)*time.Millisecond, 0)
+		if entry.StartedMillis != 0 {
+			t.clock.observe(time.Duration(entry.StartedMillis)*time.Millisecond, 0)
 		}
 	}
 }
@@ -112,16 +112,16 @@
 		return endpoint
 	}
 	if !fullList { // a full list may have thousands of entries
-		t.log.Info("endpoint changed", "server", entry.ID, "state", entry.State, "started_ms", entry.Started)
+		t.log.Info("endpoint changed", "server", entry.ID, "state", entry.State, "started_ms", entry.StartedMillis)
 	}
 	if endpoint.State == policy.Removed {
 		return endpoint
 	}
 	before, known := t.startMillis[entry.ID]
-	if known && before != entry.Started {
+	if known && before != entry.StartedMillis {
 		t.pools.DiscardConns(entry.ID)
 	}
-	t.startMillis[entry.ID] = entry.Started
+	t.startMillis[entry.ID] = entry.StartedMillis
 	t.pools.SetAddress(entry.ID, addr)
 	return endpoint
 }
@@ -131,7 +131,7 @@
 	endpoint := policy.Endpoint{
 		ID:      entry.ID,
 		State:   endpointStates[entry.State],
-		Started: t.startTime(entry.Started),
+		Started: t.startTime(entry.StartedMillis),
 		Kind:    slices.Index(t.kinds, entry.Kind),
 		Zone:    slices.Index(t.zones, entry.Zone),
 		Weight:  entry.Weight,
--- a/internal/proxy/endpoints_test.go
+++ b/internal/proxy/endpoints_test.go
@@ -37,7 +37,7 @@
 	serving, draining, removed := policy.Ready, policy.Draining, policy.Removed
 	table.clock = newClockTest(t, 0).p.clock
 	restarted := entry("a", watch.StateServing, "hub")
-	restarted.Started = table.clock.loop.Now().Milliseconds()
+	restarted.StartedMillis = table.clock.loop.Now().Milliseconds()
 	for _, step := range []struct {
 		name   string
 		update watch.EndpointUpdate
@@ -96,7 +96,7 @@
 	c.p.clock.notify = func(ev policy.Event) { corrected += ev.(policy.ClockCorrection).Offset }
 	entry := func(id string, started eventloop.Timestamp) watch.Endpoint {
 		return watch.Endpoint{
-			ID: id, State: watch.StateServing, Kind: "std", Zone: "edge", Addr: "127.0.0.1:1", Started: started.Milliseconds(),
+			ID: id, State: watch.StateServing, Kind: "std", Zone: "edge", Addr: "127.0.0.1:1", StartedMillis: started.Milliseconds(),
 		}
 	}
 	first := entry("a", c.correctStart-2*behind)
--- a/internal/proxy/invariants.go
+++ b/internal/proxy/invariants.go
@@ -107,7 +107,7 @@
 // observeEvent records the drains and purges of a watch event. It must be called before the event is applied.
 func (c *invariantChecker) observeEvent(ev watch.Event) {
 	now := c.p.loop.Now()
-	if ev.Purge != nil && ev.Purge.At > 0 {
+	if ev.Purge != nil && ev.Purge.AtMillis > 0 {
 		c.recordPurge(ev.Purge, now)
 	}
 	if ev.Endpoints != nil {
@@ -154,8 +154,8 @@
 	default:
 		return
 	}
-	if c.purges[key].createdBefore < purge.At {
-		c.purges[key] = purgeRecord{createdBefore: purge.At, receivedAt: now}
+	if c.purges[key].createdBefore < purge.AtMillis {
+		c.purges[key] = purgeRecord{createdBefore: purge.AtMillis, receivedAt: now}
 	}
 }
 
--- a/internal/proxy/invariants_test.go
+++ b/internal/proxy/invariants_test.go
@@ -115,7 +115,7 @@
 		checker := newInvariantChecker(p, func(text string) { reports = append(reports, text) })
 		group := purgedGroup
 		checker.observeEvent(watch.Event{
-			Purge: &watch.Purge{Group: &group, At: 1000},
+			Purge: &watch.Purge{Group: &group, AtMillis: 1000},
 			Endpoints: &watch.EndpointUpdate{Endpoints: []watch.Endpoint{
 				{ID: drained, State: watch.StateDraining}, {ID: served, State: watch.StateServing},
 			}},
--- a/internal/proxy/watch_test.go
+++ b/internal/proxy/watch_test.go
@@ -67,8 +67,8 @@
 		t.Fatal(err)
 	}
 	p := newEventProxy(loop)
-	p.applyEvent(watch.Event{Purge: &watch.Purge{Object: "w", At: loop.Now().Milliseconds()}}, loop.Now()) // shows that the clock is right
-	p.applyEvent(watch.Event{Purge: &watch.Purge{Object: "x", At: time.Now().Add(-ago).UnixMilli()}}, loop.Now())
+	p.applyEvent(watch.Event{Purge: &watch.Purge{Object: "w", AtMillis: loop.Now().Milliseconds()}}, loop.Now()) // shows that the clock is right
+	p.applyEvent(watch.Event{Purge: &watch.Purge{Object: "x", AtMillis: time.Now().Add(-ago).UnixMilli()}}, loop.Now())
 	if age := p.pendingEvents[1].(policy.Purge).Age; age < ago-suspended-time.Second || age > ago-suspended+time.Second {
 		t.Errorf("the purge counts as %v old, want about %v, its age when the turn began", age, ago-suspended)
 	}
--- a/internal/proxy/watchevents.go
+++ b/internal/proxy/watchevents.go
@@ -32,7 +32,7 @@
 func (p *Proxy) applyInitialState(events []watch.Event) {
 	for _, ev := range events {
 		if ev.Purge != nil {
-			purgedAt := time.Duration(ev.Purge.At) * time.Millisecond
+			purgedAt := time.Duration(ev.Purge.AtMillis) * time.Millisecond
 			p.clock.newestInitialPurge = max(p.clock.newestInitialPurge, purgedAt)
 		}
 	}
@@ -81,9 +81,9 @@
 // could not be decoded purges every group.
 func (p *Proxy) processPurge(purge *watch.Purge, publishedAfter eventloop.Timestamp) {
 	age := time.Duration(0)
-	if purge.At != 0 {
-		p.clock.observe(time.Duration(purge.At)*time.Millisecond, publishedAfter)
-		age = p.clock.age(purge.At)
+	if purge.AtMillis != 0 {
+		p.clock.observe(time.Duration(purge.AtMillis)*time.Millisecond, publishedAfter)
+		age = p.clock.age(purge.AtMillis)
 	}
 	switch {
 	case purge.Object != "":
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -16,14 +16,14 @@
 
 // Endpoint is an entry of the endpoint list. An entry with an unknown state is decoded as deleted.
 type Endpoint struct {
-	ID      string  `json:"id"`
-	Addr    string  `json:"addr"` // IP address and port
-	Zone    string  `json:"zone"` // name of its location
-	Kind    string  `json:"kind"` // name of its host type
-	Cell    int     `json:"cell"` // group of servers that share deduplication state
-	State   string  `json:"state"`
-	Weight  float64 `json:"weight"`     // relative capacity
-	Started int64   `json:"started_ms"` // Unix milliseconds of the server's last start; 0: long ago
+	ID            string  `json:"id"`
+	Addr          string  `json:"addr"` // IP address and port
+	Zone          string  `json:"zone"` // name of its location
+	Kind          string  `json:"kind"` // name of its host type
+	Cell          int     `json:"cell"` // group of servers that share deduplication state
+	State         string  `json:"state"`
+	Weight        float64 `json:"weight"`     // relative capacity
+	StartedMillis int64   `json:"started_ms"` // Unix milliseconds of the server's last start; 0: long ago
 }
 
 // EndpointUpdate is the complete endpoint list, or changes to it.
@@ -35,9 +35,9 @@
 // Purge is the removal of cached copies: of an object, of a group if Object is empty, or of everything if
 // Group is nil too. A purge that is malformed or has no target is decoded as one of everything.
 type Purge struct {
-	Object string `json:"ref"`
-	Group  *int   `json:"shard"`
-	At     int64  `json:"unix_ms"` // Unix milliseconds of the purge; 0: unknown
+	Object   string `json:"ref"`
+	Group    *int   `json:"shard"`
+	AtMillis int64  `json:"unix_ms"` // Unix milliseconds of the purge; 0: unknown
 }
 
 // Event is an event of the stream, or a heartbeat.
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -12,7 +12,7 @@
 	group := 0
 	endpoint := Endpoint{
 		ID: "s-1", Addr: "10.1.0.9:7001", Zone: "east", Kind: "std", Cell: 2,
-		State: StateServing, Weight: 4, Started: 5,
+		State: StateServing, Weight: 4, StartedMillis: 5,
 	}
 	for _, tt := range []struct {
 		line      string
@@ -26,11 +26,11 @@
 		},
 		{
 			line: `{"index":42,"evict":{"ref":"7f3a","unix_ms":1764576000123}}`,
-			want: Event{Index: 42, Purge: &Purge{Object: "7f3a", At: 1764576000123}},
+			want: Event{Index: 42, Purge: &Purge{Object: "7f3a", AtMillis: 1764576000123}},
 		},
 		{
 			line: `{"index":43,"evict":{"shard":0,"unix_ms":1}}`,
-			want: Event{Index: 43, Purge: &Purge{Group: &group, At: 1}},
+			want: Event{Index: 43, Purge: &Purge{Group: &group, AtMillis: 1}},
 		},
 		{line: "43", want: Event{Index: 43}, heartbeat: true},
 		{line: "43\r", want: Event{Index: 43}, heartbeat: true},
