--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -76,7 +76,7 @@
 			disconnect(t, f.client)
 			time.Sleep(20 * time.Millisecond) // on loopback it arrives much sooner
 			f.clock.now += 200 * time.Millisecond
-			f.p.processEvents()
+			f.p.runEventQueue()
 			if want := name == "nothing"; a.started != want {
 				t.Errorf("call started: %v", a.started)
 			}
--- a/internal/proxy/partialcall_test.go
+++ b/internal/proxy/partialcall_test.go
@@ -75,7 +75,7 @@
 			if err := loop.Wait(time.Millisecond); err != nil {
 				t.Fatal(err)
 			}
-			p.processEvents()
+			p.runEventQueue()
 		}
 	}
 	submit := func(id string) *request {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -77,7 +77,7 @@
 	}
 	p.applyConfig(newRuntimeConfig(cfg.Settings, cfg.TransferBytesPerSecond))
 	p.applyInitialState(cfg.InitialState.Events)
-	p.processEvents()
+	p.runEventQueue()
 	p.closeIdleUpstreams()
 	return p
 }
@@ -101,17 +101,17 @@
 		if err := p.loop.Wait(maxPollTime); err != nil {
 			return fmt.Errorf("event loop: %w", err)
 		}
-		p.processEvents()
+		p.runEventQueue()
 		p.pollReload(signals)
 		p.advancePhase(signals.Stop)
 	}
 	return nil
 }
 
-// processEvents dispatches events and writes output until no event is queued. While clients are to be
+// runEventQueue dispatches events and writes output until no event is queued. While clients are to be
 // disconnected, it closes their connections last, when everything that has been received is processed and all
 // output of the turn is written.
-func (p *Proxy) processEvents() {
+func (p *Proxy) runEventQueue() {
 	for {
 		p.dispatchEvents()
 		p.loop.Flush()
