--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -72,7 +72,7 @@
 		}},
 	}, slog.New(slog.DiscardHandler))
 	in := Request{ID: "9b1f03aa5c7e2d41", ClassName: "w", Object: "7f3a9c21e0b4d655", Timeout: time.Minute}
-	id := p.Submit(in, discardResponder{})
+	id := p.submitRequest(in, discardResponder{})
 	p.dispatchEvents() // queues the call on a connection that is not established yet
 	a := p.requests[id].attempts[0]
 	first := a.upstream.conn
--- a/internal/proxy/call.go
+++ b/internal/proxy/call.go
@@ -98,7 +98,7 @@
 	a.p.log.Info("attempt not sent", "request", a.req.ID, "attempt", a.number, "server", a.target,
 		"rule", verdict.Rule, "reason", verdict.Reason)
 	if verdict.Rule == policy.RuleClientDisconnected {
-		a.p.CancelAfterDisconnect(a.req.number)
+		a.p.cancelAfterDisconnect(a.req.number)
 	}
 	return policy.Fetch{}, false
 }
--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -16,7 +16,7 @@
 // is serving.
 const healthPath = "/alive"
 
-// notSubmitted takes the place of a request's number while the request is blocked, or while Submit decides
+// notSubmitted takes the place of a request's number while the request is blocked, or while submitRequest decides
 // whether to admit it.
 const notSubmitted = 0
 
@@ -132,7 +132,7 @@
 
 // mustBlock reports whether the next request is blocked, because of backpressure or because earlier requests
 // are blocked, as requests are submitted in the order in which they arrived. A request that would be rejected
-// anyway is not blocked: Submit rejects it.
+// anyway is not blocked: submitRequest rejects it.
 func (c *clientConn) mustBlock() bool {
 	if !c.isBackpressured() && len(c.blocked) == 0 {
 		return false
@@ -154,11 +154,11 @@
 	to.write(fastcgi.Response{Status: status})
 }
 
-// submit submits a request. The request is marked as open before Submit is called, because Submit may answer
-// it, which removes the mark.
+// submit submits a request. The request is marked as open before submitRequest is called, because that may
+// answer it, which removes the mark.
 func (c *clientConn) submit(parsed Request, to *responder) {
 	c.openRequests[to.id] = notSubmitted
-	number := c.server.handler.Submit(parsed, to)
+	number := c.server.handler.submitRequest(parsed, to)
 	if number != notSubmitted {
 		c.openRequests[to.id] = number
 	}
@@ -168,7 +168,7 @@
 // FastCGI requires, after which the client may use the request's id again.
 func (c *clientConn) handleAbort(id uint16) {
 	c.setBlocked(slices.DeleteFunc(c.blocked, func(b blockedRequest) bool { return b.request.ID == id }))
-	c.server.handler.HandleDisconnect(c.openRequests[id])
+	c.server.handler.handleDisconnect(c.openRequests[id])
 	c.finishRequest(id, fastcgi.AppendAborted(nil, id))
 }
 
--- a/internal/proxy/disconnect.go
+++ b/internal/proxy/disconnect.go
@@ -54,7 +54,7 @@
 func (c *clientConn) cancelOpenRequests() {
 	c.rejectOverdueBlocked(math.MaxInt64)
 	for _, number := range c.openRequests {
-		c.server.handler.CancelAfterDisconnect(number)
+		c.server.handler.cancelAfterDisconnect(number)
 	}
 }
 
--- a/internal/proxy/fastcgiserver.go
+++ b/internal/proxy/fastcgiserver.go
@@ -29,21 +29,21 @@
 )
 
 // requestHandler is the FastCGI server's interface to the proxy. Its methods are called on the loop's goroutine
-// and must not block. Requests are identified by the number that Submit returned; numbers of requests that have
-// ended, and 0, are ignored.
+// and must not block. Requests are identified by the number that submitRequest returned; numbers of requests that
+// have ended, and 0, are ignored.
 type requestHandler interface {
 	// classIndex returns a class's index in the settings.
 	classIndex(name string) (index int, known bool)
-	// Submit takes a complete request and returns its number, or 0 when the request was answered at once.
-	// Every request gets exactly one answer, unless HandleDisconnect or handleConnectionClosed ends it first.
-	Submit(in Request, to Responder) int64
+	// submitRequest takes a complete request and returns its number, or 0 when the request was answered at once.
+	// Every request gets exactly one answer, unless handleDisconnect or handleConnectionClosed ends it first.
+	submitRequest(in Request, to Responder) int64
 	// rejectUnsubmitted counts and answers a request that has never been submitted.
 	rejectUnsubmitted(in Request, to Responder, a Answer)
-	// HandleDisconnect ends a request that its client has aborted. It gets no answer.
-	HandleDisconnect(number int64)
-	// CancelAfterDisconnect cancels a request whose client has probably disconnected. It answers the request at
+	// handleDisconnect ends a request that its client has aborted. It gets no answer.
+	handleDisconnect(number int64)
+	// cancelAfterDisconnect cancels a request whose client has probably disconnected. It answers the request at
 	// once, as the client may have closed only its sending side.
-	CancelAfterDisconnect(number int64)
+	cancelAfterDisconnect(number int64)
 	// handleConnectionClosed ends a request whose connection has closed. evicted says that it was closed to
 	// make room for another client, which must not happen while a request is open.
 	handleConnectionClosed(number int64, evicted bool)
--- a/internal/proxy/partialcall_test.go
+++ b/internal/proxy/partialcall_test.go
@@ -80,7 +80,7 @@
 	}
 	submit := func(id string) *request {
 		in := Request{ID: id, ClassName: "r", Object: "7f3a9c21e0b4d655", Timeout: time.Minute}
-		return p.requests[p.Submit(in, discardResponder{})]
+		return p.requests[p.submitRequest(in, discardResponder{})]
 	}
 	allowWrites := blockWrites(t)
 	cancelled := submit("0000000000000001")
@@ -91,7 +91,7 @@
 	if other.attempts[0].upstream != shared {
 		t.Fatal("the calls do not share a connection")
 	}
-	p.HandleDisconnect(cancelled.number)
+	p.handleDisconnect(cancelled.number)
 	turnUntil(func() bool { return cancelled.attempts[0].ended })
 	clock.now += maxPartialWriteTime + time.Millisecond
 	turnUntil(func() bool { return shared.conn.Ended() })
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -44,9 +44,9 @@
 // isIdempotent reports whether the request may be executed any number of times.
 func (q *request) isIdempotent() bool { return q.idempotency == policy.Idempotent }
 
-// Submit admits a request whose last byte has just been received. It returns the request's number, which
-// HandleDisconnect and CancelAfterDisconnect take, or 0 if the request was answered with a rejection.
-func (p *Proxy) Submit(in Request, responder Responder) int64 {
+// submitRequest admits a request whose last byte has just been received. It returns the request's number, which
+// handleDisconnect and cancelAfterDisconnect take, or 0 if the request was answered with a rejection.
+func (p *Proxy) submitRequest(in Request, responder Responder) int64 {
 	verdict := p.mayAdmit(in, responder)
 	if !p.counters.recordVerdict(actionStart, verdict) {
 		p.log.Info("request not admitted", "request", in.ID, "rule", verdict.Rule, "reason", verdict.Reason)
@@ -177,9 +177,9 @@
 	q.timer = p.loop.At(deadline, func() { p.expire(q) })
 }
 
-// HandleDisconnect gives up a request whose client aborted it or has disconnected. The request gets no answer
+// handleDisconnect gives up a request whose client aborted it or has disconnected. The request gets no answer
 // and counts as failed.
-func (p *Proxy) HandleDisconnect(number int64) {
+func (p *Proxy) handleDisconnect(number int64) {
 	q := p.requests[number]
 	if q == nil || q.finished {
 		return
@@ -195,13 +195,13 @@
 	if q := p.requests[number]; q != nil {
 		p.invariants.checkConnectionClosed(q, evicted)
 	}
-	p.HandleDisconnect(number)
+	p.handleDisconnect(number)
 }
 
-// CancelAfterDisconnect answers a request whose client has probably disconnected, and cancels its attempts. A
+// cancelAfterDisconnect answers a request whose client has probably disconnected, and cancels its attempts. A
 // client that has closed only its sending side learns from the answer whether the request may have been
 // executed.
-func (p *Proxy) CancelAfterDisconnect(number int64) {
+func (p *Proxy) cancelAfterDisconnect(number int64) {
 	q := p.requests[number]
 	if q == nil || q.finished {
 		return
