--- a/policy/actions.go
+++ b/policy/actions.go
@@ -8,12 +8,12 @@
 type Action interface{ action() }
 
 // Fetch sends a request's next attempt to Target. The fields from RetentionRank on are fetch options, which
-// tell Target how to serve it (fillorders.go); for an uncacheable request they are zero.
+// tell Target how to serve it (fetchoptions.go); for an uncacheable request they are zero.
 type Fetch struct {
 	ID                   int64 // of the request
 	Target               string
 	Source               string        // fills a miss; Target itself if nothing is filled
-	RetentionRank        int           // of the filled copy, see fillorders.go; 0: it is not cached
+	RetentionRank        int           // of the filled copy, see fetchoptions.go; 0: it is not cached
 	MaxAge               time.Duration // maximum age of a copy; 0: that of the class
 	CoalesceFill         bool          // a miss may wait for a fill that is in progress
 	SourceCachedOnly     bool          // the source answers only with what it has cached
--- a/policy/router.go
+++ b/policy/router.go
@@ -6,7 +6,7 @@
 // its own:
 //
 //   - requests: request.go (their life cycle), attempt.go, routing.go (cache, parent or origin), selection.go
-//     (which endpoint of a tier), fillsource.go and fillorders.go (misses), retry.go, overdue.go,
+//     (which endpoint of a tier), fillsource.go and fetchoptions.go (misses), retry.go, overdue.go,
 //     idempotency.go
 //   - limits on load: loadshedding.go, slowstart.go, originlimit.go, outliers.go
 //   - state and estimates: endpoints.go, links.go, linkpace.go, transfertime.go, cacheindex.go, purges.go,
