--- a/cmd/edgeproxy/main.go
+++ b/cmd/edgeproxy/main.go
@@ -22,7 +22,7 @@
 	startupRetryTimeout  = 5 * time.Second
 	startupRetryInterval = 20 * time.Millisecond
 	// logFlushTimeout is how long the program waits at its end for the last log lines to be written.
-	logFlushTimeout = proxy.KillMargin / 4
+	logFlushTimeout = proxy.ExitMargin / 4
 	// heapLimitPercent is the percentage of the process's memory limit that is set as the garbage collector's
 	// limit. The rest is for memory that the collector does not count.
 	heapLimitPercent = 60
@@ -83,7 +83,7 @@
 		return err
 	}
 	p.WatchCoordinator(cfg.coordinator, cfg.KnownState.Index)
-	return p.Run(proxy.Signals{Stop: s.stop, Reload: s.reload, Load: cfg.reloader(logger)})
+	return p.Run(proxy.Signals{Stop: s.stop, Reload: s.reload, LoadConfig: cfg.reloader(logger)})
 }
 
 // newLoop returns an event loop with a clock.
@@ -99,12 +99,12 @@
 
 // openListeners opens the listening sockets for clients and, if an address is configured, for operators.
 func openListeners(p *proxy.Proxy, cfg *config) error {
-	maxClients := proxy.ClientSockets(cfg.Limits.Sockets)
+	maxClientConns := proxy.MaxClientConns(cfg.Limits.Sockets)
 	err := retryOnResourceShortage(func() error {
 		if cfg.inheritedListenFD != 0 {
-			return p.ListenOn(cfg.inheritedListenFD, maxClients)
+			return p.ListenOn(cfg.inheritedListenFD, maxClientConns)
 		}
-		return p.Listen(cfg.listen, maxClients)
+		return p.Listen(cfg.listen, maxClientConns)
 	})
 	if err != nil || cfg.Admin == "" {
 		return err
@@ -118,7 +118,7 @@
 	end := time.Now().Add(startupRetryTimeout)
 	for {
 		err := step()
-		if !errors.Is(err, eventloop.ErrLocalResources) || time.Now().After(end) {
+		if !errors.Is(err, eventloop.ErrLocalResourcesExhausted) || time.Now().After(end) {
 			return err
 		}
 		time.Sleep(startupRetryInterval)
--- a/internal/connpool/conn.go
+++ b/internal/connpool/conn.go
@@ -49,9 +49,9 @@
 // EndpointID returns the ID of the endpoint that the connection belongs to.
 func (c *PooledConn) EndpointID() string { return c.pool.id }
 
-// MarkAlive records that input has arrived since the first use in progress began, which shows that the
+// RecordInput records that input has arrived since the first use in progress began, which shows that the
 // connection had not been lost.
-func (c *PooledConn) MarkAlive() {
+func (c *PooledConn) RecordInput() {
 	if c.pendingBucket != noBucket {
 		c.pool.pools.idleLoss.recordSuccess(c.pendingBucket)
 		c.pendingBucket = noBucket
@@ -81,14 +81,14 @@
 	c.pool.pools.connCount -= before - len(c.pool.conns)
 }
 
-// ConnectPatience returns how long a connection to this endpoint may take to be established before it is
+// OverdueAfter returns how long a connection to this endpoint may take to be established before it is
 // overdue.
-func (c *PooledConn) ConnectPatience() time.Duration {
+func (c *PooledConn) OverdueAfter() time.Duration {
 	return max(minOverdueAfter, overdueFactor*c.pool.medianConnectTime)
 }
 
-// overdue reports whether the connection has not been established within ConnectPatience.
-func (c *PooledConn) overdue() bool { return !c.Connected() && c.Age() > c.ConnectPatience() }
+// overdue reports whether the connection has not been established within OverdueAfter.
+func (c *PooledConn) overdue() bool { return !c.Connected() && c.Age() > c.OverdueAfter() }
 
 // recordConnect updates the estimated median with the connection's connect time, once. The estimate moves up
 // or down by a small step whatever the difference, so that a few very long connect times do not raise it
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -55,8 +55,8 @@
 	previousPollEnd Timestamp     // pollEnd of the last complete poll before this turn; this turn's events are later
 }
 
-// NewLoop returns an empty loop that reads its time from clock. The error wraps ErrLocalResources if it may
-// be temporary.
+// NewLoop returns an empty loop that reads its time from clock. The error wraps ErrLocalResourcesExhausted if
+// it may be temporary.
 func NewLoop(clock TimeSource) (*Loop, error) {
 	epollFD, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
@@ -79,8 +79,8 @@
 // EarliestArrival returns a time before which none of the input that is read in this turn had arrived.
 func (l *Loop) EarliestArrival() Timestamp { return l.previousPollEnd }
 
-// CurrentTime reads the clock. It is for uses for which the time of the turn may be too old.
-func (l *Loop) CurrentTime() Timestamp { return l.clock.Now() }
+// ReadClock reads the clock. It is for uses for which the time of the turn may be too old.
+func (l *Loop) ReadClock() Timestamp { return l.clock.Now() }
 
 // BufferedBytes returns the size of all connections' buffers: input not consumed and output not written.
 func (l *Loop) BufferedBytes() int { return l.bufferedBytes }
--- a/internal/proxy/call.go
+++ b/internal/proxy/call.go
@@ -41,7 +41,7 @@
 	if a.ended || a.started || a.lastSequence != e.sequence {
 		return nil, false
 	}
-	now := a.p.loop.CurrentTime() // the process may have been suspended since the turn began
+	now := a.p.loop.ReadClock() // the process may have been suspended since the turn began
 	fetch, allowed := a.maySend(now)
 	if !allowed {
 		a.p.endAttempt(a, resp.Answer{}, policy.ResultNotSent)
@@ -68,7 +68,7 @@
 		KnownVersion:         a.req.KnownVersion,
 		IdempotencyKey:       a.req.IdempotencyKey,
 		CoalesceFill:         fetch.CoalesceFill,
-		CachedOnly:           fetch.CachedOnly,
+		SourceCachedOnly:     fetch.SourceCachedOnly,
 		StaleWhileRevalidate: fetch.StaleWhileRevalidate,
 		Body:                 a.req.Body,
 	}
@@ -98,7 +98,7 @@
 	a.p.log.Info("attempt not sent", "request", a.req.ID, "attempt", a.number, "server", a.target,
 		"rule", verdict.Rule, "reason", verdict.Reason)
 	if verdict.Rule == policy.RuleClientDisconnected {
-		a.p.CancelAfterDisconnect(a.req.number)
+		a.p.cancelAfterDisconnect(a.req.number)
 	}
 	return policy.Fetch{}, false
 }
@@ -109,7 +109,7 @@
 	a.upstream.recordSent()
 	a.p.invariants.checkSent(a)
 	if !complete {
-		a.p.loop.At(a.p.loop.CurrentTime()+maxPartialWriteTime, a.failPartialWrite)
+		a.p.loop.At(a.p.loop.ReadClock()+maxPartialWriteTime, a.failPartialWrite)
 	}
 }
 
--- a/internal/proxy/disconnect.go
+++ b/internal/proxy/disconnect.go
@@ -35,14 +35,14 @@
 	if c.disconnectedSince == 0 {
 		return DisconnectState{}
 	}
-	graceOver := c.server.loop.CurrentTime() >= c.disconnectedSince+disconnectGrace
+	graceOver := c.server.loop.ReadClock() >= c.disconnectedSince+disconnectGrace
 	return DisconnectState{Since: c.disconnectedSince, GraceOver: graceOver}
 }
 
 // pollClient reads what the client has sent since the turn began, if both the start of the turn and the last
 // poll are longer ago than clientPollInterval: the client may have disconnected or aborted a request meanwhile.
 func (c *clientConn) pollClient() {
-	now := c.server.loop.CurrentTime()
+	now := c.server.loop.ReadClock()
 	lastRead := max(c.polledAt, c.server.loop.Now())
 	if now-lastRead > clientPollInterval {
 		c.polledAt = now
@@ -54,7 +54,7 @@
 func (c *clientConn) cancelOpenRequests() {
 	c.rejectOverdueBlocked(math.MaxInt64)
 	for _, number := range c.openRequests {
-		c.server.handler.CancelAfterDisconnect(number)
+		c.server.handler.cancelAfterDisconnect(number)
 	}
 }
 
--- a/internal/proxy/result.go
+++ b/internal/proxy/result.go
@@ -47,7 +47,7 @@
 	resp.CacheStatusStale:          policy.CacheStatusStale,
 	resp.CacheStatusSourceRejected: policy.CacheStatusSourceRejected,
 	resp.CacheStatusSourceFailed:   policy.CacheStatusSourceFailed,
-	resp.CacheStatusSourceMissing:  policy.CacheStatusSourceMissing,
+	resp.CacheStatusSourceMiss:     policy.CacheStatusSourceMiss,
 	resp.CacheStatusNoFillCapacity: policy.CacheStatusNoFillCapacity,
 	resp.CacheStatusOriginFailed:   policy.CacheStatusOriginFailed,
 }
@@ -107,7 +107,7 @@
 // resultOfConnectError returns the result of an attempt whose connection was not established. A lack of
 // resources on this machine does not count against the server.
 func resultOfConnectError(err error) policy.Result {
-	if errors.Is(err, eventloop.ErrLocalResources) || errors.Is(err, connpool.ErrConnLimit) {
+	if errors.Is(err, eventloop.ErrLocalResourcesExhausted) || errors.Is(err, connpool.ErrConnLimit) {
 		return policy.ResultNotSent
 	}
 	return policy.ResultConnectFailed
@@ -160,14 +160,14 @@
 	a.result = result
 	p.invariants.observeEnd(a, result)
 	p.notify(policy.Outcome{
-		ID:              a.req.number,
-		Attempt:         a.number,
-		Result:          result,
-		CacheStatus:     cacheStatuses[ans.CacheStatus],
-		Elapsed:         p.loop.Now() - a.createdAt,
-		SourceFirstByte: ans.SourceFirstByte,
-		TransferTime:    p.config.transferTime(len(ans.Body)),
-		RequestFinished: a.req.finished,
+		ID:                   a.req.number,
+		Attempt:              a.number,
+		Result:               result,
+		CacheStatus:          cacheStatuses[ans.CacheStatus],
+		Elapsed:              p.loop.Now() - a.createdAt,
+		SourceFirstByte:      ans.SourceFirstByte,
+		FullPaceTransferTime: p.config.transferTime(len(ans.Body)),
+		RequestFinished:      a.req.finished,
 	})
 	p.releaseIfDone(a.req)
 }
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -31,15 +31,15 @@
 
 // classDocument describes one class of requests.
 type classDocument struct {
-	Name                    string        `json:"name"`
-	Idempotency             string        `json:"semantics"` // see idempotencyOf
-	DeduplicationScope      string        `json:"key-scope"` // see scopeOf
-	DeduplicationWindow     microseconds  `json:"window-us"` // how long a repeat with the same key is dropped
-	Deadline                *microseconds `json:"deadline-us"`
-	LatencyObjective        microseconds  `json:"promise-us"`
-	LatencyObjectiveStretch float64       `json:"aim-stretch"` // multiple of the transfer time added to it
-	PriorityWeight          float64       `json:"gain"`
-	Stream                  bool          `json:"stream"` // its answers are streamed
+	Name                        string        `json:"name"`
+	Idempotency                 string        `json:"semantics"` // see idempotencyOf
+	DeduplicationScope          string        `json:"key-scope"` // see scopeOf
+	DeduplicationWindow         microseconds  `json:"window-us"` // how long a repeat with the same key is dropped
+	Deadline                    *microseconds `json:"deadline-us"`
+	LatencyObjective            microseconds  `json:"promise-us"`
+	LatencyObjectivePerTransfer float64       `json:"aim-stretch"` // multiple of the transfer time added to it
+	PriorityWeight              float64       `json:"gain"`
+	Stream                      bool          `json:"stream"` // its answers are streamed
 }
 
 // costsDocument holds the prices of operations.
@@ -82,7 +82,7 @@
 	MaxAttempts       *int         `json:"max-attempts"`     // of one request; after them it is not retried
 	RetryAfter        *bool        `json:"retry-after"`      // rejected clients get a Retry-After; absent: true
 	MaxRetryAfter     microseconds `json:"max-retry-after-us"`
-	MayCancel         bool         `json:"may-cancel"`    // attempts may be cancelled
+	CancelAttempts    bool         `json:"may-cancel"`    // attempts may be cancelled
 	Hedging           bool         `json:"second-copies"` // an overdue attempt may be repeated while it is in flight
 }
 
--- a/policy/events.go
+++ b/policy/events.go
@@ -92,21 +92,21 @@
 	CacheStatusStale                             // the target had a stale copy
 	CacheStatusSourceRejected                    // the source rejected the fill
 	CacheStatusSourceFailed                      // the source did not answer, or answered with an error
-	CacheStatusSourceMissing                     // the source does not have the object
+	CacheStatusSourceMiss                        // the source does not have the object
 	CacheStatusNoFillCapacity                    // the target had no capacity for a fill
 	CacheStatusOriginFailed                      // the origin failed behind the source
 )
 
 // Outcome reports how one attempt ended.
 type Outcome struct {
-	ID              int64 // of the request
-	Attempt         int   // number of the attempt, from 0
-	Result          Result
-	CacheStatus     CacheStatus
-	Elapsed         time.Duration // from the start of the attempt to its end
-	SourceFirstByte time.Duration // the target's wait for the source's first byte; 0: unknown
-	TransferTime    time.Duration // of the answer's bytes at full pace (transfertime.go); 0: unknown
-	RequestFinished bool          // no retry follows
+	ID                   int64 // of the request
+	Attempt              int   // number of the attempt, from 0
+	Result               Result
+	CacheStatus          CacheStatus
+	Elapsed              time.Duration // from the start of the attempt to its end
+	SourceFirstByte      time.Duration // the target's wait for the source's first byte; 0: unknown
+	FullPaceTransferTime time.Duration // of the answer's bytes at full pace (transfertime.go); 0: unknown
+	RequestFinished      bool          // no retry follows
 }
 
 // StreamStarted says that a streamed answer has started. The request is finished; the attempt continues.
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -17,16 +17,16 @@
 		Classes: []Class{
 			{
 				Idempotency: Idempotent, PriorityWeight: 1,
-				LatencyObjective: 500 * ms, LatencyObjectiveStretch: 2,
+				LatencyObjective: 500 * ms, LatencyObjectivePerTransfer: 2,
 			},
 			{
 				Idempotency: Idempotent, PriorityWeight: 1,
-				LatencyObjective: 500 * ms, LatencyObjectiveStretch: 2,
+				LatencyObjective: 500 * ms, LatencyObjectivePerTransfer: 2,
 				FreshFor: 8 * time.Second, StaleFor: 10 * time.Second,
 			},
 			{Idempotency: NonIdempotent, LatencyObjective: 500 * ms, PriorityWeight: 3, Uncacheable: true},
 		},
-		MaxAttempts: 6, MayCancel: true, MaxRetryAfter: time.Second,
+		MaxAttempts: 6, CancelAttempts: true, MaxRetryAfter: time.Second,
 		SlowStartCapacity: 0.2, SlowStartDuration: 10 * time.Second, OverloadMultiple: 2,
 		OverloadWindow:          2 * time.Second,
 		ParentSlowStartCapacity: 0.1, ParentSlowStartDuration: 20 * time.Second, ParentOverloadMultiple: 2,
--- a/policy/originlimit.go
+++ b/policy/originlimit.go
@@ -73,7 +73,7 @@
 		return
 	}
 	a.countsAtOrigin = r.originLimit.admits(r.rng.Float64)
-	a.cachedOnly = !a.countsAtOrigin
+	a.sourceCachedOnly = !a.countsAtOrigin
 }
 
 // updateOriginLimit updates the limit from an attempt's outcome.
@@ -114,6 +114,7 @@
 	}
 	missedObjective := r.now > a.request.objectiveAt
 	transferSeconds := (o.Elapsed - o.SourceFirstByte).Seconds()
-	slow := o.TransferTime > 0 && transferSeconds > slowTransferMultiple*o.TransferTime.Seconds()
+	slow := o.FullPaceTransferTime > 0 &&
+		transferSeconds > slowTransferMultiple*o.FullPaceTransferTime.Seconds()
 	return missedObjective && slow
 }
--- a/policy/request.go
+++ b/policy/request.go
@@ -48,7 +48,7 @@
 		avoid:    map[*endpointState]bool{},
 	}
 	r.estimateTransferTime(req)
-	objective := class.LatencyObjective + durationOf(class.LatencyObjectiveStretch*req.transferSeconds)
+	objective := class.LatencyObjective + durationOf(class.LatencyObjectivePerTransfer*req.transferSeconds)
 	req.objectiveAt = min(r.now+objective-clientDeliveryTime, req.deadline)
 	return req
 }
@@ -105,7 +105,7 @@
 		return
 	}
 	req.finished = true
-	if r.settings.MayCancel && !req.class.Stream {
+	if r.settings.CancelAttempts && !req.class.Stream {
 		r.cancelPending(req)
 	}
 	if req.pendingAttempts == 0 {
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -31,10 +31,10 @@
 	DeduplicationScope  DeduplicationScope
 	DeduplicationWindow time.Duration // how long a repeat with the same key is dropped
 
-	// An answer is in time within LatencyObjective plus LatencyObjectiveStretch times its transfer time.
-	LatencyObjective        time.Duration
-	LatencyObjectiveStretch float64
-	PriorityWeight          float64 // value of an answer that is in time, relative to other classes
+	// An answer is in time within LatencyObjective plus LatencyObjectivePerTransfer times its transfer time.
+	LatencyObjective            time.Duration
+	LatencyObjectivePerTransfer float64
+	PriorityWeight              float64 // value of an answer that is in time, relative to other classes
 
 	FreshFor    time.Duration // age up to which a copy is fresh; 0: until it is purged
 	StaleFor    time.Duration // how long after that it may be served stale
@@ -77,10 +77,10 @@
 	CoalesceFills  bool // a miss may wait for a fill of the same object that is in progress
 	Siblings       Siblings
 
-	MaxAttempts   int           // of one request, retries and hedges included; 0: 2
-	MayCancel     bool          // attempts may be cancelled
-	Hedging       bool          // an overdue attempt may be repeated while it is pending
-	MaxRetryAfter time.Duration // longest Retry-After of a rejection; less than 300 ms counts as 300 ms
+	MaxAttempts    int           // of one request, retries and hedges included; 0: 2
+	CancelAttempts bool          // attempts may be cancelled
+	Hedging        bool          // an overdue attempt may be repeated while it is pending
+	MaxRetryAfter  time.Duration // longest Retry-After of a rejection; less than 300 ms counts as 300 ms
 
 	// Slow start of a cache. It fails when it receives OverloadMultiple times its current capacity for
 	// OverloadWindow.
