--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -26,11 +26,11 @@
 	link      link
 
 	// Fills.
-	firstByteSeconds mean               // its wait as a source
+	firstByteSeconds mean               // wait for its first byte when it is the source
 	misindication    misindicationRatio // as a sibling that probably had an object
 	cacheIndex       *simplelru.LRU[uint64, cacheRecord]
 
-	slowStartAttempts []*attempt // sent within the overload window of a slow start
+	slowStartAttempts []*attempt // that count in its slow-start budget (slowstart.go)
 
 	// Outlier detection.
 	ejections               int // counted ejections; each response lowers the count by one
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -1,17 +1,17 @@
 package policy
 
 // Slow start limits the load on an endpoint that has just started: an empty cache or parent has only a
-// fraction of its capacity, and fails when it receives more than a multiple of that within a window.
+// fraction of its capacity, and fails when it receives more than a multiple of that for a whole window.
 //
 // Inputs: the endpoint's start time, its kind's rules (see slowStartRules) and the attempts that this router
 // has sent to it within the window. Result: the fraction of its capacity that an endpoint has now (0 to 1),
 // and whether one more attempt fits this router's budget.
 //
-// Routers do not coordinate. Each keeps to a quota, an equal share of what the endpoint can take at full
-// capacity, so that all of them together do not overload it. A quota is in transfer seconds per second: a
-// transfer second is the load of a transfer that takes one second at full pace. A router's budget for a
-// window is its quota times the fraction times the window. Where a budget is smaller than one request, the
-// routers take turns.
+// Routers do not coordinate. Each keeps to a quota, slightly less than an equal share of what the endpoint
+// can take at full capacity, so that all of them together do not overload it. A quota is in transfer seconds
+// per second: a transfer second is the load of a transfer that takes one second at full pace. A router's
+// budget for a window is its quota times the fraction times the window. Where a budget is smaller than one
+// request, the routers take turns.
 
 import (
 	"math"
@@ -24,8 +24,8 @@
 	// bursts.
 	slowStartUtilization = 0.9
 
-	// rotationUtilization is the fraction of the quota that is used when routers take turns, as the turns of
-	// two windows may overlap.
+	// rotationUtilization is the fraction of the quota that is used when routers take turns. A router may use
+	// its turn until a window after it came, so the turns of two windows may overlap.
 	rotationUtilization = 0.33
 
 	// minOverloadWindow replaces a Settings.OverloadWindow that is shorter or not configured.
@@ -67,8 +67,8 @@
 }
 
 // countsInSlowStart reports whether an attempt counts in the budget of an endpoint that is its target or
-// source: the endpoint is in slow start, and is the target or a parent. A sibling that fills is not counted,
-// as it sends what it already has cached.
+// source: the endpoint is in slow start, and is the target or a parent. The attempt does not count in the
+// budget of a sibling that fills, as that sends what it already has cached.
 func (r *Router) countsInSlowStart(e *endpointState, a *attempt) bool {
 	return r.slowStartFraction(e) < 1 && (e == a.target || e.Kind == r.settings.ParentKind)
 }
@@ -141,8 +141,9 @@
 }
 
 // hasQuotaTurn reports whether this router's turn came within the window that ends now. Routers take turns
-// where one request costs more than a budget. A turn comes each time the endpoint has offered turnSeconds of
-// its full capacity since its start; routers start at different points of a turn.
+// where one request costs more than a budget. A turn comes each time the endpoint has offered, since its
+// start, as much again as in turnSeconds at full capacity. Routers start at different points of a turn, which
+// multiples of the golden ratio spread evenly.
 func (r *Router) hasQuotaTurn(e *endpointState, window time.Duration, turnSeconds float64) bool {
 	rules := r.slowStartRulesOf(e)
 	offset := math.Mod(float64(r.settings.RouterIndex)*math.Phi, 1)
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -34,7 +34,7 @@
 	for i := range settings.Routers {
 		h := &harness{t: t, router: New(settings, uint64(i)), now: time.Hour}
 		list := allEndpoints()
-		list.Endpoints[3].Started, list.Endpoints[4].State = h.now, Removed
+		list.Endpoints[3].Started, list.Endpoints[4].State = h.now, Removed // p starts, q is removed
 		h.handle(list)
 		for id := int64(1); id < 20; id++ {
 			if f := fetchOf(h.request(id, string(rune('a'+id)), 0)); f != nil && f.Source == "p" {
