--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -58,7 +58,7 @@
 	targetSeconds    float64 // expected transfer time on the target's link
 	expectedSeconds  float64 // expected transfer time on the slowest link
 	firstByteSeconds float64 // expected wait for the source's first byte
-	missProbability  float64 // of a fill, 0 to 1
+	missProbability  float64 // that the target has to fill, 0 to 1
 
 	expectHit        bool // the target probably has the object cached
 	sourceCachedOnly bool // the source may answer only with what it has cached
@@ -121,7 +121,7 @@
 }
 
 // estimate sets which links an attempt loads, its expected transfer times on them, and the expected wait for
-// a fill's first byte. An expected hit loads the target's link only.
+// a fill's first byte. An expected hit and an uncacheable request load the target's link only.
 func (r *Router) estimate(a *attempt) {
 	a.slowestLink = &a.target.link
 	a.targetSeconds = a.addLink(&a.target.link, r.now, r.slowStartFraction(a.target))
@@ -146,8 +146,9 @@
 	}
 }
 
-// addLink adds a link to those that an attempt loads and returns the expected transfer time on it, in
-// seconds. Fraction is the fraction of its capacity that the link's endpoint has now (slow start).
+// addLink adds a link to those that an attempt loads, records whether it is congested or the slowest so far,
+// and returns the expected transfer time on it, in seconds. Fraction is the fraction of its capacity that the
+// link's endpoint has now (slow start).
 func (a *attempt) addLink(l *link, now time.Duration, fraction float64) float64 {
 	transferSeconds := a.request.transferSeconds
 	a.links = append(a.links, l)
--- a/policy/links.go
+++ b/policy/links.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	defaultLinkCapacity = 4.0  // transfers, until a capacity is known
+	defaultLinkCapacity = 4.0  // transfers, assumed where no capacity is configured
 	minLinkCapacity     = 1e-6 // transfers; avoids a division by 0
 
 	// fillFraction is the assumed fraction of a tier's load that the tier above it has to fill: one request
@@ -51,8 +51,8 @@
 	meanLoad      float64 // of this router, transfers
 	loadUpdatedAt time.Duration
 
-	// slowdown is the extra time of transfers that congestion does not explain, as a multiple of the time
-	// that it does. It shows that the endpoint itself is slow.
+	// slowdown is the time that transfers take beyond what congestion explains, as a multiple of what it
+	// explains: at 1, they take twice as long. It shows that the endpoint itself is slow.
 	slowdown          float64
 	slowdownUpdatedAt time.Duration
 }
--- a/policy/transfertime.go
+++ b/policy/transfertime.go
@@ -20,7 +20,8 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// estimateTransferTime sets the expected transfer time of a request that has arrived.
+// estimateTransferTime sets the expected transfer time of a request that has arrived. One that follows from a
+// reported size also counts in the mean of its class.
 func (r *Router) estimateTransferTime(req *request) {
 	classMean := r.classTransferSeconds[req.class.Name]
 	partSeconds, partKnown := r.partTransferSeconds.Get(req.key)
