--- a/policy/request.go
+++ b/policy/request.go
@@ -94,8 +94,8 @@
 // apply finishes a request whose streamed answer has started.
 func (started StreamStarted) apply(r *Router) { r.finishRequest(started.ID) }
 
-// apply finishes a request that the proxy has ended.
-func (disconnected RequestEnded) apply(r *Router) { r.finishRequest(disconnected.ID) }
+// apply finishes a request whose client has disconnected or whose deadline has passed.
+func (ended RequestEnded) apply(r *Router) { r.finishRequest(ended.ID) }
 
 // finishRequest marks a request as finished and cancels its pending attempts, except those of streams, whose
 // answers the client still receives. The request is removed once no attempt is pending.
