--- a/policy/events.go
+++ b/policy/events.go
@@ -1,7 +1,7 @@
 package policy
 
-// Events are the inputs of a Router. This file holds types only; each event's apply method is in the file of
-// the rule that it concerns first.
+// Events are the inputs of a Router. This file holds types only; each event's apply method is in the file
+// that handles it.
 
 import "time"
 
@@ -63,7 +63,7 @@
 	ResultConnectFailed               // not executed: no connection, or the call was not written completely
 	ResultReset                       // the connection broke while the attempt was in flight
 	ResultCancelled                   // the proxy stopped waiting
-	ResultNotSent                     // not executed, for a reason that is not the target's
+	ResultNotSent                     // not executed, and not the target's fault
 	ResultNotFound                    // the target has no copy and filled none
 )
 
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -31,7 +31,8 @@
 	DeduplicationScope  DeduplicationScope
 	DeduplicationWindow time.Duration // how long a repeat with the same key is dropped
 
-	// An answer is in time within LatencyObjective plus LatencyObjectivePerTransfer times its transfer time.
+	// An answer is in time if it takes at most LatencyObjective, plus LatencyObjectivePerTransfer times its
+	// transfer time.
 	LatencyObjective            time.Duration
 	LatencyObjectivePerTransfer float64
 	PriorityWeight              float64 // value of an answer that is in time, relative to other classes
@@ -61,9 +62,9 @@
 	ParentKind int     // kind of endpoints that are parents; -1: there are none
 	OriginKind int     // kind of endpoints that are origins; all other kinds are caches
 
-	Routers            int // routers of this tier in all zones; 0: 1
+	Routers            int // routers in all zones, this one included; 0: 1
 	RouterIndex        int // this router's number among them, from 0
-	RoutersInZone      int // routers of this tier in this zone; 0: as Routers
+	RoutersInZone      int // routers in this zone, this one included; 0: as many as Routers
 	ProcessesPerRouter int // processes of one router that run at once during a takeover; 0: 1
 
 	// ZoneHubs holds, for each zone, the position of its hub in the ring of hubs. Empty: unknown.
