--- a/policy/idempotency.go
+++ b/policy/idempotency.go
@@ -51,7 +51,9 @@
 	return r.repeatVerdict(req, e).Allowed()
 }
 
-// mayReject reports whether a request may get a Reject, which says that it may be sent again.
+// mayReject reports whether a request may get a Reject, which says that it may be sent again. If it may have
+// run and has an idempotency key, all endpoints must deduplicate it, as its client's repeat may reach any of
+// them.
 func (r *Router) mayReject(req *request) bool {
 	if req.firstPossibleRun == nil || req.class.Idempotency == Idempotent {
 		return true
--- a/policy/originlimit.go
+++ b/policy/originlimit.go
@@ -5,8 +5,8 @@
 // multiplicative decrease).
 //
 // Inputs: the outcomes of attempts whose source is a parent or the origin. Result: whether an attempt may
-// load the origin. An attempt that may not gets from a parent only what the parent has cached; if its source
-// is the origin itself, the request is rejected.
+// load the origin. An attempt that may not load it receives only what its parent has cached; if its source is
+// the origin itself, the request is rejected.
 //
 // A limit below 1 admits attempts at random with that probability, as one attempt from each of many routers
 // may be too many. The limit never falls below this router's share of the capacity of the origin's link.
@@ -55,7 +55,8 @@
 }
 
 // decrease sets the limit to factor times its value, or to factor times the number of attempts in flight,
-// including the one that has just ended, if that is lower.
+// including the one that has just ended, if that is lower; but not below the minimum. It does nothing within
+// minDecreaseInterval of the last decrease.
 func (l *originConcurrencyLimit) decrease(now time.Duration, factor float64) {
 	if now-l.lastDecrease <= minDecreaseInterval {
 		return
--- a/policy/overdue.go
+++ b/policy/overdue.go
@@ -40,7 +40,7 @@
 	lost := a.target.latestAnsweredAttemptAt > a.createdAt
 	if lost {
 		a.releaseLinks(r.now)                            // nothing is being transferred any more
-		a.request.avoid[a.source] = a.source != a.target // the source may be what does not answer
+		a.request.avoid[a.source] = a.source != a.target // a separate source may be what does not answer
 	}
 	r.ejectUnresponsive(a, lost)
 	if !r.mayHedge(a, lost) {
@@ -54,7 +54,7 @@
 }
 
 // ejectUnresponsive ejects the endpoint that has not responded since an overdue attempt was created: the
-// target, or the source if a miss was expected.
+// target or, if the target has responded and a miss was expected, the source.
 func (r *Router) ejectUnresponsive(a *attempt, lost bool) {
 	targetSilent := a.target.lastResponseAt <= a.createdAt
 	sourceSilent := a.source.lastResponseAt <= a.createdAt
@@ -65,9 +65,9 @@
 	}
 }
 
-// mayHedge reports whether the request of an overdue attempt may be sent again: it must be idempotent and
-// have attempts left. Unless the attempt's answer is lost, its target or source must also be ejected, and
-// another attempt must be able to meet the objective.
+// mayHedge reports whether the request of an overdue attempt may be sent again: it must be idempotent, and
+// the limit on its attempts and the retry budget must allow another. Unless the attempt's answer is lost, its
+// target or source must also be ejected, and another attempt must be able to meet the objective.
 func (r *Router) mayHedge(a *attempt, lost bool) bool {
 	req := a.request
 	if req.class.Idempotency != Idempotent || r.attemptLimitReason(req) != "" {
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -34,7 +34,8 @@
 // hasRetryBudget reports whether the budget allows one more retry.
 func (r *Router) hasRetryBudget() bool { return r.retryBudget >= 1 }
 
-// retry decides what follows an attempt that did not answer its request.
+// retry decides what follows an attempt that did not answer its request: nothing while another attempt is
+// pending, otherwise another attempt or the final answer.
 func (r *Router) retry(a *attempt, o Outcome) {
 	req := a.request
 	if req.pendingAttempts > 0 {
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -29,9 +29,10 @@
 	return e != nil && e.acceptsAttempts() && r.withinSlowStartBudget(e, req)
 }
 
-// firstWithCapacity returns the first candidate that is in rotation and has capacity. If none has, it returns
-// the candidate in rotation whose transfer exceeds the objective least. If all are ejected or avoided, it
-// returns the first that is eligible, or nil.
+// firstWithCapacity considers the candidates that are eligible and at which another attempt is harmless. It
+// returns the first that has capacity and is neither ejected nor avoided. If none of those has capacity, it
+// returns the one whose transfer exceeds the objective least. If all are ejected or avoided, it returns the
+// first, and nil if there are none.
 func (r *Router) firstWithCapacity(req *request, candidates []*endpointState) *endpointState {
 	var best, fallback *endpointState
 	leastExcess := math.Inf(1)
