--- a/policy/guard.go
+++ b/policy/guard.go
@@ -18,7 +18,7 @@
 }
 
 // MaySend decides whether an attempt may start now, and returns its Fetch as of now. The caller calls it
-// directly before it writes the first byte. It reports a denied attempt as ResultNotSent, after which the
+// directly before it writes the first byte, and reports a denied attempt as ResultNotSent, after which the
 // request is routed again or gets its final answer.
 func (r *Router) MaySend(now time.Duration, info SendInfo) (Fetch, Verdict) {
 	r.now = now
@@ -32,7 +32,7 @@
 }
 
 // sendVerdict checks an attempt, which is nil if it has ended. The slow-start budgets are checked after the
-// state of the endpoints, as that check also counts the attempt.
+// state of the endpoints, as checking them also counts the attempt.
 func (r *Router) sendVerdict(a *attempt, info SendInfo) Verdict {
 	switch {
 	case a == nil:
@@ -60,7 +60,7 @@
 	ClientDisconnected bool
 	RejectingNew       bool          // in a drain or a shutdown, once clients have had time to disconnect
 	Remaining          time.Duration // to the client's deadline
-	UnreleasedRequests int           // not released yet, including answered ones with open attempts
+	UnreleasedRequests int           // still held in memory, including answered ones with open attempts
 	MaxOpenRequests    int
 	MemoryFull         bool // the memory limit for requests is reached
 }
--- a/policy/verdict.go
+++ b/policy/verdict.go
@@ -1,8 +1,8 @@
 package policy
 
 // Verdicts are the results of the guards (guard.go): whether an action may be carried out, and if not, which
-// rule it would break and why. The names of rules and reasons are label values of the metric svc_denied and
-// fields of log messages, so they must not change.
+// rule it would break and why. The names of rules and reasons are label values of the metrics svc_denied and
+// svc_not_served and fields of log messages, so they must not change.
 
 // Rule is a guarantee that an action could break.
 type Rule int
