--- a/policy/fillsource_test.go
+++ b/policy/fillsource_test.go
@@ -43,7 +43,7 @@
 		ID: 3, Result: ResultNotFound, CacheStatus: CacheStatusSourceMiss, Elapsed: 10 * ms,
 	})
 	if f = fetchOf(actions); f == nil || f.Source != "p" && f.Source != "q" {
-		t.Fatalf("after CacheStatusSourceMissing got %+v, want a parent as the source", actions)
+		t.Fatalf("after CacheStatusSourceMiss got %+v, want a parent as the source", actions)
 	}
 }
 
--- a/policy/guard_test.go
+++ b/policy/guard_test.go
@@ -31,7 +31,7 @@
 		}
 		_, verdict = h.router.MaySend(h.now, SendInfo{ID: 1, Attempt: 1, Remaining: time.Second})
 		if verdict.Allowed() == late || late && verdict != (Verdict{RuleDuplicate, ReasonWindowExpired}) {
-			t.Errorf("retry after the window %v: %+v", late, verdict)
+			t.Errorf("retry after the window: %v, verdict %+v", late, verdict)
 		}
 	}
 }
@@ -66,7 +66,7 @@
 		h.handle(c.event(*f))
 		now, verdict := h.router.MaySend(h.now+20*ms, SendInfo{ID: 1, Remaining: time.Second})
 		if verdict != c.want || now.MaxAge != c.maxAge || now.CoalesceFill != c.coalesceFill {
-			t.Errorf("%s: %v %+v", name, verdict, now)
+			t.Errorf("%s: verdict %v, fetch %+v", name, verdict, now)
 		}
 	}
 	for want, s := range map[Verdict]SendInfo{
@@ -79,7 +79,7 @@
 		h := newHarness(t)
 		h.request(1, "x", 0)
 		if _, verdict := h.router.MaySend(h.now, s); verdict != want {
-			t.Errorf("%+v: %+v, want %+v", s, verdict, want)
+			t.Errorf("%+v: verdict %+v, want %+v", s, verdict, want)
 		}
 	}
 }
--- a/policy/idempotency_test.go
+++ b/policy/idempotency_test.go
@@ -50,10 +50,10 @@
 		req.firstPossibleRun = &attempt{target: first, createdAt: time.Hour}
 		r.now = time.Hour + c.after
 		if got := r.mayRepeat(req, &endpointState{Endpoint: c.to}); got != c.want {
-			t.Errorf("%+v: may repeat %v", c, got)
+			t.Errorf("%+v: may be repeated: %v", c, got)
 		}
 		if got := r.mayReject(req); got != (c.scope == ScopeAll) {
-			t.Errorf("scope %v: may reject %v", c.scope, got)
+			t.Errorf("scope %v: may be rejected: %v, want true only for ScopeAll", c.scope, got)
 		}
 	}
 }
--- a/policy/linkpace_test.go
+++ b/policy/linkpace_test.go
@@ -9,9 +9,9 @@
 // slowed them. It is changed by answers of known size, and an assumed capacity by all answers.
 func TestConfiguredLinksIgnoreAnswersOfUnknownSize(t *testing.T) {
 	for _, c := range []struct {
-		configured bool
-		sending    time.Duration
-		moves      bool
+		configured   bool
+		transferTime time.Duration
+		learns       bool
 	}{{true, 0, false}, {true, 100 * ms, true}, {false, 0, true}} {
 		settings := testSettings()
 		settings.WeightsConfigured = c.configured
@@ -22,23 +22,24 @@
 		for id := range int64(60) { // a burst, which makes every link look congested
 			h.handle(Request{ID: id + 1, Object: string(rune('a' + id)), Remaining: 3 * time.Second})
 		}
-		var full *link
+		var congestedLink *link
 		for id := range int64(60) {
 			req := h.router.requests[id+1]
 			if req == nil || !req.attempts[0].congested {
 				continue
 			}
-			full = req.attempts[0].slowestLink
+			congestedLink = req.attempts[0].slowestLink
 			h.now += ms
 			h.handle(Outcome{ID: id + 1, Result: ResultOK, CacheStatus: CacheStatusFilled,
-				Elapsed: 2 * time.Second, FullPaceTransferTime: c.sending, RequestFinished: true})
+				Elapsed: 2 * time.Second, FullPaceTransferTime: c.transferTime, RequestFinished: true})
 			break
 		}
-		if full == nil {
+		if congestedLink == nil {
 			t.Fatalf("%+v: no link was congested", c)
 		}
-		if moved := full.capacity != full.nominalCapacity; moved != c.moves {
-			t.Errorf("%+v: link capacity %v, nominal %v", c, full.capacity, full.nominalCapacity)
+		if learned := congestedLink.capacity != congestedLink.nominalCapacity; learned != c.learns {
+			t.Errorf("%+v: link capacity %v, nominal %v", c, congestedLink.capacity,
+				congestedLink.nominalCapacity)
 		}
 	}
 }
--- a/policy/overdue_test.go
+++ b/policy/overdue_test.go
@@ -35,8 +35,9 @@
 	}
 }
 
-// An object far larger than most does not count as a lost answer when smaller ones that were requested later
-// have arrived: it would be transferred twice.
+// An attempt is not overdue before an object seven times as large as most has been transferred. Otherwise the
+// answer would count as lost once smaller ones that were requested later have arrived, and the object would
+// be transferred twice.
 func TestLargeObjectIsNotOverdue(t *testing.T) {
 	h := newHarness(t)
 	send := func(id int64, object string) []Action {
--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -10,15 +10,15 @@
 		for class := 0; class < 3; class++ {
 			h := newHarness(t)
 			actions := h.request(1, "x", class)
-			ends := countFinalAnswers(actions)
+			finalAnswers := countFinalAnswers(actions)
 			for try := 0; fetchOf(actions) != nil; try++ {
 				h.now += 600 * ms
 				actions = h.handle(Outcome{ID: 1, Attempt: try, Result: result, Elapsed: 600 * ms})
-				ends += countFinalAnswers(actions)
+				finalAnswers += countFinalAnswers(actions)
 			}
-			if ends != 1 || len(h.router.requests) != 0 {
-				t.Errorf("result %v, class %d: %d final answers, %d open requests", result, class, ends,
-					len(h.router.requests))
+			if finalAnswers != 1 || len(h.router.requests) != 0 {
+				t.Errorf("result %v, class %d: %d final answers, %d open requests", result, class,
+					finalAnswers, len(h.router.requests))
 			}
 		}
 	}
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -60,7 +60,8 @@
 				Remaining: 3 * time.Second})
 			rejection, ok := actions[len(actions)-1].(Reject)
 			if !ok || rejection.RetryAfter < minRetryAfter || rejection.RetryAfter >= 2*minRetryAfter {
-				t.Fatalf("router %d: %+v", i, actions)
+				t.Fatalf("router %d: got %+v, want a Reject with a RetryAfter of 1 to 2 times minRetryAfter",
+					i, actions)
 			}
 			returning[rejection.RetryAfter/bin]++
 		}
--- a/policy/router_test.go
+++ b/policy/router_test.go
@@ -46,7 +46,7 @@
 	later.MaxAttempts = 1
 	h.handle(later)
 	if f := fetchOf(h.request(3, "z", 0)); f == nil || f.Target != "o" || f.Target != write.Target {
-		t.Errorf("write by the new class number: %+v", f)
+		t.Errorf("write by the new class number: got %+v, want the origin as the target", f)
 	}
 	inProgress := h.router.requests[2]
 	keptLearned := h.router.classTransferSeconds["old"].value == learned && learned != 0
@@ -55,7 +55,7 @@
 	}
 	f := fetchOf(h.request(4, "x", 1))
 	if f == nil || f.Target == "o" {
-		t.Fatalf("read by the new class number: %+v", f)
+		t.Fatalf("read by the new class number: got %+v, want a cache as the target", f)
 	}
 	actions := h.handle(Outcome{ID: 4, Result: ResultRejected})
 	if fetchOf(actions) != nil || countFinalAnswers(actions) != 1 {
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -53,7 +53,7 @@
 		hubSettings.ZoneHubs = c.hubs
 		h := &harness{t: t, router: New(hubSettings, 1), now: time.Hour}
 		list := allEndpoints()
-		list.Endpoints[4].Zone = 2
+		list.Endpoints[4].Zone = 2 // q; p is in zone 0, the router in zone 1
 		h.handle(list)
 		near := 0
 		for i := range 100 {
@@ -65,7 +65,7 @@
 			}
 		}
 		if near < c.near || near > c.most {
-			t.Errorf("hubs %v: %d of 100 from the near parent", c.hubs, near)
+			t.Errorf("hubs %v: the near parent is chosen for %d of 100 objects", c.hubs, near)
 		}
 		h.handle(EndpointUpdate{Endpoints: []Endpoint{{ID: "p", State: Removed, Kind: 1}}})
 		if f := fetchOf(h.request(1, "x", 0)); f.Source != "q" {
--- a/policy/transfertime_test.go
+++ b/policy/transfertime_test.go
@@ -11,14 +11,14 @@
 func TestSizesAreRememberedByPart(t *testing.T) {
 	h := newHarness(t)
 	for id := range int64(20) {
-		object, sending := "small", 50*ms
+		object, transferTime := "small", 50*ms
 		if id%2 == 1 {
-			object, sending = "large", 750*ms
+			object, transferTime = "large", 750*ms
 		}
 		h.handle(Request{ID: id + 1, Object: object, Remaining: 6 * time.Second})
-		h.now += 2 * sending
-		h.handle(Outcome{ID: id + 1, Result: ResultOK, CacheStatus: CacheStatusHit, Elapsed: 2 * sending,
-			FullPaceTransferTime: sending, RequestFinished: true})
+		h.now += 2 * transferTime
+		h.handle(Outcome{ID: id + 1, Result: ResultOK, CacheStatus: CacheStatusHit, Elapsed: 2 * transferTime,
+			FullPaceTransferTime: transferTime, RequestFinished: true})
 	}
 	for object, want := range map[string]float64{"small": 0.05, "large": 0.75, "unknown": 0.4} {
 		h.handle(Request{ID: 99, Object: object, Remaining: 6 * time.Second})
