--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -39,7 +39,8 @@
 	return nil
 }
 
-// checkNumbers checks the numbers that would make the proxy crash or keep it from serving any request.
+// checkNumbers checks the numbers that, if out of range, would make the proxy crash or keep it from serving any
+// request.
 func (d *document) checkNumbers() error {
 	if d.Zone < 0 || d.Zone >= max(1, len(d.Zones)) {
 		return fmt.Errorf("settings: zone is %d, out of range for %d areas", d.Zone, len(d.Zones))
--- a/internal/settings/reload.go
+++ b/internal/settings/reload.go
@@ -43,7 +43,7 @@
 	return missingPath(earlierValue, laterValue), nil
 }
 
-// missingPath returns the path of the first difference that MissingKey reports, relative to the two values:
+// missingPath returns the path of one of the differences that MissingKey reports, relative to the two values:
 // "." for a difference of the values themselves, "" if there is none.
 func missingPath(earlier, later any) string {
 	switch earlier := earlier.(type) {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -20,7 +20,7 @@
 	} {
 		s, err := Decode([]byte(tt.json))
 		if err != nil || !slices.Equal(s.Policy.ZoneHubs, tt.want) {
-			t.Errorf("%s: %v %v", tt.json, s.Policy.ZoneHubs, err)
+			t.Errorf("%s: hubs %v, error %v", tt.json, s.Policy.ZoneHubs, err)
 		}
 	}
 }
@@ -34,7 +34,7 @@
 	} {
 		s, err := Decode([]byte(json))
 		if err != nil || s.HandshakesPriced != want {
-			t.Errorf("%s: %v, %v", json, s.HandshakesPriced, err)
+			t.Errorf("%s: handshakes priced: %v, error %v", json, s.HandshakesPriced, err)
 		}
 	}
 }
@@ -71,7 +71,7 @@
 			t.Fatal(err)
 		}
 		if err := s.Check(); (err == nil) != tt.want {
-			t.Errorf("with %s in place of %s: %v", tt.replacement, tt.old, err)
+			t.Errorf("with %s in place of %s: Check returned %v", tt.replacement, tt.old, err)
 		}
 	}
 }
@@ -93,7 +93,7 @@
 		`null`:                                                               ".",
 	} {
 		if got, err := MissingKey([]byte(earlier), []byte(later)); err != nil || got != want {
-			t.Errorf("%s: %q %v, want %q", later, got, err, want)
+			t.Errorf("%s: path %q, error %v, want path %q", later, got, err, want)
 		}
 	}
 	if _, err := MissingKey([]byte(earlier), []byte(earlier[:20])); err == nil {
