--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -32,7 +32,7 @@
 }
 
 // Serve answers the batches that it reads from in, until in ends. It flushes each reply. Empty lines are
-// ignored. It stops with an error at an invalid batch.
+// ignored. It stops with an error at an invalid batch, or if it cannot read or write.
 func (h *Host) Serve(in io.Reader, out io.Writer) error {
 	input := bufio.NewReaderSize(in, readBufferBytes)
 	output := bufio.NewWriter(out)
@@ -64,7 +64,9 @@
 	return output.Flush()
 }
 
-// HandleBatch handles the events of a batch in their order and returns the reply, without a line feed.
+// HandleBatch handles the events of a batch in their order and returns the reply, without a line feed. An error
+// means that the batch, one of its events or the settings in one are invalid; the events before that have been
+// handled.
 func (h *Host) HandleBatch(line []byte) ([]byte, error) {
 	var b batch
 	if err := json.Unmarshal(line, &b); err != nil {
