--- a/policy/cacheindex.go
+++ b/policy/cacheindex.go
@@ -38,8 +38,8 @@
 // not.
 func (r *Router) updateCacheIndex(a *attempt, o Outcome) {
 	req := a.request
-	fromCache := o.CacheStatus != CacheStatusNone && r.isCache(a.target)
-	if o.Result == ResultOK && fromCache && !req.class.Uncacheable {
+	reportedByCache := o.CacheStatus != CacheStatusNone && r.isCache(a.target)
+	if o.Result == ResultOK && reportedByCache && !req.class.Uncacheable {
 		r.recordCached(a.target, req, !o.servedFromCache())
 	}
 	if o.CacheStatus != CacheStatusSourceMiss {
