--- a/internal/connpool/acquire.go
+++ b/internal/connpool/acquire.go
@@ -23,9 +23,9 @@
 }
 
 // Acquire returns a connection to an endpoint for one more use, which Release ends. It prefers an existing
-// connection that accepts the use and dials a new one if there is none or prefersNew says so. The error is
-// ErrEndpointRemoved for an unknown endpoint, wraps ErrConnLimit if the limits allow no new connection, or is
-// that of the dial.
+// connection that accepts the use and dials a new one if there is none or prefersNew says so. If the dial fails,
+// the existing one is returned after all. The error is ErrEndpointRemoved for an unknown endpoint, wraps
+// ErrConnLimit if the limits allow no new connection, or is that of the dial.
 func (ps *Pools) Acquire(id string, use UseInfo) (*PooledConn, error) {
 	pool := ps.endpoints[id]
 	if pool == nil {
@@ -49,8 +49,8 @@
 // Reassign returns another connection for a use that waits for an overdue one. It prefers a connection that
 // was established, or has received something, since the overdue one was dialed, which shows that the endpoint
 // is reachable; if there is none, it dials a new one. It fails with ErrConnLimit if the overdue connection is
-// stale or if there are already DedicatedConns connections or more. The caller releases the overdue
-// connection, which serves other uses once it is established.
+// stale or if there are already DedicatedConns connections or more; any other error is that of the dial. The
+// caller releases the overdue connection, which serves other uses once it is established.
 func (ps *Pools) Reassign(overdue *PooledConn, accepts func(*PooledConn) bool) (*PooledConn, error) {
 	pool := overdue.pool
 	existing := pool.pickActiveSince(overdue, accepts)
@@ -84,8 +84,8 @@
 
 func (ps *Pools) belowDedicatedConns() bool { return ps.connCount < ps.limits.DedicatedConns }
 
-// pickExisting returns the most suitable of the pool's connections that accept a use, nil if none does. It
-// closes idle connections that have likely been lost.
+// pickExisting returns the most suitable of the pool's connections that accept a use, nil if none does. It also
+// records the connect times of new connections and closes idle connections that have likely been lost.
 func (p *endpointPool) pickExisting(use UseInfo) *PooledConn {
 	var best *PooledConn
 	for _, conn := range slices.Clone(p.conns) {
