--- a/internal/proxy/adminserver.go
+++ b/internal/proxy/adminserver.go
@@ -48,7 +48,7 @@
 	if oldest == nil {
 		return false
 	}
-	oldest.closeOverdue()
+	oldest.closeAtOnce()
 	return true
 }
 
@@ -64,7 +64,7 @@
 func (a *AdminServer) closeOverdueConns() {
 	for c := range a.conns {
 		if c.age() > adminCallTimeout {
-			c.closeOverdue()
+			c.closeAtOnce()
 		}
 	}
 	a.loop.At(a.loop.Now()+adminCheckInterval, a.closeOverdueConns)
@@ -80,18 +80,19 @@
 // age returns the time since the connection was accepted.
 func (c *adminConn) age() time.Duration { return c.server.loop.Now() - c.acceptedAt }
 
-// closeOverdue closes the connection without an answer.
-func (c *adminConn) closeOverdue() {
+// closeAtOnce closes the connection at once. It sends no answer, nor the rest of one that is being written.
+func (c *adminConn) closeAtOnce() {
 	c.conn.Close()
 	c.Closed(errAdminCallTimeout)
 }
 
-// Receive answers the call once it is complete.
+// Receive answers the call once it is complete, or once it is found to be malformed or too large. It discards all
+// input after the call.
 func (c *adminConn) Receive(data []byte) (used int, err error) {
 	used, call, err := http1.Decode(data)
 	switch {
 	case errors.Is(err, http1.ErrTooLarge):
-		c.respond(http1.Response{Status: 431})
+		c.respond(http1.Response{Status: 431}) // Request Header Fields Too Large
 	case err != nil:
 		c.respond(http1.Response{Status: statusBadRequest, Body: err.Error() + "\n"})
 	case used > 0:
