--- a/internal/proxy/disconnect.go
+++ b/internal/proxy/disconnect.go
@@ -15,7 +15,7 @@
 	// client that has closed only its sending side would lose answers that are about to come.
 	disconnectGrace = 80 * time.Millisecond
 	// clientPollInterval is the time since the last read from a client after which the client is polled within
-	// a turn.
+	// a turn of the event loop.
 	clientPollInterval = 30 * time.Millisecond
 	// unknownDisconnectTime is the time of a disconnect that happened at an unknown time. It is long ago, so
 	// that the grace is over.
@@ -50,16 +50,18 @@
 	}
 }
 
-// cancelOpenRequests cancels the requests of a client that has disconnected.
+// cancelOpenRequests ends the requests of a client that has disconnected: it rejects the blocked ones and cancels
+// the others.
 func (c *clientConn) cancelOpenRequests() {
-	c.rejectOverdueBlocked(math.MaxInt64)
+	c.rejectOverdueBlocked(math.MaxInt64) // at that time all blocked requests are overdue
 	for _, number := range c.openRequests {
 		c.server.handler.cancelAfterDisconnect(number)
 	}
 }
 
-// PeerClosed reports whether output for the client remains. The connection is closed once all is written.
-func (c *clientConn) PeerClosed() (owed bool) {
+// PeerClosed reports whether output for the client is pending: an answer to an open request, or queued bytes. The
+// connection is closed once all of it is written.
+func (c *clientConn) PeerClosed() (outputPending bool) {
 	c.closeWhenDone = true
 	if len(c.openRequests) > 0 {
 		return true
