--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -37,8 +37,8 @@
 	incompleteSince eventloop.Timestamp // start of the wait for the first request, or for the rest of one; 0: no wait
 
 	lastAnsweredAt    eventloop.Timestamp // when the last answer was written
-	polledAt          eventloop.Timestamp // when the client was last polled within a turn
-	disconnectedSince eventloop.Timestamp // when the client closed its sending side; 0: it is open
+	polledAt          eventloop.Timestamp // when the client was last polled within a turn of the event loop
+	disconnectedSince eventloop.Timestamp // the client closed its sending side after this time; 0: it is open
 }
 
 // Receive handles the complete records in data and returns how many bytes it consumed. A protocol error stops
@@ -172,7 +172,7 @@
 	c.finishRequest(id, fastcgi.AppendAborted(nil, id))
 }
 
-// finishRequest writes the end of the answer to a request and frees the request's id.
+// finishRequest writes data, the complete answer to a request, and frees the request's id.
 func (c *clientConn) finishRequest(id uint16, data []byte) {
 	delete(c.openRequests, id)
 	c.lastAnsweredAt = c.server.loop.Now()
