--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -9,8 +9,8 @@
 	"cloverdoor/policy"
 )
 
-// maxReassignments is how often a call may be moved from an overdue connection to another one. Even if a third
-// of all connections are overdue, three in succession are rare.
+// maxReassignments is how often a call may be moved from an overdue connection, one that takes unusually long to be
+// established, to another one. Even if a third of all connections are overdue, three in succession are rare.
 const maxReassignments = 2
 
 // attempt is one call of a request to a cache, a parent or the origin. It ends once, with one result.
@@ -19,7 +19,7 @@
 	req       *request
 	number    int    // index among the request's attempts
 	target    string // id of the endpoint that is called
-	source    string // id of the fill source as of the last Encode; the target itself if nothing is filled
+	source    string // id of the endpoint that fills a miss, as of the last Encode; the target if nothing is filled
 	createdAt eventloop.Timestamp
 
 	upstream     *upstream // the connection on which the call is queued or sent; nil: none was available
@@ -37,7 +37,7 @@
 }
 
 // startAttempt starts an attempt that the decision module has ordered and queues its call on a connection to
-// the target.
+// the target. The attempt ends at once if its request is finished or no connection is available.
 func (p *Proxy) startAttempt(q *request, fetch policy.Fetch) {
 	a := &attempt{p: p, req: q, number: len(q.attempts), target: fetch.Target, createdAt: p.loop.Now()}
 	if a.number > 0 {
@@ -75,9 +75,10 @@
 	return conn.Owner.(*upstream).accepts(q)
 }
 
-// enqueue queues the call on a connection. If the connection is overdue before it is established, the call is
-// moved to another one, which is safe as nothing of it has been sent. Some connections take more than a second
-// to be established, which exceeds most deadlines.
+// enqueue queues the call on a connection. If the connection is not established by the time at which it is
+// overdue, the call is moved to another one, at most reassignmentsLeft times. That is safe as nothing of the call
+// has been sent, and useful as some connections take more than a second to be established, which exceeds most
+// deadlines.
 func (a *attempt) enqueue(conn *connpool.PooledConn, reassignmentsLeft int) {
 	a.upstream = conn.Owner.(*upstream)
 	a.upstream.calls[a.req.ID] = a
@@ -90,7 +91,8 @@
 	a.p.loop.At(a.p.loop.Now()+untilOverdue, func() { a.reassign(conn, reassignmentsLeft) })
 }
 
-// reassign moves the call from an overdue connection to another one, if the pool provides one.
+// reassign moves the call from an overdue connection to another one. The call stays if the pool provides none, or
+// if it needs no other: it has been sent, its attempt has ended, or the connection is established or has ended.
 func (a *attempt) reassign(overdue *connpool.PooledConn, reassignmentsLeft int) {
 	if a.ended || a.started || overdue.Connected() || overdue.Ended() {
 		return
--- a/internal/proxy/call.go
+++ b/internal/proxy/call.go
@@ -35,7 +35,8 @@
 
 // Encode encodes the call when its first byte is about to be written. It asks the decision module again, as
 // the target may have begun to drain, or the object may have been purged, while the call waited for its
-// connection.
+// connection. It returns false if the entry is not the attempt's last one, if the call has been started or its
+// attempt has ended, or if the call may no longer be sent, which ends the attempt.
 func (e queueEntry) Encode() ([]byte, bool) {
 	a := e.attempt
 	if a.ended || a.started || a.lastSequence != e.sequence {
