--- a/internal/proxy/coordinatorclock.go
+++ b/internal/proxy/coordinatorclock.go
@@ -37,13 +37,14 @@
 	upperBounds []offsetBound // recent upper bounds of the offset, the lowest first
 	offset      time.Duration // coordinator's time minus the loop's
 
-	// newestInitialPurge is the latest time of a purge in the configuration's initial state; 0: none.
+	// newestInitialPurge is the latest time of a purge in the configuration's initial state, in the coordinator's
+	// time; 0: none.
 	newestInitialPurge eventloop.Timestamp
 }
 
 // offsetBound is a bound of the offset, derived from a reported time.
 type offsetBound struct {
-	observedAt eventloop.Timestamp // when the time was reported
+	observedAt eventloop.Timestamp // when the reported time arrived
 	offset     time.Duration
 }
 
@@ -92,16 +93,18 @@
 // highest lower bound, so that nothing counts as older than it is. If a lower and an upper bound contradict each
 // other, the lower one is right, because a report may be later than expected but never earlier.
 func (c *coordinatorClock) estimateOffset() time.Duration {
-	lowest := c.lowerBounds[0].offset
+	minOffset := c.lowerBounds[0].offset
 	for _, candidate := range []time.Duration{0, c.offset} {
-		if lowest <= candidate && candidate <= c.maxOffset() {
+		if minOffset <= candidate && candidate <= c.maxOffset() {
 			return candidate
 		}
 	}
-	return lowest
+	return minOffset
 }
 
-// maxOffset returns the highest offset that agrees with the bounds.
+// maxOffset returns the highest offset that agrees with the bounds: the lowest upper bound, but at least
+// maxReportDelay above the highest lower bound, as the report behind that one may have been delayed by as much.
+// Without an upper bound there is no limit.
 func (c *coordinatorClock) maxOffset() time.Duration {
 	if len(c.upperBounds) == 0 {
 		return math.MaxInt64
