--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -1,7 +1,7 @@
 package proxy
 
-// This file holds the counters behind the metrics: outcomes of requests, denials by the decision module's
-// guards, reloads.
+// This file holds the counters behind the metrics: outcomes of requests, reloads, and denials by the decision
+// module's guards (MaySend, MayAdmit and MayClose).
 
 import (
 	"fmt"
@@ -61,6 +61,7 @@
 	policy.Verdict
 }
 
+// label returns the denial's labels as they appear in the metrics.
 func (d denial) label() string {
 	return fmt.Sprintf("action=%q,rule=%q,reason=%q", d.action, d.Rule, d.Reason)
 }
@@ -73,7 +74,7 @@
 	notServed  map[policy.Reason]int64 // answers that served nothing
 
 	configsAccepted, configsRejected int // by reloads
-	unreadableParts                  int // parts of the coordinator's events that could not be read
+	unreadableParts                  int // the coordinator's unreadable lines and event parts, and gaps between its events
 }
 
 func newCounters() *counters {
@@ -94,7 +95,7 @@
 
 func (c *counters) countOutcome(class string, o outcome) { c.addClass(class)[o]++ }
 
-// recordVerdict reports whether a verdict allows an action, and counts the verdict if it does not.
+// recordVerdict reports whether a verdict allows an action, and counts a denial if it does not.
 func (c *counters) recordVerdict(a action, verdict policy.Verdict) bool {
 	if verdict.Allowed() {
 		return true
