--- a/internal/proxy/watch.go
+++ b/internal/proxy/watch.go
@@ -70,7 +70,8 @@
 	recoveryDue   eventloop.Timestamp
 }
 
-// eventGap is a place where events are missing: after is the last index before it, before the next index received.
+// eventGap is a place where events are missing: those between index after, the last one delivered or skipped, and
+// index before, the next one received.
 type eventGap struct{ after, before int64 }
 
 // unreadableLine is a line that could not be decoded, and the last event delivered before it.
@@ -107,7 +108,7 @@
 }
 
 // silentMillis returns the milliseconds since the last readable line; 0 before the watch has started. Above 7000
-// the endpoint list may be out of date.
+// the endpoint list may be out of date (a drain must be obeyed after 7 s, see quickRetries).
 func (w *coordinatorWatch) silentMillis() int {
 	if w == nil {
 		return 0
--- a/internal/proxy/watchretry.go
+++ b/internal/proxy/watchretry.go
@@ -26,8 +26,9 @@
 	minStreamCheckInterval = 50 * time.Millisecond
 
 	// quickRetries is how many streams in a row get only quickRetryTimeout for their first line. A drain must be
-	// obeyed after 7 s whether its event has arrived or not, so lineTimeout and this many retries must end well
-	// before that.
+	// obeyed after 7 s whether its event has arrived or not, so all of these streams must be opened before
+	// that: the first is opened at most lineTimeout after the last readable line, the others at intervals of
+	// quickRetryTimeout, so the last one after about 6 s.
 	quickRetries = 3
 	// quickRetryTimeout is how long such a stream may take for its first line. A heartbeat arrives within a second.
 	quickRetryTimeout = 1250 * time.Millisecond
