--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -18,11 +18,11 @@
 
 // endpointPools is the part of the connection pools that the endpoint table uses.
 type endpointPools interface {
-	// SetAddress sets the address of an endpoint.
+	// SetAddress adds an endpoint or changes its address.
 	SetAddress(id string, addr netip.AddrPort)
 	// DiscardConns stops using the present connections to an endpoint that has restarted.
 	DiscardConns(id string)
-	// RemoveEndpoint closes the connections to an endpoint.
+	// RemoveEndpoint removes an endpoint. Calls in progress on its established connections continue.
 	RemoveEndpoint(id string)
 }
 
@@ -32,7 +32,7 @@
 	log    *slog.Logger
 	clock  *coordinatorClock
 	pools  endpointPools
-	notify func(policy.Event) // is called with one update for each of the coordinator's
+	notify func(policy.Event) // is called once for each of the coordinator's updates, with the converted one
 
 	kinds, zones []string         // names in the settings; the decision module uses their indices
 	startMillis  map[string]int64 // reported start of each endpoint in use, by id, in Unix milliseconds
