--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -15,9 +15,9 @@
 const (
 	// maxOpenRequests limits the requests that have not been released; the settings may set a lower limit.
 	maxOpenRequests = 4096
-	// maxSharedCalls is how many idempotent calls share a connection if the settings price handshakes. Sharing
-	// it among more would save less than an eighth of the remaining handshakes, and a connection that breaks
-	// would lose more calls.
+	// maxSharedCalls is how many idempotent calls share a connection if the settings put a price on new
+	// connections (handshakes). With one more, less than an eighth of the remaining handshakes would be saved,
+	// and a connection that breaks would lose more calls.
 	maxSharedCalls = 8
 	// reservedDescriptors is subtracted from the caches' half of the descriptors. Together with the tenth that
 	// is assigned to neither clients nor caches, these descriptors serve operators (16), the coordinator's
@@ -64,7 +64,7 @@
 	return c
 }
 
-// openRequestLimit returns how many requests may be open at once.
+// openRequestLimit returns how many requests may be held at once: from their admission to their release.
 func (c *runtimeConfig) openRequestLimit() int {
 	return min(maxOpenRequests, cmp.Or(c.MaxOpenRequests, maxOpenRequests))
 }
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -78,8 +78,8 @@
 	})
 }
 
-// rejection returns the answer to a request that is not admitted. If the cause is a limit of the process, it
-// is the shortest form of answer.
+// rejection returns the answer to a request that is not admitted. If a limit of the process is the cause, it is
+// Overloaded, the status with the shortest answer.
 func rejection(verdict policy.Verdict) Answer {
 	if verdict.Rule == policy.RuleLimits {
 		return Answer{Status: Overloaded, Reason: verdict.Reason}
@@ -237,8 +237,9 @@
 
 // releaseIfDone releases a request that is finished and has no open attempt. While an attempt is open, the
 // timer keeps running, as it ends the attempt if the server never answers. A request that is finished in the
-// turn in which it was received is kept until the decision module has processed it: otherwise the first
-// attempt that the module orders would never be reported as ended and would occupy its link forever.
+// turn in which it was received is kept until the decision module has processed it: otherwise the end of the
+// first attempt that the module orders would never be reported, and the module would count that attempt as a load
+// on the target's link forever.
 func (p *Proxy) releaseIfDone(q *request) {
 	if !q.routed || !q.finished || q.openAttempts > 0 || p.requests[q.number] != q {
 		return
