--- a/internal/proxy/backpressure.go
+++ b/internal/proxy/backpressure.go
@@ -70,7 +70,7 @@
 }
 
 // submitBlocked submits a request that was blocked. It is parsed again, as the settings' classes may have
-// changed.
+// changed, and rejected if its class no longer exists.
 func (c *clientConn) submitBlocked(b blockedRequest) {
 	parsed, err := c.server.parse(b.request)
 	if err != nil {
--- a/internal/proxy/fastcgiserver.go
+++ b/internal/proxy/fastcgiserver.go
@@ -84,7 +84,8 @@
 	return c
 }
 
-// checkConns applies the timeouts to every connection, and does so again after connCheckInterval.
+// checkConns applies the timeouts to every connection, after it has closed the listener if a shutdown requires
+// that. It does so again after connCheckInterval.
 func (f *FastCGIServer) checkConns() {
 	f.stopAccepting()
 	for c := range f.conns {
--- a/internal/proxy/invariants.go
+++ b/internal/proxy/invariants.go
@@ -39,8 +39,8 @@
 	unanswered                              // a client connection was evicted while a request was open on it
 	executedTwice                           // a non-idempotent call was fully written while another may have been executed
 	rejectedAfterExecution                  // a non-idempotent request was rejected although it may have been executed
-	sentToDraining                          // a call was started on, or with a fill from, a draining endpoint
-	servedPurged                            // an answer was made before a purge
+	sentToDraining                          // a call was sent to a draining endpoint, or with one as the source of its fill
+	servedPurged                            // a call sent after a purge was answered with a copy made before it
 	startedAfterDisconnect                  // a call was started for a client that had disconnected
 	violationCount
 )
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -17,7 +17,8 @@
 const (
 	// maxPollTime is the longest time that the event loop waits before signals are polled again.
 	maxPollTime = 50 * time.Millisecond
-	// idleSweepInterval is how often idle connections to caches are closed.
+	// idleSweepInterval is the interval at which idle connections to caches are closed. connpool.Pools.CloseIdle
+	// requires one second.
 	idleSweepInterval = time.Second
 )
 
@@ -109,8 +110,8 @@
 }
 
 // runEventQueue dispatches events and writes output until no event is queued. While clients are to be
-// disconnected, it closes their connections last, when everything that has been received is processed and all
-// output of the turn is written.
+// disconnected, it finally closes their connections where possible, after everything that has been received is
+// processed and all output of the turn is written.
 func (p *Proxy) runEventQueue() {
 	for {
 		p.dispatchEvents()
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -110,7 +110,7 @@
 	p.counters.configsAccepted++
 	p.log.Info("configuration reloaded", "coordinator", update.Coordinator, "classes", len(update.Settings.Policy.Classes))
 	p.applyConfig(newRuntimeConfig(update.Settings, update.TransferBytesPerSecond))
-	p.notify(update.Settings.Policy) // before any request of the new classes, which are parsed from the next turn on
+	p.notify(update.Settings.Policy) // queued before any request of a new class, as those are parsed in later turns
 	p.SwitchCoordinator(update.Coordinator)
 }
 
