--- a/internal/proxy/eviction.go
+++ b/internal/proxy/eviction.go
@@ -89,7 +89,8 @@
 }
 
 // evictable reports whether the connection is a candidate: idle for long enough, with no open request and no
-// queued output. It is called for every connection; policy.MayClose then decides about the chosen one only.
+// queued output. It is called for every connection; policy.MayClose, which makes a system call, then decides about
+// the chosen one only.
 func (c *clientConn) evictable() bool {
 	queuedBytes, _ := c.conn.QueuedOutput()
 	if len(c.openRequests) > 0 || queuedBytes > 0 || c.conn.Ended() {
