--- a/internal/eventloop/handler.go
+++ b/internal/eventloop/handler.go
@@ -12,17 +12,17 @@
 	Closed(err error)
 }
 
-// HalfCloser is a Handler that supports peers which shut down their sending side and still expect output. The
-// connection stays open for output until the handler closes it.
+// HalfCloser is a Handler that supports peers which shut down their sending side and still expect output. After
+// CloseAfterFlush neither PeerClosing nor PeerClosed is called, and after StopReading PeerClosed is not.
 type HalfCloser interface {
 	Handler
 	// PeerClosing is called once, when the loop notices that the peer has shut down its sending side. Input
 	// from before that may still be unread. The shutdown took place after the given time; 0: unknown.
 	PeerClosing(after Timestamp)
 	// PeerClosed is called once, when all input from before the shutdown has been passed to Receive. It
-	// reports whether the peer is still owed output; the handler then closes the connection when all of it is
-	// written. Otherwise the connection is closed at once.
-	PeerClosed() (owed bool)
+	// reports whether output for the peer is pending: the connection then stays open until the handler closes
+	// it, once all of the output is written. Otherwise the loop closes the connection at once.
+	PeerClosed() (outputPending bool)
 }
 
 // Message is output that is encoded only when its first byte is about to be written, so that until then its
--- a/internal/eventloop/input.go
+++ b/internal/eventloop/input.go
@@ -81,9 +81,9 @@
 	c.Fail(io.EOF) // does nothing if a callback has closed the connection
 }
 
-// notifyInputEnd notifies a HalfCloser that its peer has shut down its sending side and reports whether the
-// peer is still owed output.
-func (c *Conn) notifyInputEnd() (owed bool) {
+// notifyInputEnd notifies a HalfCloser that its peer has shut down its sending side and reports whether
+// output for the peer is pending, so that the connection must stay open.
+func (c *Conn) notifyInputEnd() (outputPending bool) {
 	handler, isHalfCloser := c.handler.(HalfCloser)
 	if !isHalfCloser || c.closing {
 		return false
