--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -36,7 +36,7 @@
 	connectTimer    *Timer // fires at the connect timeout; nil for an accepted connection
 	createdAt       Timestamp
 	lastReceivedAt  Timestamp     // see LastReceived
-	lastWrittenAt   Timestamp     // when output was last written, or first queued while queuedBytes was 0
+	lastWrittenAt   Timestamp     // when output was last written, or queued while queuedBytes was 0
 	connectDuration time.Duration // see ConnectDuration
 
 	delays inputDelays
--- a/internal/eventloop/conn_test.go
+++ b/internal/eventloop/conn_test.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// Encoding a message may end the last use of its connection, which is then closed. The rest of the
-// connection's queue is dropped.
+// Encoding a message may close its connection, as when the message was the connection's last use. The rest of
+// the connection's queue is dropped.
 func TestConnClosedWhileAMessageIsEncoded(t *testing.T) {
 	l, err := NewLoop(SystemClock())
 	if err != nil {
--- a/internal/eventloop/output.go
+++ b/internal/eventloop/output.go
@@ -16,11 +16,11 @@
 	maxJoinedBytes = 16 << 10
 )
 
-// output is an entry of the output queue: bytes, or a message that has not been encoded yet.
+// output is an entry of the output queue: bytes, or a message of which nothing has been written yet.
 type output struct {
 	data    []byte
-	message Message // nil once it has been encoded
-	written func()  // method Written of a message that has been encoded
+	message Message // nil once a part of it has been written; the rest is in data
+	written func()  // method Written of a message of which a part has been written
 }
 
 // isPlainBytes reports whether the output was queued by Write, not as a message.
@@ -57,8 +57,8 @@
 	c.outputQueue = append(c.outputQueue, o)
 }
 
-// joinWithLast appends data to the last entry of the queue if that entry is plain bytes too and both are
-// small.
+// joinWithLast appends data to the last entry of the queue if that entry is plain bytes too and
+// both have at most maxJoinedBytes together.
 func (c *Conn) joinWithLast(data []byte) (joined bool) {
 	if len(c.outputQueue) == 0 {
 		return false
@@ -80,7 +80,7 @@
 	}
 }
 
-// addQueuedBytes accounts for n bytes more, or fewer, of queued output.
+// addQueuedBytes adds n, which may be negative, to the counts of queued output.
 func (c *Conn) addQueuedBytes(n int) {
 	c.queuedBytes += n
 	c.loop.bufferedBytes += n
@@ -147,7 +147,7 @@
 	data := first.data
 	if first.message != nil {
 		encoded, wanted := first.message.Encode()
-		if c.closed { // encoding may end the last use of a connection, which is then closed
+		if c.closed { // Encode may close the connection, as when this message was its last use
 			return false, nil
 		}
 		if !wanted {
