--- a/internal/eventloop/closing.go
+++ b/internal/eventloop/closing.go
@@ -46,8 +46,9 @@
 }
 
 // CloseAfterFlush closes the connection gracefully: it writes the queued output, shuts down the sending side
-// and waits for the peer to close. Closing at once with input unread would reset the connection, and the peer
-// would lose output that is still in transit.
+// and waits until the peer has closed the connection or acknowledged all output, or maxLinger has passed.
+// Closing at once with input unread would reset the connection, and the peer would lose output that is still
+// in transit.
 func (c *Conn) CloseAfterFlush() {
 	if c.Ended() {
 		return
@@ -58,8 +59,9 @@
 	}
 }
 
-// shutdownOutput shuts down the sending side and starts the wait for the peer. The output queue must be
-// empty: a peer that reads slowly would otherwise lose the rest of its output.
+// shutdownOutput shuts down the sending side and starts the wait for the peer, or closes the connection if
+// all the peer's input has been read. The output queue must be empty: a peer that reads slowly would
+// otherwise lose the rest of its output.
 func (c *Conn) shutdownOutput() {
 	if c.inputEnded { // no input is left that could reset the connection
 		c.Fail(io.EOF)
