--- a/internal/eventloop/errors.go
+++ b/internal/eventloop/errors.go
@@ -34,18 +34,20 @@
 	return isExhausted(err) || isOneOf(err, unix.EADDRNOTAVAIL, unix.EPERM, unix.EACCES)
 }
 
-// isExhausted reports whether err is a lack of descriptors or memory, which may be temporary.
+// isExhausted reports whether err is a lack of descriptors, memory or another resource of the system, which may
+// be temporary.
 func isExhausted(err error) bool {
 	return isOneOf(err, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.ENOSPC, unix.EAGAIN)
 }
 
-// isTransient reports whether the same call on the same connection may succeed after err. No data is lost.
+// isTransient reports whether the same call on the same connection may succeed after err. The call that failed
+// has lost no data.
 func isTransient(err error) bool {
 	return isOneOf(err, unix.EAGAIN, unix.EINTR, unix.ENOBUFS, unix.ENOMEM)
 }
 
-// isAborted reports whether accept failed because of a single connection, which no longer exists. The next
-// one may be accepted.
+// isAborted reports whether accept failed because of a single connection, which no longer exists, or because a
+// signal interrupted it. The next call may succeed.
 func isAborted(err error) bool {
 	return isOneOf(err, unix.ECONNABORTED, unix.EINTR, unix.EPROTO, unix.ENETDOWN, unix.ENOPROTOOPT,
 		unix.EHOSTDOWN, unix.ENONET, unix.EHOSTUNREACH, unix.EOPNOTSUPP, unix.ENETUNREACH, unix.ETIMEDOUT)
