--- a/internal/eventloop/delay.go
+++ b/internal/eventloop/delay.go
@@ -11,8 +11,8 @@
 	// in the accept queue.
 	acceptDelayThreshold = 20 * time.Millisecond
 
-	// largeInputBytes is the amount of input in one turn from which the next input is assumed to have waited
-	// as long as this input has.
+	// largeInputBytes is the amount of a connection's input in one turn from which its next input is assumed
+	// to have arrived together with this input, and so to have waited since then.
 	largeInputBytes = 64 << 10
 )
 
