--- a/internal/logging/writer.go
+++ b/internal/logging/writer.go
@@ -12,7 +12,7 @@
 
 const (
 	maxQueuedLines = 512     // lines waiting for the destination
-	maxLineBytes   = 4 << 10 // of a line with its newline; longer lines are truncated
+	maxLineBytes   = 4 << 10 // longest line, including its newline; longer ones are truncated
 )
 
 // Writer forwards lines to a destination that may block, such as a pipe whose reader has stopped reading.
