--- a/internal/proxy/coordinatorclock_test.go
+++ b/internal/proxy/coordinatorclock_test.go
@@ -37,8 +37,8 @@
 	return &clockTest{p: newEventProxy(loop), clock: clock, correctStart: correctStart}
 }
 
-// report delivers a purge that took place ago before the start of the test, and returns its age as passed to the
-// decision module.
+// report delivers a purge whose reported time is the start of the test minus ago, and returns its age as passed to
+// the decision module.
 func (c *clockTest) report(ago time.Duration) time.Duration {
 	c.p.pendingEvents = nil
 	c.p.applyEvent(watch.Event{Purge: &watch.Purge{Object: "x", AtMillis: (c.correctStart - ago).Milliseconds()}}, c.p.loop.Now())
@@ -55,7 +55,7 @@
 }
 
 // TestPurgeAgeWithWrongClock checks that, however wrong the clock is, a purge never counts as older than it is, and
-// counts as at most maxReportDelay newer once a purge has been reported without delay.
+// counts as at most maxReportDelay newer than it is once a purge has been reported without delay.
 func TestPurgeAgeWithWrongClock(t *testing.T) {
 	for _, clockError := range []time.Duration{0, time.Hour, -time.Hour, 3 * time.Second, -3 * time.Second} {
 		c := newClockTest(t, clockError)
@@ -64,6 +64,7 @@
 			if got > ago {
 				t.Errorf("clock wrong by %v: a purge %v ago counts as %v old", clockError, ago, got)
 			}
+			// the purge before this one was reported only 100 ms after it took place
 			if ago == 2*time.Second && got < ago-maxReportDelay {
 				t.Errorf("clock wrong by %v: a purge %v ago counts as only %v old", clockError, ago, got)
 			}
@@ -85,8 +86,8 @@
 	}
 }
 
-// TestInitialPurgeAgesWithWrongClock checks that purges of the initial state count their age from the newest of
-// them, as nothing else is certain before the first event of the watch.
+// TestInitialPurgeAgesWithWrongClock checks that the ages of the initial state's purges are counted up to the newest
+// of them, as no other time is certain before the first event of the watch.
 func TestInitialPurgeAgesWithWrongClock(t *testing.T) {
 	c := newClockTest(t, time.Hour)
 	purge := func(ago time.Duration) watch.Event {
@@ -114,10 +115,10 @@
 	router.Handle(loop.Now(), policy.EndpointUpdate{Full: true, Endpoints: []policy.Endpoint{
 		{ID: "c", State: policy.Ready, Weight: 10}, {ID: "o", State: policy.Ready, Kind: 1}}})
 	c.advance(t, 3*time.Second) // nothing is reported during the pause
-	const last = 950 * time.Millisecond
+	const purgedAgo = 950 * time.Millisecond
 	for ago := 3 * time.Second; ago >= 0; ago -= 50 * time.Millisecond {
 		object := "another"
-		if ago == last {
+		if ago == purgedAgo {
 			object = "x"
 		}
 		c.p.pendingEvents = nil
@@ -127,8 +128,8 @@
 		}
 	}
 	for _, a := range router.Handle(loop.Now(), policy.Request{ID: 1, Object: "x", Remaining: time.Second}) {
-		if f, ok := a.(policy.Fetch); ok && (f.MaxAge <= 0 || f.MaxAge > last) {
-			t.Errorf("a fetch allows copies of age %v, the purge was %v ago", f.MaxAge, last)
+		if f, ok := a.(policy.Fetch); ok && (f.MaxAge <= 0 || f.MaxAge > purgedAgo) {
+			t.Errorf("a fetch allows copies of age %v, the purge was %v ago", f.MaxAge, purgedAgo)
 		}
 	}
 }
--- a/internal/proxy/watchclock_test.go
+++ b/internal/proxy/watchclock_test.go
@@ -137,7 +137,7 @@
 
 // TestWrongClockIsCorrectedAfterOutage guards against a wrong clock that is never corrected because events may have
 // been delayed. An error larger than the outage must be corrected by the first purge after it, and any error by the
-// first purge that arrives between heartbeats.
+// first purge after heartbeats have arrived on schedule.
 func TestWrongClockIsCorrectedAfterOutage(t *testing.T) {
 	const outage = 9 * time.Second
 	for _, clockError := range []time.Duration{time.Hour, -time.Hour, 4 * time.Second, -4 * time.Second} {
