--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -24,7 +24,8 @@
 	return min(wanted, time.Millisecond)
 }
 
-// record returns a FastCGI record of request 1.
+// record returns a FastCGI record of request 1. kind is the record type: 1 begins a request, 2 aborts it, 4 carries
+// its params and 5 its input.
 func record(kind byte, content string) []byte {
 	head := []byte{1, kind, 0, 1, 0, 0, 0, 0}
 	binary.BigEndian.PutUint16(head[4:], uint16(len(content)))
@@ -48,7 +49,7 @@
 }
 
 // Guards against calls that are started for a client that has disconnected, or aborted its request, since its
-// request was read in the same turn. A turn is long if the process loses its core between reading and writing.
+// request was read in the same turn. A turn is long if the process loses its CPU between reading and writing.
 func TestNoCallStartsAfterDisconnectInLongTurn(t *testing.T) {
 	for name, disconnect := range map[string]func(*testing.T, *net.TCPConn){
 		"close": func(t *testing.T, c *net.TCPConn) {
@@ -185,8 +186,8 @@
 	}
 }
 
-// Guards against closes that nobody wanted in the metric svc_denied: a client connection that is silent while its
-// request is open is not proposed for closing. It is closed once the request has been answered.
+// Guards against a metric svc_denied that counts closes for which there was no reason: a client connection that is
+// silent while its request is open is not proposed for closing. It is closed once the request has been answered.
 func TestOpenRequestCausesNoCloseDenials(t *testing.T) {
 	f := newProxyFixture(t)
 	a := f.waitForAttemptOf(t, requestWithTimeout("60000"))
