--- a/internal/proxy/endpoints_test.go
+++ b/internal/proxy/endpoints_test.go
@@ -86,12 +86,12 @@
 func TestStartTimesOfOneListUseOneOffset(t *testing.T) {
 	const behind = time.Hour
 	c := newClockTest(t, -behind)
-	var starts []policy.Endpoint
+	var notified []policy.Endpoint
 	corrected := time.Duration(0)
 	table := &endpointTable{
 		log: slog.New(slog.DiscardHandler), clock: c.p.clock, pools: &recordedPools{},
 		kinds: []string{"std"}, zones: []string{"edge"}, startMillis: map[string]int64{},
-		notify: func(ev policy.Event) { starts = ev.(policy.EndpointUpdate).Endpoints },
+		notify: func(ev policy.Event) { notified = ev.(policy.EndpointUpdate).Endpoints },
 	}
 	c.p.clock.notify = func(ev policy.Event) { corrected += ev.(policy.ClockCorrection).Offset }
 	entry := func(id string, started eventloop.Timestamp) watch.Endpoint {
@@ -101,9 +101,9 @@
 	}
 	first := entry("a", c.correctStart-2*behind)
 	table.apply(&watch.EndpointUpdate{Full: true, Endpoints: []watch.Endpoint{first}})
-	before := starts[0].Started
+	before := notified[0].Started
 	table.apply(&watch.EndpointUpdate{Endpoints: []watch.Endpoint{first, entry("b", c.correctStart)}})
-	if want := before + corrected; corrected != -behind || starts[0].Started != want {
-		t.Errorf("corrected by %v; start time %v, want %v", corrected, starts[0].Started, want)
+	if want := before + corrected; corrected != -behind || notified[0].Started != want {
+		t.Errorf("corrected by %v; start time %v, want %v", corrected, notified[0].Started, want)
 	}
 }
--- a/internal/proxy/partialcall_test.go
+++ b/internal/proxy/partialcall_test.go
@@ -14,21 +14,21 @@
 	"cloverdoor/internal/watch"
 )
 
-// blockWrites makes the first write on any connection accept a few bytes and all later ones none, until allow is
-// called.
+// blockWrites makes the next write, on whichever connection, accept a few bytes and all later ones none, until allow
+// is called.
 func blockWrites(t *testing.T) (allow func()) {
 	t.Helper()
 	const acceptedBytes = 10
-	system := eventloop.System.Write
+	original := eventloop.System.Write
 	writes := 0
 	eventloop.System.Write = func(fd int, data []byte) (int, error) {
 		writes++
 		if writes > 1 {
 			return -1, unix.EAGAIN
 		}
-		return system(fd, data[:acceptedBytes])
+		return original(fd, data[:acceptedBytes])
 	}
-	allow = func() { eventloop.System.Write = system }
+	allow = func() { eventloop.System.Write = original }
 	t.Cleanup(allow)
 	return allow
 }
