--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -20,7 +20,7 @@
 	return loadResult{}
 }
 
-// One read is under way at a time. Requests for a reload that come meanwhile lead to one more.
+// One read is under way at a time. Requests for a reload that come meanwhile lead to one more read.
 func TestConfigLoaderReadsOneAtATime(t *testing.T) {
 	errRead := errors.New("read")
 	goOn, begun := make(chan bool), make(chan bool, 10)
@@ -45,7 +45,7 @@
 	}
 	goOn <- true
 	if result := awaitLoad(t, &l, 0); !errors.Is(result.err, errRead) {
-		t.Errorf("%v", result.err)
+		t.Errorf("the read ended with error %v, want the one that load returned", result.err)
 	}
 	l.start(load, 0)
 	<-begun
@@ -53,11 +53,11 @@
 	awaitLoad(t, &l, 0)
 	l.start(load, 0)
 	if l.results != nil {
-		t.Error("a third read")
+		t.Error("a third read was started")
 	}
 }
 
-// A read that exceeds its time limit has failed. What it brings later is not taken for the result of the next one.
+// A read that exceeds its time limit has failed. What it returns later is not taken for the result of the next one.
 func TestConfigLoaderTimeLimit(t *testing.T) {
 	slow := make(chan bool)
 	errLate, errNext := errors.New("late"), errors.New("next")
@@ -74,6 +74,6 @@
 	l.start(func() (PrepareUpdateFunc, error) { return nil, errNext }, 2*time.Second)
 	slow <- true
 	if result := awaitLoad(t, &l, 2*time.Second); !errors.Is(result.err, errNext) {
-		t.Errorf("%v", result.err)
+		t.Errorf("the next read ended with error %v, want its own", result.err)
 	}
 }
