--- a/internal/proxy/watchharness_test.go
+++ b/internal/proxy/watchharness_test.go
@@ -21,7 +21,8 @@
 	harnessStep = 50 * time.Millisecond
 	// heartbeatInterval is the time between the heartbeats of a healthy stream.
 	heartbeatInterval = time.Second
-	// maxEventDelay is how long after its publication an event must be obeyed, whether it has arrived or not.
+	// maxEventDelay is the time after its publication from which an event must be obeyed, even by a proxy that
+	// has not received it. Its delivery must take less.
 	maxEventDelay = 7 * time.Second
 )
 
--- a/internal/proxy/watchrecovery_test.go
+++ b/internal/proxy/watchrecovery_test.go
@@ -12,7 +12,7 @@
 	"cloverdoor/policy"
 )
 
-// followedIndices returns the index that each stream followed.
+// followedIndices returns the index in each stream's follow line: the stream carries the events after it.
 func (h *watchHarness) followedIndices() []int {
 	var from []int
 	for _, s := range h.streams {
@@ -51,7 +51,7 @@
 		}, maxEventDelay},
 		{"missing three times", func(stream int) string {
 			if stream < 3 {
-				return " "
+				return " " // no line: the blank only precedes the next event's line
 			}
 			return ""
 		}, maxEventDelay},
--- a/internal/proxy/watchstalls_test.go
+++ b/internal/proxy/watchstalls_test.go
@@ -58,7 +58,7 @@
 func TestSlowListArrivesOnFirstStream(t *testing.T) { checkSlowList(t, 6*time.Second) }
 
 // TestSlowCoordinatorIsNotFlooded guards against a slow coordinator that gets slower because it serves too many
-// streams: while a list takes long, at most two streams carry it at any time.
+// streams: at most two streams carry a long list at any time, and together they send at most twice its length.
 func TestSlowCoordinatorIsNotFlooded(t *testing.T) { checkSlowList(t, 20*time.Second) }
 
 // TestSilentCoordinatorGetsFewStreams guards against a hanging coordinator that is called more and more often. In a
@@ -99,7 +99,8 @@
 }
 
 // TestEmptyEventIsNotHeartbeat guards against events that are never delivered because the event before them is empty.
-// An event with nothing but an index must not be treated as a heartbeat, which would show a gap.
+// An event with nothing but an index must not be treated as a heartbeat: one with a new index shows that an event is
+// missing.
 func TestEmptyEventIsNotHeartbeat(t *testing.T) {
 	for _, empty := range []string{`{"index":%d}`, `{"index":%d,"endpoints":null}`} {
 		h := newWatchHarness(t, func(int) streamScript { return sendAll })
