--- a/internal/fault/edit.go
+++ b/internal/fault/edit.go
@@ -1,7 +1,7 @@
 package fault
 
 // edit appends the output for one input byte to out. While no rule that changes bytes is active, that is the byte
-// itself.
+// itself. A Drop rule appends nothing.
 func (s *StreamPlan) edit(out []byte, b byte) []byte {
 	editing := s.editing
 	if editing == nil {
--- a/internal/fault/parserule.go
+++ b/internal/fault/parserule.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// parseRule parses 'LINK [up|down] [conn N|every N|chance P] [time T|byte N|match "P" [nth N]] : FAULT'.
+// parseRule parses 'LINK [up|down] [conn N|every N|chance P] [time T|byte N|match "PATTERN" [nth N]] : FAULT'.
 func (s *Script) parseRule(lineNumber int, fields []string) error {
 	rule := Rule{
 		ScriptLine: lineNumber, Link: fields[0], Direction: Both, Trigger: Trigger{Time: -1, Byte: -1, NthMatch: 1},
@@ -102,6 +102,7 @@
 
 func (r *fieldReader) more() bool { return r.err == nil && len(r.fields) > 0 }
 
+// peek returns the next field without taking it. There must be one.
 func (r *fieldReader) peek() string { return r.fields[0] }
 
 // take returns the next field, or "" if there is none.
--- a/internal/fault/rule.go
+++ b/internal/fault/rule.go
@@ -72,7 +72,8 @@
 // BlocksNewConns reports whether the kind acts on new connections before they are accepted.
 func (k Kind) BlocksNewConns() bool { return k == Refuse || k == Stall }
 
-// hasForOption reports whether a rule of the kind may limit its duration with the option 'for'.
+// hasForOption reports whether a rule of the kind may limit its duration with the option 'for'. Silence, Refuse and
+// Stall take a duration without that word.
 func (k Kind) hasForOption() bool { return k == Delay || k == Rate || k == Pieces }
 
 // ending returns how a fault of the kind ends its stream.
@@ -96,7 +97,8 @@
 }
 
 // Trigger is when a rule fires: at a time (a timed rule), after a number of bytes, or after the nth match of a
-// pattern. A rule whose trigger has none of the three fires when its connection begins.
+// pattern. A rule whose trigger has none of the three fires when its connection begins. One that blocks new
+// connections fires before that: when the run starts or, for connection N, when connection N-1 has been accepted.
 type Trigger struct {
 	Time     time.Duration // since the start of the run; -1: not a timed rule
 	Byte     int64         // bytes of the stream; -1: not after a number of bytes
--- a/internal/fault/stream.go
+++ b/internal/fault/stream.go
@@ -25,7 +25,7 @@
 type activeRule struct {
 	rule      *Rule
 	until     time.Duration // 0: until the connection ends
-	bytesLeft int64         // bytes that it still changes
+	bytesLeft int64         // how many more bytes it changes; Garble, Drop and Repeat only
 }
 
 // addRule adds a rule that applies to the connection. A rule whose trigger has been reached fires at once.
--- a/internal/fault/timing.go
+++ b/internal/fault/timing.go
@@ -29,8 +29,8 @@
 	return output
 }
 
-// dueTime returns when the next bytes, size of them, are due: the latest time that an active rule gives. It never
-// decreases, so that bytes keep their order.
+// dueTime returns when the next bytes, as many as size, are due: now, or the latest time that an active rule gives. It
+// never decreases, so that bytes keep their order.
 func (s *StreamPlan) dueTime(now time.Duration, size int) time.Duration {
 	due := now
 	for _, a := range s.active {
@@ -40,7 +40,7 @@
 	return s.lastDue
 }
 
-// dueByRule returns when the next bytes are due by one active rule.
+// dueByRule returns when the next bytes, as many as size, are due by one active rule.
 func (s *StreamPlan) dueByRule(a activeRule, now time.Duration, size int) time.Duration {
 	switch r := a.rule; r.Kind {
 	case Delay:
