--- a/internal/fault/fault_test.go
+++ b/internal/fault/fault_test.go
@@ -21,7 +21,8 @@
 }
 
 // TestBadScripts checks that Parse rejects scripts that can't be carried out, with an error of one line that names
-// the script's line and the field.
+// the script's line and the field. It also checks that a valid script is accepted whose rules are similar but don't
+// contradict each other.
 func TestBadScripts(t *testing.T) {
 	for text, want := range map[string]string{
 		"":       "no link",
@@ -60,7 +61,7 @@
 		links + `c up match "a" : garble 3` + "\n" + `c up match "a" : drop 2`: "line 4: drop: contradicts garble",
 	} {
 		if _, err := Parse(text); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: %v, want %q", text, err, want)
+			t.Errorf("script %q: error %v, want %q", text, err, want)
 		}
 	}
 	mustParse(t, "seed 7 # a comment\n\nc up byte 5 : reset\nc down byte 5 : close\nd byte 5 : reset\n"+
@@ -71,15 +72,15 @@
 func feedInReads(s *StreamPlan, data []byte, size int) (out []byte, end Ending) {
 	for len(data) > 0 {
 		n := min(size, len(data))
-		for _, op := range s.Feed(data[:n], 0) {
-			out = append(out, op.Data...)
-			end = max(end, op.Ending)
+		for _, output := range s.Feed(data[:n], 0) {
+			out = append(out, output.Data...)
+			end = max(end, output.Ending)
 		}
 		data = data[n:]
 	}
-	for _, op := range s.CloseInput(0) {
-		out = append(out, op.Data...)
-		end = max(end, op.Ending)
+	for _, output := range s.CloseInput(0) {
+		out = append(out, output.Data...)
+		end = max(end, output.Ending)
 	}
 	return out, end
 }
@@ -101,7 +102,7 @@
 		var want []byte
 		var wantEnd Ending
 		var wantFirings string
-		for _, size := range []int{1 << 20, 1, 2, 7, 100} {
+		for _, size := range []int{1 << 20, 1, 2, 7, 100} { // the first: all data in one read
 			c := script.PlanConn("c", number, 0)
 			out, end := feedInReads(c.Stream(Up), data, size)
 			firings := fmt.Sprint(c.TakeFirings())
@@ -156,9 +157,9 @@
 	const ms = time.Millisecond
 	due := func(rule string, now time.Duration) (times []time.Duration, sizes []int) {
 		s := mustParse(t, rule).PlanConn("c", 1, 0).Stream(Up)
-		for _, op := range s.Feed(make([]byte, 100), now) {
-			times = append(times, op.Due)
-			sizes = append(sizes, len(op.Data))
+		for _, output := range s.Feed(make([]byte, 100), now) {
+			times = append(times, output.Due)
+			sizes = append(sizes, len(output.Data))
 		}
 		return times, sizes
 	}
@@ -184,11 +185,11 @@
 	s := mustParse(t, "c : delay 10ms jitter 50ms").PlanConn("c", 1, 0).Stream(Up)
 	lastDue := time.Duration(0)
 	for i := range 100 {
-		for _, op := range s.Feed([]byte("x"), time.Duration(i)*ms) {
-			if op.Due < lastDue || op.Due < time.Duration(i+10)*ms || op.Due > time.Duration(i+60)*ms+50*ms {
-				t.Errorf("byte %d is due at %v, the byte before it at %v", i, op.Due, lastDue)
+		for _, output := range s.Feed([]byte("x"), time.Duration(i)*ms) {
+			if output.Due < lastDue || output.Due < time.Duration(i+10)*ms || output.Due > time.Duration(i+60)*ms+50*ms {
+				t.Errorf("byte %d is due at %v, the byte before it at %v", i, output.Due, lastDue)
 			}
-			lastDue = op.Due
+			lastDue = output.Due
 		}
 	}
 }
