--- a/internal/relay/listener.go
+++ b/internal/relay/listener.go
@@ -21,8 +21,8 @@
 	// reopenInterval is the time between two attempts to listen again on an address that another socket has
 	// taken.
 	reopenInterval = 10 * time.Millisecond
-	// changePollInterval is how often the accepting goroutine checks for a change of the listener that it was
-	// not notified of.
+	// changePollInterval is the longest that the accepting goroutine waits for a change of the listener before it
+	// checks again.
 	changePollInterval = 20 * time.Millisecond
 )
 
@@ -201,8 +201,8 @@
 	}
 }
 
-// awaitChange waits until the listener has changed, but no longer than changePollInterval: the change may have come
-// before the failed accept returned.
+// awaitChange waits until the listener has changed or the relay is closed, but no longer than changePollInterval: an
+// accept may also fail while the listener stays as it is.
 func (l *linkListener) awaitChange(changed <-chan struct{}) {
 	select {
 	case <-changed:
