--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -3,7 +3,8 @@
 //	toy serve              a coordinator on 127.0.0.1:7070, a cache on :7101 and the origin on :7102
 //	toy ask CLASS OBJECT   one request to the proxy on 127.0.0.1:7000
 //
-// The cache and the origin generate each object from its key. The cache never evicts an object.
+// The cache and the origin generate each object from its key and store none. An object counts as cached from
+// its second request on a connection until that connection ends; nothing is evicted before.
 package main
 
 import (
@@ -187,6 +188,7 @@
 	h := fnv.New64a()
 	h.Write([]byte(object)) //nolint:errcheck // a hash takes everything
 	var params []byte
+	// PIECE is the part of the object, from 0. LOT is its purge group: any will do, as nothing is purged.
 	for _, pair := range []struct{ name, value string }{
 		{"SCRIPT_NAME", "/ops/" + class}, {"HTTP_REQ_ID", fmt.Sprintf("%016x", rand.Uint64())},
 		{"HTTP_REQ_WAIT_MS", "3000"}, {"HTTP_REQ_KEY", fmt.Sprintf("%016x", h.Sum64())},
