--- a/internal/soak/rule_answers.go
+++ b/internal/soak/rule_answers.go
@@ -24,22 +24,23 @@
 	if len(req.Answers) > 0 {
 		late := req.Answers[0].At - due
 		if late > 0 {
-			c.report("late answer", req.Answers[0].At, keywords, "%s was answered %.3f too late", subject, late.Seconds())
+			c.report("late answer", req.Answers[0].At, keywords, "%s was answered %.3f s too late", subject, late.Seconds())
 		}
 		return
 	}
 	if req.DisconnectedAt != 0 {
-		c.report("lost", req.DisconnectedAt, keywords, "%s was sent at %.3f, and its connection ended without an answer",
+		c.report("lost", req.DisconnectedAt, keywords, "%s was sent at %.3f s, and its connection ended without an answer",
 			subject, req.SentAt.Seconds())
 		return
 	}
-	c.report("lost", due, keywords, "%s was sent at %.3f, and never answered", subject, req.SentAt.Seconds())
+	c.report("lost", due, keywords, "%s was sent at %.3f s, and never answered", subject, req.SentAt.Seconds())
 }
 
 // answerDue returns the latest time for the answer to a request, and whether an answer is required. None is
-// required if the request was not sent in full or was cancelled, or if the process was killed before the answer
-// was due. A kill after SIGTERM is no excuse: it comes no earlier than maxShutdown after the signal. The process
-// knows that time and has to answer before it.
+// required if the request was not sent in full, was cancelled or may have raced with the close of an idle
+// connection, or if the process was killed before the answer was due. A kill after SIGTERM is no excuse: it comes
+// no earlier than maxShutdown after the signal. The process knows that time and has to answer before it, unless the
+// request was sent so shortly before the kill that the process may not have read it.
 func (c *historyChecker) answerDue(req *Request) (due time.Duration, required bool) {
 	incarnation := c.history.incarnation(req.Proxy, req.Incarnation)
 	if req.SentAt == 0 || req.CancelledAt != 0 || req.AnswerNotRequired || incarnation == nil {
--- a/internal/soak/rule_calls.go
+++ b/internal/soak/rule_calls.go
@@ -44,7 +44,7 @@
 	if call.FirstByteAt > last {
 		since := call.FirstByteAt - req.CancelledAt
 		c.report("begun after left", call.FirstByteAt, keywords,
-			"a call for request %s began at %s %.3f after its client had cancelled it",
+			"a call for request %s began at %s %.3f s after its client had cancelled it",
 			call.ID, call.Server, since.Seconds())
 	}
 }
@@ -68,7 +68,7 @@
 	last := since + c.history.Limits.DrainGrace + socketSlack + c.history.observationSlack(since, call.FirstByteAt)
 	if call.FirstByteAt > last {
 		c.report("drain", call.FirstByteAt, keywords,
-			"a call for request %s went to or named %s %.3f after its proxy was notified of its drain or removal",
+			"a call for request %s went to or named %s %.3f s after its proxy was notified of its drain or removal",
 			call.ID, server, (call.FirstByteAt - since).Seconds())
 	}
 }
--- a/internal/soak/rule_executions.go
+++ b/internal/soak/rule_executions.go
@@ -40,7 +40,7 @@
 		if call.FirstByteAt > last {
 			since := call.FirstByteAt - first.FirstByteAt
 			c.report("repeat after window", call.FirstByteAt, []string{req.ID, proxyName(req.Proxy)},
-				"request %s was repeated %.3f after a call that may have been executed", req.ID, since.Seconds())
+				"request %s was repeated %.3f s after a call that may have been executed", req.ID, since.Seconds())
 		}
 	}
 }
--- a/internal/soak/rule_incarnations.go
+++ b/internal/soak/rule_incarnations.go
@@ -47,7 +47,7 @@
 		c.report("bad end", inc.SigtermAt, keywords, "%v exited with %q after SIGTERM", inc, inc.ExitError)
 	}
 	if inc.SigtermAt != 0 && inc.KilledAt > inc.SigtermAt {
-		c.report("late end", inc.KilledAt, keywords, "%v had to be killed %.3f after SIGTERM",
+		c.report("late end", inc.KilledAt, keywords, "%v had to be killed %.3f s after SIGTERM",
 			inc, (inc.KilledAt - inc.SigtermAt).Seconds())
 	}
 }
--- a/internal/soak/rule_purges.go
+++ b/internal/soak/rule_purges.go
@@ -49,6 +49,6 @@
 	since := call.FirstByteAt - notified
 	keywords := []string{req.ID, call.Server, req.Object, proxyName(req.Proxy)}
 	c.report("purged copy", call.FirstByteAt, keywords,
-		"request %s was sent %.3f after its proxy was notified of a purge, and served from a copy made %v before the purge",
+		"request %s was sent %.3f s after its proxy was notified of a purge, and served from a copy made %v before the purge",
 		req.ID, since.Seconds(), e.PurgedBefore.Sub(call.CopyMadeAt))
 }
