--- a/internal/soak/corruption.go
+++ b/internal/soak/corruption.go
@@ -3,7 +3,7 @@
 // This file corrupts the lines of events that the coordinator sends. A proxy still has to know each event within
 // maxNotifyDelay, because a new stream sends it again intact.
 
-// maxCorruptions is how many streams in a row are corrupted, and how often one event is.
+// maxCorruptions is how many streams in a row are corrupted at most, and how often the line of one event is.
 const maxCorruptions = 3
 
 // streamAction says what a stream does after a line.
@@ -19,7 +19,7 @@
 // corruption records what the coordinator has corrupted for one proxy since its mode was set.
 type corruption struct {
 	mode             coordinatorMode
-	heartbeatSent    bool        // since the mode was set; shows that the streams before have not failed
+	heartbeatSent    bool        // since the mode was set; shows that no failed streams precede the corrupted ones
 	streamsToCorrupt int         // how many streams may still be corrupted
 	corruptedLines   map[int]int // by index of an event: how often its line was corrupted
 }
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -109,7 +109,7 @@
 var returnedAddrs sync.Map
 
 // freeAddr returns an address of a host on which nothing listens and which it has not returned before. It returns
-// an empty string if it can't listen on the host.
+// an empty string if it can't listen on the host. host is an IP address with port 0.
 func freeAddr(host string) string {
 	for {
 		listener, err := net.Listen("tcp", host)
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -79,7 +79,7 @@
 
 // restartProcess ends a proxy's process and starts the next one, which may run under a fault. If the soak test holds
 // the clients' socket and the fault is not "kill", the next process starts before the old one ends, as on the
-// platform: otherwise connections that come in between would wait for its start.
+// platform that proxies run on: otherwise connections that come in between would wait for its start.
 func (r *run) restartProcess(p *process, f Fault) {
 	takeover := p.socket != nil && f.Kind != "kill"
 	r.prepareRestart(p, f)
@@ -169,8 +169,8 @@
 	}
 }
 
-// restartCache takes a cache out of service and announces it again. By the kind of the fault, the cache is drained
-// first, removed from the endpoint list, and crashed and restarted.
+// restartCache takes a cache out of service and announces it again. "crash" crashes and restarts it. All other kinds
+// drain it first: "leave" then removes it from the endpoint list, and "replace" removes, crashes and restarts it.
 func (r *run) restartCache(s *server, f Fault) {
 	if f.Kind != "crash" {
 		r.announceState(s, "DRAINING")
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -292,8 +292,9 @@
 	return errors.Join(err, listener.Close())
 }
 
-// replace starts the next incarnation on the same socket while the current one runs, and ends the old one when the
-// new one is ready. The new one gets another address for operators.
+// replace starts the next incarnation on the same socket while the current one runs. When the new one is ready, or has
+// exited, it ends the old one by SIGTERM, and kills it if it has not exited within maxShutdown. The new one gets another
+// address for operators.
 func (p *process) replace() error {
 	p.mu.Lock()
 	old := p.incarnation
--- a/internal/soak/processfaults.go
+++ b/internal/soak/processfaults.go
@@ -62,8 +62,8 @@
 	return os.WriteFile(p.config, text[:len(text)/2], 0o600)
 }
 
-// drain orders the proxy to drain, and to serve again after a length of time. In between clients open no connections,
-// and use those that they have until the proxy closes them.
+// drain orders the proxy to drain and, a length of time after connsAfterDrainOrder, to serve again. From
+// connsAfterDrainOrder on, clients open no connections, and use those that they have until the proxy closes them.
 func (p *process) drain(length time.Duration) {
 	status, err := p.callAdmin("PUT", "/ops/drain/start")
 	if err != nil || status != statusOK {
--- a/internal/soak/purges.go
+++ b/internal/soak/purges.go
@@ -41,7 +41,8 @@
 	r.purge(e, fmt.Sprintf(`"shard":%d`, group), func(name string) bool { return groupOf(name) == group })
 }
 
-// purge publishes a purge of the copies made before now, and makes the caches and the parent drop them.
+// purge publishes a purge of the copies made before now, and makes the caches and the parent drop them. key is
+// the JSON member of the event that names the object or the group.
 func (r *run) purge(e *WatchEvent, key string, matches func(object string) bool) {
 	e.PurgedBefore = time.Now()
 	time.Sleep(purgeDelay)
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -150,8 +150,8 @@
 	proxies.Wait()
 }
 
-// surge raises the rate of the clients' requests by surgeFactor for surgeDuration, so that the load on a server in
-// slow start exceeds twice its budget.
+// surge raises the rate of the clients' requests by surgeFactor for surgeDuration, so that the load that a
+// server in slow start could get exceeds twice its capacity at that time, which is the limit of checkSlowStart.
 func (r *run) surge() {
 	r.surgeUntil.Store(int64(r.history.Now() + surgeDuration))
 }
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -12,8 +12,10 @@
 type Fault struct {
 	Kind     string
 	At       time.Duration // since the start of the run
-	Duration time.Duration
-	Target   int // index in the fleet, or among the caches for faults of a cache
+	Duration time.Duration // as drawn; some kinds last a multiple or a part of it, others ignore it
+	// Target is the proxy's index in the fleet or, for faults of a cache, the index among the caches. The coordinator's
+	// and other faults derive from it a cache, a group, an object, or which half of the fleet is affected.
+	Target int
 }
 
 // String returns the fault as a line of a schedule.
@@ -33,11 +35,11 @@
 )
 
 const (
-	quietStart        = time.Second            // before the first fault
-	quietEnd          = 3 * time.Second        // without new faults and requests, before the run ends
-	minFaultDuration  = 300 * time.Millisecond // inclusive
-	maxFaultDuration  = 2500 * time.Millisecond
-	meanFaultInterval = 550 * time.Millisecond // of an exponential distribution: two or three faults overlap
+	quietStart        = time.Second             // before the first fault
+	quietEnd          = 3 * time.Second         // without new faults and requests, before the run ends
+	minFaultDuration  = 300 * time.Millisecond  // inclusive
+	maxFaultDuration  = 2500 * time.Millisecond // exclusive
+	meanFaultInterval = 550 * time.Millisecond  // of an exponential distribution: two or three faults overlap
 )
 
 // scheduleRNGStream is the stream of a seed's PCG random numbers that draws its schedule.
@@ -48,7 +50,8 @@
 	return slices.Concat(processFaults, cacheFaults, coordinatorFaults, otherFaults)
 }
 
-// Schedule draws the faults of a run of the given length from the given kinds.
+// Schedule draws the faults of a run of the given length from the given kinds. fleet and caches are the numbers of
+// proxies and caches.
 func Schedule(seed uint64, length time.Duration, fleet, caches int, kinds []string) (schedule []Fault) {
 	rng := rand.New(rand.NewPCG(seed, scheduleRNGStream))
 	at := quietStart
--- a/internal/soak/settings.go
+++ b/internal/soak/settings.go
@@ -6,7 +6,7 @@
 const (
 	proxyMemoryMB       = 64
 	proxyDescriptors    = 256
-	flowBytesPerSecond  = 200_000 // of one transfer; an object takes 50 ms
+	flowBytesPerSecond  = 200_000 // of one transfer; an object takes about 50 ms
 	cacheWeight         = 3.0     // concurrent transfers that a cache's link carries
 	deduplicationWindow = 400 * time.Millisecond
 	slowStartCapacity   = 0.1 // fraction of a server's capacity at its start
@@ -37,7 +37,8 @@
 	}
 }
 
-// settingsFor returns the settings in the configuration of one proxy of a fleet.
+// settingsFor returns the settings in the configuration of the proxy with an index in a fleet of a given size, with
+// hedging on or off.
 func settingsFor(index, fleet int, hedging bool) map[string]any {
 	return map[string]any{
 		"areas": []string{"hub", "edge"}, "host-types": []string{"std", "parent", "origin"}, "zone": 1,
