--- a/internal/soak/answers.go
+++ b/internal/soak/answers.go
@@ -16,10 +16,10 @@
 	maxWriteTime  = 2 * maxAnswerTime
 	slowFactor    = 20 // how many times longer a slow server takes
 
-	overloadChance = 0.5  // probability that a call is rejected during an "overload" fault
-	crashedChance  = 0.02 // probability that a write is answered with "crashed"
-	joinChance     = 0.03 // probability that a call joins a fill that began before it
-	maxJoinedAge   = time.Second
+	overloadChance = 0.5         // probability that a call is rejected during an "overload" fault
+	crashedChance  = 0.02        // probability that a write is answered with "crashed"
+	joinChance     = 0.03        // probability that a call joins a fill that began before it
+	maxJoinedAge   = time.Second // how long ago that fill began, at most
 )
 
 // recordCall adds a call to the history. The words are those of its command: REQ, the ID, the fields and the
@@ -97,8 +97,8 @@
 	s.writeAnswer(call, out, result, "-", fmt.Sprintf("%d written", call.Serial))
 }
 
-// simulateWork sleeps for a random time below maxTime, slowFactor times longer while the server is slow, and as
-// long as the server hangs.
+// simulateWork sleeps for a random time below maxTime, or slowFactor times as long if the server is slow. If the
+// server hangs after that, it waits for the end of the hang.
 func (s *server) simulateWork(maxTime time.Duration) {
 	length := time.Duration(s.draw() * float64(maxTime))
 	if s.faultActive(&s.slowUntil) {
--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -11,7 +11,7 @@
 const (
 	// maxNotifyDelay is how long after its publication an event counts as known to a proxy, delivered or not.
 	maxNotifyDelay = 7 * time.Second
-	// socketSlack is added to the rules' time limits when they are checked on sockets.
+	// socketSlack is added to the rules' time limits, because they are checked by when bytes arrive at sockets.
 	socketSlack = 50 * time.Millisecond
 	// machineSlack is how late this package's clients and servers may observe something on a busy machine.
 	machineSlack = 150 * time.Millisecond
--- a/internal/soak/clientconn.go
+++ b/internal/soak/clientconn.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// idleCloseRaceWindow is how shortly before the close of an idle connection a request may be sent that the proxy
-	// then has not read.
+	// idleCloseRaceWindow is how long before a proxy closes an idle connection a request may have been sent that the
+	// proxy has not read.
 	idleCloseRaceWindow = 60 * time.Millisecond
 	// unusedIdleAge is how long after its opening an unused connection counts as idle. The proxy may close it from
 	// then on, because no request is open on it; a first request before that must be answered.
@@ -147,13 +147,14 @@
 	}
 	header, body, _ := strings.Cut(text, "\r\n\r\n")
 	status, _, _ := strings.Cut(strings.TrimPrefix(header, "Status: "), "\r\n")
-	hasStatus := len(endRequest) > fcgiProtocolStatus
+	hasProtocolStatus := len(endRequest) > fcgiProtocolStatus
 	a := FinalAnswer{
 		At: c.history.Now(), Status: status,
-		ProtocolOverloaded: hasStatus && endRequest[fcgiProtocolStatus] == fcgiOverloaded,
+		ProtocolOverloaded: hasProtocolStatus && endRequest[fcgiProtocolStatus] == fcgiOverloaded,
 		Body:               body[:min(len(body), keptBodyBytes)],
 	}
-	confirmsAbort := hasStatus && text == "" && !a.ProtocolOverloaded
+	// END_REQUEST without output is no answer unless it rejects the request: it confirms an abort.
+	confirmsAbort := hasProtocolStatus && text == "" && !a.ProtocolOverloaded
 	if !confirmsAbort {
 		c.history.withLock(func() { req.Answers = append(req.Answers, a) })
 	}
@@ -206,7 +207,7 @@
 			req.DisconnectedAt = now
 			req.AnswerNotRequired = req.AnswerNotRequired || raced
 		})
-		c.history.Logf("client", "connection %d to proxy-%d, opened %.3f before, ended with %s open (raced with an idle close: %v)",
+		c.history.Logf("client", "connection %d to proxy-%d, opened %.3f s before, ended with %s open (raced with an idle close: %v)",
 			c.number, c.clients.p.number, (now - c.openedAt).Seconds(), req.ID, raced)
 	}
 }
--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -207,6 +207,7 @@
 		return
 	}
 	req := pc.newRequest(classRead, requestTimeout)
+	// An HTTP request, a BEGIN_REQUEST without a body, and bytes that are not a record of any FastCGI version.
 	malformed := []string{"GET / HTTP/1.1\r\n\r\n", "\x01\x01\x00\x09\x00\x00\x00\x00", strings.Repeat("\xff", 4000)}
 	c.send(req, []byte(malformed[pc.rng.IntN(len(malformed))]))
 }
--- a/internal/soak/resp.go
+++ b/internal/soak/resp.go
@@ -47,7 +47,7 @@
 	return words, nil
 }
 
-// readLength reads a line of a prefix and a number, and returns the number.
+// readLength reads a line that consists of a prefix and a number, and returns the number.
 func readLength(in *bufio.Reader, prefix byte) (int, error) {
 	line, err := in.ReadBytes('\n')
 	if err != nil {
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// lateReadsAfterHang is how long after a hang a server reads what was sent during it.
+	// lateReadsAfterHang is how long after a hang a server may still read calls that were sent during it.
 	lateReadsAfterHang = 300 * time.Millisecond
 	// maxPurgeDelay is the longest time until a server drops purged copies.
 	maxPurgeDelay = 5 * time.Second
