--- a/internal/soak/clientconn_test.go
+++ b/internal/soak/clientconn_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The soak test must not blame a proxy for a request that raced with the close of an idle connection, and must not
-// excuse the loss of any other request.
+// TestRequestRacesIdleClose checks that the soak test does not blame a proxy for a request that raced with the close of
+// an idle connection, and does not excuse the loss of any other request.
 func TestRequestRacesIdleClose(t *testing.T) {
 	const closedAt = 10 * time.Second
 	for _, c := range []struct {
--- a/internal/soak/run_test.go
+++ b/internal/soak/run_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// freeAddr must not return an address twice. The system may offer one again until a program listens on it.
+// TestFreeAddrReturnsEachAddressOnce checks that freeAddr does not return an address twice. The system may offer one
+// again until a program listens on it.
 func TestFreeAddrReturnsEachAddressOnce(t *testing.T) {
 	const draws = 3000
 	seen := map[string]bool{}
