--- a/internal/fastcgi/decoder.go
+++ b/internal/fastcgi/decoder.go
@@ -11,13 +11,13 @@
 type Decoder struct {
 	receiving     map[uint16]*partialRequest // requests that are not complete
 	inProgress    map[uint16]bool            // complete requests that have not been answered
-	bufferedBytes int                        // parameters and bodies of the requests in receiving
+	bufferedBytes int                        // encoded parameters and bodies of the requests in receiving
 }
 
 // partialRequest is a request of which some records have been decoded.
 type partialRequest struct {
 	req        Request
-	params     []byte // encoded pairs; nil after the empty PARAMS record
+	params     []byte // encoded pairs; nil once the empty PARAMS record has ended them
 	paramsDone bool
 }
 
@@ -25,6 +25,7 @@
 func (d *Decoder) Done(id uint16) { delete(d.inProgress, id) }
 
 // BufferedBytes returns the size of the parameters and bodies buffered for requests that are not complete.
+// Parameters count only until they are decoded, at the empty PARAMS record.
 func (d *Decoder) BufferedBytes() int { return d.bufferedBytes }
 
 // DropPartial drops all requests that are not complete and returns their IDs. Their further records are
@@ -36,15 +37,15 @@
 	return ids
 }
 
-// Receiving reports whether a request has been begun that is not complete.
+// Receiving reports whether any request has begun and is not complete.
 func (d *Decoder) Receiving() bool { return len(d.receiving) > 0 }
 
 // Busy reports whether a request is being received or waits for its response.
 func (d *Decoder) Busy() bool { return len(d.receiving)+len(d.inProgress) > 0 }
 
 // Decode decodes one record from the start of data. It returns how many bytes the record has, 0 if data ends
-// before the record does, and the event that the record leads to, nil if none. After an error nothing more can
-// be decoded from the connection.
+// before the record does, and the event that the record leads to, nil if none. After an error, which wraps
+// ErrVersion or ErrRecord, nothing more can be decoded from the connection.
 func (d *Decoder) Decode(data []byte) (used int, ev Event, err error) {
 	if len(data) < headerBytes {
 		return 0, nil, nil
@@ -107,7 +108,7 @@
 	return Reply{Data: encodeUnknownType(recordType)}, nil
 }
 
-// handleBegin handles a BEGIN_REQUEST.
+// handleBegin handles a BEGIN_REQUEST. It replies to a request that it does not accept.
 func (d *Decoder) handleBegin(id uint16, content []byte) (Event, error) {
 	if len(content) != beginContentBytes {
 		return nil, fmt.Errorf("%w: BEGIN_REQUEST of %d bytes", ErrRecord, len(content))
@@ -132,7 +133,7 @@
 }
 
 // handleAbort handles an ABORT_REQUEST. A request that is not complete is answered here, as the application
-// has not received it.
+// has not received it. The abort of an unknown request is ignored.
 func (d *Decoder) handleAbort(id uint16) Event {
 	p := d.receiving[id]
 	if p != nil {
@@ -145,7 +146,8 @@
 	return nil
 }
 
-// reject drops a request that exceeds a limit. Its further records are ignored.
+// reject drops a request that exceeds a limit or has parameters after their end. Its further records are
+// ignored.
 func (d *Decoder) reject(p *partialRequest) Rejected {
 	d.drop(p)
 	return Rejected{ID: p.req.ID, KeepConn: p.req.KeepConn, Err: ErrTooLarge}
--- a/internal/fastcgi/event.go
+++ b/internal/fastcgi/event.go
@@ -14,12 +14,12 @@
 	Body     []byte
 }
 
-// Rejected is a request that exceeds a limit on its parameters or body. The rest of it is skipped; the
-// connection continues.
+// Rejected is a request that exceeds a limit on its parameters or body, or that has parameters after their
+// end. The rest of it is skipped; the connection continues.
 type Rejected struct {
 	ID       uint16
 	KeepConn bool
-	Err      error // ErrTooLarge
+	Err      error // always ErrTooLarge
 }
 
 // Abort says that the client has aborted a request that it had sent completely.
--- a/internal/fastcgi/fastcgi_test.go
+++ b/internal/fastcgi/fastcgi_test.go
@@ -72,7 +72,7 @@
 	for len(data) > 0 {
 		used, ev, err := d.Decode(data)
 		if used == 0 || err != nil {
-			t.Fatalf("record of %d bytes, error %v", used, err)
+			t.Fatalf("Decode used %d bytes, error %v", used, err)
 		}
 		data = data[used:]
 		if ev != nil {
@@ -98,7 +98,7 @@
 func TestAbortsAndReplies(t *testing.T) {
 	for name, c := range map[string]struct {
 		in   []byte
-		want Event
+		want Event // the last one; nil: none
 	}{
 		"abort of a complete request": {join(completeRequest(3), encodeRecord(typeAbort, 3, "")), Abort{ID: 3}},
 		"abort of a partial request": {
@@ -201,7 +201,7 @@
 	for range 3 {
 		decodeAll(t, &d, completeRequest(1))
 		if !d.Busy() || d.BufferedBytes() != 0 {
-			t.Fatalf("busy %v, %d bytes buffered", d.Busy(), d.BufferedBytes())
+			t.Fatalf("after a complete request: busy is %v, want true; %d bytes buffered, want 0", d.Busy(), d.BufferedBytes())
 		}
 		d.Done(1)
 	}
@@ -223,7 +223,7 @@
 	}
 	want := "Status: 200\r\nX-Unchanged: 1\r\n\r\n" + string(body)
 	if string(text) != want {
-		t.Fatalf("got other output of %d bytes, want %d", len(text), len(want))
+		t.Fatalf("wrong output: got %d bytes, want %d", len(text), len(want))
 	}
 }
 
@@ -235,7 +235,7 @@
 		for len(data) > 0 {
 			used, _, err := d.Decode(data)
 			if used < 0 || used > len(data) || d.BufferedBytes() < 0 {
-				t.Fatalf("used %d of %d, %d bytes buffered", used, len(data), d.BufferedBytes())
+				t.Fatalf("used %d of %d bytes, %d bytes buffered", used, len(data), d.BufferedBytes())
 			}
 			if err != nil || used == 0 {
 				return
