--- a/internal/resp/call.go
+++ b/internal/resp/call.go
@@ -38,8 +38,8 @@
 	ID             string // of the request; the answer carries it too
 	Class          string // name of the request's class
 	Object         string
-	Part           string
-	Timeout        time.Duration // how long the caller waits for the answer; sent in whole milliseconds
+	Part           string        // number of the object's part, in decimal digits
+	Timeout        time.Duration // how long the caller waits for the answer; sent in milliseconds, rounded down
 	Source         string        // ID of the server to fill from on a cache miss; empty: none
 	RetentionRank  int           // of the cached copy, 1 to 3: copies of rank 1 are evicted first; 0: not cached
 	MaxAge         time.Duration // age up to which a cached copy may be served; 0: the class's freshness
@@ -82,8 +82,8 @@
 		fields = appendField(fields, fieldRetentionRank, strconv.Itoa(c.RetentionRank))
 	}
 	if c.MaxAge > 0 {
-		// MaxAge is rounded down, as an older copy may be from before a purge, but not to 0, which would allow
-		// any copy that is fresh by its class.
+		// MaxAge is rounded down, as a copy older than it may be from before a purge, but not to 0, which would
+		// allow any copy that is fresh by its class.
 		fields = appendField(fields, fieldMaxAge, formatMillis(max(c.MaxAge, time.Millisecond)))
 	}
 	flags := callFlags(c)
