--- a/internal/watch/decode.go
+++ b/internal/watch/decode.go
@@ -70,6 +70,7 @@
 	}
 }
 
+// decodeEndpoints decodes an endpoint update. An entry without a readable ID is left out.
 func (e *Event) decodeEndpoints(text json.RawMessage) {
 	var update struct {
 		Full    bool              `json:"full"`
@@ -89,7 +90,7 @@
 }
 
 // decodeEndpoint decodes an entry of the endpoint list. An entry that has an ID but is otherwise unreadable is
-// decoded as deleted.
+// decoded as deleted. hasID is false if the ID is unreadable too.
 func (e *Event) decodeEndpoint(text json.RawMessage) (endpoint Endpoint, hasID bool) {
 	err := json.Unmarshal(text, &endpoint)
 	if err == nil && isKnownState(endpoint.State) && endpoint.ID != "" {
--- a/internal/watch/framing.go
+++ b/internal/watch/framing.go
@@ -12,11 +12,11 @@
 // ErrMalformed says that a line is neither an event nor a heartbeat.
 var ErrMalformed = errors.New("watch: malformed line")
 
-// ErrLineTooLong says that a line has not ended within MaxLineBytes. It wraps ErrMalformed.
+// ErrLineTooLong says that more than MaxLineBytes have arrived without a line feed. It wraps ErrMalformed.
 var ErrLineTooLong = fmt.Errorf("%w: over %d bytes", ErrMalformed, MaxLineBytes)
 
 // NextLine splits the first line off data. used is its length with the line feed, 0 if data has no complete
-// line.
+// line. If data has more than MaxLineBytes and no line feed, the error is ErrLineTooLong.
 func NextLine(data []byte) (used int, line []byte, err error) {
 	end := bytes.IndexByte(data, '\n')
 	if end >= 0 {
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -1,6 +1,6 @@
 // Package watch is the codec of the coordinator's stream of events. It does no I/O.
 //
-// The client sends one line, "follow N", where N is the index of the last event that it has. The stream then
+// The proxy sends one line, "follow N", where N is the index of the last event that it has. The stream then
 // carries every later event, one JSON object per line, and heartbeats, which are lines with only the index of
 // the last event. The names on the wire are those of the coordinator's protocol, such as "evict" for a purge
 // and "shard" for a group of objects; this package alone maps them to the terms that the rest of the program
@@ -23,7 +23,7 @@
 	Cell          int     `json:"cell"` // group of servers that share deduplication state
 	State         string  `json:"state"`
 	Weight        float64 `json:"weight"`     // relative capacity
-	StartedMillis int64   `json:"started_ms"` // Unix milliseconds of the server's last start; 0: long ago
+	StartedMillis int64   `json:"started_ms"` // Unix milliseconds of the server's last start; 0: it started long ago
 }
 
 // EndpointUpdate is the complete endpoint list, or changes to it.
@@ -32,8 +32,8 @@
 	Endpoints []Endpoint
 }
 
-// Purge is the removal of cached copies: of an object, of a group if Object is empty, or of everything if
-// Group is nil too. A purge that is malformed or has no target is decoded as one of everything.
+// Purge is the removal of cached copies: of an object, of a group of objects if Object is empty, or of
+// everything if Group is nil too. A purge that is malformed or has no target is decoded as one of everything.
 type Purge struct {
 	Object   string `json:"ref"`
 	Group    *int   `json:"shard"`
