--- a/cmd/edgeproxy/client_test.go
+++ b/cmd/edgeproxy/client_test.go
@@ -75,10 +75,10 @@
 // served once the client reads them.
 func TestBlockedRequestIsServed(t *testing.T) {
 	env := startTestEnv(t)
-	conn, out := newUnreadingClient(env)
+	conn, inFlight := newUnreadingClient(env)
 	c := &client{conn, make(chan answer, 1000)}
 	c.request(100, "artes", longTimeoutMS, 100, "")
-	out.answer("served", "-", "out")
+	inFlight.answer("served", "-", "out")
 	go c.readAnswers()
 	for range 32 {
 		a := receive(t, c.answers, "answer")
--- a/cmd/edgeproxy/clock_test.go
+++ b/cmd/edgeproxy/clock_test.go
@@ -147,10 +147,10 @@
 		env.awaitEventsApplied()
 		c.request(1, "artes", longTimeoutMS, 1, "")
 		got := receive(t, env.cache.calls, "call")
-		age, _ := strconv.ParseInt(got.fields["maxage"], 10, 64)
-		maxAge := time.Since(purgedAt).Milliseconds()
-		if age <= 0 || age > maxAge {
-			t.Errorf("%s: maxage is %d when the purge was %d ms ago", by, age, maxAge)
+		maxAge, _ := strconv.ParseInt(got.fields["maxage"], 10, 64)
+		sincePurge := time.Since(purgedAt).Milliseconds()
+		if maxAge <= 0 || maxAge > sincePurge {
+			t.Errorf("%s: maxage is %d when the purge was %d ms ago", by, maxAge, sincePurge)
 		}
 		got.answer("served", fmt.Sprintf("etag=a,note=TCP_JOIN,made=%d", purgedAt.UnixMilli()-1000), "from before the purge")
 		got = receive(t, env.cache.calls, by+": further call")
--- a/cmd/edgeproxy/coordinator_test.go
+++ b/cmd/edgeproxy/coordinator_test.go
@@ -70,14 +70,14 @@
 			id++
 			c.request(id, "artes", longTimeoutMS, 1, "")
 			got := receive(t, env.cache.calls, "call")
-			maxAge := time.Since(purgedAt).Milliseconds()
+			sincePurge := time.Since(purgedAt).Milliseconds()
 			got.answer("served", "-", "")
 			receive(t, c.answers, "answer")
-			age, _ := strconv.ParseInt(got.fields["maxage"], 10, 64)
-			if age > maxAge {
-				t.Errorf("%q when the purge was %d ms ago", got.words[2], maxAge)
+			maxAge, _ := strconv.ParseInt(got.fields["maxage"], 10, 64)
+			if maxAge > sincePurge {
+				t.Errorf("%q when the purge was %d ms ago", got.words[2], sincePurge)
 			}
-			return age > 0
+			return maxAge > 0
 		})
 		c.request(1000, "artes", longTimeoutMS, 1, "")
 		got := receive(t, env.cache.calls, "call")
--- a/cmd/edgeproxy/coordinatorlines_test.go
+++ b/cmd/edgeproxy/coordinatorlines_test.go
@@ -68,7 +68,7 @@
 // TestSlowLineIsReceived checks that an event that arrives slowly but steadily is applied: the bytes that have
 // arrived are not discarded.
 func TestSlowLineIsReceived(t *testing.T) {
-	const inAll, step = 6 * time.Second, 100 * time.Millisecond
+	const duration, step = 6 * time.Second, 100 * time.Millisecond
 	env := newTestEnv(t)
 	env.clock = newManualClock(t)
 	second := newFakeServer(t)
@@ -79,8 +79,8 @@
 		endpoint("o1", "origin", "hub", "SERVING", env.origin.Addr())))
 	env.awaitAlive("200")
 	receive(t, env.followLines, "follow")
-	for range inAll / step {
-		drain.writeNext(1 + len(drain.line)/int(inAll/step))
+	for range duration / step {
+		drain.writeNext(1 + len(drain.line)/int(duration/step))
 		env.clock.advance(step)
 	}
 	env.awaitAlive("200") // a turn of the event loop later: everything sent before has been read
--- a/cmd/edgeproxy/disconnect_test.go
+++ b/cmd/edgeproxy/disconnect_test.go
@@ -131,7 +131,7 @@
 	for _, how := range []string{"half-close", "abort"} {
 		t.Run(how, func(t *testing.T) {
 			env := startTestEnv(t)
-			conn, out := newUnreadingClient(env)
+			conn, inFlight := newUnreadingClient(env)
 			c := &client{Conn: conn}
 			c.request(100, "artes", longTimeoutMS, 100, "") // waits, as its client reads nothing
 			if how == "abort" {
@@ -141,7 +141,7 @@
 				c.closeWrite()
 			}
 			stop := receive(t, env.cache.stops, "STOP")
-			if stop.words[1] != out.words[1] {
+			if stop.words[1] != inFlight.words[1] {
 				t.Errorf("%q", stop.words)
 			}
 			if len(env.cache.calls) > 0 {
--- a/cmd/edgeproxy/shutdown_test.go
+++ b/cmd/edgeproxy/shutdown_test.go
@@ -116,8 +116,8 @@
 // TestSlowReaderAtShutdown checks that a client that reads slowly gets all its answers during the shutdown.
 func TestSlowReaderAtShutdown(t *testing.T) {
 	env := startTestEnv(t)
-	conn, out := newUnreadingClient(env)
-	out.answer("served", "-", "last")
+	conn, inFlight := newUnreadingClient(env)
+	inFlight.answer("served", "-", "last")
 	env.signal(syscall.SIGTERM)
 	env.awaitAlive("503")
 	env.awaitNotListening()
