--- a/cmd/edgeproxy/config.go
+++ b/cmd/edgeproxy/config.go
@@ -18,9 +18,9 @@
 	minSockets  = 64
 	// firstInheritableFD is the first descriptor after standard input, output and error.
 	firstInheritableFD = 3
-	// overlappingProcesses is how many processes of one router run at a time while a new one replaces the
-	// old one on the listening socket that both inherit. The memory limit and the connections to caches are
-	// divided among them; client connections are not.
+	// overlappingProcesses is how many processes of one proxy run at a time while a new one replaces the old
+	// one on the listening socket that both inherit. The memory limit and the descriptors for connections to
+	// caches, parents and the origin are divided among them; those for client connections are not.
 	overlappingProcesses = 2
 )
 
@@ -42,8 +42,8 @@
 
 	fields map[string]json.RawMessage // top-level fields of the file, not decoded
 
-	listen, admin, coordinator netip.AddrPort
-	inheritedListenFD          int // descriptor of an open listening socket for clients; 0: none
+	listen, admin, coordinator netip.AddrPort // parsed from the fields Listen, Admin and Coordinator
+	inheritedListenFD          int            // descriptor of an open listening socket for clients; 0: none
 	proxy                      proxy.Config
 }
 
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// check decodes the values that the file holds as text and checks all values.
+// check parses the values that the file holds as text, checks all values and sets c.proxy.
 func (c *config) check() error {
 	if err := c.parseAddresses(); err != nil {
 		return err
