--- a/cmd/edgeproxy/reload.go
+++ b/cmd/edgeproxy/reload.go
@@ -11,9 +11,9 @@
 	"cloverdoor/internal/settings"
 )
 
-// reloader returns the function that the proxy calls to read the configuration again. Reading leaves the
-// configuration in use unchanged. The function that it returns runs on the event loop's goroutine: it checks the
-// new configuration against the one in use and replaces that.
+// reloader returns a function that reads the configuration again and leaves the one in use unchanged. That
+// function returns another, which must run on the event loop's goroutine: it checks the new configuration against
+// the one in use and, if it is valid, puts it into use.
 func (c *config) reloader(logger *slog.Logger) func() (proxy.PrepareUpdateFunc, error) {
 	return func() (proxy.PrepareUpdateFunc, error) {
 		later, err := loadConfig(os.Getenv)
@@ -41,8 +41,8 @@
 	}, nil
 }
 
-// checkReplacement checks whether a later configuration may replace this one. It must have every key of this one:
-// a file that was cut off or lacks a key would otherwise silently reset values to their defaults.
+// checkReplacement checks whether a later configuration may replace this one. The later one must have every key of
+// this one: a file that was cut off or lacks a key would otherwise silently reset values to their defaults.
 func (c *config) checkReplacement(later *config) error {
 	for name, value := range c.fields {
 		laterValue, present := later.fields[name]
