--- a/cmd/edgeproxy/coordinatorenv_test.go
+++ b/cmd/edgeproxy/coordinatorenv_test.go
@@ -92,7 +92,7 @@
 }
 
 // awaitEventsApplied waits until the program has applied all events sent so far. It sends a malformed line behind
-// them, at which the program reconnects.
+// them and waits for the reconnect with which the program reacts to that line.
 func (env *testEnv) awaitEventsApplied() {
 	env.t.Helper()
 	env.sendEvent("nonsense")
@@ -112,7 +112,7 @@
 		}
 	}
 	if len(env.cache.calls) > 0 {
-		env.t.Errorf("%q was sent to a draining cache", (<-env.cache.calls).words)
+		env.t.Errorf("call %q was sent to a cache that must get no calls", (<-env.cache.calls).words)
 	}
 }
 
@@ -124,7 +124,8 @@
 	sent map[net.Conn]int // bytes of the line sent on each stream; guarded by mu
 }
 
-// newSlowCoordinator starts a coordinator for a line. It passes the lines that the program sends to follows.
+// newSlowCoordinator starts a coordinator that sends the given line as JSON. Each line that the program sends is
+// passed to the channel follows.
 func newSlowCoordinator(t *testing.T, line any, follows chan<- string) *slowCoordinator {
 	t.Helper()
 	text, err := json.Marshal(line)
--- a/cmd/edgeproxy/env_test.go
+++ b/cmd/edgeproxy/env_test.go
@@ -36,7 +36,7 @@
 	initialConfig string     // configuration text at the start
 	addr          string     // for clients
 	adminAddr     string     // for operators
-	exited        chan error // results of the processes that have exited
+	exited        chan error // the result of each process of env.cmd that has exited
 	cache, origin *fakeServer
 
 	followLines         chan string              // lines that the program sends to the coordinator
@@ -107,7 +107,7 @@
 	env.startProgram()
 }
 
-// startProgram starts cmd with the options that the test has set.
+// startProgram starts env.cmd with the options that the test has set.
 func (env *testEnv) startProgram() {
 	env.cmd.Stderr = env.stderr
 	env.cmd.Env = append(env.cmd.Env, env.extraEnv...)
@@ -153,7 +153,7 @@
 }
 
 // startReplacement starts a second process beside the running one, with an admin address of its own, and returns
-// the running one.
+// the running one. From then on env.cmd and env.adminAddr are those of the second process.
 func (env *testEnv) startReplacement() (old *exec.Cmd) {
 	old = env.cmd
 	env.adminAddr = freeAddr(env.t)
@@ -241,7 +241,7 @@
 	return addr
 }
 
-// startWith starts the program with the cache and the origin at the given addresses.
+// startWith starts the program with the cache and the origin at the given addresses, and waits until it serves.
 func (env *testEnv) startWith(cache, origin net.Addr) {
 	env.t.Helper()
 	env.start(fullList(cache, origin))
--- a/cmd/edgeproxy/fakeserver_test.go
+++ b/cmd/edgeproxy/fakeserver_test.go
@@ -15,7 +15,7 @@
 type receivedCall struct {
 	conn   net.Conn
 	words  []string          // the command and its arguments
-	fields map[string]string // argument 2 of REQ, decoded
+	fields map[string]string // values by name, decoded from the second argument of REQ
 }
 
 // answer writes an answer to the call. The fields are NAME=VALUE pairs separated by commas, or "-" for none.
@@ -78,9 +78,9 @@
 	return l
 }
 
-// loopbackAddr returns the address, with port 0, of a loopback host that only this process uses. Ports of 127.0.0.1
-// are unsuitable: between the choice of a port and the program, or a restarted coordinator, listening on it, an
-// outgoing connection may take it as its local port.
+// loopbackAddr returns the address, with port 0, of a loopback host that only this process uses. 127.0.0.1 would not
+// do: an outgoing connection could take a chosen port as its local port before the program, or a restarted
+// coordinator, listens on it.
 func loopbackAddr(host int) string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d:0", 1+pid>>8&0x7f, pid&0xff, host)
--- a/cmd/edgeproxy/fastcgi_client_test.go
+++ b/cmd/edgeproxy/fastcgi_client_test.go
@@ -26,7 +26,7 @@
 // client is a client with a FastCGI connection to the program.
 type client struct {
 	net.Conn
-	answers chan answer
+	answers chan answer // each answer, and then the end of the connection
 }
 
 // answer is a complete answer, or, if id is 0, the end of the connection.
@@ -138,11 +138,11 @@
 // longTimeoutMS is a client's timeout, in milliseconds, that no test reaches.
 const longTimeoutMS = 60_000
 
-// closeWrite closes the sending direction.
+// closeWrite closes the client's sending direction.
 func (c *client) closeWrite() { c.Conn.(*net.TCPConn).CloseWrite() } //nolint:errcheck // a lost connection shows in the answers
 
-// newUnreadingClient returns a connection with more than 1 MB of answers that nobody reads, and the call of its
-// request 99, which is in flight at the cache.
+// newUnreadingClient returns a connection with so many answers that nobody reads, more than 1 MB, that the program
+// blocks further requests on it. It also returns the call of its request 99, which is in flight at the cache.
 func newUnreadingClient(env *testEnv) (clientConn net.Conn, inFlight *receivedCall) {
 	env.t.Helper()
 	conn, err := net.Dial("tcp", env.addr)
--- a/cmd/edgeproxy/faultyrelay_test.go
+++ b/cmd/edgeproxy/faultyrelay_test.go
@@ -21,7 +21,8 @@
 // Addr returns the address of the relay.
 func (r *faultyRelay) Addr() net.Addr { return r.relay.Addr("c") }
 
-// log returns the faults that have fired, one a line, ordered by connection and direction.
+// log returns the faults that have fired, one a line, sorted as text so that it does not depend on the order in which
+// they fired.
 func (r *faultyRelay) log() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/cmd/edgeproxy/scriptplay_test.go
+++ b/cmd/edgeproxy/scriptplay_test.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	defaultPlayTime = 5 * time.Second
+	defaultPlayTime = 5 * time.Second // on the program's clock
 	// slowAnswer is the delay of a slow answer. It is longer than the program waits for an answer before it
 	// retries.
 	slowAnswer = 300 * time.Millisecond
@@ -34,9 +34,9 @@
 }
 
 // playScript plays a fixed script of faults on the connections of clients, servers and the coordinator with fixed
-// traffic. It returns the program's counters of outcomes and the faults that fired. The program's clock advances
-// only between two requests, so that the speed of the machine has no effect. If slow is set, some answers take
-// longer than the program waits for an answer before it retries.
+// traffic. It returns the program's counters of outcomes and the faults that fired, except those on the connections
+// to the coordinator. The program's clock advances only between two requests, so that the speed of the machine has no
+// effect. If slow is set, some answers take longer than the program waits for an answer before it retries.
 func playScript(t *testing.T, length time.Duration, slow bool) (counters, faults string) {
 	t.Helper()
 	env := newTestEnv(t)
@@ -115,7 +115,7 @@
 		t.Errorf("outcomes differ:\n%s\nand\n%s", counters[0], counters[1])
 	}
 	if faults[0] != faults[1] || strings.Count(faults[0], "\n") < 10 {
-		t.Errorf("faults differ:\n%s\nand\n%s", faults[0], faults[1])
+		t.Errorf("faults differ or are too few:\n%s\nand\n%s", faults[0], faults[1])
 	}
 	t.Logf("%d faults", strings.Count(faults[0], "line"))
 }
