--- a/cmd/edgeproxy/syscallfaults_test.go
+++ b/cmd/edgeproxy/syscallfaults_test.go
@@ -23,8 +23,8 @@
 const randomFaultsEnv = "CLOVERDOOR_TEST_RANDOM_FAULTS"
 
 const (
-	failureChance       = 0.01
-	disconnectChance    = failureChance / 4 // that a connection that the program has opened fails
+	failureChance       = 0.01              // that a system call fails
+	disconnectChance    = failureChance / 4 // that a read or write breaks a connection that the program has opened
 	shortTransferChance = 0.05              // that a read or write transfers only a part
 	// failureStream is the PCG stream of a seed that the failures are drawn from.
 	failureStream = 5
@@ -32,12 +32,11 @@
 	maxErrno = 200
 )
 
-// randomSyscalls makes the calls of a table fail at random, with the errors that their manual pages list. Only
-// connections that the program has opened break: a client's connection never does, as its requests must get an
-// answer.
+// randomSyscalls makes system calls fail at random, with the errors that their manual pages list. Only connections
+// that the program has opened break: a client's connection never does, as its requests must get an answer.
 type randomSyscalls struct {
 	rng    *rand.Rand
-	system eventloop.SystemCalls // calls without failures
+	system eventloop.SystemCalls // the calls themselves, without failures
 	opened map[int]bool          // descriptors that the program has opened
 }
 
@@ -163,8 +162,8 @@
 	panic(name)
 }
 
-// failCall makes a system call fail with a code. The numbers of its first and last failing calls, counted from 1, are
-// from and to.
+// failCall makes a system call fail with a code, from the call with the number from to the one with the number to,
+// counted from 1.
 func failCall(call string, code unix.Errno, from, to int) {
 	count := 0
 	fails := func() bool {
@@ -203,12 +202,12 @@
 // connections are not affected, nor is a later one with the same descriptor.
 func blockWritesAfter(text []byte) {
 	const (
-		notYet = -1
-		closed = -2
+		notYet = -1 // no connection has written the text
+		closed = -2 // the blocked connection was closed and its descriptor reused
 	)
 	write := eventloop.System.Write
 	socket := eventloop.System.Socket
-	blocked := notYet // descriptor
+	blocked := notYet // descriptor of the blocked connection
 	eventloop.System.Socket = func(family, kind, protocol int) (int, error) {
 		fd, err := socket(family, kind, protocol)
 		if fd == blocked {
