--- a/cmd/edgeproxy/admin_test.go
+++ b/cmd/edgeproxy/admin_test.go
@@ -27,7 +27,7 @@
 			continue
 		case a := <-c.answers:
 			if a.status != "503" {
-				t.Errorf("%+v", a)
+				t.Errorf("got answer %+v, want status 503", a)
 			}
 		case <-time.After(testTimeout):
 			t.Fatal("no answer")
@@ -76,7 +76,7 @@
 	} {
 		got, _ := env.adminRaw(raw)
 		if got != want {
-			t.Errorf("%.40q: %d, want %d", raw, got, want)
+			t.Errorf("%.40q: got status %d, want %d", raw, got, want)
 		}
 	}
 }
@@ -93,7 +93,7 @@
 			receive(env.t, c.answers, "answer")
 		case a := <-c.answers:
 			if a.id != id || a.status != "503" || !strings.Contains(a.headers, "Srv-Wait-Ms: ") {
-				env.t.Errorf("%+v", a)
+				env.t.Errorf("got answer %+v, want a rejection with status 503 and Srv-Wait-Ms", a)
 			}
 			return
 		}
@@ -118,17 +118,17 @@
 	env.awaitAlive("503")
 	a := receive(t, idle.answers, "close")
 	if a.id != 0 {
-		t.Errorf("%+v", a)
+		t.Errorf("got answer %+v, want the close of the connection", a)
 	}
 	env.requestUntilRejected(busy, 2)
 	open.answer("served", "-", "fine")
 	a = receive(t, busy.answers, "answer")
 	if a.id != 1 || a.body != "fine" {
-		t.Errorf("%+v", a)
+		t.Errorf(`got answer %+v, want ID 1 and body "fine"`, a)
 	}
 	a = receive(t, busy.answers, "close")
 	if a.id != 0 {
-		t.Errorf("%+v", a)
+		t.Errorf("got answer %+v, want the close of the connection", a)
 	}
 	status, _ = env.adminCall("PUT", "/ops/drain/stop")
 	if status != 200 || env.readiness() != 200 {
@@ -139,7 +139,7 @@
 	receive(t, env.cache.calls, "call").answer("served", "-", "back")
 	a = receive(t, c.answers, "answer")
 	if a.body != "back" {
-		t.Errorf("%+v", a)
+		t.Errorf(`got answer %+v, want body "back"`, a)
 	}
 }
 
@@ -167,12 +167,12 @@
 	for range 33 {
 		a := receive(t, c.answers, "answer")
 		if len(a.body) != 240_000 && a.id != 100 || a.id == 0 {
-			t.Fatalf("%d %s: %d bytes", a.id, a.status, len(a.body))
+			t.Fatalf("answer %d: got status %s and %d bytes", a.id, a.status, len(a.body))
 		}
 	}
 	a := receive(t, c.answers, "close")
 	if a.id != 0 {
-		t.Errorf("%+v", a)
+		t.Errorf("got answer %+v, want the close of the connection", a)
 	}
 }
 
@@ -187,7 +187,7 @@
 		a := receive(t, c.answers, "answer")
 		counter := fmt.Sprintf(`svc_not_served{reason=%q}`, reason)
 		if a.status != want || env.metric(counter) != 1 {
-			t.Errorf("%s: %+v, counted %d times", reason, a, env.metric(counter))
+			t.Errorf("%s: got answer %+v, counted %d times", reason, a, env.metric(counter))
 		}
 	}
 	checkCounted("400", "malformed", "artes", "HTTP_REQ_ID", "nonsense")
--- a/cmd/edgeproxy/cache_test.go
+++ b/cmd/edgeproxy/cache_test.go
@@ -24,19 +24,19 @@
 	}
 	n, err := strconv.Atoi(got.fields["w"])
 	if err != nil || n <= 0 || n > longTimeoutMS || got.words[1] != "9b1f03aa5c7e2d41" {
-		t.Errorf("%q", got.words)
+		t.Errorf("got call %q, want the ID of the request and a timeout up to its own", got.words)
 	}
 	got.answer("served", "etag=4be0c1927d55a6f4,made=1,note=TCP_MISS,ttfb=3", big)
 	a := receive(t, c.answers, "answer")
 	if a.id != 7 || a.status != "200" || a.body != big {
-		t.Errorf("%d %s %d bytes", a.id, a.status, len(a.body))
+		t.Errorf("answer %d: got status %s and %d bytes", a.id, a.status, len(a.body))
 	}
 
 	c.request(7, "artes", longTimeoutMS, 0xabc, "", "HTTP_X_VER", "4be0c1927d55a6f4")
 	receive(t, env.cache.calls, "call").answer("still_good", "etag=4be0c1927d55a6f4,made=1,note=TCP_HIT", "")
 	a = receive(t, c.answers, "answer")
 	if a.status != "200" || a.body != "" || !strings.Contains(a.headers, "X-Unchanged: 1") {
-		t.Errorf("%+v", a)
+		t.Errorf("got answer %+v, want status 200, no body and X-Unchanged", a)
 	}
 }
 
@@ -50,12 +50,12 @@
 	receive(t, env.cache.calls, "call").answer("served", "-", "two")
 	a := receive(t, c.answers, "answer")
 	if a.id != 2 || a.body != "two" {
-		t.Errorf("%+v", a)
+		t.Errorf(`got answer %+v, want ID 2 and body "two"`, a)
 	}
 	first.answer("served", "-", "one")
 	a = receive(t, c.answers, "answer")
 	if a.id != 1 || a.body != "one" {
-		t.Errorf("%+v", a)
+		t.Errorf(`got answer %+v, want ID 1 and body "one"`, a)
 	}
 }
 
@@ -68,7 +68,7 @@
 	c.request(1, "registro", longTimeoutMS, 1, write)
 	got := receive(t, env.origin.calls, "call")
 	if got.words[3] != write {
-		t.Errorf("body of %d bytes", len(got.words[3]))
+		t.Errorf("the origin got a body of %d bytes, not the one sent", len(got.words[3]))
 	}
 	closeOnce(t, got.conn)
 	a := receive(t, c.answers, "answer")
@@ -97,7 +97,7 @@
 	receive(t, env.origin.stops, "STOP")
 	a := receive(t, c.answers, "answer")
 	if a.status != "502" || time.Since(start) < 500*time.Millisecond {
-		t.Errorf("%+v after %v", a, time.Since(start))
+		t.Errorf("got answer %+v after %v, want status 502 after 500 ms or more", a, time.Since(start))
 	}
 }
 
@@ -119,7 +119,7 @@
 			env.cache.answerAll("served", "-", "again")
 			a := receive(t, c.answers, "answer")
 			if a.body != "again" {
-				t.Errorf("%+v", a)
+				t.Errorf(`got answer %+v, want body "again"`, a)
 			}
 		})
 	}
@@ -222,7 +222,7 @@
 		again.answer("served", "etag=4be0c1927d55a6f5,made=1", "whole")
 		a := receive(t, c.answers, "answer")
 		if a.body != "whole" || strings.Contains(a.headers, "X-Unchanged") {
-			t.Errorf("%s: %+v", fields, a)
+			t.Errorf("%s: got answer %+v, want the whole object without X-Unchanged", fields, a)
 		}
 	}
 }
@@ -247,7 +247,7 @@
 	second.answer("served", "-", "fine")
 	a := receive(t, c.answers, "answer")
 	if a.id != 2 || a.body != "fine" {
-		t.Errorf("%+v", a)
+		t.Errorf(`got answer %+v, want ID 2 and body "fine"`, a)
 	}
 }
 
@@ -270,7 +270,7 @@
 		out.flush()
 		a := receive(t, c.answers, "answer")
 		if a.body != "first" {
-			t.Errorf("%+v", a)
+			t.Errorf(`got answer %+v, want body "first"`, a)
 		}
 		first.conn = got.conn
 		first.answer("served", "-", "late") // may arrive after the next call has been sent
@@ -310,7 +310,7 @@
 	next.answer("served", "made=1", "again")
 	a := receive(t, c.answers, "answer")
 	if a.id != 2 || a.body != "again" {
-		t.Errorf("%+v", a)
+		t.Errorf(`got answer %+v, want ID 2 and body "again"`, a)
 	}
 }
 
@@ -322,7 +322,7 @@
 	c.request(1, "artes", longTimeoutMS, 1, "", "HTTP_REQ_TOKEN", "a-Key_7.x")
 	first := receive(t, env.cache.calls, "call")
 	if first.fields["i"] != "a-Key_7.x" {
-		t.Errorf("%q", first.words)
+		t.Errorf("first call %q lacks the key", first.words)
 	}
 	first.answer("overload", "-", "")
 	select {
@@ -335,16 +335,16 @@
 	}
 	first.answer("served", "made=1", "fine")
 	if first.fields["i"] != "a-Key_7.x" {
-		t.Errorf("%q", first.words)
+		t.Errorf("second call %q lacks the key", first.words)
 	}
 	a := receive(t, c.answers, "answer")
 	if a.body != "fine" {
-		t.Errorf("%+v", a)
+		t.Errorf(`got answer %+v, want body "fine"`, a)
 	}
 	for _, bad := range []string{"a,b", "a=b", "a b", strings.Repeat("x", 65)} {
 		c.request(2, "artes", longTimeoutMS, 2, "", "HTTP_REQ_TOKEN", bad)
 		if a := receive(t, c.answers, "answer"); a.status != "400" {
-			t.Errorf("%q: %+v", bad, a)
+			t.Errorf("key %q: got answer %+v, want status 400", bad, a)
 		}
 	}
 }
--- a/cmd/edgeproxy/client_test.go
+++ b/cmd/edgeproxy/client_test.go
@@ -21,7 +21,7 @@
 		mustWrite(t, c, bytes)
 		a := receive(t, c.answers, "close")
 		if a.id != 0 {
-			t.Errorf("%q: %+v", bytes, a)
+			t.Errorf("%q: got answer %+v, want the close of the connection", bytes, a)
 		}
 	}
 	c := env.dial()
@@ -32,13 +32,13 @@
 		c.request(uint16(i+1), "artes", longTimeoutMS, 1, "", extra...)
 		a := receive(t, c.answers, "answer")
 		if a.status != "400" {
-			t.Errorf("%v: %+v", extra, a)
+			t.Errorf("%v: got answer %+v, want status 400", extra, a)
 		}
 	}
 	c.request(1, "artes", longTimeoutMS, 1, "")
 	a := receive(t, c.answers, "answer")
 	if a.body != "fine" {
-		t.Errorf("%+v", a)
+		t.Errorf(`got answer %+v, want body "fine"`, a)
 	}
 }
 
@@ -66,7 +66,7 @@
 			answers[a.id] = a.body
 		}
 		if answers[1] != "written" || answers[2] != "read" || len(answers) != 3 || len(env.cache.calls) != 0 {
-			t.Errorf("%s: %v", name, answers)
+			t.Errorf("%s: got bodies %v by request ID, or a call for the request behind the malformed record", name, answers)
 		}
 	}
 }
@@ -83,13 +83,13 @@
 	for range 32 {
 		a := receive(t, c.answers, "answer")
 		if a.status != "200" {
-			t.Errorf("%+v", a)
+			t.Errorf("got answer %+v, want status 200", a)
 		}
 	}
 	receive(t, env.cache.calls, "call").answer("served", "-", "delayed")
 	a := receive(t, c.answers, "answer")
 	if a.id != 100 || a.body != "delayed" {
-		t.Errorf("%+v", a)
+		t.Errorf(`got answer %+v, want ID 100 and body "delayed"`, a)
 	}
 }
 
@@ -103,7 +103,7 @@
 	c.request(1, "registro", longTimeoutMS, 1, "x")
 	a := receive(t, c.answers, "answer")
 	if a.status != "503" || strings.Contains(a.headers, "Srv-Wait-Ms") {
-		t.Errorf("%+v", a)
+		t.Errorf("got answer %+v, want status 503 without Srv-Wait-Ms", a)
 	}
 }
 
@@ -125,6 +125,6 @@
 	}
 	a := receive(t, c.answers, "answer")
 	if a.body != "fine" {
-		t.Errorf("%+v", a)
+		t.Errorf(`got answer %+v, want body "fine"`, a)
 	}
 }
--- a/cmd/edgeproxy/clientlimits_test.go
+++ b/cmd/edgeproxy/clientlimits_test.go
@@ -23,13 +23,13 @@
 		}
 		a := receive(t, c.answers, name+": rejection")
 		if a.id != 2 || a.status != "503" {
-			t.Errorf("%s: %+v", name, a)
+			t.Errorf("%s: got answer %+v, want ID 2 and status 503", name, a)
 		}
 		c.writeRecord(recordStdin, 2, "") // the rest of the rejected request is skipped
 		c.request(3, "artes", longTimeoutMS, 1, "")
 		a = receive(t, c.answers, name+": answer")
 		if a.id != 3 || a.body != "fine" {
-			t.Errorf("%s: %+v", name, a)
+			t.Errorf(`%s: got answer %+v, want ID 3 and body "fine"`, name, a)
 		}
 	}
 }
@@ -95,7 +95,7 @@
 			if id = a.id; id == 0 {
 				t.Fatalf("client %d: closed with no answer", i)
 			}
-			if a.protocol == 2 {
+			if a.protocol == 2 { // OVERLOADED
 				rejected++
 			}
 		}
@@ -163,7 +163,7 @@
 		c.request(id+1, "artes", longTimeoutMS, int(id), "")
 		a := receive(t, c.answers, "answer")
 		if a.status != "200" || len(a.body) != 240_000 {
-			t.Fatalf("%s, %d bytes", a.status, len(a.body))
+			t.Fatalf("got status %s and %d bytes, want 200 and 240,000", a.status, len(a.body))
 		}
 	}
 	for range 60 { // 460 MB of answers if all were buffered
@@ -173,7 +173,7 @@
 		c.request(id+1, "artes", longTimeoutMS, int(id), "")
 		a := receive(t, c.answers, "answer")
 		if a.id != id+1 {
-			t.Fatalf("%+v", a)
+			t.Fatalf("got answer %+v, want one with the ID of the request", a)
 		}
 	}
 	env.checkMemory()
@@ -190,7 +190,7 @@
 		c.request(1, "artes", longTimeoutMS, 1, "")
 		a := receive(t, c.answers, "answer")
 		if a.body != "fine" {
-			t.Errorf("%s: %+v", who, a)
+			t.Errorf(`%s: got answer %+v, want body "fine"`, who, a)
 		}
 	}
 	early := env.dial()
@@ -206,7 +206,7 @@
 	for _, c := range append(silent, incomplete) {
 		a := receive(t, c.answers, "close")
 		if a.id != 0 {
-			t.Errorf("%+v", a)
+			t.Errorf("got answer %+v, want the close of the connection", a)
 		}
 	}
 	for range 600 {
@@ -263,13 +263,13 @@
 		c.request(1, "artes", longTimeoutMS, i, "")
 		a := receive(t, c.answers, "answer")
 		if a.body != "fine" {
-			t.Fatalf("client %d: %+v", i, a)
+			t.Fatalf(`client %d: got answer %+v, want body "fine"`, i, a)
 		}
 	}
 	env.awaitAlive("200")
 	env.resumeCoordinator()
 	got := receive(t, env.followLines, "follow")
 	if got != "follow 1" {
-		t.Errorf("%q", got)
+		t.Errorf(`got line %q, want "follow 1"`, got)
 	}
 }
--- a/cmd/edgeproxy/clock_test.go
+++ b/cmd/edgeproxy/clock_test.go
@@ -16,7 +16,7 @@
 )
 
 // clockMessageSize is the size in bytes of a message between a test and a program with a manual clock. A message
-// is a time, or the acknowledgment of one.
+// is the time of a step, or the same time as its acknowledgment.
 const clockMessageSize = 8
 
 // manualClock is the test's side of the clock of a program whose time passes only when the test advances it.
@@ -133,7 +133,7 @@
 }
 
 // TestWallClockWrongAtTheStart checks that a process whose wall clock is wrong at the start applies purges correctly
-// once the coordinator has sent the time.
+// once an event of the coordinator has shown the right time.
 func TestWallClockWrongAtTheStart(t *testing.T) {
 	for _, by := range []string{"1h", "-1h", "4s", "-4s"} {
 		env := newTestEnv(t)
@@ -157,7 +157,7 @@
 		got.answer("served", fmt.Sprintf("etag=b,note=TCP_MISS,made=%d", time.Now().UnixMilli()), "from after the purge")
 		a := receive(t, c.answers, "answer")
 		if a.status != "200" || a.body != "from after the purge" {
-			t.Errorf("%s: %+v", by, a)
+			t.Errorf(`%s: got answer %+v, want status 200 and body "from after the purge"`, by, a)
 		}
 	}
 }
--- a/cmd/edgeproxy/config_test.go
+++ b/cmd/edgeproxy/config_test.go
@@ -60,7 +60,7 @@
 	c.request(1, "artes", longTimeoutMS, 1, "")
 	a := receive(t, c.answers, "answer")
 	if a.body != "fine" {
-		t.Errorf("%+v", a)
+		t.Errorf(`got answer %+v, want body "fine"`, a)
 	}
 	env.checkMetrics(map[string]int{operationsMetric("artes", "fulfilled"): 1})
 	if err := env.cmd.Process.Signal(syscall.SIGTERM); err != nil {
@@ -90,7 +90,7 @@
 	c.request(1, "artes", longTimeoutMS, 1, "")
 	a := receive(t, c.answers, "answer")
 	if a.body != "fine" {
-		t.Errorf("%+v", a)
+		t.Errorf(`got answer %+v, want body "fine"`, a)
 	}
 	if _, err := file.WriteString(env.initialConfig); err != nil {
 		t.Fatal(err)
@@ -115,12 +115,12 @@
 	env.reload(old.LocalAddr().String(), env.startCoordinator())
 	got := receive(t, env.followLines, "follow")
 	if got != "follow 2" || env.watchConn.LocalAddr().String() == old.LocalAddr().String() {
-		t.Errorf("%q at %v", got, env.watchConn.LocalAddr())
+		t.Errorf(`got line %q at %v, want "follow 2" at the new coordinator`, got, env.watchConn.LocalAddr())
 	}
 	open.answer("served", "-", "fine")
 	a := receive(t, c.answers, "answer")
 	if a.body != "fine" {
-		t.Errorf("%+v", a)
+		t.Errorf(`got answer %+v, want body "fine"`, a)
 	}
 }
 
@@ -147,7 +147,7 @@
 	receive(t, env.cache.calls, "call").answer("served", "-", "as before")
 	a := receive(t, c.answers, "answer")
 	if a.body != "as before" || len(env.followLines) != 0 {
-		t.Errorf("%+v, or another coordinator was followed", a)
+		t.Errorf("got answer %+v, or another coordinator was followed", a)
 	}
 	// The class registro, which is not idempotent, moves to the place of artes in the list, and a new class to the
 	// place of registro.
@@ -165,7 +165,7 @@
 	receive(t, env.cache.calls, "call").answer("served", "-", "new")
 	a = receive(t, c.answers, "answer")
 	if a.body != "new" {
-		t.Errorf("%+v", a)
+		t.Errorf(`got answer %+v, want body "new"`, a)
 	}
 	c.request(5, "artes", longTimeoutMS, 5, "")
 	a = receive(t, c.answers, "answer")
@@ -175,7 +175,7 @@
 	open.answer("served", "-", "fine")
 	a = receive(t, c.answers, "answer")
 	if a.id != 1 || a.body != "fine" {
-		t.Errorf("%+v", a)
+		t.Errorf(`got answer %+v, want ID 1 and body "fine"`, a)
 	}
 	env.checkMetrics(map[string]int{operationsMetric("artes", "fulfilled"): 2, operationsMetric("nuevos", "fulfilled"): 1, "svc_cfg_invalid": 9})
 }
@@ -185,7 +185,7 @@
 	env := map[string]string{"BALANCER_CONFIG": "../../example/config.json", "BALANCER_LISTEN": "127.0.0.1:9", "BALANCER_NAME": "n7"}
 	c, err := loadConfig(func(name string) string { return env[name] })
 	if err != nil || c.listen.Port() != 9 || c.Name != "n7" || len(c.proxy.Settings.Policy.Classes) != 2 {
-		t.Errorf("%+v %v", c, err)
+		t.Errorf("got configuration %+v, error %v", c, err)
 	}
 }
 
@@ -202,7 +202,7 @@
 		out, err := cmd.CombinedOutput()
 		var exit *exec.ExitError
 		if !errors.As(err, &exit) || strings.Count(string(out), "\n") != 1 || !strings.Contains(string(out), want) {
-			t.Errorf("%s: %v %q", want, err, out)
+			t.Errorf("want an error about %s: got error %v, output %q", want, err, out)
 		}
 	}
 }
@@ -225,7 +225,7 @@
 		cmd.Env = env.cmd.Env
 		out, err := cmd.CombinedOutput()
 		if err == nil || strings.Count(string(out), "\n") != 1 || !strings.Contains(string(out), "settings: ") {
-			t.Errorf("%s: %v %q", change[1], err, out)
+			t.Errorf("%s: error %v, output %q", change[1], err, out)
 		}
 	}
 }
--- a/cmd/edgeproxy/coordinator_test.go
+++ b/cmd/edgeproxy/coordinator_test.go
@@ -52,7 +52,7 @@
 	old.answer("served", "-", "old") // the call in flight may still be answered
 	a := receive(t, c.answers, "answer")
 	if a.id != 1 || a.body != "old" {
-		t.Errorf("%+v", a)
+		t.Errorf(`got answer %+v, want ID 1 and body "old"`, a)
 	}
 }
 
@@ -75,7 +75,7 @@
 			receive(t, c.answers, "answer")
 			maxAge, _ := strconv.ParseInt(got.fields["maxage"], 10, 64)
 			if maxAge > sincePurge {
-				t.Errorf("%q when the purge was %d ms ago", got.words[2], sincePurge)
+				t.Errorf("%q: the maximum age is over the %d ms since the purge", got.words[2], sincePurge)
 			}
 			return maxAge > 0
 		})
@@ -92,7 +92,7 @@
 		got.answer("served", fmt.Sprintf("etag=b,note=TCP_MISS,made=%d", purgedAt.UnixMilli()+100), "from after the purge")
 		a := receive(t, c.answers, "answer")
 		if a.id != 1000 || a.status != "200" || a.body != "from after the purge" {
-			t.Errorf("%+v", a)
+			t.Errorf(`got answer %+v, want ID 1000, status 200 and body "from after the purge"`, a)
 		}
 	}
 }
@@ -132,7 +132,7 @@
 	env.awaitAlive("503")
 	got := receive(t, env.followLines, "follow")
 	if got != "follow 0" {
-		t.Errorf("%q", got)
+		t.Errorf(`got line %q, want "follow 0"`, got)
 	}
 	c := env.dial()
 	c.request(1, "artes", longTimeoutMS, 1, "")
@@ -171,11 +171,11 @@
 	c.request(1, "artes", longTimeoutMS, 1, "")
 	a := receive(t, c.answers, "answer")
 	if a.body != "fine" {
-		t.Errorf("%+v", a)
+		t.Errorf(`got answer %+v, want body "fine"`, a)
 	}
 	env.resumeCoordinator()
 	got := receive(t, env.followLines, "follow")
 	if got != "follow 1" {
-		t.Errorf("%q", got)
+		t.Errorf(`got line %q, want "follow 1"`, got)
 	}
 }
--- a/cmd/edgeproxy/coordinatorlines_test.go
+++ b/cmd/edgeproxy/coordinatorlines_test.go
@@ -25,7 +25,7 @@
 	env.mu.Unlock()
 	got := receive(t, env.followLines, "follow")
 	if got != "follow 2" {
-		t.Errorf("%q", got)
+		t.Errorf(`got line %q, want "follow 2"`, got)
 	}
 	env.sendEvent(drain)
 	env.awaitEventsApplied()
@@ -47,7 +47,7 @@
 	}()
 	got := receive(t, env.followLines, "follow again")
 	if got != "follow 1" {
-		t.Errorf("%q", got)
+		t.Errorf(`got line %q, want "follow 1"`, got)
 	}
 }
 
@@ -116,7 +116,7 @@
 	env.sendEvent("{broken")
 	got := receive(t, env.followLines, "follow again")
 	if got != "follow 1" {
-		t.Errorf("%q", got)
+		t.Errorf(`got line %q, want "follow 1"`, got)
 	}
 	env.sendEvent("{broken")
 	env.sendEvent(endpointEvent(3, false, endpoint("c2", "std", "edge", "SERVING", env.cache.Addr())))
@@ -147,14 +147,14 @@
 	env.sendEvent(afterGap)
 	got := receive(t, env.followLines, "follow again")
 	if got != "follow 1" {
-		t.Errorf("%q", got)
+		t.Errorf(`got line %q, want "follow 1"`, got)
 	}
 	env.sendEvent(afterGap)
 	env.eventually("the event after the gap is applied", func() bool { return env.metric("svc_registry_entries") == 3 })
 	env.sendEvent("6") // shows that events are missing
 	got = receive(t, env.followLines, "follow again")
 	if got != "follow 4" {
-		t.Errorf("%q", got)
+		t.Errorf(`got line %q, want "follow 4"`, got)
 	}
 	env.sendEvent("6")
 	env.sendEvent(endpointEvent(5, false, endpoint("c3", "std", "edge", "SERVING", env.cache.Addr())))
@@ -184,7 +184,7 @@
 	for range 30 {
 		a := receive(t, c.answers, "answer")
 		if a.body != "second" {
-			t.Errorf("%+v", a)
+			t.Errorf(`got answer %+v, want body "second"`, a)
 		}
 	}
 	if len(env.cache.calls) > 0 || len(env.followLines) > 0 {
@@ -213,7 +213,7 @@
 	env.eventually("the event after it is applied", func() bool { return env.metric("svc_registry_entries") == 3 })
 	got := receive(t, env.followLines, "follow again")
 	if got != "follow 1" {
-		t.Errorf("%q", got)
+		t.Errorf(`got line %q, want "follow 1"`, got)
 	}
 	env.sendEvent(drain)
 	env.awaitEventsApplied()
--- a/cmd/edgeproxy/disconnect_test.go
+++ b/cmd/edgeproxy/disconnect_test.go
@@ -16,18 +16,18 @@
 	c.writeRecord(recordAbort, 1, "")
 	stop := receive(t, env.cache.stops, "STOP")
 	if stop.words[1] != got.words[1] {
-		t.Errorf("%q", stop.words)
+		t.Errorf("got %q, want the STOP of the call", stop.words)
 	}
 	a := receive(t, c.answers, "END_REQUEST")
 	if a.id != 1 || a.status != "" {
-		t.Errorf("%+v", a)
+		t.Errorf("got answer %+v, want ID 1 and no status", a)
 	}
 	got.answer("served", "-", "too late")
 	c.request(1, "artes", longTimeoutMS, 2, "")
 	receive(t, env.cache.calls, "call").answer("served", "-", "new")
 	a = receive(t, c.answers, "answer")
 	if a.body != "new" {
-		t.Errorf("%+v", a)
+		t.Errorf(`got answer %+v, want body "new"`, a)
 	}
 	c.request(2, "artes", longTimeoutMS, 3, "")
 	receive(t, env.cache.calls, "call")
@@ -36,8 +36,8 @@
 }
 
 // TestAbortInTheSameTurnIsReleased checks that requests that are aborted in the turn of the event loop in which they
-// arrived are not counted as in flight any more. Otherwise the link would look full and later requests would be
-// rejected.
+// arrived are not counted as in flight any more. Otherwise the link to the cache would look full and later requests
+// would be rejected.
 func TestAbortInTheSameTurnIsReleased(t *testing.T) {
 	env := newTestEnv(t)
 	small := endpoint("c1", "std", "edge", "SERVING", env.cache.Addr())
@@ -59,7 +59,7 @@
 	c.request(1, "artes", longTimeoutMS, 1, "")
 	a := receive(t, c.answers, "answer")
 	if a.body != "fine" {
-		t.Errorf("%+v", a)
+		t.Errorf(`got answer %+v, want body "fine"`, a)
 	}
 }
 
@@ -91,7 +91,7 @@
 				for range 2 {
 					a := receive(t, c.answers, "rejection")
 					if a.status != "503" {
-						t.Errorf("%+v", a)
+						t.Errorf("got answer %+v, want status 503", a)
 					}
 				}
 			}
@@ -99,7 +99,7 @@
 			other.request(1, "artes", longTimeoutMS, 77, "")
 			got := receive(t, env.cache.calls, "call")
 			if got.fields["k"] != fmt.Sprintf("%016x", 77) || len(env.origin.calls) > 0 {
-				t.Errorf("%q was sent for a client that had disconnected", got.words)
+				t.Errorf("call %q was sent for a client that had disconnected or aborted", got.words)
 			}
 			got.answer("served", "-", "")
 			receive(t, other.answers, "answer")
@@ -117,11 +117,11 @@
 	c.closeWrite()
 	a := receive(t, c.answers, "answer")
 	if a.id != 1 || a.status != "200" && a.status != "503" {
-		t.Errorf("%+v", a)
+		t.Errorf("got answer %+v, want ID 1 and status 200 or 503", a)
 	}
 	a = receive(t, c.answers, "close")
 	if a.id != 0 {
-		t.Errorf("%+v", a)
+		t.Errorf("got answer %+v, want the close of the connection", a)
 	}
 }
 
@@ -142,10 +142,10 @@
 			}
 			stop := receive(t, env.cache.stops, "STOP")
 			if stop.words[1] != inFlight.words[1] {
-				t.Errorf("%q", stop.words)
+				t.Errorf("got %q, want the STOP of the call in flight", stop.words)
 			}
 			if len(env.cache.calls) > 0 {
-				t.Errorf("%q was sent for it", (<-env.cache.calls).words)
+				t.Errorf("call %q was sent for the blocked request", (<-env.cache.calls).words)
 			}
 		})
 	}
@@ -163,16 +163,16 @@
 	for range 31 {
 		a := receive(t, c.answers, "answer")
 		if a.status != "200" || len(a.body) != 240_000 {
-			t.Errorf("%+v", a)
+			t.Errorf("got answer %+v", a)
 		}
 	}
 	a := receive(t, c.answers, "answer")
 	if a.id != 99 || a.status != "503" {
-		t.Errorf("%+v", a)
+		t.Errorf("got answer %+v, want ID 99 and status 503", a)
 	}
 	a = receive(t, c.answers, "close")
 	if a.id != 0 {
-		t.Errorf("%+v", a)
+		t.Errorf("got answer %+v, want the close of the connection", a)
 	}
 }
 
@@ -194,7 +194,7 @@
 	for range 31 {
 		a := receive(t, c.answers, "answer")
 		if a.status != "200" || len(a.body) != 240_000 {
-			t.Fatalf("%d %s %d bytes", a.id, a.status, len(a.body))
+			t.Fatalf("answer %d: got status %s and %d bytes, want 200 and 240,000", a.id, a.status, len(a.body))
 		}
 	}
 }
@@ -214,7 +214,7 @@
 	for _, c := range []*client{idle, incomplete} {
 		a := receive(t, c.answers, "close")
 		if a.id != 0 {
-			t.Errorf("%+v", a)
+			t.Errorf("got answer %+v, want the close of the connection", a)
 		}
 	}
 	receive(t, env.cache.calls, "call").answer("served", "-", "late")
--- a/cmd/edgeproxy/fault_test.go
+++ b/cmd/edgeproxy/fault_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestResetAroundAWrite checks that a write is executed at most once and gets one answer if the connection to the
-// origin is reset, at whatever point.
+// origin is reset, at whatever point. The map gives how often the write is executed for each fault.
 func TestResetAroundAWrite(t *testing.T) {
 	const onceIfServed = -1 // one execution if the answer is served, none otherwise
 	for rule, runs := range map[string]int{
@@ -38,7 +38,7 @@
 		c.request(1, "registro", 2000, 1, "a body up to the end")
 		a := receive(t, c.answers, "outcome")
 		if a.id != 1 || a.status == "200" && runs != onceIfServed {
-			t.Errorf("%s: %+v", rule, a)
+			t.Errorf("%s: got answer %+v", rule, a)
 		}
 		if runs == onceIfServed {
 			runs = 0
@@ -49,7 +49,7 @@
 		c.request(2, "registro", longTimeoutMS, 2, "x") // reaches the origin on another connection, after all calls of the first
 		a = receive(t, c.answers, "answer")
 		if a.id != 2 || a.status != "200" {
-			t.Errorf("%s, next request: %+v", rule, a)
+			t.Errorf("%s, next request: got answer %+v, want ID 2 and status 200", rule, a)
 		}
 		mu.Lock()
 		if len(ran) != runs+1 {
@@ -76,7 +76,7 @@
 	env.sendEvent(drain)
 	got := receive(t, env.followLines, "follow again")
 	if got != "follow 1" {
-		t.Errorf("%q", got)
+		t.Errorf(`got line %q, want "follow 1"`, got)
 	}
 	env.sendEvent(drain)
 	env.awaitEventsApplied()
@@ -134,7 +134,7 @@
 	for range 20 {
 		a := receive(t, c.answers, "answer")
 		if a.status != "200" || len(a.body) != 240_000 {
-			t.Errorf("%d: %s, %d bytes", a.id, a.status, len(a.body))
+			t.Errorf("answer %d: got status %s and %d bytes, want 200 and 240,000", a.id, a.status, len(a.body))
 		}
 	}
 	if err := receive(t, env.exited, "exit"); err != nil {
@@ -143,7 +143,8 @@
 }
 
 // TestMalformedAnswersThroughTheRelay checks that truncated, duplicate and corrupted answers fail only their own
-// attempt, and that each request gets one answer.
+// attempt, and that each request gets one answer. The map gives the status of the request that the fault meets, "" if
+// any status will do.
 func TestMalformedAnswersThroughTheRelay(t *testing.T) {
 	for rule, want := range map[string]string{
 		"c down conn 1 byte 40 : close":      "200", // retried
@@ -163,12 +164,12 @@
 		c.request(1, "artes", 2500, 1, "")
 		a := receive(t, c.answers, "outcome")
 		if a.id != 1 || want != "" && a.status != want || a.status == "200" && a.body != "whole" {
-			t.Errorf("%s: %+v", rule, a)
+			t.Errorf("%s: got answer %+v", rule, a)
 		}
 		for id := range uint16(3) {
 			c.request(id+2, "artes", longTimeoutMS, int(id), "")
 			if a := receive(t, c.answers, "answer"); a.id != id+2 || a.status != "200" || a.body != "whole" {
-				t.Errorf("%s, later request: %+v", rule, a)
+				t.Errorf("%s, later request: got answer %+v, want its ID, status 200 and the whole body", rule, a)
 			}
 		}
 	}
--- a/cmd/edgeproxy/lateread_test.go
+++ b/cmd/edgeproxy/lateread_test.go
@@ -22,11 +22,11 @@
 	resume()
 	a := receive(t, c.answers, "rejection")
 	if a.id != 2 || a.status != "503" {
-		t.Errorf("%+v", a)
+		t.Errorf("got answer %+v, want ID 2 and status 503", a)
 	}
 	got := receive(t, env.cache.calls, "call")
 	if got.fields["k"] != fmt.Sprintf("%016x", 3) {
-		t.Errorf("%q was forwarded after its deadline", got.words)
+		t.Errorf("call %q was made for a request after its deadline", got.words)
 	}
 }
 
@@ -52,11 +52,11 @@
 	if err := receive(t, written, "end of the write"); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(600 * time.Millisecond) // not a race: its deadline has passed
+	time.Sleep(600 * time.Millisecond) // not a race: the deadline of request 2 has passed
 	resume()
 	a := receive(t, c.answers, "rejection")
 	if a.id != 2 || a.status != "503" {
-		t.Errorf("%+v", a)
+		t.Errorf("got answer %+v, want ID 2 and status 503", a)
 	}
 }
 
@@ -75,15 +75,15 @@
 	resume()
 	a := receive(t, late.answers, "rejection")
 	if a.id != 2 || a.status != "503" {
-		t.Errorf("%+v", a)
+		t.Errorf("got answer %+v, want ID 2 and status 503", a)
 	}
 	a = receive(t, late.answers, "answer")
 	if a.id != 4 || a.body != "fine" {
-		t.Errorf("%+v", a)
+		t.Errorf(`got answer %+v, want ID 4 and body "fine"`, a)
 	}
 	a = receive(t, inTime.answers, "answer")
 	if a.id != 3 || a.body != "fine" {
-		t.Errorf("%+v", a)
+		t.Errorf(`got answer %+v, want ID 3 and body "fine"`, a)
 	}
 }
 
@@ -107,16 +107,16 @@
 	receive(t, env.cache.calls, "call").answer("served", "-", "early")
 	a := receive(t, beforeClose.answers, "answer")
 	if a.body != "early" {
-		t.Errorf("%+v", a)
+		t.Errorf(`got answer %+v, want body "early"`, a)
 	}
 	a = receive(t, afterClose.answers, "close")
 	if a.id != 0 {
-		t.Errorf("%+v", a)
+		t.Errorf("got answer %+v, want the close of the connection", a)
 	}
 	afterClose.request(2, "artes", longTimeoutMS, 3, "")
 	beforeClose.request(3, "artes", longTimeoutMS, 4, "")
 	got := receive(t, env.cache.calls, "call")
 	if got.fields["k"] != fmt.Sprintf("%016x", 4) {
-		t.Errorf("%q was forwarded after the close", got.words)
+		t.Errorf("call %q was made for a request after the close of its connection", got.words)
 	}
 }
--- a/cmd/edgeproxy/replace_test.go
+++ b/cmd/edgeproxy/replace_test.go
@@ -57,17 +57,17 @@
 		receive(t, env.cache.calls, "call").answer("served", "-", "new")
 		a := receive(t, c.answers, "answer")
 		if a.body != "new" {
-			t.Fatalf("%+v", a)
+			t.Fatalf(`got answer %+v, want body "new"`, a)
 		}
 	}
 	open.answer("served", "-", "fine")
 	a := receive(t, oldClient.answers, "answer")
 	if a.body != "fine" {
-		t.Errorf("%+v", a)
+		t.Errorf(`got answer %+v, want body "fine"`, a)
 	}
 	a = receive(t, oldClient.answers, "close")
 	if a.id != 0 {
-		t.Errorf("%+v", a)
+		t.Errorf("got answer %+v, want the close of the connection", a)
 	}
 	if err := receive(t, env.exited, "exit"); err != nil {
 		t.Error(err)
@@ -99,11 +99,11 @@
 	env.start(fullList(env.cache.Addr(), env.origin.Addr()))
 	a := receive(t, late.answers, "rejection")
 	if a.status != "503" {
-		t.Errorf("%+v", a)
+		t.Errorf("got answer %+v, want status 503", a)
 	}
 	a = receive(t, inTime.answers, "answer")
 	if a.body != "fine" {
-		t.Errorf("%+v", a)
+		t.Errorf(`got answer %+v, want body "fine"`, a)
 	}
 }
 
@@ -117,13 +117,13 @@
 		cmd.Env = append(env.cmd.Env, "BALANCER_LISTEN_FD="+fd)
 		out, err := cmd.CombinedOutput()
 		if err == nil || strings.Count(string(out), "\n") != 1 || !strings.Contains(string(out), "escriptor") {
-			t.Errorf("%s: %v %q", fd, err, out)
+			t.Errorf("BALANCER_LISTEN_FD=%s: error %v, output %q", fd, err, out)
 		}
 	}
 }
 
 // TestReplacementServesAllClients guards against clients that are turned away because two processes share the limit of
-// descriptors: each process accepts as many connections as clients may hold in total, a third of the limit, and both
+// descriptors. All clients together hold at most a third of the limit: each process accepts that many, and both
 // processes together stay within the limit.
 func TestReplacementServesAllClients(t *testing.T) {
 	const clientConns = testSockets / 3
@@ -141,7 +141,7 @@
 		c.request(1, "artes", longTimeoutMS, 1, "")
 		a := receive(t, c.answers, "answer")
 		if a.body != "fine" {
-			t.Fatalf("client %d: %+v", len(clients), a)
+			t.Fatalf(`client %d: got answer %+v, want body "fine"`, len(clients), a)
 		}
 		clients = append(clients, c)
 	}
@@ -154,6 +154,6 @@
 	}
 	clients[0].request(2, "artes", longTimeoutMS, 1, "")
 	if a := receive(t, clients[0].answers, "answer on the first connection"); a.body != "fine" {
-		t.Errorf("%+v", a)
+		t.Errorf("got answer %+v", a)
 	}
 }
--- a/cmd/edgeproxy/shutdown_test.go
+++ b/cmd/edgeproxy/shutdown_test.go
@@ -32,11 +32,11 @@
 	second.answer("served", "-", "two")
 	a := receive(t, c.answers, "answer")
 	if a.body != "one" {
-		t.Errorf("%+v", a)
+		t.Errorf(`got answer %+v, want body "one"`, a)
 	}
 	a = receive(t, late.answers, "answer")
 	if a.body != "two" {
-		t.Errorf("%+v", a)
+		t.Errorf(`got answer %+v, want body "two"`, a)
 	}
 	if err := receive(t, env.exited, "exit"); err != nil {
 		t.Error(err)
@@ -60,7 +60,7 @@
 	receive(t, env.origin.calls, "call")
 	a := receive(t, c.answers, "answer")
 	if a.id != 2 || a.status != "502" {
-		t.Errorf("%+v", a)
+		t.Errorf("got answer %+v, want ID 2 and status 502", a)
 	}
 	if err := receive(t, env.exited, "exit"); err != nil {
 		t.Error(err)
@@ -87,7 +87,7 @@
 		c.Write(rest) //nolint:errcheck // shows in the answers
 		a := receive(t, c.answers, "answer")
 		if a.id != 2 || a.body != "fine" && a.status != "503" {
-			t.Errorf("%d bytes before SIGTERM: %+v", part, a)
+			t.Errorf("%d bytes before SIGTERM: got answer %+v, want ID 2 and a served or rejected request", part, a)
 		}
 		if err := receive(t, env.exited, "exit"); err != nil {
 			t.Error(err)
@@ -109,7 +109,7 @@
 	resume()
 	a := receive(t, c.answers, "answer")
 	if a.body != "fine" {
-		t.Errorf("%+v", a)
+		t.Errorf(`got answer %+v, want body "fine"`, a)
 	}
 }
 
@@ -125,7 +125,7 @@
 	for range 32 {
 		a := receive(t, c.answers, "answer")
 		if a.status != "200" || a.id != 99 && len(a.body) != 240_000 {
-			t.Errorf("%d: %s, %d bytes", a.id, a.status, len(a.body))
+			t.Errorf("answer %d: got status %s and %d bytes", a.id, a.status, len(a.body))
 		}
 	}
 	if err := receive(t, env.exited, "exit"); err != nil {
@@ -151,7 +151,7 @@
 	for range 2 {
 		a := receive(t, c.answers, "answer")
 		if a.status != "200" {
-			t.Errorf("%+v", a)
+			t.Errorf("got answer %+v, want status 200", a)
 		}
 	}
 	if err := receive(t, env.exited, "exit"); err != nil {
@@ -162,6 +162,7 @@
 // TestShutdownAnswersRequestsInFlight checks that requests in flight at SIGTERM whose server hangs are answered before
 // the platform may kill the process, however late their deadlines are.
 func TestShutdownAnswersRequestsInFlight(t *testing.T) {
+	// untilKill is maxShutdownDeadline and killGrace of package proxy together, as these settings have no deadline.
 	const untilKill, step = 3700 * time.Millisecond, 50 * time.Millisecond
 	env := newTestEnv(t)
 	env.clock = newManualClock(t)
@@ -187,7 +188,7 @@
 		}
 	}
 	if statuses[1] != "503" && statuses[1] != "502" || statuses[2] != "502" {
-		t.Errorf("%v", statuses)
+		t.Errorf("got statuses %v by request ID, want 503 or 502 for 1 and 502 for 2", statuses)
 	}
 }
 
@@ -206,7 +207,7 @@
 	c.request(1, "artes", longTimeoutMS, 1, "")
 	a := receive(t, c.answers, "answer")
 	if a.body != "fine" {
-		t.Errorf("%+v", a)
+		t.Errorf(`got answer %+v, want body "fine"`, a)
 	}
 	if err := receive(t, env.exited, "exit"); err != nil {
 		t.Error(err)
@@ -223,7 +224,7 @@
 	c.request(1, "artes", longTimeoutMS, 1, "")
 	a := receive(t, c.answers, "answer")
 	if a.status != "503" {
-		t.Errorf("%+v", a)
+		t.Errorf("got answer %+v, want status 503", a)
 	}
 	if err := env.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
--- a/cmd/edgeproxy/soak_test.go
+++ b/cmd/edgeproxy/soak_test.go
@@ -26,7 +26,8 @@
 	return n
 }
 
-// TestSoak runs fleets of real processes under random faults, drawn from seeds, and checks the rules of the history.
+// TestSoak runs a fleet of real processes for each seed, under random faults drawn from the seed, and checks the
+// history of each run against the rules of package soak.
 // The environment sets the seeds, the number of processes and the duration: CI runs a few short seeds, `make soak`
 // more.
 func TestSoak(t *testing.T) {
--- a/cmd/edgeproxy/system_test.go
+++ b/cmd/edgeproxy/system_test.go
@@ -16,7 +16,7 @@
 	receive(t, env.origin.calls, "complete call").answer("served", "-", "written")
 	a := receive(t, c.answers, "answer")
 	if a.body != "written" {
-		t.Errorf("%+v", a)
+		t.Errorf(`got answer %+v, want body "written"`, a)
 	}
 	if len(env.origin.calls) != 0 {
 		t.Error("the call was executed twice")
@@ -35,7 +35,7 @@
 		c.request(1, "artes", longTimeoutMS, 1, "")
 		a := receive(t, c.answers, "rejection")
 		if a.status != "503" {
-			t.Errorf("%s: %+v", failure, a)
+			t.Errorf("%s: got answer %+v, want status 503", failure, a)
 		}
 		n := env.metric("svc_out_of_rotation")
 		if n != 0 {
