--- a/cmd/edgeproxy/soak_test.go
+++ b/cmd/edgeproxy/soak_test.go
@@ -38,7 +38,8 @@
 	violations := 0
 	for seed := first; seed < first+seeds; seed++ {
 		result, err := soak.Run(uint64(seed), soak.Options{
-			Program: os.Args[0], ProgramEnv: []string{programEnv + "=1"}, ClockOffsetEnv: clockOffsetEnv, FailingCalls: randomFaultsEnv,
+			Program: os.Args[0], ProgramEnv: []string{programEnv + "=1"},
+			ClockOffsetEnv: clockOffsetEnv, SyscallFaultSeedEnv: randomFaultsEnv,
 			LoopbackAddr: loopbackAddr, FleetSize: fleet, Duration: time.Duration(seconds) * time.Second, ConfigDir: t.TempDir(),
 			ReportDir: filepath.Join("..", "..", "found", "soak"), FaultKinds: strings.Fields(os.Getenv("KINDS")),
 			Shrink: os.Getenv("SHRINK") != "",
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -131,7 +131,7 @@
 		offsets := []string{"1h", "-1h", "3s", "-3s"}
 		p.environment = []string{r.options.ClockOffsetEnv + "=" + offsets[int(f.Duration)%len(offsets)]}
 	case "failing-calls":
-		p.environment = []string{fmt.Sprintf("%s=%d", r.options.FailingCalls, f.At)}
+		p.environment = []string{fmt.Sprintf("%s=%d", r.options.SyscallFaultSeedEnv, f.At)}
 	}
 }
 
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -19,17 +19,17 @@
 
 // Options configures a run.
 type Options struct {
-	Program        string                // path of the test binary that runs as the proxy
-	ProgramEnv     []string              // NAME=VALUE variables that make the test binary run as the proxy
-	ClockOffsetEnv string                // name of the environment variable for the offset of the proxy's clock
-	FailingCalls   string                // name of the environment variable for the seed of failing system calls
-	LoopbackAddr   func(host int) string // returns the address of a host on loopback, with port 0
-	FleetSize      int                   // number of proxies
-	Duration       time.Duration         // of the run
-	ConfigDir      string                // directory for the proxies' configurations
-	ReportDir      string                // directory for reports on violations; empty: none are written
-	FaultKinds     []string              // kinds of faults to draw from; empty: all
-	Shrink         bool                  // after a violation, look for a shorter schedule that breaks the same rule
+	Program             string                // path of the test binary that runs as the proxy
+	ProgramEnv          []string              // NAME=VALUE variables that make the test binary run as the proxy
+	ClockOffsetEnv      string                // name of the environment variable for the offset of the proxy's clock
+	SyscallFaultSeedEnv string                // name of the variable that holds the seed of random system call failures
+	LoopbackAddr        func(host int) string // returns the address of a host on loopback, with port 0
+	FleetSize           int                   // number of proxies
+	Duration            time.Duration         // of the run
+	ConfigDir           string                // directory for the proxies' configurations
+	ReportDir           string                // directory for reports on violations; empty: none are written
+	FaultKinds          []string              // kinds of faults to draw from; empty: all
+	Shrink              bool                  // after a violation, look for a shorter schedule that breaks the same rule
 }
 
 // Result is the outcome of the run of one seed.
