--- a/internal/proxy/watch.go
+++ b/internal/proxy/watch.go
@@ -133,7 +133,7 @@
 	}
 	s.conn = conn
 	w.streams = append(w.streams, s)
-	conn.Write(watch.AppendFollow(index))
+	conn.Write(watch.EncodeFollow(index))
 }
 
 // closeStream closes and removes a stream.
--- a/internal/watch/framing.go
+++ b/internal/watch/framing.go
@@ -28,5 +28,5 @@
 	return 0, nil, nil
 }
 
-// AppendFollow returns the encoded request for all events after the one with the index last.
-func AppendFollow(last int64) []byte { return fmt.Appendf(nil, "follow %d\n", last) }
+// EncodeFollow returns the line that asks the coordinator for all events after the one with the index last.
+func EncodeFollow(last int64) []byte { return fmt.Appendf(nil, "follow %d\n", last) }
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -127,8 +127,8 @@
 	if _, _, err := NextLine([]byte(strings.Repeat("x", MaxLineBytes+1))); !errors.Is(err, ErrMalformed) {
 		t.Errorf("line over MaxLineBytes: got error %v", err)
 	}
-	if got := string(AppendFollow(7)); got != "follow 7\n" {
-		t.Errorf("AppendFollow(7) = %q", got)
+	if got := string(EncodeFollow(7)); got != "follow 7\n" {
+		t.Errorf("EncodeFollow(7) = %q", got)
 	}
 }
 
