--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -21,13 +21,17 @@
 	Zones []string // names, by the index that package policy uses
 	Kinds []string // names of the kinds of servers, by the index that package policy uses
 
-	MaxDeadline        time.Duration // the longest deadline of a class; 0: unknown
-	ServerIdleTimeout  time.Duration // servers close a connection that is idle for this long; 0: unknown
-	ConnectTimeout     time.Duration // 0: unknown
-	HandshakesPriced   bool          // new connections have a price
-	MaxOpenRequests    int           // requests that may be open at once; 0: no limit besides the proxy's own
-	MaxStreamsPerConn  int           // attempts that one connection may carry at once; 0: unknown
-	RetryAfterDisabled bool          // rejected clients get no Retry-After
+	MaxDeadline       time.Duration // the longest deadline of a class; 0: unknown
+	ServerIdleTimeout time.Duration // servers close a connection that is idle for this long; 0: unknown
+	ConnectTimeout    time.Duration // 0: unknown
+
+	// HandshakesPriced says that the settings put a price on each new connection (its handshake). Idempotent calls
+	// then share connections even while these are few, when each call would otherwise get one of its own.
+	HandshakesPriced bool
+
+	MaxOpenRequests    int  // requests that may be open at once; 0: no limit besides the proxy's own
+	MaxStreamsPerConn  int  // attempts that one connection may carry at once; 0: unknown
+	RetryAfterDisabled bool // rejected clients get no Retry-After
 
 	document document
 }
--- a/policy/guard.go
+++ b/policy/guard.go
@@ -60,9 +60,14 @@
 	ClientDisconnected bool
 	RejectingNew       bool          // in a drain or a shutdown, once clients have had time to disconnect
 	Remaining          time.Duration // to the client's deadline
-	UnreleasedRequests int           // still held in memory, including answered ones with open attempts
-	MaxOpenRequests    int
-	MemoryFull         bool // the memory limit for requests is reached
+
+	// UnreleasedRequests is the number of admitted requests that are still held in memory. A request is
+	// released once the Router has processed its arrival, it is answered or given up by its client, and no
+	// attempt for it is open.
+	UnreleasedRequests int
+
+	MaxOpenRequests int  // limits UnreleasedRequests
+	MemoryFull      bool // the memory limit for requests is reached
 }
 
 // MayAdmit decides whether a request is accepted. One that is not gets its final answer at once.
