--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -34,17 +34,17 @@
 	Name                        string        `json:"name"`
 	Idempotency                 string        `json:"semantics"` // see idempotencyOf
 	DeduplicationScope          string        `json:"key-scope"` // see scopeOf
-	DeduplicationWindow         microseconds  `json:"window-us"` // how long a repeat with the same key is dropped
+	DeduplicationWindow         microseconds  `json:"window-us"` // time for which a repeat with the same key is dropped
 	Deadline                    *microseconds `json:"deadline-us"`
 	LatencyObjective            microseconds  `json:"promise-us"`
-	LatencyObjectivePerTransfer float64       `json:"aim-stretch"` // multiple of the transfer time added to it
+	LatencyObjectivePerTransfer float64       `json:"aim-stretch"` // multiple of the transfer time, added to promise-us
 	PriorityWeight              float64       `json:"gain"`
 	Stream                      bool          `json:"stream"` // its answers are streamed
 }
 
 // costsDocument holds the prices of operations.
 type costsDocument struct {
-	Handshake float64 `json:"handshake"` // of a new connection
+	Handshake float64 `json:"handshake"` // price of a new connection
 }
 
 // domainDocument describes the caches, the links between zones and the rules for fills and purges.
@@ -53,24 +53,24 @@
 	ParentKind *int `json:"upper-kind"` // index in Kinds; -1 or absent: there are no parents
 
 	FreshFor    []microseconds `json:"class-fresh-us"` // by class; 0: until purged
-	StaleFor    []microseconds `json:"grace-for-us"`   // by class: how long after FreshFor a copy may be served
+	StaleFor    []microseconds `json:"grace-for-us"`   // by class: time after FreshFor for which a copy may be served
 	Uncacheable []bool         `json:"pass-on"`        // by class
 
-	DirectRequests bool   `json:"direct"`      // parents and the origin accept requests too
-	CoalesceFills  bool   `json:"can-join"`    // a request may wait for a fill in progress
-	Siblings       string `json:"peers-fill"`  // which caches may be the source of a fill, see siblingsOf
-	ZoneHubs       []int  `json:"attached-to"` // by zone: index of the hub zone that it is attached to
-	RoutersByZone  []int  `json:"count-by-zone"`
+	DirectRequests bool   `json:"direct"`        // parents and the origin accept requests too
+	CoalesceFills  bool   `json:"can-join"`      // a request may wait for a fill in progress
+	Siblings       string `json:"peers-fill"`    // which caches may be the source of a fill, see siblingsOf
+	ZoneHubs       []int  `json:"attached-to"`   // by zone: index of the hub zone that it is attached to
+	RoutersByZone  []int  `json:"count-by-zone"` // by zone: number of proxies
 
 	TransferKBPerSecond float64   `json:"one-flow-kb-per-s"` // maximum rate of one transfer to a client
 	LinkKBPerSecond     []float64 `json:"pipe-kb-per-s"`     // by zone: capacity of the link into it; 0: unknown
 
 	ParentSlowStartCapacity float64      `json:"parent-floor"`        // fraction of a parent's capacity at its start
 	ParentSlowStartDuration microseconds `json:"upper-cold-us"`       // until a parent has its full capacity
-	ParentOverloadMultiple  float64      `json:"parent-limit-factor"` // rules.fall-multiple, for a parent
+	ParentOverloadMultiple  float64      `json:"parent-limit-factor"` // as rules.fall-multiple, but for a parent
 
-	PurgeGrace           microseconds `json:"purge-slack-us"`    // after which a known purge must be observed
-	PurgeCompletedWithin microseconds `json:"cleared-within-us"` // after which no cache has a copy from before the purge
+	PurgeGrace           microseconds `json:"purge-slack-us"`    // time after which a known purge must be observed
+	PurgeCompletedWithin microseconds `json:"cleared-within-us"` // time after a purge until no cache has an older copy
 }
 
 // limitsDocument holds the limits on connections, requests and attempts.
@@ -79,7 +79,7 @@
 	ConnectTimeout    microseconds `json:"connect-timeout-us"`
 	MaxOpenRequests   int          `json:"max-open"`         // of one proxy; 0: no limit besides the proxy's own
 	MaxStreamsPerConn int          `json:"streams-per-conn"` // attempts on one connection at once; 0: unknown
-	MaxAttempts       *int         `json:"max-attempts"`     // of one request; after them it is not retried
+	MaxAttempts       *int         `json:"max-attempts"`     // attempts of one request after which it is not retried
 	RetryAfter        *bool        `json:"retry-after"`      // rejected clients get a Retry-After; absent: true
 	MaxRetryAfter     microseconds `json:"max-retry-after-us"`
 	CancelAttempts    bool         `json:"may-cancel"`    // attempts may be cancelled
@@ -88,8 +88,8 @@
 
 // rulesDocument describes the slow start of caches and when they fail from overload.
 type rulesDocument struct {
-	OverloadMultiple  float64      `json:"fall-multiple"`  // of its present capacity, at which a cache is overloaded
-	OverloadWindow    microseconds `json:"fall-us"`        // how long a cache stays overloaded until it fails
+	OverloadMultiple  float64      `json:"fall-multiple"`  // multiple of a cache's present capacity that overloads it
+	OverloadWindow    microseconds `json:"fall-us"`        // time for which a cache is overloaded before it fails
 	SlowStartCapacity float64      `json:"start-capacity"` // fraction of a cache's capacity at its start
 	SlowStartDuration microseconds `json:"warm-within-us"` // until a cache has its full capacity
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -26,7 +26,7 @@
 	ConnectTimeout    time.Duration // 0: unknown
 
 	// HandshakesPriced says that the settings put a price on each new connection (its handshake). Idempotent calls
-	// then share connections even while these are few, when each call would otherwise get one of its own.
+	// then share connections even while there are so few that each call would otherwise get one of its own.
 	HandshakesPriced bool
 
 	MaxOpenRequests    int  // requests that may be open at once; 0: no limit besides the proxy's own
@@ -124,7 +124,7 @@
 	return longest
 }
 
-// routersInZone returns how many proxies this proxy's zone has, at least 1 for itself; 0: unknown.
+// routersInZone returns the number of proxies in this proxy's zone, at least 1 for this proxy itself; 0: unknown.
 func (d *document) routersInZone() int {
 	if d.Zone < 0 || d.Zone >= len(d.Domain.RoutersByZone) {
 		return 0
@@ -132,8 +132,8 @@
 	return max(1, d.Domain.RoutersByZone[d.Zone])
 }
 
-// zoneLinkTransfers returns how many transfers, each to one client, the link into this proxy's zone carries
-// at once; 0: unknown.
+// zoneLinkTransfers returns the number of transfers, each to one client, that the link into this proxy's zone
+// carries at once; 0: unknown.
 func (d *document) zoneLinkTransfers() float64 {
 	if d.Domain.TransferKBPerSecond <= 0 {
 		return 0
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -51,7 +51,7 @@
 		{"", "", true},
 		{`"max-attempts":2`, `"max-attempts":0`, false},
 		{`"max-attempts":2`, `"max-attempts":-1`, false},
-		{`"max-attempts":2`, `"max-open":2`, true}, // max-attempts is unknown
+		{`"max-attempts":2`, `"max-open":2`, true}, // max-attempts is absent
 		{`"deadline-us":1}]`, `"deadline-us":0}]`, false},
 		{`"deadline-us":1}]`, `"deadline-us":-5}]`, false},
 		{`"name":"w"`, `"name":"a"`, false},
@@ -101,7 +101,7 @@
 	}
 }
 
-// Package policy knows zones and kinds by index, so those that are in use must keep theirs.
+// Package policy knows zones and kinds by index, so those that are in use must keep their indices.
 func TestCheckAfter(t *testing.T) {
 	earlier := Settings{Zones: []string{"a", "b"}, Kinds: []string{"k"}}
 	extended := Settings{Zones: []string{"a", "b", "c"}, Kinds: []string{"k", "l"}}
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -29,7 +29,7 @@
 	Name                string
 	Idempotency         Idempotency
 	DeduplicationScope  DeduplicationScope
-	DeduplicationWindow time.Duration // how long a repeat with the same key is dropped
+	DeduplicationWindow time.Duration // time for which a repeat with the same key is dropped
 
 	// An answer is in time if it takes at most LatencyObjective, plus LatencyObjectivePerTransfer times its
 	// transfer time.
@@ -38,7 +38,7 @@
 	PriorityWeight              float64 // value of an answer that is in time, relative to other classes
 
 	FreshFor    time.Duration // age up to which a copy is fresh; 0: until it is purged
-	StaleFor    time.Duration // how long after that it may be served stale
+	StaleFor    time.Duration // further time for which it may be served stale
 	Uncacheable bool          // runs at the origin, and its answer is not cached
 	Stream      bool          // the answer is streamed to the client as it comes
 }
@@ -62,10 +62,10 @@
 	ParentKind int     // kind of endpoints that are parents; -1: there are none
 	OriginKind int     // kind of endpoints that are origins; all other kinds are caches
 
-	Routers            int // routers in all zones, this one included; 0: 1
-	RouterIndex        int // this router's number among them, from 0
+	Routers            int // routers in all zones, this one included; 0 counts as 1
+	RouterIndex        int // this router's number among all routers, from 0
 	RoutersInZone      int // routers in this zone, this one included; 0: as many as Routers
-	ProcessesPerRouter int // processes of one router that run at once during a takeover; 0: 1
+	ProcessesPerRouter int // processes of one router that run at once during a takeover; 0 counts as 1
 
 	// ZoneHubs holds, for each zone, the position of its hub in the ring of hubs. Empty: unknown.
 	ZoneHubs []int
@@ -78,12 +78,12 @@
 	CoalesceFills  bool // a miss may wait for a fill of the same object that is in progress
 	Siblings       Siblings
 
-	MaxAttempts    int           // of one request, retries and hedges included; 0: 2
+	MaxAttempts    int           // of one request, retries and hedges included; 0 counts as 2
 	CancelAttempts bool          // attempts may be cancelled
 	Hedging        bool          // an overdue attempt may be repeated while it is pending
 	MaxRetryAfter  time.Duration // longest Retry-After of a rejection; less than 300 ms counts as 300 ms
 
-	// Slow start of a cache. It fails when it receives OverloadMultiple times its current capacity for
+	// Slow start of a cache. A cache fails when it receives OverloadMultiple times its current capacity for
 	// OverloadWindow.
 	SlowStartCapacity float64       // fraction of its capacity that it has at its start
 	SlowStartDuration time.Duration // until it has its full capacity; 0: no slow start
