--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -6,7 +6,7 @@
 	"cloverdoor/policy"
 )
 
-// Flags of a fetch. The wire carries their sum.
+// Flags of a fetch. A message carries the sum of those that are set.
 const (
 	flagCoalesceFill         = 1
 	flagCachedOnly           = 2
--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -65,8 +65,8 @@
 }
 
 // HandleBatch handles the events of a batch in their order and returns the reply, without a line feed. An error
-// means that the batch, one of its events or the settings in one are invalid; the events before that have been
-// handled.
+// means that the batch, one of its events or the settings in one are invalid; the events before the invalid
+// one have been handled.
 func (h *Host) HandleBatch(line []byte) ([]byte, error) {
 	var b batch
 	if err := json.Unmarshal(line, &b); err != nil {
--- a/internal/simwire/message.go
+++ b/internal/simwire/message.go
@@ -49,7 +49,7 @@
 	Endpoints  []endpoint `json:"hosts"`
 	UpdateMode updateMode `json:"mode"`
 
-	// eventRequest; Object and Group also of eventPurge, Request also of all other events about a request
+	// eventRequest; eventPurge also uses Object and Group, and all other events about a request use Request
 	Request   int64        `json:"job"`
 	Object    string       `json:"asset"`
 	Class     int          `json:"kind"`
@@ -61,7 +61,7 @@
 	// eventTimerFired
 	Token uint64 `json:"mark"`
 
-	// eventOutcome; Attempt also of eventStreamStarted
+	// eventOutcome; eventStreamStarted also uses Attempt
 	Attempt         int          `json:"try"`
 	Result          int          `json:"verdict"` // see resultOf
 	Elapsed         microseconds `json:"duration-us"`
@@ -73,7 +73,8 @@
 	Age microseconds `json:"age-us"` // time since the purge
 }
 
-// updateMode says what the list of an eventEndpointUpdate holds. Any other number means that the update failed.
+// updateMode says what the list of an eventEndpointUpdate holds. A number other than
+// these means that the update failed.
 type updateMode int
 
 const (
@@ -103,7 +104,7 @@
 	actionFault      = "Fault" // reports a panic; ends the simulation
 )
 
-// action is an action of any kind. Its fields are sent in their order here.
+// action is an action of any kind. Its fields are sent in the order in which they are declared.
 type action struct {
 	Name          string        `json:"op"`
 	Instance      string        `json:"proxy-id"`
@@ -115,7 +116,7 @@
 	MaxAge        microseconds  `json:"age-us,omitempty"`
 	RetryAfter    microseconds  `json:"cool-down-us,omitempty"`
 	Attempt       *int          `json:"try,omitempty"`
-	In            *microseconds `json:"in-us,omitempty"` // from now until the timer fires
+	In            *microseconds `json:"in-us,omitempty"` // time from now until the timer fires
 	Token         *uint64       `json:"mark,omitempty"`
 	Message       string        `json:"message,omitempty"`
 }
