--- a/internal/connpool/acquire.go
+++ b/internal/connpool/acquire.go
@@ -25,7 +25,7 @@
 // Acquire returns a connection to an endpoint for one more use, which Release ends. It prefers an existing
 // connection that accepts the use and dials a new one if there is none or prefersNew says so. If the dial fails,
 // the existing one is returned after all. The error is ErrEndpointRemoved for an unknown endpoint, wraps
-// ErrConnLimit if the limits allow no new connection, or is that of the dial.
+// ErrConnLimit if the limits allow no new connection, or is the error of the dial.
 func (ps *Pools) Acquire(id string, use UseInfo) (*PooledConn, error) {
 	pool := ps.endpoints[id]
 	if pool == nil {
@@ -49,7 +49,7 @@
 // Reassign returns another connection for a use that waits for an overdue one. It prefers a connection that
 // was established, or has received something, since the overdue one was dialed, which shows that the endpoint
 // is reachable; if there is none, it dials a new one. It fails with ErrConnLimit if the overdue connection is
-// stale or if there are already DedicatedConns connections or more; any other error is that of the dial. The
+// stale or if there are already DedicatedConns connections or more; any other error is the error of the dial. The
 // caller releases the overdue connection, which serves other uses once it is established.
 func (ps *Pools) Reassign(overdue *PooledConn, accepts func(*PooledConn) bool) (*PooledConn, error) {
 	pool := overdue.pool
--- a/internal/connpool/conn.go
+++ b/internal/connpool/conn.go
@@ -32,7 +32,7 @@
 	connectRecorded bool                // recordConnect has counted the connect time
 	lastReleasedAt  eventloop.Timestamp // when a use last ended; 0: none has
 
-	pendingBucket idleBucket          // of the first use in progress; noBucket once its outcome is recorded
+	pendingBucket idleBucket          // bucket of the first use in progress; noBucket once its outcome is recorded
 	useStartedAt  eventloop.Timestamp // when that use began
 }
 
--- a/internal/connpool/idleloss.go
+++ b/internal/connpool/idleloss.go
@@ -31,9 +31,9 @@
 type idleBucket int
 
 const (
-	noBucket        idleBucket = -1
-	newConnBucket   idleBucket = 0 // connections that have not been used
-	firstIdleBucket idleBucket = 1 // idle for less than firstBucketEnd; each further bucket ends at twice the time
+	noBucket        idleBucket = -1 // no use has an outcome that is still to be recorded
+	newConnBucket   idleBucket = 0  // connections that have not been used
+	firstIdleBucket idleBucket = 1  // idle for less than firstBucketEnd; further buckets end at 2, 4, 8... times that
 	idleBucketCount            = 12
 	lastIdleBucket  idleBucket = idleBucketCount - 1
 )
@@ -55,7 +55,7 @@
 // recordSuccess counts a use that was not lost.
 func (e *idleLossEstimates) recordSuccess(bucket idleBucket) { e.record(bucket, 0) }
 
-// record counts one use, of which the given fraction was lost: 0 or 1.
+// record counts one use. Its lostFraction is 1 if the use was lost, otherwise 0.
 func (e *idleLossEstimates) record(bucket idleBucket, lostFraction float64) {
 	e[bucket] += newestWeight * (lostFraction - e[bucket])
 }
--- a/internal/connpool/pools.go
+++ b/internal/connpool/pools.go
@@ -15,14 +15,14 @@
 type Limits struct {
 	MaxUsesPerConn int           // uses that one connection carries at once
 	MaxConns       int           // connections of all pools together
-	DedicatedConns int           // connections of all pools together up to which uses get connections of their own
-	MaxSharedUses  int           // idempotent uses that may share a connection below DedicatedConns; 0: none
-	ConnectTimeout time.Duration // after which a connect fails
-	IdleTimeout    time.Duration // after which an unused connection is closed
+	DedicatedConns int           // number of connections of all pools together below which uses get their own
+	MaxSharedUses  int           // idempotent uses that may share one connection below DedicatedConns connections; 0: none
+	ConnectTimeout time.Duration // time after which a connect fails
+	IdleTimeout    time.Duration // time after which an unused connection is closed
 }
 
 // Pools holds a pool for each endpoint, by the endpoint's ID. An address does not identify an endpoint: a new
-// one may take over the address of an old one and must get no use of a connection to the old one.
+// endpoint may take over the address of an old one, and its uses must not get connections to the old one.
 type Pools struct {
 	loop       *eventloop.Loop
 	limits     Limits
--- a/internal/connpool/pools_test.go
+++ b/internal/connpool/pools_test.go
@@ -52,7 +52,7 @@
 			unix.Close(fd) //nolint:errcheck // the test is over
 		}
 	})
-	for range 2 { // the queue holds one more than listen was given
+	for range 2 { // the queue holds one connection more than the backlog given to listen
 		c, err := newSocket()
 		if err != nil {
 			t.Fatal(err)
@@ -149,8 +149,8 @@
 	if conn, err := ps.Acquire("s", idempotent); err != nil || conn == overdue {
 		t.Errorf("a new use waits for the overdue connection: %v", err)
 	}
-	// A connection that has received something since shows that the endpoint is reachable: no new one is
-	// dialed.
+	// A connection that has received something since the overdue one was dialed shows that the endpoint is
+	// reachable: no new one is dialed.
 	fd := server.accept(t, l)
 	if _, err := unix.Write(fd, []byte("x")); err != nil {
 		t.Fatal(err)
