--- a/policy/originlimit.go
+++ b/policy/originlimit.go
@@ -1,15 +1,16 @@
 package policy
 
-// The origin's concurrency limit bounds the attempts of this router that may load the origin at once, so that
-// a failing origin can recover. It rises and falls with the origin's answers (additive increase,
-// multiplicative decrease).
+// The origin's concurrency limit bounds the number of this router's attempts that may load the origin at
+// once, so that a failing origin can recover. It rises and falls with the origin's answers (additive
+// increase, multiplicative decrease).
 //
 // Inputs: the outcomes of attempts whose source is a parent or the origin. Result: whether an attempt may
 // load the origin. An attempt that may not load it receives only what its parent has cached; if its source is
 // the origin itself, the request is rejected.
 //
-// A limit below 1 admits attempts at random with that probability, as one attempt from each of many routers
-// may be too many. The limit never falls below this router's share of the capacity of the origin's link.
+// A limit below 1 is the probability with which an attempt is admitted while none is in flight, as one
+// attempt from each of many routers may be too many. The limit never falls below this router's share of the
+// capacity of the origin's link, or below 1 if that share is larger.
 
 import (
 	"math"
--- a/policy/originlimit_test.go
+++ b/policy/originlimit_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// An answer whose first byte took the origin longer than the latency objective lowers the limit. Incident
+// An answer of the origin whose first byte took longer than the latency objective lowers the limit. Incident
 // i058414.
 func TestSlowFirstByteOfOriginLowersLimit(t *testing.T) {
 	h := newHarness(t)
@@ -77,8 +77,8 @@
 }
 
 // An answer that missed its objective and whose bytes took many times their full-pace time lowers the limit:
-// the origin's link is congested, which its first byte does not show. One that met its objective, was large,
-// or was of unknown size does not.
+// the origin's link is congested, which its first byte does not show. An answer that met its objective, was
+// large, or was of unknown size does not lower it.
 func TestSlowTransferFromOriginLowersLimit(t *testing.T) {
 	for _, c := range []struct {
 		elapsed, transferTime time.Duration
