--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -1,7 +1,8 @@
 package policy
 
 // Slow start limits the load on an endpoint that has just started: an empty cache or parent has only a
-// fraction of its capacity, and fails when it receives more than a multiple of that for a whole window.
+// fraction of its capacity, and fails when it receives more than a multiple of that capacity for a whole
+// window.
 //
 // Inputs: the endpoint's start time, its kind's rules (see slowStartRules) and the attempts that this router
 // has sent to it within the window. Result: the fraction of its capacity that an endpoint has now (0 to 1),
@@ -10,8 +11,8 @@
 // Routers do not coordinate. Each keeps to a quota, slightly less than an equal share of what the endpoint
 // can take at full capacity, so that all of them together do not overload it. A quota is in transfer seconds
 // per second: a transfer second is the load of a transfer that takes one second at full pace. A router's
-// budget for a window is its quota times the fraction times the window. Where a budget is smaller than one
-// request, the routers take turns.
+// budget for a window is its quota times the fraction times the window. Where a budget is smaller than the
+// cost of one request, the routers take turns.
 
 import (
 	"math"
@@ -25,7 +26,7 @@
 	slowStartUtilization = 0.9
 
 	// rotationUtilization is the fraction of the quota that is used when routers take turns. A router may use
-	// its turn until a window after it came, so the turns of two windows may overlap.
+	// its turn for one window after the turn has come, so the turns of two windows may overlap.
 	rotationUtilization = 0.33
 
 	// minOverloadWindow replaces a Settings.OverloadWindow that is shorter or not configured.
@@ -68,7 +69,7 @@
 
 // countsInSlowStart reports whether an attempt counts in the budget of an endpoint that is its target or
 // source: the endpoint is in slow start, and is the target or a parent. The attempt does not count in the
-// budget of a sibling that fills, as that sends what it already has cached.
+// budget of a sibling that fills, as the sibling sends what it already has cached.
 func (r *Router) countsInSlowStart(e *endpointState, a *attempt) bool {
 	return r.slowStartFraction(e) < 1 && (e == a.target || e.Kind == r.settings.ParentKind)
 }
@@ -126,8 +127,9 @@
 	return onlyOneInWindow && r.hasQuotaTurn(e, window, cost/(quota*rotationUtilization))
 }
 
-// knowsOwnLoad reports whether this router knows all that it has sent to an endpoint within the window. After
-// its own restart it does so if the endpoint has started since, or once a window has passed.
+// knowsOwnLoad reports whether this router knows all attempts that it has sent to an endpoint within the
+// window. After the router's own restart, it does if the endpoint has started since, or once a window has
+// passed.
 func (r *Router) knowsOwnLoad(e *endpointState, window time.Duration) bool {
 	return e.Started >= r.startedAt || r.now-r.startedAt >= window
 }
@@ -141,9 +143,9 @@
 }
 
 // hasQuotaTurn reports whether this router's turn came within the window that ends now. Routers take turns
-// where one request costs more than a budget. A turn comes each time the endpoint has offered, since its
-// start, as much again as in turnSeconds at full capacity. Routers start at different points of a turn, which
-// multiples of the golden ratio spread evenly.
+// where one request costs more than a budget. Counted from the endpoint's start, a turn comes each time the
+// endpoint has offered as much again as it does in turnSeconds at full capacity. Routers start at different
+// points of a turn, which multiples of the golden ratio spread evenly.
 func (r *Router) hasQuotaTurn(e *endpointState, window time.Duration, turnSeconds float64) bool {
 	rules := r.slowStartRulesOf(e)
 	offset := math.Mod(float64(r.settings.RouterIndex)*math.Phi, 1)
@@ -161,8 +163,8 @@
 	return seconds * (rules.initialCapacity + risen)
 }
 
-// slowStartCostSeconds is what a request takes of a budget, in transfer seconds: its own transfer time, or
-// the mean of its class if that is longer.
+// slowStartCostSeconds is the part of a budget that a request uses, in transfer seconds: its own transfer
+// time, or the mean of its class if that is longer.
 func (r *Router) slowStartCostSeconds(req *request) float64 {
 	return max(req.transferSeconds, r.classTransferSeconds[req.class.Name].value)
 }
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -19,7 +19,7 @@
 			sent++
 		}
 	}
-	// 0.1 s each; 2 times a fifth of 5 transfers for 2 s is 4 transfer seconds.
+	// Each attempt costs 0.1 transfer seconds; 2 times a fifth of 5 transfers for 2 s is 4 transfer seconds.
 	if sent == 0 || float64(sent)*0.1 > 4 {
 		t.Fatalf("%d attempts sent to a cache in slow start, want 1 to 40", sent)
 	}
@@ -42,7 +42,8 @@
 			}
 		}
 	}
-	// 0.1 s each; the parent for three caches of unknown capacity starts at a tenth; twice that for 2 s.
+	// Each attempt costs 0.1 transfer seconds. The parent of three caches of unknown capacity starts at a
+	// tenth of its capacity and can take twice that for 2 s.
 	if most := fillFraction * 3 * defaultLinkCapacity * 0.1 * 2 * 2; float64(sent)*0.1 > most {
 		t.Fatalf("%d attempts sent to a parent in slow start by 100 routers, want fewer", sent)
 	}
@@ -59,9 +60,9 @@
 	now      time.Duration
 
 	starting  string        // ID of the endpoint in slow start
-	startedAt time.Duration // a second after the routers
-	duration  time.Duration // of its slow start
-	fraction  float64       // of its capacity that it has at its start
+	startedAt time.Duration // its start, a second after that of the routers
+	duration  time.Duration // duration of its slow start
+	fraction  float64       // fraction of its capacity that it has at its start
 	capacity  float64       // transfers
 
 	sentAt []time.Duration // times at which attempts were sent to it
@@ -115,7 +116,7 @@
 	}
 }
 
-// disturb passes the event that is due at a time since the routers' start, if any.
+// disturb causes the disturbance that is due at the given time after the routers' start, if any.
 func (f *fleet) disturb(at time.Duration) {
 	switch at {
 	case 2 * time.Second: // the endpoint's start is reported a second late
@@ -159,8 +160,8 @@
 	return transfers * f.settings.OverloadWindow.Seconds() / 0.1
 }
 
-// maxExcess returns by how many attempts the worst window exceeds the tolerated number at its end, which is
-// n + 2*sqrt(n) + 2 where the endpoint can take n.
+// maxExcess returns the number of attempts by which the worst window exceeds the tolerated number, which is
+// n + 2*sqrt(n) + 2 for a window in which the endpoint can take n attempts.
 func (f *fleet) maxExcess() float64 {
 	excess := math.Inf(-1)
 	for i, at := range f.sentAt {
@@ -235,7 +236,8 @@
 				sent++
 			}
 		}
-		// 0.1 s each; 2 times the slow-start fraction of 5 transfers for 1 s.
+		// Each attempt costs 0.1 transfer seconds; the endpoint can take 2 times the slow-start fraction of 5
+		// transfers for 1 s.
 		fraction := h.router.slowStartFraction(h.router.endpoints[home])
 		if most := 2 * fraction * 5; sent == 0 || float64(sent)*0.1 > most {
 			t.Errorf("restarted %v: %d of %d sent at once, %.1f s allowed", restarts, sent, len(waiting),
@@ -268,6 +270,6 @@
 		}
 	}
 	if sent[2] == 0 || sent[2] > sent[1] {
-		t.Errorf("one process sent %d attempts, two sent %d, want some but no more", sent[1], sent[2])
+		t.Errorf("one process sent %d attempts, two sent %d, want some, at most as many", sent[1], sent[2])
 	}
 }
