--- a/policy/linkpace.go
+++ b/policy/linkpace.go
@@ -5,7 +5,7 @@
 // shows that the endpoint is slow, and changes its slowdown.
 //
 // Inputs: the times of an answer and of its first byte, its transfer time at full pace (transfertime.go)
-// where known, and what the attempt was expected to take, in seconds. Result: updates of links (links.go) and
+// where known, and the attempt's expected transfer time, in seconds. Result: updates of links (links.go) and
 // of the fraction of misses.
 
 import "math"
@@ -23,10 +23,10 @@
 type transferSample struct {
 	hit             bool    // served from the target's cache
 	bytesReported   bool    // fullPaceSeconds follows from the answer's bytes
-	sizeKnown       bool    // fullPaceSeconds is that of the part, not the mean of its class
+	sizeKnown       bool    // fullPaceSeconds is the part's own transfer time, not the mean of its class
 	fullPaceSeconds float64 // transfer time without congestion
 	expectedSeconds float64 // transfer time with the congestion that was expected
-	measuredSeconds float64 // from the source's first byte to the end
+	measuredSeconds float64 // from the source's first byte to the attempt's end
 }
 
 // newTransferSample returns the sample of an answered attempt.
--- a/policy/linkpace_test.go
+++ b/policy/linkpace_test.go
@@ -6,7 +6,7 @@
 )
 
 // A configured link capacity is not changed by answers of unknown size, as the load of other routers may have
-// slowed them. It is changed by answers of known size, and an assumed capacity by all answers.
+// slowed them. Answers of known size do change it, and all answers change an assumed capacity.
 func TestConfiguredLinksIgnoreAnswersOfUnknownSize(t *testing.T) {
 	for _, c := range []struct {
 		configured   bool
--- a/policy/links.go
+++ b/policy/links.go
@@ -7,8 +7,8 @@
 // Inputs: the configured capacity, the attempts in flight, the number of routers that share the link, and the
 // pace of answers (linkpace.go). Result: how many seconds one more transfer takes.
 //
-// A router cannot observe the others. It assumes that each of them loads a link as much as it does itself on
-// average.
+// A router cannot observe the others. It assumes that each of them puts as much load on a link as the router
+// itself does on average.
 
 import (
 	"maps"
@@ -48,11 +48,11 @@
 	routers         float64 // routers that share the link
 
 	inFlight      []*attempt
-	meanLoad      float64 // of this router, transfers
+	meanLoad      float64 // average load from this router, in transfers
 	loadUpdatedAt time.Duration
 
-	// slowdown is the time that transfers take beyond what congestion explains, as a multiple of what it
-	// explains: at 1, they take twice as long. It shows that the endpoint itself is slow.
+	// slowdown is the time that transfers take beyond the time that congestion explains, as a multiple of the
+	// latter: at 1, they take twice as long. It shows that the endpoint itself is slow.
 	slowdown          float64
 	slowdownUpdatedAt time.Duration
 }
@@ -87,7 +87,7 @@
 	return math.Max(1, load/max(l.capacity*fraction, minLinkCapacity))
 }
 
-// expectedSeconds is how long one more transfer takes, with congestion and slowdown.
+// expectedSeconds is the expected time of one more transfer in seconds, with congestion and slowdown.
 func (l *link) expectedSeconds(now time.Duration, transferSeconds, fraction float64) float64 {
 	slowdown := l.currentSlowdown(now)
 	if slowdown < minSlowdown {
@@ -142,7 +142,8 @@
 	}
 }
 
-// loadOn is an attempt's expected load on a link, in transfers: a fill's links are loaded only on a miss.
+// loadOn is an attempt's expected load on a link, in transfers: 1 on the target's link, and the probability
+// of a miss on the others, which only a fill loads.
 func (a *attempt) loadOn(l *link) float64 {
 	if l == &a.target.link {
 		return 1
--- a/policy/links_test.go
+++ b/policy/links_test.go
@@ -26,7 +26,8 @@
 	}
 }
 
-// The learned capacity of a link is kept over a restart, so that it bounds the slow-start budget.
+// The learned capacity of a link is kept over a restart of its endpoint, so that it bounds the slow-start
+// budget.
 func TestLearnedCapacitySurvivesRestart(t *testing.T) {
 	h := newHarness(t)
 	e := h.router.endpoints["a"]
--- a/policy/request.go
+++ b/policy/request.go
@@ -23,7 +23,7 @@
 	key   uint64 // hash of object and part
 
 	transferSeconds float64 // expected transfer time at full pace
-	sizeKnown       bool    // transferSeconds is that of this part, not the mean of its class
+	sizeKnown       bool    // transferSeconds is the part's own transfer time, not the mean of its class
 
 	objectiveAt time.Duration // when its latency objective is missed
 	deadline    time.Duration // when its client stops waiting
--- a/policy/transfertime.go
+++ b/policy/transfertime.go
@@ -1,7 +1,7 @@
 package policy
 
-// Transfer times measure the load of requests: a transfer time is how long an answer's bytes take at full
-// pace, which is the pace of a single transfer over a link without congestion.
+// Transfer times measure the load of requests: a transfer time is the time that an answer's bytes take at
+// full pace, which is the pace of a single transfer over a link without congestion.
 //
 // Inputs: the size of a request where it is reported, otherwise the transfer times of earlier answers for the
 // same part or of the same class, in seconds. Result: a request's expected transfer time, in seconds.
@@ -20,8 +20,8 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// estimateTransferTime sets the expected transfer time of a request that has arrived. One that follows from a
-// reported size also counts in the mean of its class.
+// estimateTransferTime sets the expected transfer time of a request that has arrived. A time that
+// follows from a reported size also counts in the mean of the class.
 func (r *Router) estimateTransferTime(req *request) {
 	classMean := r.classTransferSeconds[req.class.Name]
 	partSeconds, partKnown := r.partTransferSeconds.Get(req.key)
