--- a/policy/fetchoptions.go
+++ b/policy/fetchoptions.go
@@ -35,7 +35,8 @@
 	return fetch
 }
 
-// retentionRank returns the rank of a request's object: the higher one if a cache of the zone had it already.
+// retentionRank returns the rank of a request's object: the higher one if the cache index of a cache of the
+// zone contains the object.
 func (r *Router) retentionRank(req *request) int {
 	cached := func(e *endpointState) bool { return e.cacheIndex.Contains(req.key) }
 	if slices.ContainsFunc(r.caches, cached) {
--- a/policy/fetchoptions_test.go
+++ b/policy/fetchoptions_test.go
@@ -7,7 +7,7 @@
 )
 
 // After a purge of everything, many routers request the same objects at once. Their first attempts wait for
-// the fill in progress at the cache that all of them select: one cache and one parent for each object.
+// the fill in progress at the cache that all of them select: each object has one target and one fill source.
 func TestFleetCoalescesFillsAfterPurge(t *testing.T) {
 	const routers = 80
 	for object := range 20 {
--- a/policy/fillsource.go
+++ b/policy/fillsource.go
@@ -4,11 +4,11 @@
 // a parent, or the origin.
 //
 // Inputs: which siblings probably have the object, their misindication ratios (rho, 0 to 1), and the mean
-// waits for the first byte of a parent and of a sibling. The first wait divided by the second is the miss
-// penalty (beta). Result: the sibling with the lowest rho if 1 + beta*rho < beta, as a miss there costs both
-// waits; otherwise a parent. The rule is that of Cohen, Einziger, Friedman and Scalosub, 'Access Strategies
-// for Network Caching', IEEE/ACM Transactions on Networking 29(2), 2021 ('the paper' here and in
-// estimators.go).
+// waits for the first byte of a parent and of a sibling. The wait for a parent divided by the
+// wait for a sibling is the miss penalty (beta). Result: the sibling with the lowest rho if
+// 1 + beta*rho < beta, as a miss there costs both waits; otherwise a parent. The rule is that of Cohen,
+// Einziger, Friedman and Scalosub, 'Access Strategies for Network Caching', IEEE/ACM Transactions on
+// Networking 29(2), 2021 ('the paper' here and in estimators.go).
 
 import "math"
 
--- a/policy/fillsource_test.go
+++ b/policy/fillsource_test.go
@@ -68,7 +68,8 @@
 	}
 }
 
-// Once both are known, the miss penalty is the parents' first-byte time divided by the siblings'.
+// Once both first-byte times are known, the miss penalty is that of the parents divided by that of the
+// siblings.
 func TestMissPenaltyFromFirstByteTimes(t *testing.T) {
 	h := newHarness(t)
 	if b := h.router.missPenalty(); b != initialMissPenalty {
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -24,7 +24,7 @@
 )
 
 // eligible reports whether an endpoint may receive a request: it is listed, not draining, and within its
-// slow-start budget. E may be nil, which is not eligible.
+// slow-start budget. A nil endpoint is not eligible.
 func (r *Router) eligible(e *endpointState, req *request) bool {
 	return e != nil && e.acceptsAttempts() && r.withinSlowStartBudget(e, req)
 }
@@ -61,9 +61,9 @@
 	return best
 }
 
-// secondsOverObjective is by how many seconds a transfer from an endpoint, including a parent's or the
-// origin's wait for the first byte, exceeds the time that it may take. That time is at least the transfer
-// time at full pace.
+// secondsOverObjective is the number of seconds by which a transfer from an endpoint, including the wait for
+// the first byte of a parent or the origin, exceeds the time that it may take. That time is at least the
+// transfer time at full pace.
 func (r *Router) secondsOverObjective(e *endpointState, req *request) float64 {
 	seconds := e.link.expectedSeconds(r.now, req.transferSeconds, r.slowStartFraction(e))
 	if !r.isCache(e) {
@@ -83,7 +83,7 @@
 // rendezvousScore is an endpoint's score for a request in weighted rendezvous hashing.
 func (r *Router) rendezvousScore(e *endpointState, req *request) float64 {
 	weight := r.linkCapacity(e, 1) * r.hubWeight(e)
-	const hashBits = 53 // of a float64's mantissa
+	const hashBits = 53 // bits of a float64's mantissa
 	uniform := (float64(mixHash(e.hash^req.key)>>(64-hashBits)) + 0.5) / (1 << hashBits)
 	return -weight / math.Log(uniform)
 }
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -18,7 +18,8 @@
 	}
 }
 
-// A draining cache's objects go to the next cache in hash order, which does not fill from it.
+// Requests for a draining cache's objects go to the next cache in hash order, which does not fill from the
+// draining one.
 func TestDrainingCacheIsNeitherTargetNorSource(t *testing.T) {
 	h := newHarness(t)
 	home := h.serve(1, "x", CacheStatusFilled).Target
@@ -43,7 +44,8 @@
 	}
 }
 
-// A parent at this zone's hub receives far more than a distant one; when it is removed, others take over.
+// A parent at this zone's hub fills far more objects than a distant one; when it is removed, others take
+// over.
 func TestNearParentsArePreferred(t *testing.T) {
 	for _, c := range []struct {
 		hubs       []int
@@ -53,7 +55,7 @@
 		hubSettings.ZoneHubs = c.hubs
 		h := &harness{t: t, router: New(hubSettings, 1), now: time.Hour}
 		list := allEndpoints()
-		list.Endpoints[4].Zone = 2 // q; p is in zone 0, the router in zone 1
+		list.Endpoints[4].Zone = 2 // q is in zone 2, p in zone 0, the router in zone 1
 		h.handle(list)
 		near := 0
 		for i := range 100 {
@@ -75,8 +77,8 @@
 }
 
 // A parent whose fills take several times as long as their bytes explain is slow, even with few transfers in
-// flight. Other parents fill what it would make late, nothing is rejected, and it is used again after a
-// while.
+// flight. Other parents fill the objects that it would deliver late, no request is rejected, and it is used
+// again after a while.
 func TestSlowParentIsPassedOver(t *testing.T) {
 	h, object, id := newHarness(t), "", int64(0)
 	fill := func() string {
@@ -95,7 +97,7 @@
 		h.handle(Purge{Object: object}) // so that no sibling counts as having it cached
 		return f.Source
 	}
-	for object = "x"; fill() != "p"; { // an object that p fills by its hash
+	for object = "x"; fill() != "p"; { // tries objects until one has p as its parent by its hash
 		object += "x"
 	}
 	for range 5 {
