--- a/policy/cacheindex.go
+++ b/policy/cacheindex.go
@@ -3,9 +3,9 @@
 // The cache index of an endpoint records which objects the endpoint probably has cached. Caches do not report
 // what they store; an answer from a cache shows that it has the object.
 //
-// Inputs: the cache status and time of answers, purges and the class's freshness. Result: likelyCached. A
-// record no longer counts after its lifetime, when the copy is no longer fresh, after a purge, or after a
-// restart of the cache (endpoints.go).
+// Inputs: the cache status and the time of each answer, purges, and the class's FreshFor. Result: whether a
+// cache probably has an object (likelyCached). A record no longer counts after its lifetime, when the copy is
+// no longer fresh, after a purge, or after a restart of the cache (endpoints.go).
 
 import "time"
 
@@ -13,7 +13,8 @@
 	// cacheIndexSize is the maximum number of parts recorded for one cache, more than a cache stores.
 	cacheIndexSize = 8192
 
-	// cacheRecordLifetime is how long after a cache last answered with an object it probably still has it.
+	// cacheRecordLifetime is the time for which a cache probably keeps an object after its last answer with
+	// that object.
 	cacheRecordLifetime = 30 * time.Second
 )
 
@@ -51,7 +52,7 @@
 	}
 }
 
-// recordCached records that a cache has a request's object, and whether it was filled just now.
+// recordCached records that a cache has a request's object. Filled says whether the cache has just filled it.
 func (r *Router) recordCached(e *endpointState, req *request, filled bool) {
 	record, found := e.cacheIndex.Peek(req.key)
 	if !found || filled {
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -14,8 +14,8 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// removedRetention is how long a removed endpoint is kept in case it returns. It is longer than any request
-// lives, so that no attempt in flight outlives its endpoint.
+// removedRetention is the time for which a removed endpoint is kept in case it returns. It is longer than
+// any request lives, so that no attempt in flight outlives its endpoint.
 const removedRetention = 11 * time.Minute
 
 // endpointState is an endpoint of the list, with what this router knows about it.
@@ -27,10 +27,10 @@
 
 	// Fills.
 	firstByteSeconds mean               // wait for its first byte when it is the source
-	misindication    misindicationRatio // as a sibling that probably had an object
+	misindication    misindicationRatio // of this cache when it is a sibling that fills
 	cacheIndex       *simplelru.LRU[uint64, cacheRecord]
 
-	slowStartAttempts []*attempt // that count in its slow-start budget (slowstart.go)
+	slowStartAttempts []*attempt // attempts that count in its slow-start budget (slowstart.go)
 
 	// Outlier detection.
 	ejections               int // counted ejections; each response lowers the count by one
@@ -84,7 +84,8 @@
 	e.State = state
 }
 
-// update replaces the listed fields of an endpoint.
+// update replaces the listed fields of an endpoint. After a restart or a removal, it also resets what is
+// known about the endpoint's contents and health.
 func (e *endpointState) update(listed Endpoint, now time.Duration) {
 	restarted := e.Started != listed.Started
 	if restarted || listed.State == Removed {
@@ -119,7 +120,8 @@
 	r.purges.shift(max(0, correction.Offset))
 }
 
-// updateTopology sorts the listed endpoints into tiers, by ID, and sets the capacity of their links.
+// updateTopology assigns the listed endpoints to tiers, in the order of their IDs, and sets the capacity of
+// their links.
 func (r *Router) updateTopology() {
 	r.caches = nil
 	r.parents = nil
@@ -133,8 +135,7 @@
 	r.configureLinks()
 }
 
-// addToTier adds an endpoint to its tier. Of several origins, one that is ready is used before a draining
-// one.
+// addToTier adds an endpoint to its tier. Of several origins, a ready one is preferred to a draining one.
 func (r *Router) addToTier(e *endpointState) {
 	switch {
 	case e.Kind == r.settings.OriginKind && (r.origin == nil || e.State > r.origin.State):
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -41,8 +41,8 @@
 	return int(stats.HeapAlloc)
 }
 
-// Guards against an endpoint that is deleted too early, while it is removed only for a short time or has
-// attempts in flight. One that returns within the retention time keeps the learned capacity of its link.
+// Guards against the deletion of an endpoint that is removed only for a short time or still has attempts in
+// flight. An endpoint that returns within the retention time keeps the learned capacity of its link.
 func TestEndpointThatReturnsIsKnown(t *testing.T) {
 	h := newHarness(t)
 	home := h.serve(1, "x", CacheStatusFilled).Target
@@ -66,7 +66,7 @@
 	if h.router.endpoints[home] != nil {
 		t.Error("the removed endpoint is kept longer than the retention time")
 	}
-	h.handle(Outcome{ID: 2, Result: ResultReset}) // of an attempt at the endpoint that was deleted
+	h.handle(Outcome{ID: 2, Result: ResultReset}) // the attempt was sent to the deleted endpoint
 	setState(Ready)
 	if f.Target != home || h.router.endpoints[home] == nil {
 		t.Errorf("%s is not listed again, or was not the target", home)
--- a/policy/purges.go
+++ b/policy/purges.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// purgeCompletion is how long after a purge a cache may still have an older copy.
+// purgeCompletion is the time after a purge for which a cache may still have an older copy.
 func (r *Router) purgeCompletion() time.Duration {
 	return r.settings.PurgeCompletedWithin + r.settings.PurgeGrace
 }
@@ -66,7 +66,7 @@
 }
 
 // recentPurge returns the time since the last purge of a request's object, and whether that purge may still
-// be incomplete. The time is then never 0, as a Fetch with a MaxAge of 0 has no bound of its own.
+// be incomplete. The time of such a purge is never 0, as a MaxAge of 0 in a Fetch means the class's FreshFor.
 func (r *Router) recentPurge(req *request) (since time.Duration, recent bool) {
 	at, purged := r.purgedAt(req)
 	since = r.now - at
--- a/policy/purges_test.go
+++ b/policy/purges_test.go
@@ -26,7 +26,7 @@
 	}
 	h.handle(Purge{Group: 0})
 	if f = fetchOf(h.request(3, "y", 1)); f.MaxAge <= 0 || f.MaxAge > ms {
-		t.Fatalf("MaxAge %v, want over 0, which would mean the class's, and at most 1ms", f.MaxAge)
+		t.Fatalf("MaxAge %v, want at most 1ms but not 0, which means the class's FreshFor", f.MaxAge)
 	}
 }
 
