--- a/policy/outliers.go
+++ b/policy/outliers.go
@@ -6,8 +6,8 @@
 // Inputs: the result and cache status of each attempt, and overdue timers. An endpoint is ejected when an
 // attempt ends as ResultConnectFailed, when the endpoint fails as a source or stays silent, or when it fails
 // consecutive requests that another endpoint then answers: a request that fails everywhere is at fault
-// itself. Attempts from before a restart do not count against the new process. Result: isEjected, and the
-// time until which it holds.
+// itself. Attempts from before a restart do not count against the new process. Result: whether an
+// endpoint is ejected, and until when.
 //
 // Ejections are counted, and each response lowers the count by one. An ejection lasts baseEjectionTime,
 // doubled for each earlier ejection still counted. Afterwards the endpoint receives one attempt at a time
--- a/policy/outliers_test.go
+++ b/policy/outliers_test.go
@@ -79,7 +79,8 @@
 	h.handle(EndpointUpdate{Endpoints: []Endpoint{listed}})
 }
 
-// failOnce sends a request that fails at an endpoint each time and is answered by another endpoint.
+// failOnce sends a request that fails whenever it is sent to the given endpoint, and that another endpoint
+// answers.
 func (h *harness) failOnce(id int64, object, endpoint string) {
 	h.t.Helper()
 	f := fetchOf(h.request(id, object, 0))
--- a/policy/overdue_test.go
+++ b/policy/overdue_test.go
@@ -30,14 +30,14 @@
 			t.Fatalf("want a second attempt at %s, got %+v", home, actions)
 		}
 		if n := len(h.router.endpoints[home].link.inFlight); n != 1 {
-			t.Fatalf("%d attempts on the link, want 1: the lost one no longer loads it", n)
+			t.Fatalf("%d attempts on the link, want 1: the lost attempt no longer loads it", n)
 		}
 	}
 }
 
 // An attempt is not overdue before an object seven times as large as most has been transferred. Otherwise the
-// answer would count as lost once smaller ones that were requested later have arrived, and the object would
-// be transferred twice.
+// answer would count as lost once smaller answers, requested later, have arrived, and the object would be
+// transferred twice.
 func TestLargeObjectIsNotOverdue(t *testing.T) {
 	h := newHarness(t)
 	send := func(id int64, object string) []Action {
@@ -51,7 +51,7 @@
 	}
 	due := send(30, "large")[1].(StartTimer)
 	if due.In < 700*ms {
-		t.Errorf("overdue after %v, which an object seven times as large as most takes", due.In)
+		t.Errorf("overdue after %v, before the end of a transfer seven times as long as most", due.In)
 	}
 }
 
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -8,14 +8,14 @@
 // is unknown.
 //
 // A request that may have run is retried only where a repeat is harmless (idempotency.go). The budget bounds
-// the load that retries add in an overload. It allows for a third of all attempts failing.
+// the load that retries add in an overload. It suffices for all retries while a third of all attempts fail.
 
 import "time"
 
 const (
 	retriesPerRequest  = 0.6  // retries that each request adds to the budget
 	maxRetryBudget     = 10.0 // retries
-	maxFailedAttempts  = 3    // per request: one that makes caches fail must not reach all of them
+	maxFailedAttempts  = 3    // per request, as a request that makes caches fail must not reach all of them
 	defaultMaxAttempts = 2    // per request, where Settings.MaxAttempts is 0
 
 	// minRetryAfter is the shortest Retry-After. Each rejection adds a random time of up to as much again, so
@@ -67,8 +67,8 @@
 	}
 }
 
-// retryDenialReason returns why a request may not be retried, or "" if it may. Target is that of the last
-// attempt: a repeat that is harmful there is harmful anywhere.
+// retryDenialReason returns why a request may not be retried, or "" if it may. Target is the last attempt's
+// target: a repeat that is harmful there is harmful anywhere.
 func (r *Router) retryDenialReason(req *request, target *endpointState) Reason {
 	answerAt := r.now + durationOf(req.transferSeconds)
 	if answerAt >= req.deadline {
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// When a zone is lost, all routers reject at once. Their Retry-After spreads the clients evenly: in no 20 ms
-// do more than twice the mean return, and none returns before minRetryAfter.
+// When a zone is lost, all routers reject at once. Their Retry-After spreads the clients evenly: in each
+// interval of 20 ms, at most twice the mean number of clients return, and none returns before minRetryAfter.
 func TestFleetSpreadsRetryAfter(t *testing.T) {
 	const routers, each, bin = 300, 5, 20 * time.Millisecond
 	returning := map[time.Duration]int{}
