--- a/policy/actions.go
+++ b/policy/actions.go
@@ -14,7 +14,7 @@
 	Target               string
 	Source               string        // fills a miss; Target itself if nothing is filled
 	RetentionRank        int           // of the filled copy, see fetchoptions.go; 0: it is not cached
-	MaxAge               time.Duration // maximum age of a copy; 0: that of the class
+	MaxAge               time.Duration // maximum age of a copy; 0: the class's FreshFor
 	CoalesceFill         bool          // a miss may wait for a fill that is in progress
 	SourceCachedOnly     bool          // the source answers only with what it has cached
 	StaleWhileRevalidate bool          // a stale copy is served and refreshed in the background
@@ -40,7 +40,7 @@
 	Attempt int
 }
 
-// StartTimer asks the caller for a TimerFired event with Token after In.
+// StartTimer asks the caller to pass a TimerFired event with Token once the time In has passed.
 type StartTimer struct {
 	In    time.Duration
 	Token uint64
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -58,7 +58,7 @@
 	targetSeconds    float64 // expected transfer time on the target's link
 	expectedSeconds  float64 // expected transfer time on the slowest link
 	firstByteSeconds float64 // expected wait for the source's first byte
-	missProbability  float64 // that the target has to fill, 0 to 1
+	missProbability  float64 // probability that the target has to fill, 0 to 1
 
 	expectHit        bool // the target probably has the object cached
 	sourceCachedOnly bool // the source may answer only with what it has cached
--- a/policy/estimators.go
+++ b/policy/estimators.go
@@ -27,9 +27,9 @@
 // it was believed to have (Section VIII-B of the paper). It is the plain ratio in the first epoch, and is
 // smoothed exponentially at the end of each later epoch.
 type misindicationRatio struct {
-	fills  int // in this epoch
-	misses int // in this epoch
-	epochs int // completed
+	fills  int // fills and misses in this epoch
+	misses int // misses in this epoch
+	epochs int // completed epochs
 	value  float64
 }
 
--- a/policy/events.go
+++ b/policy/events.go
@@ -36,8 +36,8 @@
 	Endpoints []Endpoint
 }
 
-// ClockCorrection says that all starts and purges reported so far happened later by Offset on the router's
-// clock than was reported. A negative Offset means earlier.
+// ClockCorrection says that all starts and purges reported so far happened later than reported, by Offset on
+// the router's clock. A negative Offset means earlier.
 type ClockCorrection struct{ Offset time.Duration }
 
 // Request is a client's request that has arrived.
@@ -45,7 +45,7 @@
 	ID        int64
 	Object    string
 	Part      int           // of the object, from 0
-	Group     int           // of objects that are purged together
+	Group     int           // group of objects that are purged together
 	Class     int           // index in Settings.Classes
 	SizeKB    float64       // 0: unknown
 	Remaining time.Duration // to the client's deadline
@@ -82,7 +82,7 @@
 // CacheStatus is what a cache reports about an answer or a failed fill.
 type CacheStatus int
 
-// The cache status of an outcome.
+// The values of a cache status.
 const (
 	CacheStatusNone           CacheStatus = iota // not reported
 	CacheStatusHit                               // the target had a copy
@@ -105,8 +105,8 @@
 	CacheStatus          CacheStatus
 	Elapsed              time.Duration // from the start of the attempt to its end
 	SourceFirstByte      time.Duration // the target's wait for the source's first byte; 0: unknown
-	FullPaceTransferTime time.Duration // of the answer's bytes at full pace (transfertime.go); 0: unknown
-	RequestFinished      bool          // no retry follows
+	FullPaceTransferTime time.Duration // transfer time of the answer's bytes (transfertime.go); 0: unknown
+	RequestFinished      bool          // the request is finished: no retry follows
 }
 
 // StreamStarted says that a streamed answer has started. The request is finished; the attempt continues.
--- a/policy/guard.go
+++ b/policy/guard.go
@@ -1,11 +1,11 @@
 package policy
 
 // The guards check right before an action whether it may still be carried out. Time passes between a decision
-// and its first byte, while an attempt waits for a connection or a request for its body: an endpoint may
-// drain or restart, a client may disconnect, a deduplication window may expire.
+// and the first byte sent for it, while an attempt waits for a connection or a request waits for its body: an
+// endpoint may drain or restart, a client may disconnect, a deduplication window may expire.
 //
 // Inputs: the router's present state, and what only the caller can see (the Info types). Result: a Verdict.
-// The guards have no rules of their own for attempts: they check those of the other files again.
+// The guards have no rules of their own for attempts: they check the rules of the other files again.
 
 import "time"
 
@@ -58,7 +58,7 @@
 // AdmitInfo describes a request that has arrived completely.
 type AdmitInfo struct {
 	ClientDisconnected bool
-	RejectingNew       bool          // in a drain or a shutdown, once clients have had time to disconnect
+	RejectingNew       bool          // during drain or shutdown, once clients have had time to disconnect
 	Remaining          time.Duration // to the client's deadline
 
 	// UnreleasedRequests is the number of admitted requests that are still held in memory. A request is
@@ -91,9 +91,9 @@
 // HasUnreadInput is required: without it a client may lose a request that it has sent in part when its
 // connection is closed after a timeout.
 type CloseInfo struct {
-	OpenRequests   int  // that arrived completely and are not answered
+	OpenRequests   int  // requests that arrived completely and are not answered
 	PartialRequest bool // a request has arrived in part
-	QueuedBytes    int  // not yet written
+	QueuedBytes    int  // bytes of answers that are not yet written
 	RecentlyUsed   bool // used so recently that a request may be on its way
 
 	// HasUnreadInput reports whether input has arrived that was not read. It is called last, as it makes a
--- a/policy/router.go
+++ b/policy/router.go
@@ -46,7 +46,7 @@
 	meanTransferSeconds mean // of all requests
 	meanPriorityWeight  mean // of all requests
 
-	missFraction            mean // of answers of caches that were not expected to have the object
+	missFraction            mean // of misses in answers of caches that were not expected to have the object
 	parentFirstByteSeconds  mean // of fills from parents and the origin
 	siblingFirstByteSeconds mean // of fills from caches of the zone
 }
