--- a/internal/connpool/acquire.go
+++ b/internal/connpool/acquire.go
@@ -23,9 +23,9 @@
 }
 
 // Acquire returns a connection to an endpoint for one more use, which Release ends. It prefers an existing
-// connection that accepts the use and dials a new one if there is none or prefersNew says so. If the dial fails,
-// the existing one is returned after all. The error is ErrEndpointRemoved for an unknown endpoint, wraps
-// ErrConnLimit if the limits allow no new connection, or is the error of the dial.
+// connection that accepts the use and dials a new one if there is none or a new one is preferable (prefersNew).
+// If the dial fails, the existing one is returned after all. The error is ErrEndpointRemoved for an unknown
+// endpoint, wraps ErrConnLimit if the limits allow no new connection, or is the error of the dial.
 func (ps *Pools) Acquire(id string, use UseInfo) (*PooledConn, error) {
 	pool := ps.endpoints[id]
 	if pool == nil {
--- a/internal/connpool/conn.go
+++ b/internal/connpool/conn.go
@@ -81,8 +81,7 @@
 	c.pool.pools.connCount -= before - len(c.pool.conns)
 }
 
-// OverdueAfter returns how long a connection to this endpoint may take to be established before it is
-// overdue.
+// OverdueAfter returns the time after which a connection to this endpoint that is not established is overdue.
 func (c *PooledConn) OverdueAfter() time.Duration {
 	return max(minOverdueAfter, overdueFactor*c.pool.medianConnectTime)
 }
--- a/internal/connpool/pools.go
+++ b/internal/connpool/pools.go
@@ -16,7 +16,7 @@
 	MaxUsesPerConn int           // uses that one connection carries at once
 	MaxConns       int           // connections of all pools together
 	DedicatedConns int           // number of connections of all pools together below which uses get their own
-	MaxSharedUses  int           // idempotent uses that may share one connection below DedicatedConns connections; 0: none
+	MaxSharedUses  int           // idempotent uses that may share one connection below DedicatedConns; 0: none
 	ConnectTimeout time.Duration // time after which a connect fails
 	IdleTimeout    time.Duration // time after which an unused connection is closed
 }
