--- a/policy/cacheindex.go
+++ b/policy/cacheindex.go
@@ -20,7 +20,7 @@
 
 // cacheRecord holds what answers have shown about one part in one cache.
 type cacheRecord struct {
-	filledAt time.Duration // when it was filled; when it was first seen if the fill was not observed
+	filledAt time.Duration // when the copy was filled, or first seen if the fill was not observed
 	seenAt   time.Duration // when the cache last answered with it
 }
 
--- a/policy/estimators.go
+++ b/policy/estimators.go
@@ -9,7 +9,7 @@
 	firstByteSamples = 10  // window of the means of first-byte times, in fills
 	missSamples      = 10  // window of the fraction of misses, in answers
 
-	epochFills  = 20  // fills per epoch of a misindication ratio; the paper uses 100, which is rarely reached
+	epochFills  = 20  // fills and misses per epoch of a ratio; the paper uses 100, which is rarely reached
 	epochWeight = 0.3 // weight of a new epoch; the paper uses 0.1, over more epochs
 )
 
--- a/policy/fillsource.go
+++ b/policy/fillsource.go
@@ -36,7 +36,7 @@
 }
 
 // chooseSibling returns the cache of the zone that should fill a miss of the target instead of a parent, or
-// nil.
+// nil if a parent should.
 func (r *Router) chooseSibling(req *request, target *endpointState) *endpointState {
 	if r.settings.Siblings == SiblingsNone {
 		return nil
--- a/policy/linkpace.go
+++ b/policy/linkpace.go
@@ -14,7 +14,7 @@
 	// minSlowdownSampleSeconds is the shortest transfer time at full pace that is used to detect a slowdown.
 	minSlowdownSampleSeconds = 0.02
 
-	// slowTransferMultiple is the multiple of its full-pace time from which a transfer counts as slow: few
+	// slowTransferMultiple is the multiple of the full-pace time from which on a transfer counts as slow: few
 	// objects are so much larger than the mean.
 	slowTransferMultiple = 3.0
 )
--- a/policy/links.go
+++ b/policy/links.go
@@ -36,7 +36,7 @@
 
 	loadAverageTime = 5 * time.Second // time constant of the average load
 
-	// congestedMultiple is the multiple of its full-pace time from which a transfer counts as congested.
+	// congestedMultiple is the multiple of the full-pace time from which on a transfer counts as congested.
 	congestedMultiple = 1.2
 )
 
@@ -76,9 +76,9 @@
 	l.capacity = min(max(learned, l.nominalCapacity/capacityRange), l.nominalCapacity*capacityRange)
 }
 
-// congestion is the multiple of its full-pace time that one more transfer takes, at least 1. A shorter
-// transfer in flight counts for the fraction of the new one's time that it takes. Fraction is the fraction of
-// the capacity that is available (slow start).
+// congestion is the time that one more transfer takes, as a multiple of its full-pace time; at least 1. A
+// shorter transfer in flight counts for the fraction of the new one's time that it takes. Fraction is the
+// fraction of the capacity that is available (slow start).
 func (l *link) congestion(now time.Duration, transferSeconds, fraction float64) float64 {
 	load := 1 + (l.routers-1)*l.load(now)
 	for _, a := range l.inFlight {
--- a/policy/loadshedding.go
+++ b/policy/loadshedding.go
@@ -7,8 +7,8 @@
 // the request's priority weight per transfer second relative to the mean of all requests (its value). Result:
 // the request is admitted, or rejected with a Retry-After (rejectOrFail).
 //
-// A request of mean value or more may use all the time to its objective. One of less value may use a fraction
-// of it, which shrinks as congestion rises: large requests of low weight are shed first.
+// A request of mean value or more may use all the time to its objective. A request of less value may use a
+// fraction of it, which shrinks as congestion rises: large requests of low weight are shed first.
 
 import "math"
 
--- a/policy/originlimit.go
+++ b/policy/originlimit.go
@@ -22,7 +22,8 @@
 	// until the origin fails.
 	maxOriginLimit = 128.0
 
-	// Factors on the limit when the origin fails or rejects, and when it misses an objective.
+	// Factors by which the limit is multiplied when the origin fails or rejects an attempt, and when it
+	// misses an objective.
 	failureDecreaseFactor         = 0.7
 	missedObjectiveDecreaseFactor = 0.85
 
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -21,7 +21,7 @@
 )
 
 const (
-	// slowStartUtilization is the fraction of an equal share that is the quota. The rest absorbs simultaneous
+	// slowStartUtilization is the quota as a fraction of an equal share. The rest absorbs simultaneous
 	// bursts.
 	slowStartUtilization = 0.9
 
