--- a/internal/connpool/conn.go
+++ b/internal/connpool/conn.go
@@ -32,7 +32,7 @@
 	connectRecorded bool                // recordConnect has counted the connect time
 	lastReleasedAt  eventloop.Timestamp // when a use last ended; 0: none has
 
-	pendingBucket idleBucket          // of the first use in progress; noBucket once its outcome is recorded
+	pendingBucket idleBucket          // bucket of the first use in progress; noBucket once its outcome is recorded
 	useStartedAt  eventloop.Timestamp // when that use began
 }
 
@@ -81,8 +81,7 @@
 	c.pool.pools.connCount -= before - len(c.pool.conns)
 }
 
-// OverdueAfter returns how long a connection to this endpoint may take to be established before it is
-// overdue.
+// OverdueAfter returns the time after which a connection to this endpoint that is not established is overdue.
 func (c *PooledConn) OverdueAfter() time.Duration {
 	return max(minOverdueAfter, overdueFactor*c.pool.medianConnectTime)
 }
--- a/policy/estimators.go
+++ b/policy/estimators.go
@@ -9,7 +9,7 @@
 	firstByteSamples = 10  // window of the means of first-byte times, in fills
 	missSamples      = 10  // window of the fraction of misses, in answers
 
-	epochFills  = 20  // fills per epoch of a misindication ratio; the paper uses 100, which is rarely reached
+	epochFills  = 20  // fills and misses per epoch of a ratio; the paper uses 100, which is rarely reached
 	epochWeight = 0.3 // weight of a new epoch; the paper uses 0.1, over more epochs
 )
 
@@ -27,9 +27,9 @@
 // it was believed to have (Section VIII-B of the paper). It is the plain ratio in the first epoch, and is
 // smoothed exponentially at the end of each later epoch.
 type misindicationRatio struct {
-	fills  int // in this epoch
-	misses int // in this epoch
-	epochs int // completed
+	fills  int // fills and misses in this epoch
+	misses int // misses in this epoch
+	epochs int // completed epochs
 	value  float64
 }
 
