--- a/internal/proxy/adminoperations.go
+++ b/internal/proxy/adminoperations.go
@@ -1,11 +1,11 @@
 package proxy
 
-// This file holds the operators' operations and their HTTP answers.
+// This file holds the operations that admin calls run, and their HTTP answers.
 
 import "cloverdoor/internal/http1"
 
-// adminHandler carries out the operators' calls. Its methods are called on the event loop's goroutine and must not
-// block.
+// adminHandler carries out the admin calls of operators. Its methods are called on the event loop's goroutine and
+// must not block.
 type adminHandler interface {
 	// currentPhase returns the phase of the process.
 	currentPhase() Phase
@@ -17,7 +17,7 @@
 	stats() string
 }
 
-// adminOperation is an operation and the only HTTP method that it accepts.
+// adminOperation is an operation with the only HTTP method that it accepts.
 type adminOperation struct {
 	method string
 	run    func(adminHandler) http1.Response
@@ -63,7 +63,7 @@
 	return phaseResponse(handler.stopDrain(), Serving, statusConflict)
 }
 
-// phaseResponse returns an answer with the name of the phase; its status is 200 if phase is wanted, otherwise
+// phaseResponse returns an answer with the name of the phase. Its status is 200 if phase equals wanted, otherwise
 // otherStatus.
 func phaseResponse(phase, wanted Phase, otherStatus int) http1.Response {
 	status := otherStatus
--- a/internal/proxy/adminserver.go
+++ b/internal/proxy/adminserver.go
@@ -1,6 +1,6 @@
 package proxy
 
-// This file holds the operators' HTTP server, with its connection limit and timeouts.
+// This file holds the admin server, an HTTP server for operators, with its connection limit and timeouts.
 
 import (
 	"errors"
@@ -11,30 +11,30 @@
 )
 
 const (
-	// maxAdminConns bounds the operators' connections. It is small because their descriptors are not available to
-	// clients.
+	// maxAdminConns is the maximum number of open admin connections. It is small because their descriptors are not
+	// available to clients.
 	maxAdminConns = 16
-	// adminCallTimeout is how long a connection may stay open, from its accept to the end of the answer.
+	// adminCallTimeout is the longest time that a connection may take from its accept to the end of the answer.
 	adminCallTimeout = 2 * time.Second
 	// adminCheckInterval is the time between checks for connections that exceed adminCallTimeout.
 	adminCheckInterval = adminCallTimeout / 10
-	// minAdminCallTime is how long a connection may stay open even if others wait to be accepted.
+	// minAdminCallTime is the time for which a connection may stay open even if others wait to be accepted.
 	minAdminCallTime = 50 * time.Millisecond
 )
 
-// errAdminCallTimeout closes a connection whose call was not completed in time.
+// errAdminCallTimeout is the reason for closing a connection whose call was not completed in time.
 var errAdminCallTimeout = errors.New("call was not completed in time")
 
-// AdminServer answers the operators' HTTP calls on a separate address. A connection carries one call.
+// AdminServer answers admin calls, the HTTP calls of operators, on a separate address. A connection carries one call.
 type AdminServer struct {
 	handler adminHandler
 	loop    *eventloop.Loop
 	conns   map[*adminConn]bool
 }
 
-// ensureCapacity reports whether one more connection can be accepted. At maxAdminConns it closes the oldest, so that
-// callers that send nothing don't block others. If none has been open for minAdminCallTime, it returns false and the
-// new connection waits to be accepted.
+// ensureCapacity reports whether one more connection can be accepted. If maxAdminConns are open, it closes the
+// oldest, so that callers that send nothing don't block others. If none of them has been open for minAdminCallTime,
+// it returns false and the new connection waits to be accepted.
 func (a *AdminServer) ensureCapacity() bool {
 	if len(a.conns) < maxAdminConns {
 		return true
@@ -80,7 +80,7 @@
 // age returns the time since the connection was accepted.
 func (c *adminConn) age() time.Duration { return c.server.loop.Now() - c.acceptedAt }
 
-// closeAtOnce closes the connection at once. It sends no answer, nor the rest of one that is being written.
+// closeAtOnce closes the connection at once. It sends neither an answer nor the rest of a partly written one.
 func (c *adminConn) closeAtOnce() {
 	c.conn.Close()
 	c.Closed(errAdminCallTimeout)
@@ -109,5 +109,5 @@
 	c.conn.CloseAfterFlush()
 }
 
-// Closed removes the connection from the open ones.
+// Closed removes the connection from the server's open connections.
 func (c *adminConn) Closed(error) { delete(c.server.conns, c) }
--- a/internal/proxy/listen.go
+++ b/internal/proxy/listen.go
@@ -53,7 +53,7 @@
 	f.start(ln)
 }
 
-// ListenAdmin opens the operators' HTTP server on addr.
+// ListenAdmin opens the admin server on addr.
 func (p *Proxy) ListenAdmin(addr netip.AddrPort) error {
 	a := &AdminServer{handler: p, loop: p.loop, conns: map[*adminConn]bool{}}
 	_, err := p.loop.Listen(addr, a.ensureCapacity, a.accept)
