--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -9,8 +9,9 @@
 	"cloverdoor/policy"
 )
 
-// maxReassignments is how often a call may be moved from an overdue connection, one that takes unusually long to be
-// established, to another one. Even if a third of all connections are overdue, three in succession are rare.
+// maxReassignments is the maximum number of times that a call is moved from an overdue connection (one that takes
+// unusually long to be established) to another one. Even if a third of all connections are overdue, three in
+// succession are rare.
 const maxReassignments = 2
 
 // attempt is one call of a request to a cache, a parent or the origin. It ends once, with one result.
@@ -19,11 +20,11 @@
 	req       *request
 	number    int    // index among the request's attempts
 	target    string // id of the endpoint that is called
-	source    string // id of the endpoint that fills a miss, as of the last Encode; the target if nothing is filled
+	source    string // set by each Encode: id of the endpoint that fills a miss, or the target if nothing is filled
 	createdAt eventloop.Timestamp
 
 	upstream     *upstream // the connection on which the call is queued or sent; nil: none was available
-	lastSequence int       // number of the last queueEntry; those before it are void
+	lastSequence int       // sequence of the attempt's last queueEntry; earlier entries are not sent
 	started      bool      // the first byte has been written
 	written      bool      // the last byte has been written: the call may be executed
 
@@ -33,11 +34,11 @@
 
 	ended  bool
 	result policy.Result // valid once it has ended
-	record attemptRecord // of the invariant checker
+	record attemptRecord // the invariant checker's record of the attempt
 }
 
-// startAttempt starts an attempt that the decision module has ordered and queues its call on a connection to
-// the target. The attempt ends at once if its request is finished or no connection is available.
+// startAttempt carries out a Fetch action of the decision module: it starts an attempt and queues its call on a
+// connection to the target. The attempt ends at once if its request is finished or no connection is available.
 func (p *Proxy) startAttempt(q *request, fetch policy.Fetch) {
 	a := &attempt{p: p, req: q, number: len(q.attempts), target: fetch.Target, createdAt: p.loop.Now()}
 	if a.number > 0 {
@@ -75,10 +76,9 @@
 	return conn.Owner.(*upstream).accepts(q)
 }
 
-// enqueue queues the call on a connection. If the connection is not established by the time at which it is
-// overdue, the call is moved to another one, at most reassignmentsLeft times. That is safe as nothing of the call
-// has been sent, and useful as some connections take more than a second to be established, which exceeds most
-// deadlines.
+// enqueue queues the call on a connection. If the connection becomes overdue before it is established, the call is
+// moved to another one, at most reassignmentsLeft times. The move is safe, as nothing of the call has been sent, and
+// useful, as some connections take more than a second to be established, which is longer than most deadlines allow.
 func (a *attempt) enqueue(conn *connpool.PooledConn, reassignmentsLeft int) {
 	a.upstream = conn.Owner.(*upstream)
 	a.upstream.calls[a.req.ID] = a
@@ -91,8 +91,9 @@
 	a.p.loop.At(a.p.loop.Now()+untilOverdue, func() { a.reassign(conn, reassignmentsLeft) })
 }
 
-// reassign moves the call from an overdue connection to another one. The call stays if the pool provides none, or
-// if it needs no other: it has been sent, its attempt has ended, or the connection is established or has ended.
+// reassign moves the call from an overdue connection to another one. The call stays if the pool provides no other
+// connection, or if no move is needed: the first byte has been written, the attempt has ended, or the connection is
+// established or has ended.
 func (a *attempt) reassign(overdue *connpool.PooledConn, reassignmentsLeft int) {
 	if a.ended || a.started || overdue.Connected() || overdue.Ended() {
 		return
--- a/internal/proxy/call.go
+++ b/internal/proxy/call.go
@@ -18,7 +18,7 @@
 	// states the time left to its deadline, which must be out of date by no more than 0.15 s when the server
 	// has read the call.
 	maxPartialWriteTime = 100 * time.Millisecond
-	// maxAgeTolerance is by how much the age of a copy may exceed its limit, as both are rounded to
+	// maxAgeTolerance is the time by which the age of a copy may exceed its limit, as both are rounded to
 	// milliseconds.
 	maxAgeTolerance = 2 * time.Millisecond
 )
@@ -26,11 +26,11 @@
 var errPartialWrite = errors.New("peer did not read the whole call in time")
 
 // queueEntry is an attempt's call in the output queue of a connection. It implements eventloop.Message. Only
-// the attempt's last entry is sent: a call that was moved to another connection and back is in the first
-// one's queue twice, and must be sent once.
+// the attempt's last entry is sent: a call that was moved to another connection and back is in the queue
+// of the first connection twice, but must be sent only once.
 type queueEntry struct {
 	*attempt
-	sequence int // number of the entry among those of its attempt
+	sequence int // number of the entry among the attempt's entries, from 1
 }
 
 // Encode encodes the call when its first byte is about to be written. It asks the decision module again, as
@@ -56,7 +56,7 @@
 	return resp.AppendCall(nil, &call), true
 }
 
-// call returns the call with the parameters that the decision module has given at the time now.
+// call returns the call to send at the time now, with the parameters of fetch, which the decision module has given.
 func (a *attempt) call(fetch policy.Fetch, now eventloop.Timestamp) resp.Call {
 	call := resp.Call{
 		ID:                   a.req.ID,
@@ -104,7 +104,7 @@
 	return policy.Fetch{}, false
 }
 
-// Started records that the first byte has been written; complete says that the last one has been too.
+// Started records that the first byte of the call has been written; complete says whether the last one has been too.
 func (a *attempt) Started(complete bool) {
 	a.started = true
 	a.upstream.recordSent()
@@ -114,7 +114,7 @@
 	}
 }
 
-// Written records that the last byte has been written, and counts the attempt as forwarded.
+// Written records that the last byte of the call has been written, and counts the attempt as forwarded.
 func (a *attempt) Written() {
 	a.written = true
 	a.p.invariants.checkWritten(a)
@@ -122,7 +122,7 @@
 }
 
 // failPartialWrite closes the connection with an error if the last byte of the call has still not been
-// written, even if the attempt has ended: the rest of the call would delay those queued behind it.
+// written, even if the attempt has ended: the rest of the call would delay the calls queued behind it.
 func (a *attempt) failPartialWrite() {
 	if !a.written {
 		a.upstream.conn.Fail(errPartialWrite)
--- a/internal/proxy/result.go
+++ b/internal/proxy/result.go
@@ -26,7 +26,7 @@
 	"cloverdoor/policy"
 )
 
-// resultByStatus maps the status of an answer to the result of its attempt. A status that is not listed is a
+// resultByStatus maps the status of an answer to the result of its attempt. A status that is not listed yields
 // ResultError.
 var resultByStatus = map[resp.Status]policy.Result{
 	resp.StatusServed:      policy.ResultOK,
@@ -37,7 +37,7 @@
 	resp.StatusNotRun:      policy.ResultNotSent,
 }
 
-// cacheStatuses maps cache statuses to those of the decision module. A status that is not listed is a
+// cacheStatuses maps cache statuses to those of the decision module. A status that is not listed becomes
 // CacheStatusNone.
 var cacheStatuses = map[resp.CacheStatus]policy.CacheStatus{
 	resp.CacheStatusHit:            policy.CacheStatusHit,
@@ -113,8 +113,8 @@
 	return policy.ResultConnectFailed
 }
 
-// resultIfNeverSent corrects the result of an attempt whose call was not written completely: the call was not
-// executed.
+// resultIfNeverSent replaces the result of an attempt whose call was not written completely by one that says that
+// the call was not executed.
 func resultIfNeverSent(result policy.Result) policy.Result {
 	switch result {
 	case policy.ResultCancelled:
@@ -152,7 +152,7 @@
 	a.req.openAttempts--
 	answered := ans.Status != 0
 	if a.upstream != nil {
-		a.upstream.release(a, answered) // may close the connection, on which neverSent depends
+		a.upstream.release(a, answered) // may close the connection; neverSent depends on whether it is closed
 	}
 	if !answered && a.neverSent() {
 		result = resultIfNeverSent(result)
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -15,8 +15,7 @@
 	"cloverdoor/internal/resp"
 )
 
-// unresponsiveAfter is how long a connection with open calls may receive nothing before it accepts no new
-// calls.
+// unresponsiveAfter is the time without input after which a connection with open calls accepts no new calls.
 const unresponsiveAfter = time.Second
 
 // upstream is one connection to a cache, a parent or the origin, with the calls that are open on it.
@@ -24,7 +23,7 @@
 	p            *Proxy
 	conn         *connpool.PooledConn
 	calls        map[string]*attempt // by the id of the client's request, which answers carry
-	waitingSince eventloop.Timestamp // since when an answer is due and nothing has been received; 0: none is due
+	waitingSince eventloop.Timestamp // time since which an answer is due and nothing has come; 0: none is due
 }
 
 // openUpstream returns the handler of a new connection.
@@ -33,8 +32,8 @@
 }
 
 // accepts reports whether a call for q can be sent on the connection. No two calls for one request share a
-// connection: answers carry only the request's id, so the answer to a cancelled call would be taken for that to
-// the next one.
+// connection: answers carry only the request's id, so the answer to a cancelled call would be taken for the answer
+// to the next call.
 func (u *upstream) accepts(q *request) bool {
 	if u.unresponsive() || u.calls[q.ID] != nil {
 		return false
@@ -48,8 +47,8 @@
 }
 
 // unresponsive reports whether nothing has been received for too long while answers were due. The server may be
-// cut off from the network: a call would wait here until its deadline, and a non-idempotent one could not be
-// retried. The time counts from the first unanswered call, even if calls have been cancelled since.
+// cut off from the network: a call would wait on the connection until its deadline, and a non-idempotent call could
+// not be retried. The time counts from the first unanswered call, even if calls have been cancelled since.
 func (u *upstream) unresponsive() bool {
 	return u.waitingSince != 0 && u.p.loop.Now()-u.waitingSince > unresponsiveAfter
 }
@@ -112,11 +111,11 @@
 	u.conn.Release()
 }
 
-// isUnusableAfter reports whether the connection must accept no new calls once a call that was sent on it has
-// been stopped. That is the case if the connection is unresponsive, if the stopped call can be cancelled only
-// by closing it, if an answer has arrived in part, as its rest would be read as the start of the next answer, or
-// if the stopped call was written in part. The rest of such a call is written only while other calls keep the
-// connection open, and for maxPartialWriteTime at most.
+// isUnusableAfter reports whether the connection must accept no new calls once a call that was sent on it has been
+// stopped. That is the case if the connection is unresponsive, if the stopped call can be cancelled only by closing
+// the connection, if an answer has arrived in part, as its rest would be read as the start of the next answer, or if
+// the stopped call was written in part. The rest of such a call is written only while other calls keep the connection
+// open, and for maxPartialWriteTime at most.
 func (u *upstream) isUnusableAfter(stopped *attempt) bool {
 	return u.unresponsive() || u.conn.UnparsedBytes() > 0 || !stopped.written || u.p.requiresConnClose(stopped)
 }
