--- a/internal/proxy/backpressure.go
+++ b/internal/proxy/backpressure.go
@@ -12,12 +12,11 @@
 	"cloverdoor/policy"
 )
 
-// backpressureBytes is how many bytes of answers may wait for a client before its further requests are
-// blocked.
+// backpressureBytes is the number of queued bytes of answers at which a client's further requests are blocked.
 const backpressureBytes = 1 << 20
 
-// blockedTimeoutDivisor limits the time for which a request may be blocked before it is rejected: to its
-// timeout divided by this. A later rejection would leave the client too little time for a retry.
+// blockedTimeoutDivisor is the divisor of a request's timeout that gives the longest time for which the request may
+// be blocked; then it is rejected. A later rejection would leave the client too little time for a retry.
 const blockedTimeoutDivisor = 2
 
 // errMemoryLimit says that a connection was closed because its unread answers take memory that the process
@@ -31,7 +30,7 @@
 	blockedAt eventloop.Timestamp
 }
 
-// isBackpressured reports whether the client has too many unread bytes of answers.
+// isBackpressured reports whether too many bytes of answers are queued for the client.
 func (c *clientConn) isBackpressured() bool {
 	queuedBytes, _ := c.conn.QueuedOutput()
 	return queuedBytes >= backpressureBytes
@@ -52,7 +51,7 @@
 	return oldest
 }
 
-// setBlocked replaces the blocked requests and keeps the server's set of blocked connections in step.
+// setBlocked replaces the blocked requests. If none is left, it removes the connection from the server's blockedConns.
 func (c *clientConn) setBlocked(blocked []blockedRequest) {
 	c.blocked = blocked
 	if len(blocked) == 0 {
@@ -60,7 +59,7 @@
 	}
 }
 
-// submitUnblocked submits blocked requests of the clients that have read enough meanwhile.
+// submitUnblocked submits the blocked requests of clients that have meanwhile read enough of their answers.
 func (f *FastCGIServer) submitUnblocked() {
 	for c := range f.blockedConns {
 		for len(c.blocked) > 0 && !c.isBackpressured() {
@@ -81,7 +80,8 @@
 	c.submit(parsed, &responder{conn: c, id: b.request.ID})
 }
 
-// rejectOverdueBlocked rejects the requests that, at the given time, have been blocked for too long.
+// rejectOverdueBlocked rejects the requests that at the time now have been blocked for too long. It starts with the
+// oldest request and stops at the first one that has not.
 func (c *clientConn) rejectOverdueBlocked(now eventloop.Timestamp) {
 	for len(c.blocked) > 0 && now-c.blocked[0].blockedAt >= c.blocked[0].parsed.Timeout/blockedTimeoutDivisor {
 		c.rejectBlockedRequest(c.popBlocked())
--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -29,16 +29,16 @@
 
 	openRequests     map[uint16]int64 // request numbers, or notSubmitted, by FastCGI id; nil once closed
 	blocked          []blockedRequest // the oldest first
-	completeRequests int              // requests received completely, or rejected before that
-	closeWhenDone    bool             // no further request will be read: close once all are answered
+	completeRequests int              // number of requests received completely, or rejected before they were complete
+	closeWhenDone    bool             // no further request will be read; the connection is closed once all are answered
 
 	partialBytes    int                 // buffered bytes of partial and blocked requests
-	skipBytes       int                 // bytes still to come of a record that is discarded
-	incompleteSince eventloop.Timestamp // start of the wait for the first request, or for the rest of one; 0: no wait
+	skipBytes       int                 // bytes of a discarded record that have not been received yet
+	incompleteSince eventloop.Timestamp // when the wait for the first request, or the rest of one, began; 0: no wait
 
 	lastAnsweredAt    eventloop.Timestamp // when the last answer was written
 	polledAt          eventloop.Timestamp // when the client was last polled within a turn of the event loop
-	disconnectedSince eventloop.Timestamp // the client closed its sending side after this time; 0: it is open
+	disconnectedSince eventloop.Timestamp // the client closed its sending side after this time; 0: that side is open
 }
 
 // Receive handles the complete records in data and returns how many bytes it consumed. A protocol error stops
@@ -87,7 +87,7 @@
 	return len(data), nil
 }
 
-// handleEvent handles the event of one record. Most records have none, and event is nil.
+// handleEvent handles the event of one record. Most records produce no event; event is then nil.
 func (c *clientConn) handleEvent(event fastcgi.Event) {
 	switch event := event.(type) {
 	case *fastcgi.Request:
@@ -140,7 +140,7 @@
 	return !c.disconnectState().GraceOver && !c.server.lifecycle.rejecting()
 }
 
-// waitBeforeRead returns how long a request that has just been read may have waited in the kernel.
+// waitBeforeRead returns the longest time that a request that has just been read may have waited in the kernel.
 func (c *clientConn) waitBeforeRead() time.Duration {
 	return max(c.server.loop.SchedulingDelay(maxPollTime), c.conn.QueueingDelay())
 }
@@ -154,7 +154,7 @@
 	to.write(fastcgi.Response{Status: status})
 }
 
-// submit submits a request. The request is marked as open before submitRequest is called, because that may
+// submit submits a request. The request is marked as open before submitRequest is called, because submitRequest may
 // answer it, which removes the mark.
 func (c *clientConn) submit(parsed Request, to *responder) {
 	c.openRequests[to.id] = notSubmitted
@@ -202,8 +202,8 @@
 	c.release(err)
 }
 
-// closeStalled closes the connection of a client that does not read its answers: for too long, or while the
-// memory budget is critical. Its open requests get no answer.
+// closeStalled closes the connection of a client that has read none of its queued answers for too long; while the
+// memory budget is critical, a shorter time is too long. Its open requests get no answer.
 func (c *clientConn) closeStalled(reason error) {
 	queuedBytes, _ := c.conn.QueuedOutput()
 	c.logStalledClose(reason, queuedBytes)
@@ -218,7 +218,7 @@
 }
 
 // release removes a closed connection from its server and ends the open requests. An eviction (errEvicted),
-// unlike any other cause, must not find an open request.
+// unlike any other cause, must not happen while a request is open.
 func (c *clientConn) release(err error) {
 	delete(c.server.conns, c)
 	delete(c.server.blockedConns, c)
@@ -258,8 +258,8 @@
 	return idle > requestPauseTimeout || c.server.loop.Now()-c.incompleteSince > requestReadTimeout
 }
 
-// expectsRequest reports whether the client has just connected or begun a request: a close would lose the
-// request.
+// expectsRequest reports whether the client has just connected or begun a request: a close at this time would lose
+// the request.
 func (c *clientConn) expectsRequest() bool {
 	return c.incompleteSince != 0 && c.server.loop.Now()-c.incompleteSince <= evictPartialAfter
 }
--- a/internal/proxy/disconnect.go
+++ b/internal/proxy/disconnect.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// disconnectGrace is the time between a client's closing its sending side and the cancellation of its open
+	// disconnectGrace is the time from a client's close of its sending side to the cancellation of its open
 	// requests. Nothing may be started for a client more than 0.1 s after its disconnect; without any grace, a
 	// client that has closed only its sending side would lose answers that are about to come.
 	disconnectGrace = 80 * time.Millisecond
 	// clientPollInterval is the time since the last read from a client after which the client is polled within
 	// a turn of the event loop.
 	clientPollInterval = 30 * time.Millisecond
-	// unknownDisconnectTime is the time of a disconnect that happened at an unknown time. It is long ago, so
-	// that the grace is over.
+	// unknownDisconnectTime stands for the time of a disconnect if that time is unknown. It is long ago, so that
+	// the grace is over.
 	unknownDisconnectTime eventloop.Timestamp = 1
 )
 
--- a/internal/proxy/eviction.go
+++ b/internal/proxy/eviction.go
@@ -12,7 +12,7 @@
 // errEvicted says that a connection was closed to make room for another client.
 var errEvicted = errors.New("evicted for another client")
 
-// How long a connection must have been idle before it can be evicted.
+// The idle times after which a connection can be evicted.
 const (
 	// evictSilentAfter is for a client that has sent nothing yet: a normal client sends its request as soon as
 	// it is connected.
@@ -34,7 +34,7 @@
 	partialClient                      // is in the middle of a request
 )
 
-// minIdleTime is how long a connection of the class must have been idle before it can be evicted.
+// minIdleTime returns the idle time after which a connection of the class can be evicted.
 func (e evictionClass) minIdleTime() time.Duration {
 	switch e {
 	case silentClient:
--- a/internal/proxy/fastcgiserver.go
+++ b/internal/proxy/fastcgiserver.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// writeStallTimeout is how long a client may read nothing of its queued answers before its connection is
-	// closed.
+	// writeStallTimeout is the time after which the connection of a client that reads nothing of its queued answers
+	// is closed.
 	writeStallTimeout = 10 * time.Second
 	// criticalWriteStallTimeout replaces writeStallTimeout while the memory budget is critical.
 	criticalWriteStallTimeout = 200 * time.Millisecond
-	// idleTimeout is how long a connection may go without input from the client or an answer to it. Clients
-	// close idle connections after 4 s: a client that has not done so has probably vanished, and its connection
-	// would occupy a descriptor. A connection with open requests is kept: policy.MayClose denies its close.
+	// idleTimeout is the longest time that a connection may go without input from the client or an answer to it.
+	// Clients close idle connections after 4 s: a client that has not done so has probably vanished, and its
+	// connection would occupy a descriptor. A connection with open requests is kept: policy.MayClose denies its close.
 	idleTimeout = 5 * time.Second
-	// requestPauseTimeout is how long a client may pause before its first request, or in the middle of one.
+	// requestPauseTimeout is the longest pause of a client before its first request, or in the middle of a request.
 	requestPauseTimeout = 2 * time.Second
-	// requestReadTimeout is how long a client may take to send a complete request, pauses included.
+	// requestReadTimeout is the longest time that a client may take to send a complete request, pauses included.
 	requestReadTimeout = 10 * time.Second
 	// connCheckInterval is the interval at which all client connections are checked for these timeouts.
 	connCheckInterval = maxPollTime
@@ -44,7 +44,7 @@
 	// cancelAfterDisconnect cancels a request whose client has probably disconnected. It answers the request at
 	// once, as the client may have closed only its sending side.
 	cancelAfterDisconnect(number int64)
-	// handleConnectionClosed ends a request whose connection has closed. evicted says that it was closed to
+	// handleConnectionClosed ends a request whose connection has closed. evicted says whether it was closed to
 	// make room for another client, which must not happen while a request is open.
 	handleConnectionClosed(number int64, evicted bool)
 }
@@ -62,7 +62,7 @@
 	listener      *eventloop.Listener
 	sharedSocket  bool // another process may accept from the same listening socket
 	conns         map[*clientConn]bool
-	blockedConns  map[*clientConn]bool // with requests that are blocked by backpressure
+	blockedConns  map[*clientConn]bool // those with requests blocked by backpressure
 	maxConns      int
 	acceptedConns int64 // since the start; numbers the connections in the log
 }
--- a/internal/proxy/fields.go
+++ b/internal/proxy/fields.go
@@ -21,7 +21,7 @@
 	maxPart                 = 1 << 31
 	maxGroup                = groupCount - 1
 	maxSizeKB               = 1e9
-	idLength                = 16 // hex digits of request ids, objects and versions
+	idLength                = 16 // number of hex digits of a request id, an object or a version
 	maxIdempotencyKeyLength = 64 // characters
 )
 
@@ -82,12 +82,12 @@
 	return len(s) == idLength && strings.Trim(s, hexDigits) == ""
 }
 
-// isIdempotencyKey reports whether s can be forwarded as an idempotency key. The empty string, for none, can.
+// isIdempotencyKey reports whether s can be forwarded as an idempotency key. The empty string (no key) can.
 func isIdempotencyKey(s string) bool {
 	return len(s) <= maxIdempotencyKeyLength && strings.Trim(s, keyCharacters) == ""
 }
 
-// sizeKB decodes the size of an object, which clients may omit: it is then 0.
+// sizeKB decodes the size of an object, which clients may omit; an omitted size is 0.
 func sizeKB(s string) (float64, error) {
 	if s == "" {
 		return 0, nil
--- a/internal/proxy/memory.go
+++ b/internal/proxy/memory.go
@@ -14,16 +14,16 @@
 // memoryBudget counts the bytes that are buffered for clients and caches, and says when there are too many.
 type memoryBudget struct {
 	loop          *eventloop.Loop // its buffers count too
-	rejectAt      int             // bytes
+	rejectAt      int             // number of buffered bytes at which new requests are rejected
 	requestBodies int             // bytes of the open requests' bodies
-	partial       int             // bytes of requests that are partial, or blocked by backpressure
+	partial       int             // bytes of partial requests, and of requests blocked by backpressure
 }
 
 func newMemoryBudget(loop *eventloop.Loop, limitBytes int) *memoryBudget {
 	return &memoryBudget{loop: loop, rejectAt: limitBytes / rejectDivisor}
 }
 
-// buffered returns how many bytes are buffered in total.
+// buffered returns the total number of buffered bytes.
 func (m *memoryBudget) buffered() int { return m.loop.BufferedBytes() + m.requestBodies + m.partial }
 
 // full reports whether new requests are to be rejected.
--- a/internal/proxy/partialrequest.go
+++ b/internal/proxy/partialrequest.go
@@ -8,8 +8,8 @@
 	"cloverdoor/policy"
 )
 
-// minSkippedBytes is how many bytes of an incomplete record must have been received for the record to be
-// discarded while the memory budget is critical. The records that begin a request are shorter.
+// minSkippedBytes is the minimum number of received bytes of an incomplete record for the record to be discarded
+// while the memory budget is critical. The records that begin a request are shorter.
 const minSkippedBytes = 1 << 10
 
 // hasPartialRequest reports whether a part of a request has been received.
@@ -17,8 +17,9 @@
 	return c.conn.UnparsedBytes() > 0 || c.decoder.Receiving()
 }
 
-// rejectPartial rejects the partial requests, which frees their memory, and skips the rest of their records.
-// record is the beginning of an incomplete record; used is how many bytes of it are discarded.
+// rejectPartial rejects the partial requests, which frees their memory. record is the beginning of an incomplete
+// record. If at least minSkippedBytes of it have been received, they are discarded, and the rest of the record is
+// skipped as it arrives. used is the number of bytes discarded now.
 func (c *clientConn) rejectPartial(record []byte) (used int) {
 	for _, id := range c.decoder.DropPartial() {
 		c.completeRequests++
@@ -42,9 +43,9 @@
 	c.setPartialBytes(buffered)
 }
 
-// setPartialBytes sets the connection's bytes and adds the change to the memory budget; a closed connection has
-// no bytes. A connection may be closed while its input is being handled: counting its bytes after that would
-// leave them in the budget, and the server would reject more and more requests.
+// setPartialBytes sets partialBytes and adds the change to the memory budget. For a closed connection it sets 0: a
+// connection may be closed while its input is being handled, and bytes counted after that would stay in the budget,
+// so that the server would reject more and more requests.
 func (c *clientConn) setPartialBytes(buffered int) {
 	if c.openRequests == nil {
 		buffered = 0
