--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -13,14 +13,15 @@
 )
 
 const (
-	// maxOpenRequests limits the requests that have not been released; the settings may set a lower limit.
+	// maxOpenRequests is the maximum number of requests held at once, from admission to release; the settings may
+	// set a lower limit.
 	maxOpenRequests = 4096
-	// maxSharedCalls is how many idempotent calls share a connection if the settings put a price on new
-	// connections (handshakes). With one more, less than an eighth of the remaining handshakes would be saved,
+	// maxSharedCalls is the maximum number of idempotent calls that share a connection if the settings put a price
+	// on new connections (handshakes). With one more, less than an eighth of the remaining handshakes would be saved,
 	// and a connection that breaks would lose more calls.
 	maxSharedCalls = 8
 	// reservedDescriptors is subtracted from the caches' half of the descriptors. Together with the tenth that
-	// is assigned to neither clients nor caches, these descriptors serve operators (16), the coordinator's
+	// is assigned to neither clients nor caches, these descriptors serve admin connections (16), the coordinator's
 	// streams, the listening sockets, the event loop and the configuration file.
 	reservedDescriptors = 20
 
@@ -32,7 +33,7 @@
 // Config is what a proxy needs at its start. Its settings and transfer rate can be replaced by a reload.
 type Config struct {
 	Settings               settings.Settings
-	Seed                   uint64             // of the random decisions
+	Seed                   uint64             // seed of the random decisions
 	InitialState           watch.InitialState // endpoints and purges known at the start
 	MaxDescriptors         int                // descriptors that the process may hold
 	MaxMemoryBytes         int                // bytes that the process may use
@@ -47,7 +48,7 @@
 // they were admitted with.
 type runtimeConfig struct {
 	settings.Settings
-	classIndexes           map[string]int // by class name: the index among the settings' classes
+	classIndexes           map[string]int // index in the settings' classes, by class name
 	transferBytesPerSecond float64        // rate of one transfer; 0: unknown
 }
 
@@ -64,7 +65,8 @@
 	return c
 }
 
-// openRequestLimit returns how many requests may be held at once: from their admission to their release.
+// openRequestLimit returns the maximum number of requests held at once. A request is held from its admission to its
+// release.
 func (c *runtimeConfig) openRequestLimit() int {
 	return min(maxOpenRequests, cmp.Or(c.MaxOpenRequests, maxOpenRequests))
 }
@@ -87,7 +89,7 @@
 	}
 }
 
-// transferTime returns how long a body takes at the rate of one transfer; 0: unknown.
+// transferTime returns the time that the transfer of a body takes at the rate of one transfer; 0: unknown.
 func (c *runtimeConfig) transferTime(bodyBytes int) time.Duration {
 	if c.transferBytesPerSecond <= 0 {
 		return 0
@@ -103,9 +105,9 @@
 	return a
 }
 
-// MaxClientConns returns how many of the process's descriptors clients may hold: two fifths.
+// MaxClientConns returns the maximum number of descriptors for client connections: two fifths of the process's.
 func MaxClientConns(descriptors int) int { return descriptors * 2 / 5 }
 
-// MaxUpstreamConns returns how many of the process's descriptors connections to caches, parents and the origin
-// may hold: half of them less reservedDescriptors.
+// MaxUpstreamConns returns the maximum number of descriptors for connections to caches, parents and the origin: half
+// of the process's less reservedDescriptors, but at least 1.
 func MaxUpstreamConns(descriptors int) int { return max(1, descriptors/2-reservedDescriptors) }
--- a/internal/proxy/lifecycle.go
+++ b/internal/proxy/lifecycle.go
@@ -13,23 +13,25 @@
 // Timing of a graceful shutdown and of an operator's drain. The platform may kill the process once the longest
 // deadline of the settings plus killGrace have passed since the signal.
 const (
-	// shutdownAcceptTime is how long after the signal clients are served as before. They may still connect for 0.4 s
-	// and send on open connections for 0.2 s more; the rest is a margin.
+	// shutdownAcceptTime is the time after the signal during which clients are served as before. They may still
+	// connect for 0.4 s and send on open connections for 0.2 s more; the rest is a margin.
 	shutdownAcceptTime = 700 * time.Millisecond
-	// killGrace is how long the platform waits after the longest deadline before it kills the process.
+	// killGrace is the time that the platform waits after the longest deadline before it kills the process.
 	killGrace = 700 * time.Millisecond
-	// ExitMargin is how long before the kill all requests are answered. The rest of the exit must fit into it.
+	// ExitMargin is the time before the kill by which all requests are answered. The rest of the exit must fit into
+	// it.
 	ExitMargin = 200 * time.Millisecond
 	// maxShutdownDeadline bounds the longest deadline that the platform waits for. It is also the default if the
 	// settings have no deadline.
 	maxShutdownDeadline = 3 * time.Second
-	// shutdownRejectTime is how long before the end of a shutdown the proxy starts to reject new requests.
+	// shutdownRejectTime is the time before lifecycle.answerBy at which the proxy starts to reject new requests.
 	shutdownRejectTime = 500 * time.Millisecond
-	// drainAcceptTime is how long after an operator starts a drain clients are served as before. The load balancer
-	// in front checks health every 0.1 s and sends for 0.2 s more.
+	// drainAcceptTime is the time after the start of an operator's drain during which clients are served as before.
+	// The load balancer in front checks health every 0.1 s and, after a failed check, goes on sending requests for
+	// 0.2 s.
 	drainAcceptTime = 300 * time.Millisecond
-	// drainRejectAfter is how long after the start of a drain the proxy starts to reject new requests. Connections
-	// that would never be idle then become idle and can be closed.
+	// drainRejectAfter is the time from the start of a drain after which new requests are rejected. Connections
+	// that would otherwise never be idle then become idle and can be closed.
 	drainRejectAfter = 1900 * time.Millisecond
 )
 
@@ -53,7 +55,7 @@
 	Stopped:  "stopped",
 }
 
-// String returns the phase's name in the log and in the operators' answers.
+// String returns the phase's name in the log and in the answers to admin calls.
 func (p Phase) String() string { return phaseNames[p] }
 
 // lifecycle holds the phase and the times of the next steps of a drain or a shutdown.
@@ -99,6 +101,6 @@
 	return (l.phase == Draining || l.phase == Stopping) && l.loop.Now() >= l.disconnectFrom
 }
 
-// rejecting reports whether new requests must be rejected now. Otherwise clients that always have an open request
-// would never be disconnected.
+// rejecting reports whether new requests must be rejected now. Without rejections, clients that always have an open
+// request would never be disconnected.
 func (l *lifecycle) rejecting() bool { return l.disconnecting() && l.loop.Now() >= l.rejectFrom }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -22,8 +22,8 @@
 	idleSweepInterval = time.Second
 )
 
-// Proxy is one edge proxy. It owns the open requests and their attempts, reports to the decision module, as
-// events, what happens to them, and executes the actions that the module returns. Its methods must be called
+// Proxy is one edge proxy. It owns the open requests and their attempts, reports what happens to them to the
+// decision module as events, and executes the actions that the module returns. Its methods must be called
 // on the event loop's goroutine.
 type Proxy struct {
 	loop       *eventloop.Loop
@@ -39,9 +39,9 @@
 	pendingEvents     []policy.Event     // events not handed to the decision module yet
 	requests          map[int64]*request // by request.number
 	lastRequestNumber int64
-	openRequests      int // admitted and not yet answered or given up by their clients
+	openRequests      int // number of requests admitted and not yet answered or given up by their clients
 	maxUpstreamConns  int
-	countDroppedLines func() int64 // log lines dropped so far; nil: unknown
+	countDroppedLines func() int64 // returns the number of log lines dropped so far; nil: unknown
 	configLoader      configLoader
 
 	endpoints      *endpointTable
@@ -95,8 +95,8 @@
 	p.pools.SetLimits(c.poolLimits(p.maxUpstreamConns))
 }
 
-// Run runs the event loop until the proxy has stopped. Signals are polled after each turn of the loop. An
-// error is a failure of the loop.
+// Run runs the event loop until the proxy has stopped. Signals are polled after each turn of the loop. It
+// returns an error if the loop fails.
 func (p *Proxy) Run(signals Signals) error {
 	for p.lifecycle.phase != Stopped {
 		if err := p.loop.Wait(maxPollTime); err != nil {
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -12,7 +12,7 @@
 	"cloverdoor/internal/settings"
 )
 
-// loadTimeout is how long reading the configuration may take before the reload counts as failed.
+// loadTimeout is the time after which a reload whose configuration is still being read counts as failed.
 const loadTimeout = 5 * time.Second
 
 var errLoadTimeout = errors.New("reading the configuration timed out")
@@ -32,7 +32,7 @@
 // configuration.
 type PrepareUpdateFunc func() (ConfigUpdate, error)
 
-// ConfigUpdate is what a reload replaces while the proxy serves.
+// ConfigUpdate holds the values that a reload replaces while the proxy serves.
 type ConfigUpdate struct {
 	Coordinator            netip.AddrPort
 	Settings               settings.Settings // already validated
