--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -14,16 +14,16 @@
 // Request is a client's request, independent of the protocol. The fields that are forwarded to caches are
 // kept as the client wrote them.
 type Request struct {
-	ID             string // the client's own id, forwarded
+	ID             string // the id that the client chose; forwarded
 	Class          int    // index in the settings' classes
 	ClassName      string
 	Object         string
 	Part           int
 	Group          int
-	SizeKB         float64       // size of the object as the settings measure it; 0: unknown
+	SizeKB         float64       // size of the object, in the KB of policy.Settings.TransferKBPerSecond; 0: unknown
 	KnownVersion   string        // version of the copy that the client holds; empty: none
 	IdempotencyKey string        // lets caches recognize a repeated request; empty: none
-	Timeout        time.Duration // how long the client waits, counted from the request's last byte
+	Timeout        time.Duration // the time that the client waits for the answer, counted from the request's last byte
 	Body           []byte
 }
 
@@ -42,16 +42,16 @@
 // Answer is the final answer to a request.
 type Answer struct {
 	Status     Status
-	Version    string // of the copy served
+	Version    string // version of the served copy
 	Body       []byte
 	RetryAfter time.Duration // of a rejection: how long the client should wait before a retry; 0: no advice
-	Reason     policy.Reason // of an answer that serves nothing
+	Reason     policy.Reason // why the answer serves nothing; empty if it serves something
 }
 
 // DisconnectState says whether a client has disconnected.
 type DisconnectState struct {
-	Since     eventloop.Timestamp // the earliest time at which it may have happened; 0: the client is connected
-	GraceOver bool                // it happened so long ago that nothing may be started for the client any more
+	Since     eventloop.Timestamp // the earliest time at which the client may have disconnected; 0: it is connected
+	GraceOver bool                // the disconnect was so long ago that nothing may be started for the client any more
 }
 
 // Responder answers the client of one request. Its methods are called on the loop's goroutine and must not
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// answerReserve is how long before the client's timeout a request must have its answer, as the answer still
-	// has to be written and to reach the client. The client waits 50 ms longer than its timeout.
+	// answerReserve is the time before the client's timeout by which a request must have its answer, as the answer
+	// still has to be written and to reach the client. The client waits 50 ms longer than its timeout.
 	answerReserve = 60 * time.Millisecond
 	// answerReserveDivisor limits the reserve to a quarter of the timeout, so that a short timeout leaves time
 	// to serve the request.
 	answerReserveDivisor = 4
-	// expiryRecheckTime is how long the decision module has to give the final answer after the open attempts
+	// expiryRecheckTime is the time that the decision module has to give the final answer after the open attempts
 	// were ended at the deadline.
 	expiryRecheckTime = answerReserve / 4
 	// unsubmittedRetryAfter is the Retry-After of a request that is rejected without being submitted to the
@@ -38,7 +38,7 @@
 	openAttempts int                 // attempts that have not ended
 	routed       bool                // the decision module has processed it and its first actions have been executed
 	finished     bool                // answered, or given up by the client
-	record       requestRecord       // of the invariant checker
+	record       requestRecord       // the invariant checker's record of the request
 }
 
 // isIdempotent reports whether the request may be executed any number of times.
@@ -104,8 +104,8 @@
 	return q
 }
 
-// answerDeadline returns when a request that is admitted now must have its answer. During a shutdown that is
-// no later than the shutdown's own deadline.
+// answerDeadline returns the time by which a request that is admitted now must have its answer. During a shutdown
+// it is at most lifecycle.answerBy, unless that has passed: then it is the present time.
 func (p *Proxy) answerDeadline(timeout time.Duration) eventloop.Timestamp {
 	now := p.loop.Now()
 	deadline := now + timeout - min(answerReserve, timeout/answerReserveDivisor)
@@ -152,9 +152,9 @@
 	q.responder.Respond(p.config.applyRetryAfterSetting(a))
 }
 
-// expire enforces a request's deadline. It ends the open attempts, after which the decision module gives the
-// final answer, and checks again after expiryRecheckTime. A request that the module holds without an open
-// attempt is failed here, so that every request gets its answer in time.
+// expire enforces a request's deadline. It ends the open attempts, after which the decision module gives the final
+// answer, and checks again after expiryRecheckTime. A request that the module still holds without an open attempt is
+// failed at once, so that every request gets its answer in time.
 func (p *Proxy) expire(q *request) {
 	if q.openAttempts == 0 {
 		p.answer(q, Answer{Status: Failed, Reason: policy.ReasonDeadlineExceeded})
@@ -189,7 +189,7 @@
 	p.notify(policy.RequestEnded{ID: number})
 }
 
-// handleConnectionClosed gives up an open request whose client connection has closed. evicted says that the
+// handleConnectionClosed gives up an open request whose client connection has closed. evicted says whether the
 // connection was closed to make room for another client.
 func (p *Proxy) handleConnectionClosed(number int64, evicted bool) {
 	if q := p.requests[number]; q != nil {
@@ -238,7 +238,7 @@
 // releaseIfDone releases a request that is finished and has no open attempt. While an attempt is open, the
 // timer keeps running, as it ends the attempt if the server never answers. A request that is finished in the
 // turn in which it was received is kept until the decision module has processed it: otherwise the end of the
-// first attempt that the module orders would never be reported, and the module would count that attempt as a load
+// first attempt that the module starts would never be reported, and the module would count that attempt as a load
 // on the target's link forever.
 func (p *Proxy) releaseIfDone(q *request) {
 	if !q.routed || !q.finished || q.openAttempts > 0 || p.requests[q.number] != q {
