--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -34,7 +34,7 @@
 // String returns the outcome's name in the metrics and in the log.
 func (o outcome) String() string { return outcomeNames[o] }
 
-// outcome returns the outcome as which a final answer is counted.
+// outcome returns the outcome that a final answer with this status is counted as.
 func (s Status) outcome() outcome {
 	switch s {
 	case Served, NotModified:
@@ -45,7 +45,7 @@
 	return outcomeFailed
 }
 
-// action is what a guard was asked to allow, by its name in the metrics.
+// action is something that a guard is asked to allow; its value is its name in the metrics.
 type action string
 
 // The actions that guards check.
@@ -71,7 +71,7 @@
 	classNames []string // in the order in which the classes were added
 	outcomes   map[string]*[outcomeCount]int64
 	denials    map[denial]int64
-	notServed  map[policy.Reason]int64 // answers that served nothing
+	notServed  map[policy.Reason]int64 // number of answers that served nothing, by reason
 
 	configsAccepted, configsRejected int // by reloads
 	unreadableParts                  int // the coordinator's unreadable lines and event parts, and gaps between its events
--- a/internal/proxy/invariants.go
+++ b/internal/proxy/invariants.go
@@ -19,14 +19,13 @@
 	// checkTolerance is added to each time limit, for the delay between a decision and its effect on a
 	// socket.
 	checkTolerance = 50 * time.Millisecond
-	// drainGracePeriod is how long an endpoint may still be sent calls after its drain has been reported.
+	// drainGracePeriod is the time after the report of an endpoint's drain during which calls may still be sent to it.
 	drainGracePeriod = 500 * time.Millisecond
-	// drainingRetention is how long a draining endpoint is remembered: longer than any request may take.
+	// drainingRetention is the time for which a draining endpoint is remembered: longer than any request may take.
 	drainingRetention = 11 * time.Minute
-	// disconnectGracePeriod is how long after a client's disconnect calls may still be started for it.
+	// disconnectGracePeriod is the time after a client's disconnect during which calls may still be started for it.
 	disconnectGracePeriod = 100 * time.Millisecond
-	// purgeRetentionMargin is how long a purge is remembered after the time by which all caches must have
-	// completed it.
+	// purgeRetentionMargin is the time for which a purge is still remembered once all caches must have completed it.
 	purgeRetentionMargin = time.Second
 )
 
@@ -39,7 +38,7 @@
 	unanswered                              // a client connection was evicted while a request was open on it
 	executedTwice                           // a non-idempotent call was fully written while another may have been executed
 	rejectedAfterExecution                  // a non-idempotent request was rejected although it may have been executed
-	sentToDraining                          // a call was sent to a draining endpoint, or with one as the source of its fill
+	sentToDraining                          // a call was sent to a draining endpoint, or named one as the source of its fill
 	servedPurged                            // a call sent after a purge was answered with a copy made before it
 	startedAfterDisconnect                  // a call was started for a client that had disconnected
 	violationCount
@@ -59,7 +58,7 @@
 // invariantChecker checks what the proxy has done, after the fact. It keeps its own records of drains, purges,
 // answers and executions, so that it also detects faults of the guards. It relies on the proxy for the clock,
 // the settings, whether a call was written and how it ended, when a client disconnected, and the ids of the
-// endpoints before a full list: it does not detect faults in those. In production, violations are counted and
+// endpoints in use before a full list: it does not detect faults in those. In production, violations are counted and
 // logged; in tests, onViolation ends the program.
 type invariantChecker struct {
 	p             *Proxy
@@ -184,8 +183,8 @@
 	a.req.record.possiblyExecuted = true
 }
 
-// observeEnd records how an attempt ended: some results show that a call that was written completely was not
-// executed.
+// observeEnd clears possiblyExecuted if an attempt's result shows that its call, although written completely, was
+// not executed.
 func (c *invariantChecker) observeEnd(a *attempt, result policy.Result) {
 	switch result {
 	case policy.ResultRejected, policy.ResultNotFound, policy.ResultNotSent, policy.ResultConnectFailed:
@@ -195,7 +194,8 @@
 	}
 }
 
-// checkServed checks a good answer against the purges. An answer without a creation time can't be checked.
+// checkServed checks that a good answer holds no copy that is older than a purge whose report arrived more than
+// PurgeGrace before the call was sent. An answer without a creation time can't be checked.
 func (c *invariantChecker) checkServed(a *attempt, ans resp.Answer) {
 	if ans.CreatedAtMillis == 0 {
 		return
