--- a/internal/proxy/coordinatorclock.go
+++ b/internal/proxy/coordinatorclock.go
@@ -15,7 +15,7 @@
 const (
 	// maxReportDelay is the longest time from a purge to the publication of its event in normal operation.
 	maxReportDelay = 500 * time.Millisecond
-	// maxBoundAge is how long a bound is used. It limits the effect of a wrong or late reported time.
+	// maxBoundAge is the age up to which a bound is used. It limits the effect of a wrong or late reported time.
 	maxBoundAge = 10 * time.Second
 	// minCorrection is the smallest change of the offset that is applied.
 	minCorrection = 200 * time.Millisecond
@@ -89,9 +89,9 @@
 	c.upperBounds = append(c.upperBounds, added)
 }
 
-// estimateOffset returns the offset that agrees with the bounds: 0 or the present offset if they do, otherwise the
-// highest lower bound, so that nothing counts as older than it is. If a lower and an upper bound contradict each
-// other, the lower one is right, because a report may be later than expected but never earlier.
+// estimateOffset returns an offset that agrees with the bounds: 0 if it agrees, else the present offset if it agrees,
+// else the highest lower bound, so that nothing counts as older than it is. If a lower and an upper bound contradict
+// each other, the lower one is right, because a report may be later than expected but never earlier.
 func (c *coordinatorClock) estimateOffset() time.Duration {
 	minOffset := c.lowerBounds[0].offset
 	for _, candidate := range []time.Duration{0, c.offset} {
@@ -103,8 +103,8 @@
 }
 
 // maxOffset returns the highest offset that agrees with the bounds: the lowest upper bound, but at least
-// maxReportDelay above the highest lower bound, as the report behind that one may have been delayed by as much.
-// Without an upper bound there is no limit.
+// maxReportDelay above the highest lower bound, as the report behind that lower bound may have been delayed by as
+// much. Without an upper bound there is no limit.
 func (c *coordinatorClock) maxOffset() time.Duration {
 	if len(c.upperBounds) == 0 {
 		return math.MaxInt64
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -51,7 +51,7 @@
 // apply applies a full list of endpoints, or changes to it, and calls notify.
 func (t *endpointTable) apply(update *watch.EndpointUpdate) {
 	t.observeStarts(update)
-	inUse := map[string]bool{} // whether each endpoint in the update is in use after it
+	inUse := map[string]bool{} // by id of an endpoint in the update: whether it is in use afterwards
 	decoded := policy.EndpointUpdate{Full: update.Full}
 	for _, entry := range update.Endpoints {
 		endpoint := t.applyEntry(entry, update.Full)
@@ -92,7 +92,7 @@
 	return changes
 }
 
-// observeStarts compares the start times of an update with the clock. It must see all of them before any is
+// observeStarts compares the start times of an update with the clock. It must be called before any of them is
 // converted, because each may correct the clock.
 func (t *endpointTable) observeStarts(update *watch.EndpointUpdate) {
 	for _, entry := range update.Endpoints {
--- a/internal/proxy/missingevents.go
+++ b/internal/proxy/missingevents.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// maxMissingEvents bounds how many missing events are tracked. Beyond it the oldest are forgotten.
+	// maxMissingEvents is the maximum number of missing events that are tracked. Beyond it the oldest are forgotten.
 	maxMissingEvents = 1024
-	// maxRequestsForMissing is how often a missing event is requested again before recovery gives it up.
+	// maxRequestsForMissing is the number of requests after which recovery gives a missing event up.
 	maxRequestsForMissing = 4
 )
 
@@ -18,13 +18,13 @@
 // later events were applied. An event that arrives late must not undo a newer one, so while any event is missing,
 // the index of the newest event that named each endpoint is kept as well.
 type missingEvents struct {
-	requests         map[int64]int    // how often each missing event was requested again, by index
+	requests         map[int64]int    // number of times that each missing event was requested again, by index
 	newestByEndpoint map[string]int64 // by endpoint id: index of the newest event that named it
 	newestFullList   int64            // index of the newest event with a full list; 0: none
 }
 
-// add records the events from index from to index to, inclusive, as missing. requests is how often they have been
-// requested again already.
+// add records the events from index from to index to, inclusive, as missing. requests is the number of times that
+// they have been requested again already.
 func (m *missingEvents) add(from, to int64, requests int) {
 	if m.requests == nil {
 		m.requests = map[int64]int{}
--- a/internal/proxy/watch.go
+++ b/internal/proxy/watch.go
@@ -16,7 +16,7 @@
 )
 
 var (
-	// errEventGap closes a stream whose next event skips indices.
+	// errEventGap is the reason for closing a stream whose next event skips indices.
 	errEventGap = errors.New("events are missing")
 	// errRecoveryEnded is the logged reason of a reconnect when recovery has given up and its stream was the only
 	// one open.
@@ -29,7 +29,7 @@
 	// applyEvent handles the next event. Each event is delivered once, in the order of the indices, which may have
 	// gaps. The event was published after publishedAfter.
 	applyEvent(ev watch.Event, publishedAfter eventloop.Timestamp)
-	// applyLateEvent handles an event that was left out before. superseded reports whether a newer event that has
+	// applyLateEvent handles an event that was skipped before. superseded reports whether a newer event that has
 	// been delivered already determines the state of an endpoint.
 	applyLateEvent(ev watch.Event, superseded func(endpoint string) bool)
 	// countUnreadable adds to the count of lines, event parts and gaps that were skipped.
@@ -53,7 +53,7 @@
 	addr           netip.AddrPort
 	streams        []*watchStream // the oldest first
 	streamsOpened  int            // total so far; also the number of the newest stream
-	stalls         int            // how often all streams were stalled since the last readable line
+	stalls         int            // number of times that all streams were stalled since the last readable line
 	reconnectTimer *eventloop.Timer
 	backoff        time.Duration // before the next reconnect
 
@@ -66,31 +66,31 @@
 	upToDateAt eventloop.Timestamp
 
 	missing       missingEvents
-	recoveryTimer *eventloop.Timer // requests the missing events again; nil: nothing is scheduled
-	recoveryDue   eventloop.Timestamp
+	recoveryTimer *eventloop.Timer    // requests the missing events again; nil: nothing is scheduled
+	recoveryDue   eventloop.Timestamp // when recoveryTimer fires
 }
 
-// eventGap is a place where events are missing: those between index after, the last one delivered or skipped, and
-// index before, the next one received.
+// eventGap is a range of missing events, between the last index delivered or skipped (after) and the next index
+// received (before).
 type eventGap struct{ after, before int64 }
 
-// unreadableLine is a line that could not be decoded, and the last event delivered before it.
+// unreadableLine is a line that could not be decoded, with its place among the events.
 type unreadableLine struct {
 	text  []byte
-	after int64 // index of that event
+	after int64 // index of the last event delivered before the line
 }
 
 // start opens the first stream.
 func (w *coordinatorWatch) start() {
 	w.lastReadableLineAt = w.loop.Now()
-	w.upToDateAt = w.loop.Now() // the configuration holds the events as they stand at the start
+	w.upToDateAt = w.loop.Now() // the configuration's initial state includes all events published before the start
 	w.backoff = minReconnectBackoff
 	w.openStream()
 	w.checkStreams()
 }
 
-// switchTo watches the coordinator at addr instead, continuing after lastIndex. Streams to the previous coordinator
-// are closed at once, because it may keep them open without sending anything more.
+// switchTo watches the coordinator at addr instead of the previous one, continuing after lastIndex. Streams to the
+// previous coordinator are closed at once, because it may keep them open without sending anything more.
 func (w *coordinatorWatch) switchTo(addr netip.AddrPort) {
 	if addr == w.addr {
 		return
--- a/internal/proxy/watchevents.go
+++ b/internal/proxy/watchevents.go
@@ -22,8 +22,8 @@
 	p.coordinator.start()
 }
 
-// SwitchCoordinator watches the coordinator at addr instead. The new coordinator must continue the event indices of
-// the previous one.
+// SwitchCoordinator watches the coordinator at addr instead of the previous one. The new coordinator must continue the
+// event indices of the previous one.
 func (p *Proxy) SwitchCoordinator(addr netip.AddrPort) { p.coordinator.switchTo(addr) }
 
 // applyInitialState applies the events of the configuration. They are not recent, so their times say little about
--- a/internal/proxy/watchrecovery.go
+++ b/internal/proxy/watchrecovery.go
@@ -10,11 +10,11 @@
 )
 
 // firstRecoveryDelay is the time from skipping an event to requesting it again. The delay lets events that are
-// skipped shortly after one another share a request. It doubles with each further request.
+// skipped shortly after one another share a request. The delay doubles with each further request.
 const firstRecoveryDelay = 500 * time.Millisecond
 
 // recordMissing records the events from index from to index to, inclusive, as missing and schedules their recovery.
-// requests is how often they have been requested again already.
+// requests is the number of times that they have been requested again already.
 func (w *coordinatorWatch) recordMissing(from, to int64, requests int) {
 	if from > to {
 		return
@@ -23,7 +23,7 @@
 	w.scheduleRecovery()
 }
 
-// scheduleRecovery schedules the next request for the missing events. The delay is that of the event with the fewest
+// scheduleRecovery schedules the next request for the missing events. The delay depends on the event with the fewest
 // requests; a request that is already scheduled for an earlier time is not put off.
 func (w *coordinatorWatch) scheduleRecovery() {
 	due := w.loop.Now() + firstRecoveryDelay<<w.missing.fewestRequests()
@@ -64,7 +64,7 @@
 	w.scheduleRecovery()
 }
 
-// deliverLate delivers an event that was missing. It drops any other, as a repeat.
+// deliverLate delivers an event that was missing. It drops any other event as a repeat.
 func (w *coordinatorWatch) deliverLate(ev watch.Event) {
 	if !w.missing.has(ev.Index) || ev.IsHeartbeat() {
 		return
--- a/internal/proxy/watchretry.go
+++ b/internal/proxy/watchretry.go
@@ -10,38 +10,41 @@
 )
 
 const (
-	// watchConnectTimeout is how long a connect to the coordinator may take before another stream is opened.
+	// watchConnectTimeout is the time after which a stream that is still connecting is stalled, so that another one
+	// is opened.
 	watchConnectTimeout = 500 * time.Millisecond
-	// silenceTimeout is how long a stream may receive nothing before it is stalled. The coordinator sends a
+	// silenceTimeout is the time without any input after which a stream is stalled. The coordinator sends a
 	// heartbeat every second.
 	silenceTimeout = 2500 * time.Millisecond
-	// lineTimeout is how long a stream may go without a readable line before it is stalled, even while it receives
-	// pieces of one, such as a long list.
+	// lineTimeout is the time without a readable line after which a stream is stalled, even while it receives
+	// pieces of a line, such as a long list.
 	lineTimeout = 3500 * time.Millisecond
-	// maxLineTime is how long a stream that keeps receiving pieces of one line is kept while others are closed.
+	// maxLineTime is the longest time for which a stream that keeps receiving pieces of one line is kept while others
+	// are closed.
 	maxLineTime = 32 * time.Second
 	// streamCheckInterval is the longest time between checks of the streams for stalls.
 	streamCheckInterval = silenceTimeout / 10
 	// minStreamCheckInterval is the shortest time between those checks.
 	minStreamCheckInterval = 50 * time.Millisecond
 
-	// quickRetries is how many streams in a row get only quickRetryTimeout for their first line. A drain must be
-	// obeyed after 7 s whether its event has arrived or not, so all of these streams must be opened before
+	// quickRetries is the number of streams in a row that get only quickRetryTimeout for their first line. A drain
+	// must be obeyed after 7 s whether its event has arrived or not, so all of these streams must be opened before
 	// that: the first is opened at most lineTimeout after the last readable line, the others at intervals of
 	// quickRetryTimeout, so the last one after about 6 s.
 	quickRetries = 3
-	// quickRetryTimeout is how long such a stream may take for its first line. A heartbeat arrives within a second.
+	// quickRetryTimeout is the longest time that such a stream may take for its first line. A heartbeat arrives
+	// within a second.
 	quickRetryTimeout = 1250 * time.Millisecond
 	// maxRetryTimeout bounds the time for the first line, which doubles with each stall after the quick retries.
 	maxRetryTimeout = 4 * quickRetryTimeout
 
-	// maxWatchStreams is how many streams may be open at once.
+	// maxWatchStreams is the maximum number of streams open at once.
 	maxWatchStreams = 4
-	// maxReceivingStreams is how many streams may be in the middle of a line at once. Each such stream slows down
-	// an already slow coordinator.
+	// maxReceivingStreams is the maximum number of streams in the middle of a line at once. Each such stream slows
+	// down an already slow coordinator.
 	maxReceivingStreams = 2
 
-	// minReconnectBackoff is the longest pause before the first reconnect of an outage. It doubles with each
+	// minReconnectBackoff is the longest pause before the first reconnect of an outage. The pause doubles with each
 	// further reconnect.
 	minReconnectBackoff = 100 * time.Millisecond
 	// maxReconnectBackoff bounds the pause. It is short because the coordinator may report drains as soon as it is
@@ -70,12 +73,12 @@
 	return min(max(next, minStreamCheckInterval), streamCheckInterval)
 }
 
-// hasHealthyStream reports whether an open stream is not stalled.
+// hasHealthyStream reports whether at least one open stream is not stalled.
 func (w *coordinatorWatch) hasHealthyStream() bool {
 	return slices.ContainsFunc(w.streams, func(s *watchStream) bool { return !s.isStalled() })
 }
 
-// retryTimeout returns how long a new stream may take for its first line after all others have stalled.
+// retryTimeout returns the longest time that a new stream may take for its first line after all others have stalled.
 func (w *coordinatorWatch) retryTimeout() time.Duration {
 	doublings := max(0, w.stalls-quickRetries)
 	return min(quickRetryTimeout<<min(doublings, quickRetries), maxRetryTimeout)
@@ -83,7 +86,7 @@
 
 // closeExcessStreams closes streams so that one more may be opened. If maxReceivingStreams or more are in the
 // middle of a line, it closes them, and if maxWatchStreams are open, it closes the oldest. It never closes the
-// stream that has received most of a line.
+// stream that mostAdvancedStream returns.
 func (w *coordinatorWatch) closeExcessStreams() {
 	kept := w.mostAdvancedStream()
 	receiving := 0
@@ -100,8 +103,8 @@
 	}
 }
 
-// mostAdvancedStream returns the stream that has received most of a line, among those that have spent at most
-// maxLineTime on it; nil: there is none.
+// mostAdvancedStream returns the stream that has received the most bytes of an incomplete line, among those that have
+// spent at most maxLineTime on the line; nil: there is none.
 func (w *coordinatorWatch) mostAdvancedStream() *watchStream {
 	var most *watchStream
 	for _, s := range w.streams {
@@ -115,8 +118,8 @@
 	return most
 }
 
-// scheduleReconnect schedules a reconnect after the backoff, unless a healthy stream is open. err is the logged
-// reason.
+// scheduleReconnect schedules a reconnect after the backoff, unless one is scheduled already or a healthy stream is
+// open. err is the logged reason.
 func (w *coordinatorWatch) scheduleReconnect(err error) {
 	if w.reconnectTimer != nil || w.hasHealthyStream() {
 		return
--- a/internal/proxy/watchstream.go
+++ b/internal/proxy/watchstream.go
@@ -29,11 +29,11 @@
 	conn               *eventloop.Conn
 	lastReadableLineAt eventloop.Timestamp // when the last readable line arrived, or the stream was opened
 	lastHeartbeatAt    eventloop.Timestamp // when the last heartbeat arrived; 0: none has
-	connectTimeout     time.Duration       // how long connecting may take
-	lineTimeout        time.Duration       // how long it may go without a readable line
+	connectTimeout     time.Duration       // longest time that connecting may take
+	lineTimeout        time.Duration       // longest time that the stream may go without a readable line
 	discardingLine     bool                // the current line is too long; its rest is discarded
 	skippedLines       int64               // lines skipped since the last event; each may have been an event
-	recovering         bool                // requests missing events and has not reached lastIndex yet
+	recovering         bool                // the stream requests missing events and has not reached lastIndex yet
 }
 
 // newWatchStream returns a stream that is not connected yet. While others are stalled, the retry timeout limits its
@@ -143,7 +143,7 @@
 func (s *watchStream) handleEvent(ev watch.Event) error {
 	w := s.owner
 	if ev.Index <= w.lastIndex {
-		s.skippedLines = 0 // none of the lines was a newer event
+		s.skippedLines = 0 // none of the skipped lines was a newer event
 		w.deliverLate(ev)
 		return nil
 	}
@@ -163,9 +163,9 @@
 	return nil
 }
 
-// deliver passes a new event to the handler. The events between lastIndex and it are recorded as missing; requests
-// is how often they have been requested again already. A heartbeat with a new index shows that the event with that
-// index is missing too.
+// deliver passes a new event to the handler. The events between lastIndex and the new one are recorded as missing;
+// requests is the number of times that they have been requested again already. A heartbeat with a new index shows
+// that the event with that index is missing too.
 func (s *watchStream) deliver(ev watch.Event, requests int) {
 	w := s.owner
 	lastMissing := ev.Index - 1
@@ -181,8 +181,8 @@
 	w.handler.applyEvent(ev, w.upToDateAt)
 }
 
-// recordHeartbeat updates upToDateAt. A heartbeat that repeats lastIndex shows that no later event had been
-// published when it was written, which was after the stream was opened. A heartbeat that arrived on schedule was not
+// recordHeartbeat updates upToDateAt. A heartbeat that repeats lastIndex shows that no later event had been published
+// when the heartbeat was written, which was after the stream was opened. A heartbeat that arrived on schedule was not
 // delayed on its way, so it was written just before it arrived.
 func (s *watchStream) recordHeartbeat(index int64) {
 	w := s.owner
