--- a/internal/proxy/adminserver.go
+++ b/internal/proxy/adminserver.go
@@ -70,7 +70,7 @@
 	a.loop.At(a.loop.Now()+adminCheckInterval, a.closeOverdueConns)
 }
 
-// adminConn is one connection of an operator.
+// adminConn is one admin connection.
 type adminConn struct {
 	server     *AdminServer
 	conn       *eventloop.Conn
--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -73,7 +73,7 @@
 	denials    map[denial]int64
 	notServed  map[policy.Reason]int64 // number of answers that served nothing, by reason
 
-	configsAccepted, configsRejected int // by reloads
+	configsAccepted, configsRejected int // numbers of configurations that reloads accepted and rejected
 	unreadableParts                  int // the coordinator's unreadable lines and event parts, and gaps between its events
 }
 
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -147,7 +147,8 @@
 	return endpoint, addr, err
 }
 
-// startTime converts a start reported in Unix milliseconds to the loop's time; 0: the endpoint started long ago.
+// startTime converts a start reported in Unix milliseconds to the loop's time. 0 stays 0: the endpoint started long
+// ago.
 func (t *endpointTable) startTime(unixMillis int64) eventloop.Timestamp {
 	if unixMillis == 0 {
 		return 0
--- a/internal/proxy/fastcgiserver.go
+++ b/internal/proxy/fastcgiserver.go
@@ -64,7 +64,7 @@
 	conns         map[*clientConn]bool
 	blockedConns  map[*clientConn]bool // those with requests blocked by backpressure
 	maxConns      int
-	acceptedConns int64 // since the start; numbers the connections in the log
+	acceptedConns int64 // number of connections accepted so far; also the newest connection's number in the log
 }
 
 // start begins the periodic checks of the connections that ln accepts.
--- a/internal/proxy/invariants.go
+++ b/internal/proxy/invariants.go
@@ -77,7 +77,7 @@
 // requestRecord is what the checker knows of a request.
 type requestRecord struct {
 	finalAnswers     int
-	possiblyExecuted bool // a call was written completely, and it is not known that it was not executed
+	possiblyExecuted bool // a call was written completely, and no result has shown that it was not executed
 }
 
 // attemptRecord is what the checker knows of an attempt.
--- a/internal/proxy/lifecycle.go
+++ b/internal/proxy/lifecycle.go
@@ -21,7 +21,7 @@
 	// ExitMargin is the time before the kill by which all requests are answered. The rest of the exit must fit into
 	// it.
 	ExitMargin = 200 * time.Millisecond
-	// maxShutdownDeadline bounds the longest deadline that the platform waits for. It is also the default if the
+	// maxShutdownDeadline is the longest deadline that the platform waits for. It is also the default if the
 	// settings have no deadline.
 	maxShutdownDeadline = 3 * time.Second
 	// shutdownRejectTime is the time before lifecycle.answerBy at which the proxy starts to reject new requests.
--- a/internal/proxy/memory.go
+++ b/internal/proxy/memory.go
@@ -4,11 +4,11 @@
 
 import "cloverdoor/internal/eventloop"
 
-// The memory budget, as parts of the process's memory limit. The rest is for the runtime and the garbage
-// collector.
+// The thresholds of the memory budget, relative to the process's memory limit. The rest of the limit is for the
+// runtime and the garbage collector.
 const (
 	rejectDivisor    = 4 // at 1/4 of the limit new requests are rejected
-	criticalMultiple = 2 // at twice that, 1/2 of the limit, partial requests are rejected and stalled clients closed
+	criticalMultiple = 2 // at 2 * 1/4 = 1/2 of the limit partial requests are rejected and stalled clients closed
 )
 
 // memoryBudget counts the bytes that are buffered for clients and caches, and says when there are too many.
--- a/internal/proxy/missingevents.go
+++ b/internal/proxy/missingevents.go
@@ -23,8 +23,8 @@
 	newestFullList   int64            // index of the newest event with a full list; 0: none
 }
 
-// add records the events from index from to index to, inclusive, as missing. requests is the number of times that
-// they have been requested again already.
+// add records the events with the indices in [from, to] as missing. requests is the number of times that they have
+// been requested again already.
 func (m *missingEvents) add(from, to int64, requests int) {
 	if m.requests == nil {
 		m.requests = map[int64]int{}
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -46,7 +46,7 @@
 type configLoader struct {
 	results   chan loadResult     // result of the awaited read; nil: no read is awaited
 	startedAt eventloop.Timestamp // when the awaited read was started
-	requested bool                // a reload has been requested and its read not started
+	requested bool                // a reload has been requested and its read has not been started
 }
 
 // loadResult is the result of a read: a configuration or an error.
--- a/internal/proxy/result.go
+++ b/internal/proxy/result.go
@@ -132,7 +132,7 @@
 
 // requiresConnClose reports whether an attempt can be cancelled only by closing its connection. That is the
 // case if hedging is not allowed and a retry may follow: a server that hangs does not read the STOP command
-// and would execute both calls.
+// and would execute the call in addition to its retry.
 func (p *Proxy) requiresConnClose(a *attempt) bool {
 	return !p.config.Policy.Hedging && a.started && !a.req.finished
 }
--- a/internal/proxy/watchevents.go
+++ b/internal/proxy/watchevents.go
@@ -26,8 +26,8 @@
 // event indices of the previous one.
 func (p *Proxy) SwitchCoordinator(addr netip.AddrPort) { p.coordinator.switchTo(addr) }
 
-// applyInitialState applies the events of the configuration. They are not recent, so their times say little about
-// the clock. The time of the newest purge is recorded first, because it limits the age of each purge (see
+// applyInitialState applies the events of the configuration's initial state. They are not recent, so their times say
+// little about the clock. The time of the newest purge is recorded first, because it limits the age of each purge (see
 // coordinatorClock.age).
 func (p *Proxy) applyInitialState(events []watch.Event) {
 	for _, ev := range events {
--- a/internal/proxy/watchrecovery.go
+++ b/internal/proxy/watchrecovery.go
@@ -13,7 +13,7 @@
 // skipped shortly after one another share a request. The delay doubles with each further request.
 const firstRecoveryDelay = 500 * time.Millisecond
 
-// recordMissing records the events from index from to index to, inclusive, as missing and schedules their recovery.
+// recordMissing records the events with the indices in [from, to] as missing and schedules their recovery.
 // requests is the number of times that they have been requested again already.
 func (w *coordinatorWatch) recordMissing(from, to int64, requests int) {
 	if from > to {
