--- a/internal/proxy/memory.go
+++ b/internal/proxy/memory.go
@@ -4,26 +4,26 @@
 
 import "cloverdoor/internal/eventloop"
 
-// The memory budget, as parts of the process's memory limit. The rest is for the runtime and the garbage
-// collector.
+// The thresholds of the memory budget, relative to the process's memory limit. The rest of the limit is for the
+// runtime and the garbage collector.
 const (
 	rejectDivisor    = 4 // at 1/4 of the limit new requests are rejected
-	criticalMultiple = 2 // at twice that, 1/2 of the limit, partial requests are rejected and stalled clients closed
+	criticalMultiple = 2 // at 2 * 1/4 = 1/2 of the limit partial requests are rejected and stalled clients closed
 )
 
 // memoryBudget counts the bytes that are buffered for clients and caches, and says when there are too many.
 type memoryBudget struct {
 	loop          *eventloop.Loop // its buffers count too
-	rejectAt      int             // bytes
+	rejectAt      int             // number of buffered bytes at which new requests are rejected
 	requestBodies int             // bytes of the open requests' bodies
-	partial       int             // bytes of requests that are partial, or blocked by backpressure
+	partial       int             // bytes of partial requests, and of requests blocked by backpressure
 }
 
 func newMemoryBudget(loop *eventloop.Loop, limitBytes int) *memoryBudget {
 	return &memoryBudget{loop: loop, rejectAt: limitBytes / rejectDivisor}
 }
 
-// buffered returns how many bytes are buffered in total.
+// buffered returns the total number of buffered bytes.
 func (m *memoryBudget) buffered() int { return m.loop.BufferedBytes() + m.requestBodies + m.partial }
 
 // full reports whether new requests are to be rejected.
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -12,7 +12,7 @@
 	"cloverdoor/internal/settings"
 )
 
-// loadTimeout is how long reading the configuration may take before the reload counts as failed.
+// loadTimeout is the time after which a reload whose configuration is still being read counts as failed.
 const loadTimeout = 5 * time.Second
 
 var errLoadTimeout = errors.New("reading the configuration timed out")
@@ -32,7 +32,7 @@
 // configuration.
 type PrepareUpdateFunc func() (ConfigUpdate, error)
 
-// ConfigUpdate is what a reload replaces while the proxy serves.
+// ConfigUpdate holds the values that a reload replaces while the proxy serves.
 type ConfigUpdate struct {
 	Coordinator            netip.AddrPort
 	Settings               settings.Settings // already validated
@@ -46,7 +46,7 @@
 type configLoader struct {
 	results   chan loadResult     // result of the awaited read; nil: no read is awaited
 	startedAt eventloop.Timestamp // when the awaited read was started
-	requested bool                // a reload has been requested and its read not started
+	requested bool                // a reload has been requested and its read has not been started
 }
 
 // loadResult is the result of a read: a configuration or an error.
