--- a/internal/proxy/coordinatorclock_test.go
+++ b/internal/proxy/coordinatorclock_test.go
@@ -45,7 +45,7 @@
 	return c.p.pendingEvents[len(c.p.pendingEvents)-1].(policy.Purge).Age
 }
 
-// advance advances the clock.
+// advance advances the clock and runs one turn of the loop.
 func (c *clockTest) advance(t *testing.T, by time.Duration) {
 	t.Helper()
 	c.clock.now += by
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestPurgeAgeWithWrongClock checks that, however wrong the clock is, a purge never counts as older than it is, and
-// counts as at most maxReportDelay newer than it is once a purge has been reported without delay.
+// TestPurgeAgeWithWrongClock checks that, however wrong the clock is, a purge never counts as older than it is. Once a
+// purge has been reported without delay, the purges after it count as newer than they are by at most maxReportDelay.
 func TestPurgeAgeWithWrongClock(t *testing.T) {
 	for _, clockError := range []time.Duration{0, time.Hour, -time.Hour, 3 * time.Second, -3 * time.Second} {
 		c := newClockTest(t, clockError)
@@ -72,7 +72,7 @@
 	}
 }
 
-// TestWrongReportedTimeExpires checks that one wrong time from the coordinator has no effect after maxBoundAge.
+// TestWrongReportedTimeExpires checks that a wrong time from the coordinator no longer has an effect after maxBoundAge.
 func TestWrongReportedTimeExpires(t *testing.T) {
 	c := newClockTest(t, 0)
 	c.report(-time.Hour)
@@ -80,14 +80,14 @@
 		t.Error("the wrong time had no effect")
 	}
 	c.advance(t, maxBoundAge+time.Second)
-	c.report(-maxBoundAge - time.Second) // the correct time by now
+	c.report(-maxBoundAge - time.Second) // the reported time is the present one
 	if c.p.clock.offset != 0 {
 		t.Errorf("offset %v, want 0", c.p.clock.offset)
 	}
 }
 
-// TestInitialPurgeAgesWithWrongClock checks that the ages of the initial state's purges are counted up to the newest
-// of them, as no other time is certain before the first event of the watch.
+// TestInitialPurgeAgesWithWrongClock checks that the age of a purge in the initial state is the time from that
+// purge to the newest purge of the initial state, as no later time is certain before the first event of the watch.
 func TestInitialPurgeAgesWithWrongClock(t *testing.T) {
 	c := newClockTest(t, time.Hour)
 	purge := func(ago time.Duration) watch.Event {
@@ -129,7 +129,7 @@
 	}
 	for _, a := range router.Handle(loop.Now(), policy.Request{ID: 1, Object: "x", Remaining: time.Second}) {
 		if f, ok := a.(policy.Fetch); ok && (f.MaxAge <= 0 || f.MaxAge > purgedAgo) {
-			t.Errorf("a fetch allows copies of age %v, the purge was %v ago", f.MaxAge, purgedAgo)
+			t.Errorf("a fetch allows copies up to %v old, but the purge was %v ago", f.MaxAge, purgedAgo)
 		}
 	}
 }
--- a/internal/proxy/watch_test.go
+++ b/internal/proxy/watch_test.go
@@ -12,7 +12,7 @@
 
 // TestFleetReconnectsEvenly guards against bursts of reconnects: 300 proxies call a coordinator that is down for 8 s.
 // After the first 2 s, no interval of 20 ms has more than twice the mean number of calls. All pauses are at most
-// maxReconnectBackoff, so all proxies are connected again that soon after the outage.
+// maxReconnectBackoff, so all proxies are connected again within that time after the outage.
 func TestFleetReconnectsEvenly(t *testing.T) {
 	const processes, outage, bin = 300, 8 * time.Second, 20 * time.Millisecond
 	calls := make([]int, outage/bin)
@@ -58,8 +58,8 @@
 	return now
 }
 
-// TestPurgeAgeInSuspendedTurn reports a purge in a turn during which the process was suspended. Its age must be
-// counted at the start of the turn.
+// TestPurgeAgeInSuspendedTurn reports a purge in a turn during which the process was suspended. The purge's
+// age must be its age at the start of the turn.
 func TestPurgeAgeInSuspendedTurn(t *testing.T) {
 	const suspended, ago = 10 * time.Second, 12 * time.Second
 	loop, err := eventloop.NewLoop(&suspendedClock{TimeSource: eventloop.SystemClock(), suspended: suspended})
@@ -67,7 +67,8 @@
 		t.Fatal(err)
 	}
 	p := newEventProxy(loop)
-	p.applyEvent(watch.Event{Purge: &watch.Purge{Object: "w", AtMillis: loop.Now().Milliseconds()}}, loop.Now()) // shows that the clock is right
+	// The first purge is reported without delay, which shows that the clock is right.
+	p.applyEvent(watch.Event{Purge: &watch.Purge{Object: "w", AtMillis: loop.Now().Milliseconds()}}, loop.Now())
 	p.applyEvent(watch.Event{Purge: &watch.Purge{Object: "x", AtMillis: time.Now().Add(-ago).UnixMilli()}}, loop.Now())
 	if age := p.pendingEvents[1].(policy.Purge).Age; age < ago-suspended-time.Second || age > ago-suspended+time.Second {
 		t.Errorf("the purge counts as %v old, want about %v, its age when the turn began", age, ago-suspended)
--- a/internal/proxy/watchclock_test.go
+++ b/internal/proxy/watchclock_test.go
@@ -10,7 +10,7 @@
 	"cloverdoor/policy"
 )
 
-// clockHarness is a watch harness whose events a proxy handles.
+// clockHarness is a watch harness whose events are handled by a proxy.
 type clockHarness struct {
 	*watchHarness
 	proxy      *Proxy
@@ -89,8 +89,8 @@
 func (c *clockHarness) setDown(down bool) { c.down = down }
 
 // TestEventsAfterOutageDoNotMoveClock guards against a clock that is moved by events published before the stream was
-// opened. A purge that arrived 9.85 s late counted as new, and the starts and purges after it counted as 9 s newer
-// than they were.
+// opened. With this fault, a purge that arrived 9.85 s late counted as new, and the starts and purges after it counted
+// as 9 s newer than they were.
 func TestEventsAfterOutageDoNotMoveClock(t *testing.T) {
 	const outage = 9 * time.Second
 	checkAge := func(t *testing.T, what string, got, want time.Duration) {
@@ -110,7 +110,7 @@
 				c.run(2500 * time.Millisecond)
 				publish(c)
 				checkAge(t, name+" before the outage", awaitAge(c), 2*harnessStep)
-				c.run(10 * time.Second) // the bounds from its time expire
+				c.run(10 * time.Second) // the event's bounds on the clock offset expire
 				c.setDown(true)
 			}
 			publish(c)
@@ -136,8 +136,8 @@
 }
 
 // TestWrongClockIsCorrectedAfterOutage guards against a wrong clock that is never corrected because events may have
-// been delayed. An error larger than the outage must be corrected by the first purge after it, and any error by the
-// first purge after heartbeats have arrived on schedule.
+// been delayed. An error larger than the outage must be corrected by the first purge delivered after the outage, and
+// any error by the first purge after heartbeats have arrived on schedule.
 func TestWrongClockIsCorrectedAfterOutage(t *testing.T) {
 	const outage = 9 * time.Second
 	for _, clockError := range []time.Duration{time.Hour, -time.Hour, 4 * time.Second, -4 * time.Second} {
