--- a/internal/proxy/watchharness_test.go
+++ b/internal/proxy/watchharness_test.go
@@ -17,12 +17,12 @@
 )
 
 const (
-	// harnessStep is how far one step advances the clock.
+	// harnessStep is the time by which one step advances the clock.
 	harnessStep = 50 * time.Millisecond
 	// heartbeatInterval is the time between the heartbeats of a healthy stream.
 	heartbeatInterval = time.Second
-	// maxEventDelay is the time after its publication from which an event must be obeyed, even by a proxy that
-	// has not received it. Its delivery must take less.
+	// maxEventDelay is the time after the publication of an event from which every proxy must obey the event, even
+	// a proxy that has not received it. The delivery of an event must take less.
 	maxEventDelay = 7 * time.Second
 )
 
@@ -36,10 +36,10 @@
 	delivered *recordedEvents // what the watch has delivered; nil if the test provides its own handler
 
 	holdWrites bool     // the network delays what the coordinator writes
-	listener   int      // descriptor
-	lines      []string // of all events, from index 1 on
+	listener   int      // descriptor of the coordinator's listening socket
+	lines      []string // lines of all published events; the first has index 1
 	streams    []*fakeStream
-	script     func(number int) streamScript // returns the script of each stream, numbered from 0
+	script     func(number int) streamScript // returns the script of a stream; streams are numbered from 0
 }
 
 // streamScript writes the output of one step to a stream. It is called in every step after the stream's follow line
@@ -201,7 +201,7 @@
 	s.flush()
 }
 
-// write adds text to the output of the step, which is written in one piece at its end.
+// write adds text to the stream's output, which is written in one piece at the end of the step.
 func (s *fakeStream) write(text string) {
 	s.bytesWritten += len(text)
 	s.unsent += text
@@ -232,7 +232,7 @@
 	unix.Close(s.fd) //nolint:errcheck // the output has been flushed
 }
 
-// nextLine returns the line of the next event to send on the stream; empty: there is none.
+// nextLine returns the line of the next event to send on the stream, or "" if there is none.
 func (s *fakeStream) nextLine() string {
 	if s.sent >= len(s.harness.lines) {
 		return ""
@@ -252,7 +252,7 @@
 	}
 }
 
-// sendEvenly returns a script that spreads each event evenly over lineTime.
+// sendEvenly returns a script that spreads the line of each event evenly over lineTime.
 func sendEvenly(lineTime time.Duration) streamScript {
 	written := 0
 	return func(s *fakeStream) {
@@ -299,7 +299,8 @@
 	}
 }
 
-// failureScripts returns, by name, the ways in which a stream fails to deliver an event.
+// failureScripts returns, by the name of the failure, functions that create the script of a stream that fails to
+// deliver an event in time.
 func failureScripts() map[string]func() streamScript {
 	halfLine := func(s *fakeStream) {
 		line := s.nextLine()
--- a/internal/proxy/watchrecovery_test.go
+++ b/internal/proxy/watchrecovery_test.go
@@ -21,9 +21,9 @@
 	return from
 }
 
-// TestCorruptEventIsRecovered guards against a drain that is lost for good because its line was corrupt once in the
-// middle of the input. The events that follow must be delivered at once, and the corrupt one must be requested again,
-// often enough to recover from three bad lines in a row.
+// TestCorruptEventIsRecovered guards against a drain that is lost for good because its line, in the middle of the
+// input, was corrupt once. The events that follow must be delivered at once, and the corrupt one must be requested
+// again, often enough to recover from three bad lines in a row.
 func TestCorruptEventIsRecovered(t *testing.T) {
 	corrupt := func(line string) string { return line[:len(line)/2] + line + "\n" }
 	for _, c := range []struct {
@@ -70,7 +70,7 @@
 		h.publish(drainEvent)
 		h.runUntil(4, maxEventDelay)
 		if h.delivered.has(2) || !h.delivered.has(4) {
-			t.Errorf("%s: delivered at first: %v", c.name, h.delivered.indices)
+			t.Errorf("%s: delivered up to event 4: %v, want event 4 without event 2", c.name, h.delivered.indices)
 		}
 		h.runUntil(2, time.Minute)
 		if took := h.clock.now - published; took > c.late {
@@ -161,7 +161,7 @@
 }
 
 // TestLateEventKeepsNewerState guards against a late event that undoes a newer one. Whichever event of a series is
-// late, the endpoints must end in the states to which the series leads in order.
+// late, the endpoints must end in the states that they have when the events arrive in order.
 func TestLateEventKeepsNewerState(t *testing.T) {
 	entries := func(states ...string) []watch.Endpoint {
 		var list []watch.Endpoint
--- a/internal/proxy/watchstalls_test.go
+++ b/internal/proxy/watchstalls_test.go
@@ -11,8 +11,8 @@
 const drainEvent = `{"index":%d,"endpoints":{"version":2,"full":false,"servers":[{"id":"c1","state":"DRAINING"}]}}`
 
 // TestEventDeliveredAfterThreeFailedStreams guards against timeouts that double with each failed stream: one proxy
-// did not receive a drain for 13 s. An event must be delivered within maxEventDelay however three streams in a row
-// fail.
+// did not receive a drain for 13 s. An event must be delivered within maxEventDelay, in whatever ways three streams
+// in a row fail.
 func TestEventDeliveredAfterThreeFailedStreams(t *testing.T) {
 	for first, firstScript := range failureScripts() {
 		for second, secondScript := range failureScripts() {
@@ -24,7 +24,7 @@
 					}
 					return sendAll
 				})
-				h.run(2 * time.Second) // a healthy stream so far
+				h.run(2 * time.Second) // the first stream is healthy until the event
 				h.publish(drainEvent)
 				took := h.runUntil(2, 60*time.Second)
 				if took >= maxEventDelay {
@@ -36,8 +36,8 @@
 	}
 }
 
-// checkSlowList has each stream spread a long list evenly over lineTime. It checks that the list arrives on the stream
-// that began it, while the other streams send at most one more list in total.
+// checkSlowList has each stream spread a long list evenly over lineTime. It checks that the list arrives on the first
+// stream that sends it, and that all the other streams together send at most the length of one more list.
 func checkSlowList(t *testing.T, lineTime time.Duration) {
 	t.Helper()
 	h := newWatchHarness(t, func(int) streamScript { return sendEvenly(lineTime) })
@@ -54,7 +54,7 @@
 }
 
 // TestSlowListArrivesOnFirstStream guards against a list that never arrives because its streams are closed too early,
-// although it takes less than maxEventDelay.
+// although sending it takes less than maxEventDelay.
 func TestSlowListArrivesOnFirstStream(t *testing.T) { checkSlowList(t, 6*time.Second) }
 
 // TestSlowCoordinatorIsNotFlooded guards against a slow coordinator that gets slower because it serves too many
@@ -62,8 +62,8 @@
 func TestSlowCoordinatorIsNotFlooded(t *testing.T) { checkSlowList(t, 20*time.Second) }
 
 // TestSilentCoordinatorGetsFewStreams guards against a hanging coordinator that is called more and more often. In a
-// minute in which it sends nothing, at most one stream a second is opened, and an event published once it is back is
-// delivered within maxEventDelay.
+// minute in which it sends nothing, at most one stream a second is opened, and an event published once it sends
+// again is delivered within maxEventDelay.
 func TestSilentCoordinatorGetsFewStreams(t *testing.T) {
 	const outage = time.Minute
 	hanging := true
@@ -99,8 +99,8 @@
 }
 
 // TestEmptyEventIsNotHeartbeat guards against events that are never delivered because the event before them is empty.
-// An event with nothing but an index must not be treated as a heartbeat: one with a new index shows that an event is
-// missing.
+// An event with nothing but an index must not be treated as a heartbeat: a heartbeat with a new index shows that
+// an event is missing.
 func TestEmptyEventIsNotHeartbeat(t *testing.T) {
 	for _, empty := range []string{`{"index":%d}`, `{"index":%d,"endpoints":null}`} {
 		h := newWatchHarness(t, func(int) streamScript { return sendAll })
--- a/internal/proxy/watchstream_test.go
+++ b/internal/proxy/watchstream_test.go
@@ -12,9 +12,9 @@
 
 // recordedEvents is a watch handler that records what is delivered.
 type recordedEvents struct {
-	indices    []int64 // of all events, in the order of delivery
-	late       []int64 // of those that were delivered late
-	unreadable int
+	indices    []int64 // indices of all events, in the order of delivery
+	late       []int64 // indices of the events that were delivered late
+	unreadable int     // sum of the parts passed to countUnreadable
 }
 
 func (r *recordedEvents) applyEvent(ev watch.Event, _ eventloop.Timestamp) {
@@ -31,8 +31,9 @@
 
 func (r *recordedEvents) countUnreadable(parts int) { r.unreadable += parts }
 
-// TestEventOrder checks that events are delivered once and in order. A gap closes the stream the first time, and is
-// skipped the second time when an event after it arrives. Skipped lines may have been the missing events.
+// TestEventOrder checks that events are delivered once and in order. A gap closes the stream the first time. The
+// second time, the gap is skipped when an event after it arrives. Each skipped line may have been an event, so only
+// more missing events than skipped lines make a gap.
 func TestEventOrder(t *testing.T) {
 	event := func(index int64) watch.Event { return watch.Event{Index: index, Purge: &watch.Purge{Object: "x"}} }
 	heartbeat := func(index int64) watch.Event { return watch.Event{Index: index} }
