--- a/internal/proxy/abandon_test.go
+++ b/internal/proxy/abandon_test.go
@@ -9,12 +9,12 @@
 	"cloverdoor/internal/eventloop"
 )
 
-// Guards against client connections that are closed without a log line: because their output exceeds its limit,
-// because it is not read in time, and because the memory budget is critical.
+// Guards against client connections that are closed without a log line. They are closed if their output exceeds its
+// limit, is not read in time, or is not read within the shorter time that applies while the memory budget is critical.
 func TestStalledClientCloseIsLogged(t *testing.T) {
 	for name, closeClient := range map[string]func(*proxyFixture, *clientConn){
 		"output beyond the limit": func(_ *proxyFixture, c *clientConn) {
-			c.conn.Write(make([]byte, 3*eventloop.MaxQueuedBytes)) // the socket buffers hold a part of it
+			c.conn.Write(make([]byte, 3*eventloop.MaxQueuedBytes)) // three times the limit, as the socket buffers take a part
 		},
 		"output not read in time": func(f *proxyFixture, c *clientConn) {
 			c.conn.Write(make([]byte, eventloop.MaxQueuedBytes))
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -25,7 +25,7 @@
 func (discardResponder) ClientDisconnected() DisconnectState { return DisconnectState{} }
 
 // Guards against a call that is executed twice because it was moved from an overdue connection to another one and
-// back: it is in the first connection's queue twice, and must be sent once.
+// back: the call is then in the first connection's queue twice, but must be sent only once.
 func TestReassignedCallIsSentOnce(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -89,6 +89,6 @@
 		loop.Flush()
 	}
 	if text := <-seen + <-seen; strings.Count(text, "REQ") != 1 {
-		t.Errorf("received %q, not one call", text)
+		t.Errorf("received %q, want exactly one call", text)
 	}
 }
--- a/internal/proxy/cachestatus_test.go
+++ b/internal/proxy/cachestatus_test.go
@@ -8,7 +8,8 @@
 	"cloverdoor/policy"
 )
 
-// Each cache status on the wire has its own status in the decision module; an unknown one is CacheStatusNone.
+// Each cache status on the wire is mapped to its own status in the decision module, and an unknown cache status to
+// CacheStatusNone.
 func TestCacheStatusOfAnswer(t *testing.T) {
 	statusOfNote := map[string]policy.CacheStatus{
 		"TCP_HIT":       policy.CacheStatusHit,
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -48,7 +48,7 @@
 	return append(out, record(5, "")...)
 }
 
-// Guards against calls that are started for a client that has disconnected, or aborted its request, since its
+// Guards against a call that is started although its client has disconnected, or aborted the request, after the
 // request was read in the same turn. A turn is long if the process loses its CPU between reading and writing.
 func TestNoCallStartsAfterDisconnectInLongTurn(t *testing.T) {
 	for name, disconnect := range map[string]func(*testing.T, *net.TCPConn){
@@ -75,7 +75,7 @@
 			f := newProxyFixture(t)
 			a := f.waitForAttempt(t)
 			disconnect(t, f.client)
-			time.Sleep(20 * time.Millisecond) // on loopback it arrives much sooner
+			time.Sleep(20 * time.Millisecond) // a close, reset or abort arrives much sooner on loopback
 			f.clock.now += 200 * time.Millisecond
 			f.p.runEventQueue()
 			if want := name == "nothing"; a.started != want {
@@ -156,7 +156,7 @@
 	return f.waitForAttemptOf(t, completeRequest())
 }
 
-// waitForAttemptOf does the same with the given records of a request.
+// waitForAttemptOf is waitForAttempt with the given records as the request.
 func (f *proxyFixture) waitForAttemptOf(t *testing.T, records []byte) *attempt {
 	t.Helper()
 	if _, err := f.client.Write(records); err != nil {
@@ -186,8 +186,9 @@
 	}
 }
 
-// Guards against a metric svc_denied that counts closes for which there was no reason: a client connection that is
-// silent while its request is open is not proposed for closing. It is closed once the request has been answered.
+// Guards against a metric svc_denied that also counts closes that there was no reason to propose: a client connection
+// that is silent while its request is open must not be proposed for closing. The connection is closed once the request
+// has been answered.
 func TestOpenRequestCausesNoCloseDenials(t *testing.T) {
 	f := newProxyFixture(t)
 	a := f.waitForAttemptOf(t, requestWithTimeout("60000"))
--- a/internal/proxy/endpoints_test.go
+++ b/internal/proxy/endpoints_test.go
@@ -21,8 +21,8 @@
 func (r *recordedPools) DiscardConns(id string)   { r.calls = append(r.calls, "discard "+id) }
 func (r *recordedPools) RemoveEndpoint(id string) { r.calls = append(r.calls, "remove "+id) }
 
-// TestEndpointUpdates checks what the pools and the decision module are told of new endpoints, restarts, entries that
-// can't be decoded, and endpoints that a full list leaves out.
+// TestEndpointUpdates checks the calls to the pools and the events for the decision module that result from new
+// endpoints, restarts, entries that can't be decoded, and endpoints that a full list leaves out.
 func TestEndpointUpdates(t *testing.T) {
 	pools := &recordedPools{}
 	var events []policy.Event
@@ -81,8 +81,8 @@
 }
 
 // TestStartTimesOfOneListUseOneOffset guards against an endpoint that counts as restarted because a later entry of
-// its list corrects the clock: all start times of a list must be converted with the offset that the whole list
-// leads to, whatever their order.
+// its list corrects the clock: all start times of a list, in whatever order, must be converted with the clock offset
+// that applies after the whole list.
 func TestStartTimesOfOneListUseOneOffset(t *testing.T) {
 	const behind = time.Hour
 	c := newClockTest(t, -behind)
--- a/internal/proxy/fields_test.go
+++ b/internal/proxy/fields_test.go
@@ -6,7 +6,7 @@
 	"cloverdoor/internal/fastcgi"
 )
 
-// The size that a client sends is decoded; anything but a size in range is rejected.
+// The object size that a client sends in HTTP_REQ_KB is decoded; anything but a number in range is rejected.
 func TestObjectSizes(t *testing.T) {
 	f := &FastCGIServer{handler: &Proxy{config: runtimeConfig{classIndexes: map[string]int{"artes": 0}}}}
 	for text, want := range map[string]float64{"": 0, "0": 0, "2666.007": 2666.007, "1e3": 1000} {
@@ -22,7 +22,7 @@
 	}
 }
 
-// requestWith returns a well-formed request with one more field.
+// requestWith returns a well-formed request with an additional field.
 func requestWith(field, value string) *fastcgi.Request {
 	return &fastcgi.Request{Script: "/ops/artes", Params: map[string]string{"HTTP_REQ_ID": "9b1f03aa5c7e2d41",
 		"HTTP_REQ_KEY": "7f3a9c21e0b4d655", "HTTP_REQ_WAIT_MS": "1500", "HTTP_X_PIECE": "0", "HTTP_X_LOT": "17", field: value}}
--- a/internal/proxy/invariants_test.go
+++ b/internal/proxy/invariants_test.go
@@ -12,8 +12,8 @@
 	"cloverdoor/policy"
 )
 
-// Guards against records of draining endpoints that grow for as long as a process runs, as endpoints are replaced
-// under new ids: old ones are forgotten. An endpoint that has just begun to drain is remembered.
+// Guards against a map of draining endpoints that grows for as long as a process runs, as endpoints are replaced under
+// new ids: old entries are removed. An endpoint that has just begun to drain stays in the map.
 func TestInvariantCheckerForgetsOldDrains(t *testing.T) {
 	clock := &manualClock{now: eventloop.Timestamp(time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC).UnixNano())}
 	loop, err := eventloop.NewLoop(clock)
@@ -32,7 +32,7 @@
 		checker.observeEvent(watch.Event{Endpoints: &watch.EndpointUpdate{Endpoints: []watch.Endpoint{removed}}})
 	}
 	if _, known := checker.drainingSince[fmt.Sprint(replaced-1)]; !known || len(checker.drainingSince) > replaced/2 {
-		t.Errorf("%d endpoints are remembered, the last one: %v", len(checker.drainingSince), known)
+		t.Errorf("%d endpoints are remembered; the last one is among them: %v", len(checker.drainingSince), known)
 	}
 }
 
--- a/internal/proxy/partialcall_test.go
+++ b/internal/proxy/partialcall_test.go
@@ -98,6 +98,6 @@
 	allowWrites()
 	turnUntil(func() bool { return other.attempts[len(other.attempts)-1].written })
 	if len(other.attempts) != 2 || other.attempts[0].started {
-		t.Errorf("%d attempts of the other request, not 2, or its first call was sent", len(other.attempts))
+		t.Errorf("the other request has %d attempts, want 2, or its first call was sent", len(other.attempts))
 	}
 }
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -20,7 +20,7 @@
 	return loadResult{}
 }
 
-// One read is under way at a time. Requests for a reload that come meanwhile lead to one more read.
+// At most one read is in progress at a time. Requests for a reload that arrive during a read lead to one more read.
 func TestConfigLoaderReadsOneAtATime(t *testing.T) {
 	errRead := errors.New("read")
 	goOn, begun := make(chan bool), make(chan bool, 10)
@@ -57,7 +57,7 @@
 	}
 }
 
-// A read that exceeds its time limit has failed. What it returns later is not taken for the result of the next one.
+// A read that exceeds its time limit fails. What it returns later is not taken for the result of the next read.
 func TestConfigLoaderTimeLimit(t *testing.T) {
 	slow := make(chan bool)
 	errLate, errNext := errors.New("late"), errors.New("next")
