--- a/internal/eventloop/conn_test.go
+++ b/internal/eventloop/conn_test.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// Encoding a message may close its connection, as when the message was the connection's last use. The rest of
-// the connection's queue is dropped.
+// Encoding a message may close the connection, as when the connection was open for this message only. The rest
+// of the connection's queue is dropped.
 func TestConnClosedWhileAMessageIsEncoded(t *testing.T) {
 	l, err := NewLoop(SystemClock())
 	if err != nil {
--- a/internal/eventloop/system_test.go
+++ b/internal/eventloop/system_test.go
@@ -23,7 +23,7 @@
 // echo is a handler that answers with what it receives.
 type echo struct {
 	conn     *Conn
-	ended    error
+	ended    error // passed to Closed; nil before
 	received []byte
 }
 
@@ -107,14 +107,14 @@
 type failingCall struct {
 	name     string
 	errnos   []unix.Errno
-	minCalls int // calls that must have been made when a client has its answer
+	minCalls int // minimum number of calls made by the time the client has its answer
 
-	// install replaces the call. nextError is asked before each call and returns the error to fail with, or
-	// nil.
+	// install replaces the call. nextError is called before each call and returns the error to fail with,
+	// or nil.
 	install func(s *SystemCalls, nextError func() error)
 }
 
-// failuresInARow is how many times in a row a failingCall fails at first.
+// failuresInARow is the number of calls, from the first on, for which a failingCall fails.
 const failuresInARow = 3
 
 var failingCalls = []failingCall{
@@ -326,14 +326,14 @@
 // halfEcho is an echo that implements HalfCloser.
 type halfEcho struct {
 	echo
-	closing bool
+	closing bool // PeerClosing was called
 }
 
 func (h *halfEcho) PeerClosing(Timestamp) { h.closing = true }
 func (h *halfEcho) PeerClosed() bool      { return false }
 
 // A connection that is evicted may have an event of its own in the same turn. The event is not delivered to
-// the new connection that gets its descriptor.
+// the new connection that gets the evicted connection's descriptor.
 func TestEventOfAClosedDescriptor(t *testing.T) {
 	var servers []*halfEcho
 	evictFirst := func() bool {
@@ -348,7 +348,7 @@
 	})
 	first := listener.dial(t)
 	runTurns(t, listener.loop, func() bool { return len(servers) == 1 })
-	listener.dial(t) // before the close, so that the listener is ready before the connection
+	listener.dial(t) // before the first connection is closed, so that the listener's event comes first
 	if err := first.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -385,7 +385,7 @@
 	return min(wanted, time.Millisecond)
 }
 
-// The process is stopped just after a poll has returned. Input that arrives until it continues counts as
+// The process is stopped just after a poll has returned. Input that arrives before it continues counts as
 // delayed, although only the poll of the next turn reports it.
 func TestSchedulingDelayWhenStoppedAfterAPoll(t *testing.T) {
 	const stopped = 2 * time.Second
