--- a/internal/eventloop/accept.go
+++ b/internal/eventloop/accept.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// acceptBackoff is how long a listener pauses when there is no capacity or accept fails. Without a pause,
-	// the connections in the accept queue would wake the loop continuously.
+	// acceptBackoff is the pause of a listener after it found no capacity or accept failed. Without a pause, the
+	// connections in the accept queue would wake the loop continuously.
 	acceptBackoff = 20 * time.Millisecond
 
 	// maxAbortedAccepts is the number of aborted connections in one turn at which a listener pauses.
@@ -67,7 +67,7 @@
 
 // pause stops accepting for acceptBackoff. Connections wait in the accept queue meanwhile.
 func (ln *Listener) pause() {
-	ln.loop.modify(ln.fd, 0) //nolint:errcheck // the loop is only woken more often if it fails
+	ln.loop.modify(ln.fd, 0) //nolint:errcheck // if this fails, the loop is only woken more often
 	if !ln.paused {
 		ln.paused = true
 		ln.loop.At(ln.loop.now+acceptBackoff, ln.resume)
--- a/internal/eventloop/closing.go
+++ b/internal/eventloop/closing.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// lingerInterval is how long a closing connection waits after the shutdown of its output before it checks
-	// whether the peer has acknowledged all of it, and the interval between further checks.
+	// lingerInterval is the interval at which a closing connection, from the shutdown of its output on, checks
+	// whether the peer has acknowledged all output. The first check comes one interval after the shutdown.
 	lingerInterval = 200 * time.Millisecond
 
 	// maxLinger is the time after the shutdown of the output from which a closing connection no longer waits
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -31,7 +31,7 @@
 
 	unparsed    []byte   // received input that the handler has not consumed
 	outputQueue []output // output that has not been written completely
-	queuedBytes int      // in outputQueue; a message counts from when a part of it has been written
+	queuedBytes int      // in outputQueue; a message counts only once a part of it has been written
 
 	connectTimer    *Timer // fires at the connect timeout; nil for an accepted connection
 	createdAt       Timestamp
--- a/internal/eventloop/delay.go
+++ b/internal/eventloop/delay.go
@@ -11,8 +11,8 @@
 	// in the accept queue.
 	acceptDelayThreshold = 20 * time.Millisecond
 
-	// largeInputBytes is the amount of a connection's input in one turn from which its next input is assumed
-	// to have arrived together with this input, and so to have waited since then.
+	// largeInputBytes is the minimum input of a connection in one turn after which the connection's next input
+	// is assumed to have arrived at the same time, and so to have waited since then.
 	largeInputBytes = 64 << 10
 )
 
@@ -26,9 +26,8 @@
 	queueingDelay     time.Duration // see QueueingDelay
 }
 
-// SchedulingDelay returns by how much the time since the previous poll exceeds expectedInterval, at least 0.
-// The process does not always have a CPU; input that is read in this turn may have waited for as long as
-// that.
+// SchedulingDelay returns the time since the previous poll minus expectedInterval, or 0 if that is negative.
+// Input that is read in this turn may have waited for that long, as the process does not always have a CPU.
 func (l *Loop) SchedulingDelay(expectedInterval time.Duration) time.Duration {
 	if l.previousPollEnd == 0 {
 		return 0
@@ -54,7 +53,7 @@
 }
 
 // timeSinceHandshake returns how long ago an accepted connection on which nothing has been written was
-// established; its first input may have waited for as long. If the system does not report this time, the
+// established; its first input may have waited for that long. If the system does not report this time, the
 // result is the scheduling delay of the turn that accepted the connection.
 func (c *Conn) timeSinceHandshake() time.Duration {
 	info, err := unix.GetsockoptTCPInfo(c.fd, unix.IPPROTO_TCP, unix.TCP_INFO)
--- a/internal/eventloop/handler.go
+++ b/internal/eventloop/handler.go
@@ -17,7 +17,7 @@
 type HalfCloser interface {
 	Handler
 	// PeerClosing is called once, when the loop notices that the peer has shut down its sending side. Input
-	// from before that may still be unread. The shutdown took place after the given time; 0: unknown.
+	// from before the shutdown may still be unread. The shutdown took place after the given time; 0: unknown.
 	PeerClosing(after Timestamp)
 	// PeerClosed is called once, when all input from before the shutdown has been passed to Receive. It
 	// reports whether output for the peer is pending: the connection then stays open until the handler closes
@@ -30,7 +30,7 @@
 // Encode may queue output on the connection or close it; Started and Written must do neither.
 type Message interface {
 	// Encode returns the bytes, or false when the message must not be sent any more. It is called again when
-	// the peer accepted no byte of it.
+	// the peer accepted no byte of the message.
 	Encode() ([]byte, bool)
 	// Started is called once, when the first byte has been written. complete reports whether the last one has
 	// been written too.
--- a/internal/eventloop/input.go
+++ b/internal/eventloop/input.go
@@ -8,7 +8,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxReadsPerTurn bounds the reads of one connection in one turn, so that it does not delay the others.
+// maxReadsPerTurn bounds the reads of one connection in one turn, so that they do not delay other connections.
 const maxReadsPerTurn = 16
 
 // PollNow polls this connection again and handles what has happened on it since the turn's poll.
@@ -29,8 +29,8 @@
 	c.loop.previousPollEnd = previousPollEnd
 }
 
-// receive reads the input that has arrived and passes it on. It reads up to maxReadsPerTurn times, since
-// requests at the start of the input may be aborted further on.
+// receive reads the input that has arrived and passes it to the handler. It reads up to maxReadsPerTurn times, since
+// requests at the start of the input may be aborted by later input.
 func (c *Conn) receive() {
 	c.measureQueueingDelay()
 	bytesRead := 0
@@ -44,7 +44,7 @@
 	c.recordInputWaiting(bytesRead)
 }
 
-// readOnce reads once and passes the input on. more reports whether there may be more input that is to be
+// readOnce reads once and passes the input to the handler. more reports whether there may be more input that is to be
 // read in this turn.
 func (c *Conn) readOnce() (n int, more bool) {
 	buffer := c.loop.readBuffer
@@ -68,7 +68,7 @@
 	return n, n == len(buffer)
 }
 
-// handleInputEnd handles the end of the peer's input, after the last of it has been passed on.
+// handleInputEnd handles the end of the peer's input, after all input has been passed to the handler.
 func (c *Conn) handleInputEnd() {
 	if c.closing && len(c.outputQueue) > 0 { // the peer still gets its output
 		c.markInputEnded()
@@ -130,9 +130,9 @@
 }
 
 // HasUnreadInput reports whether the peer has sent something that has not been read. Closing the connection
-// would lose it: a peer repeats a request only if the request crossed the close on the network, and this one
-// may have waited here for long, as the process does not always have a CPU. The result is true too if the
-// system cannot tell.
+// would lose that input: a peer repeats a request only if the request crossed the close on the network, but an
+// unread request may have arrived long ago, as the process does not always have a CPU. The result is also true
+// if the system cannot tell.
 func (c *Conn) HasUnreadInput() bool {
 	var first [1]byte
 	n, err := System.Peek(c.fd, first[:])
--- a/internal/eventloop/listen.go
+++ b/internal/eventloop/listen.go
@@ -19,7 +19,7 @@
 	accept         func(*Conn) Handler
 	closed         bool
 	paused         bool // until a timer resumes accepting
-	backlogRemains bool // connections were left in the accept queue, for an unknown time
+	backlogRemains bool // connections were left in the accept queue; how long they have waited is unknown
 }
 
 // Listen accepts connections on addr. ensureCapacity is called before each accept; while it returns false,
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	// readBufferBytes is the size of the read buffer, and so the most that one read returns.
+	// readBufferBytes is the size of the read buffer, and so the maximum that one read returns.
 	readBufferBytes = 128 << 10
 
 	// maxEventsPerPoll exceeds the number of descriptors that a process has under any usual limit, so that
-	// one poll reports all that are ready: the coordinator's watch event is then handled in the same turn as
-	// requests that arrived with it.
+	// one poll reports all descriptors that are ready. An event of the coordinator's watch is then handled in
+	// the same turn as requests that arrived at the same time.
 	maxEventsPerPoll = 4096
 
-	// maxPollOverrun is by how much a poll may exceed its timeout without counting as delayed.
+	// maxPollOverrun is the time by which a poll may exceed its timeout without counting as delayed.
 	maxPollOverrun = 10 * time.Millisecond
 
 	// maxPollFailures is the number of consecutive failed polls at which Wait returns an error.
@@ -38,7 +38,7 @@
 type Loop struct {
 	epollFD           int
 	registrations     map[int]registration // by descriptor
-	registrationCount int32                // registrations so far, for generations
+	registrationCount int32                // number of registrations so far; numbers the generations
 	timers            timerHeap
 	clock             TimeSource
 	now               Timestamp // see Now
@@ -73,7 +73,7 @@
 	return l, nil
 }
 
-// Now returns the time of this turn: the clock's time before its callbacks run.
+// Now returns the time of this turn: the clock's time just before the turn's callbacks run.
 func (l *Loop) Now() Timestamp { return l.now }
 
 // EarliestArrival returns a time before which none of the input that is read in this turn had arrived.
--- a/internal/eventloop/output.go
+++ b/internal/eventloop/output.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	// MaxQueuedBytes is how much queued output a connection may have. With more it fails with
+	// MaxQueuedBytes is the maximum queued output of a connection. A connection with more fails with
 	// ErrWriteStalled.
 	MaxQueuedBytes = 16 << 20
 
-	// maxJoinedBytes is the size up to which small outputs are joined in one buffer: on its own, each would
+	// maxJoinedBytes is the maximum size of a buffer in which small outputs are joined: on its own, each would
 	// need more memory for its bookkeeping than for its contents.
 	maxJoinedBytes = 16 << 10
 )
@@ -20,14 +20,14 @@
 type output struct {
 	data    []byte
 	message Message // nil once a part of it has been written; the rest is in data
-	written func()  // method Written of a message of which a part has been written
+	written func()  // method Written of a message of which a part has been written; otherwise nil
 }
 
 // isPlainBytes reports whether the output was queued by Write, not as a message.
 func (o *output) isPlainBytes() bool { return o.message == nil && o.written == nil }
 
 // QueuedOutput returns how many bytes wait to be written, and the time since which the peer has accepted
-// none. A message counts from when a part of it has been written.
+// none. A message counts only once a part of it has been written.
 func (c *Conn) QueuedOutput() (bytes int, since Timestamp) { return c.queuedBytes, c.lastWrittenAt }
 
 // Write queues data, which the caller must not modify any more. It does nothing on an ended connection.
@@ -147,7 +147,7 @@
 	data := first.data
 	if first.message != nil {
 		encoded, wanted := first.message.Encode()
-		if c.closed { // Encode may close the connection, as when this message was its last use
+		if c.closed { // Encode may close a connection that was open for this message only
 			return false, nil
 		}
 		if !wanted {
