--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// A message that repeats is logged a few times in each interval, and the first record of the next one says
-// how many were suppressed. Other messages are not affected.
+// A message that repeats is logged a few times in each interval, and the first record of the next interval
+// says how many were suppressed. Other messages are not affected.
 func TestRepeatedMessagesAreBounded(t *testing.T) {
 	now := time.Unix(1, 0)
 	q := newQuotas(func() time.Time { return now })
--- a/internal/logging/ratelimit.go
+++ b/internal/logging/ratelimit.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// maxRecordsPerInterval is how many records with the same message are logged in each interval: enough to
-	// see which servers or requests are concerned, and far fewer than Writer queues.
+	// maxRecordsPerInterval is the maximum number of records with the same message that are logged in an
+	// interval: enough to see which servers or requests are concerned, and far fewer than a Writer can queue.
 	maxRecordsPerInterval = 20
 
-	// quotaInterval is how long one quota lasts. An interval begins with the first record after the previous
-	// one has ended.
+	// quotaInterval is the length of an interval. An interval of a message begins with the message's first
+	// record after the previous interval has ended.
 	quotaInterval = 10 * time.Second
 )
 
 // New returns a structured logger for level Info and above. Each line has the attribute "instance". Records
-// whose message repeats too often are suppressed; the next one that is logged says in its attribute
-// "suppressed" how many.
+// whose message repeats too often are suppressed; the next record with that message that is logged
+// gives their number in its attribute "suppressed".
 func New(dst io.Writer, instance string) *slog.Logger {
 	text := slog.NewTextHandler(dst, &slog.HandlerOptions{Level: slog.LevelInfo})
 	limited := &rateLimiter{next: text, quotas: newQuotas(time.Now)}
@@ -72,7 +72,7 @@
 // quota is the count of records with one message.
 type quota struct {
 	intervalStart time.Time
-	logged        int // records in the interval
+	logged        int // records logged in the interval
 	suppressed    int // records since the last one that was logged
 }
 
@@ -81,7 +81,7 @@
 }
 
 // take reports whether a record with the message may be logged and, if so, how many have been suppressed
-// since the last one that was.
+// since the last record that was logged.
 func (q *quotas) take(message string) (allowed bool, suppressed int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/logging/writer.go
+++ b/internal/logging/writer.go
@@ -1,5 +1,5 @@
 // Package logging writes the program's structured log without blocking its callers. Lines are queued and
-// written by a goroutine; lines that find the queue full are dropped and counted. Messages that repeat often
+// written by a goroutine; while the queue is full, further lines are dropped and counted. Messages that repeat often
 // are suppressed and counted.
 package logging
 
