--- a/internal/fastcgi/decoder.go
+++ b/internal/fastcgi/decoder.go
@@ -43,8 +43,8 @@
 // Busy reports whether a request is being received or waits for its response.
 func (d *Decoder) Busy() bool { return len(d.receiving)+len(d.inProgress) > 0 }
 
-// Decode decodes one record from the start of data. It returns how many bytes the record has, 0 if data ends
-// before the record does, and the event that the record leads to, nil if none. After an error, which wraps
+// Decode decodes one record from the start of data. used is the length of the record, 0 if data ends before the
+// record does. ev is the event that results from the record, nil if there is none. After an error, which wraps
 // ErrVersion or ErrRecord, nothing more can be decoded from the connection.
 func (d *Decoder) Decode(data []byte) (used int, ev Event, err error) {
 	if len(data) < headerBytes {
@@ -65,7 +65,7 @@
 }
 
 // MissingBytes returns how many bytes are missing from the record at the start of data: 0 if the record is
-// complete, or if not even its header is.
+// complete or data ends within its header.
 func MissingBytes(data []byte) int {
 	if len(data) < headerBytes {
 		return 0
@@ -146,8 +146,8 @@
 	return nil
 }
 
-// reject drops a request that exceeds a limit or has parameters after their end. Its further records are
-// ignored.
+// reject drops a request that exceeds a limit or has parameters after the empty PARAMS record. Its further
+// records are ignored.
 func (d *Decoder) reject(p *partialRequest) Rejected {
 	d.drop(p)
 	return Rejected{ID: p.req.ID, KeepConn: p.req.KeepConn, Err: ErrTooLarge}
--- a/internal/fastcgi/event.go
+++ b/internal/fastcgi/event.go
@@ -2,7 +2,7 @@
 
 import "errors"
 
-// Event is what a record leads to: a *Request, Rejected, Abort or Reply.
+// Event is the result of decoding a record: a *Request, Rejected, Abort or Reply.
 type Event interface{ isEvent() }
 
 // Request is a complete request.
@@ -14,8 +14,8 @@
 	Body     []byte
 }
 
-// Rejected is a request that exceeds a limit on its parameters or body, or that has parameters after their
-// end. The rest of it is skipped; the connection continues.
+// Rejected is a request that exceeds a limit on its parameters or body, or that has parameters after the empty
+// PARAMS record. The rest of the request is skipped; the connection continues.
 type Rejected struct {
 	ID       uint16
 	KeepConn bool
@@ -25,7 +25,7 @@
 // Abort says that the client has aborted a request that it had sent completely.
 type Abort struct{ ID uint16 }
 
-// Reply is an answer that the protocol itself requires, without a request for the application.
+// Reply is an answer to a record that the codec itself handles, as the protocol requires.
 type Reply struct {
 	Data  []byte // to be sent to the client
 	Close bool   // the connection is to be closed afterwards, as the client did not set KEEP_CONN
--- a/internal/fastcgi/fastcgi.go
+++ b/internal/fastcgi/fastcgi.go
@@ -45,7 +45,7 @@
 // ProtocolStatus is the protocol's own result of a request, carried by END_REQUEST.
 type ProtocolStatus uint8
 
-// Protocol statuses in use. Status 1 is not: it is for a server that handles one request per connection.
+// Protocol statuses in use. Status 1 is not in use: it is for a server that handles one request per connection.
 const (
 	StatusComplete    ProtocolStatus = 0 // the request was processed
 	StatusOverloaded  ProtocolStatus = 2 // the server rejects the request for lack of capacity
--- a/internal/fastcgi/fastcgi_test.go
+++ b/internal/fastcgi/fastcgi_test.go
@@ -20,7 +20,7 @@
 
 func join(parts ...[]byte) []byte { return bytes.Join(parts, nil) }
 
-// encodeParams encodes parameters, given as names and values by turns.
+// encodeParams encodes parameters, given as alternating names and values.
 func encodeParams(pairs ...string) string {
 	var out []byte
 	for i := 0; i < len(pairs); i += 2 {
--- a/internal/fastcgi/management.go
+++ b/internal/fastcgi/management.go
@@ -3,8 +3,8 @@
 // knownVariables are the variables that FCGI_GET_VALUES may ask for, in the order of the answer. The first two
 // are only announced: nothing enforces their values.
 var knownVariables = []struct{ name, value string }{
-	{"FCGI_MAX_CONNS", "256"}, // most connections at once
-	{"FCGI_MAX_REQS", "2048"}, // most requests at once, on all connections
+	{"FCGI_MAX_CONNS", "256"}, // limit on connections at once
+	{"FCGI_MAX_REQS", "2048"}, // limit on requests in progress, on all connections together
 	{"FCGI_MPXS_CONNS", "1"},  // 1: requests may share a connection
 }
 
