--- a/internal/resp/answer.go
+++ b/internal/resp/answer.go
@@ -32,7 +32,7 @@
 	elementBody:   maxBodyBytes,
 }
 
-// Status is how a call ended.
+// Status says how a call ended.
 type Status int
 
 // Statuses of an answer; 0 is not a status.
@@ -69,7 +69,7 @@
 	CacheStatusSourceFailed                          // the source did not answer, or answered with an error
 	CacheStatusSourceMiss                            // the source does not have the object
 	CacheStatusNoFillCapacity                        // the server had no capacity for a fill
-	CacheStatusOriginFailed                          // the origin failed behind the source
+	CacheStatusOriginFailed                          // the source asked the origin, which failed
 )
 
 // cacheStatusByWireName maps the values of the field "note" to cache statuses.
--- a/internal/resp/call.go
+++ b/internal/resp/call.go
@@ -42,7 +42,7 @@
 	Timeout        time.Duration // how long the caller waits for the answer; sent in milliseconds, rounded down
 	Source         string        // ID of the server to fill from on a cache miss; empty: none
 	RetentionRank  int           // of the cached copy, 1 to 3: copies of rank 1 are evicted first; 0: not cached
-	MaxAge         time.Duration // age up to which a cached copy may be served; 0: the class's freshness
+	MaxAge         time.Duration // maximum age of a cached copy that may be served; 0: the class's freshness limit
 	KnownVersion   string        // tag of the copy that the client has; empty: none
 	IdempotencyKey string        // empty: none
 
--- a/internal/resp/framing.go
+++ b/internal/resp/framing.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	arrayPrefix = '*' // then the number of elements
-	bulkPrefix  = '$' // then the number of bytes
+	arrayPrefix = '*' // followed by the number of elements
+	bulkPrefix  = '$' // followed by the number of bytes
 	lineEnd     = "\r\n"
 
-	maxLengthDigits = 7 // of a number of elements or bytes
+	maxLengthDigits = 7 // maximum digits of the number after a prefix
 )
 
 // appendArray appends the header of an array.
@@ -52,7 +52,7 @@
 }
 
 // decodeLineFeed checks that data[at] is a line feed and returns how many bytes data has up to and
-// including it, 0 if data ends before it.
+// including the line feed, 0 if data ends before it.
 func decodeLineFeed(data []byte, at int) (used int, err error) {
 	if at >= len(data) {
 		return 0, nil
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -2,7 +2,7 @@
 // their answers. It does no I/O.
 //
 // Both directions carry RESP arrays of bulk strings. A call is "REQ", the request's ID, fields and the body;
-// "STOP" and an ID cancels a call. An answer is the ID, its status, fields and the body. Fields are name=value
+// "STOP" and the ID cancel a call. An answer is the ID, a status, fields and the body. Fields are name=value
 // pairs joined by commas, "-" if there are none. The names and values on the wire are those of the upstream
 // protocol; this package alone maps them to the terms that the rest of the program uses.
 package resp
