--- a/internal/watch/framing.go
+++ b/internal/watch/framing.go
@@ -6,7 +6,8 @@
 	"fmt"
 )
 
-// MaxLineBytes is the longest that a line may be. The complete endpoint list of a large fleet is far shorter.
+// MaxLineBytes is the maximum number of bytes without a line feed. The complete endpoint list of a large fleet is far
+// shorter.
 const MaxLineBytes = 1 << 20
 
 // ErrMalformed says that a line is neither an event nor a heartbeat.
@@ -28,5 +29,5 @@
 	return 0, nil, nil
 }
 
-// EncodeFollow returns the line that asks the coordinator for all events after the one with the index last.
+// EncodeFollow returns the line that asks the coordinator for all events with an index above last.
 func EncodeFollow(last int64) []byte { return fmt.Appendf(nil, "follow %d\n", last) }
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -33,7 +33,7 @@
 }
 
 // Purge is the removal of cached copies: of an object, of a group of objects if Object is empty, or of
-// everything if Group is nil too. A purge that is malformed or has no target is decoded as one of everything.
+// everything if Group is nil too. A purge that is malformed or has no target is decoded as a purge of everything.
 type Purge struct {
 	Object   string `json:"ref"`
 	Group    *int   `json:"shard"`
@@ -42,7 +42,7 @@
 
 // Event is an event of the stream, or a heartbeat.
 type Event struct {
-	Index     int64           // of the event, or of the last one for a heartbeat
+	Index     int64           // index of the event; in a heartbeat, the index of the last event
 	Endpoints *EndpointUpdate // nil: none
 	Purge     *Purge          // nil: none
 
