--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,6 +1,6 @@
 // Package http1 is the codec of the admin interface: HTTP/1.1 with one request per connection. It decodes the
-// head of a request and encodes the response. It does no I/O. A request's body has no meaning here and is not
-// decoded.
+// head of a request and encodes the response. It does no I/O. The admin interface uses no request bodies,
+// so they are not decoded.
 package http1
 
 import (
@@ -98,7 +98,7 @@
 
 func malformedLine(line string) error { return fmt.Errorf("%w: line %.40q", ErrMalformed, line) }
 
-// checkHeaders checks that each header has a valid name. Nothing else of the headers is used.
+// checkHeaders checks that each header has a valid name. The values of the headers are not used.
 func checkHeaders(headers string) error {
 	if headers == "" {
 		return nil
