--- a/internal/logging/writer.go
+++ b/internal/logging/writer.go
@@ -31,12 +31,12 @@
 }
 
 // run writes the queued lines until Close. If lines have been dropped since the last warning, it writes a
-// warning with their number after the current line. The warning may precede the gap, as up to maxQueuedLines
-// lines that were queued before the gap still follow. Unlike the lines of New's logger, it has neither a time
-// nor the instance.
+// warning with their number after the current line. The warning may precede the place of the dropped lines,
+// as up to maxQueuedLines lines that were queued before them still follow. Unlike the lines of New's logger,
+// the warning has neither a time nor the instance.
 func (w *Writer) run(dst io.Writer) {
 	defer close(w.done)
-	reported := int64(0) // dropped lines that warnings have counted
+	reported := int64(0) // number of dropped lines that the warnings so far include
 	for line := range w.lines {
 		dst.Write(line) //nolint:errcheck // there is nowhere to log it
 		dropped := w.Dropped()
