--- a/internal/eventloop/closing.go
+++ b/internal/eventloop/closing.go
@@ -13,8 +13,8 @@
 	// whether the peer has acknowledged all output. The first check comes one interval after the shutdown.
 	lingerInterval = 200 * time.Millisecond
 
-	// maxLinger is the time after the shutdown of the output from which a closing connection no longer waits
-	// for the peer's acknowledgements.
+	// maxLinger is the time after the shutdown of its output at which a closing connection gives up waiting for
+	// the peer's acknowledgements; the next check then closes it.
 	maxLinger = 10 * time.Second
 )
 
--- a/internal/eventloop/system.go
+++ b/internal/eventloop/system.go
@@ -14,7 +14,7 @@
 	Shutdown  func(fd, how int) error
 	SetOption func(fd, level, option, value int) error
 	GetOption func(fd, level, option int) (int, error)
-	PeerName  func(fd int) error // nil if the socket is connected
+	PeerName  func(fd int) error // returns nil if the socket is connected
 	Control   func(epoll, operation, fd int, event *unix.EpollEvent) error
 	Wait      func(epoll int, events []unix.EpollEvent, millis int) (int, error)
 }
