--- a/internal/fastcgi/fastcgi.go
+++ b/internal/fastcgi/fastcgi.go
@@ -37,7 +37,7 @@
 
 // Limits of a connection and of a request.
 const (
-	maxRequests   = 40       // requests of a connection being received or answered at once; clients use at most 32
+	maxRequests   = 40       // a connection's requests that are being received or answered; clients use at most 32
 	maxParamBytes = 16 << 10 // a request's encoded parameters
 	maxBodyBytes  = 64 << 10 // a request's body; a write has at most 48,000 bytes
 )
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -26,7 +26,7 @@
 	ErrTooLarge  = errors.New("http: head of a request exceeds its limit")
 )
 
-// Request is what the request line says. The headers are not used.
+// Request holds the method and the path from the request line. The headers are not used.
 type Request struct {
 	Method string
 	Path   string // without the query
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -46,8 +46,8 @@
 	Endpoints *EndpointUpdate // nil: none
 	Purge     *Purge          // nil: none
 
-	// Unreadable counts the parts that could not be decoded. Requesting the event again would not help, as it
-	// would bring the same text.
+	// Unreadable counts the parts that could not be decoded. Requesting the event again would not help, as
+	// the coordinator would send the same text.
 	Unreadable int
 }
 
