--- a/internal/proxy/invariants_test.go
+++ b/internal/proxy/invariants_test.go
@@ -47,7 +47,7 @@
 type checkerFixture struct {
 	*invariantChecker
 	attempt *attempt
-	wait    func(time.Duration) // lets time pass
+	wait    func(time.Duration) // advances the clock by a duration
 }
 
 // Each violation is counted once, under its own name, and none is counted if the proxy keeps its guarantees.
--- a/internal/proxy/watchrecovery_test.go
+++ b/internal/proxy/watchrecovery_test.go
@@ -99,7 +99,7 @@
 		t.Errorf("the streams followed from %v", h.followedIndices())
 	}
 	if !h.watch.missing.isEmpty() || len(h.watch.streams) != 1 {
-		t.Errorf("missing: %v, %d streams", h.watch.missing.requests, len(h.watch.streams))
+		t.Errorf("missing: %v, want none; %d streams, want 1", h.watch.missing.requests, len(h.watch.streams))
 	}
 	h.publish(drainEvent)
 	if took := h.runUntil(4, time.Minute); took > 2*harnessStep {
