--- a/internal/fastcgi/fastcgi.go
+++ b/internal/fastcgi/fastcgi.go
@@ -37,7 +37,7 @@
 
 // Limits of a connection and of a request.
 const (
-	maxRequests   = 40       // requests of a connection being received or answered at once; clients use at most 32
+	maxRequests   = 40       // a connection's requests that are being received or answered; clients use at most 32
 	maxParamBytes = 16 << 10 // a request's encoded parameters
 	maxBodyBytes  = 64 << 10 // a request's body; a write has at most 48,000 bytes
 )
@@ -45,7 +45,7 @@
 // ProtocolStatus is the protocol's own result of a request, carried by END_REQUEST.
 type ProtocolStatus uint8
 
-// Protocol statuses in use. Status 1 is not: it is for a server that handles one request per connection.
+// Protocol statuses in use. Status 1 is not in use: it is for a server that handles one request per connection.
 const (
 	StatusComplete    ProtocolStatus = 0 // the request was processed
 	StatusOverloaded  ProtocolStatus = 2 // the server rejects the request for lack of capacity
