--- a/internal/fault/conflict.go
+++ b/internal/fault/conflict.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// conflictGroup is what a kind of fault acts on. Two rules whose kinds are in the same group can't both take
+// conflictGroup identifies what a kind of fault acts on. Two rules whose kinds are in the same group can't both take
 // effect at the same point.
 type conflictGroup int
 
@@ -70,8 +70,8 @@
 	return isMultiple(r.ConnNumber, other.EveryNth) && isMultiple(other.ConnNumber, r.EveryNth)
 }
 
-// isMultiple reports whether a connection's number is a multiple of n. If either is 0, it does not restrict
-// its rule, and the result is true.
+// isMultiple reports whether a connection's number is a multiple of n. It returns true if either is 0, because a
+// 0 stands for no restriction.
 func isMultiple(connNumber, n int) bool {
 	return connNumber == 0 || n == 0 || connNumber%n == 0
 }
--- a/internal/fault/edit.go
+++ b/internal/fault/edit.go
@@ -1,7 +1,7 @@
 package fault
 
-// edit appends the output for one input byte to out. While no rule that changes bytes is active, that is the byte
-// itself. A Drop rule appends nothing.
+// edit appends the output for one input byte to out. While no rule that changes bytes is active, the output is the
+// byte itself. While a Drop rule is active, there is none.
 func (s *StreamPlan) edit(out []byte, b byte) []byte {
 	editing := s.editing
 	if editing == nil {
@@ -23,9 +23,9 @@
 	return out
 }
 
-// garbleMask returns what to XOR the byte at the current offset with. It is never 0, so that the byte always
-// changes.
+// garbleMask returns the mask that a Garble rule XORs with the byte at the current offset. It is never 0, so that the
+// byte always changes.
 func (s *StreamPlan) garbleMask(r *Rule) byte {
-	const masks = 255 // number of masks: 1 to 255
+	const masks = 255 // number of possible masks, which are 1 to 255
 	return byte(1 + s.conn.draw(r.ScriptLine, s.offset)%masks)
 }
--- a/internal/fault/fault_test.go
+++ b/internal/fault/fault_test.go
@@ -21,7 +21,7 @@
 }
 
 // TestBadScripts checks that Parse rejects scripts that can't be carried out, with an error of one line that names
-// the script's line and the field. It also checks that a valid script is accepted whose rules are similar but don't
+// the script's line and the field. It also checks that Parse accepts a valid script with similar rules that don't
 // contradict each other.
 func TestBadScripts(t *testing.T) {
 	for text, want := range map[string]string{
@@ -102,7 +102,7 @@
 		var want []byte
 		var wantEnd Ending
 		var wantFirings string
-		for _, size := range []int{1 << 20, 1, 2, 7, 100} { // the first: all data in one read
+		for _, size := range []int{1 << 20, 1, 2, 7, 100} { // the first size puts all data into one read
 			c := script.PlanConn("c", number, 0)
 			out, end := feedInReads(c.Stream(Up), data, size)
 			firings := fmt.Sprint(c.TakeFirings())
--- a/internal/fault/parse.go
+++ b/internal/fault/parse.go
@@ -15,8 +15,8 @@
 // blanks separate the fields of a line.
 const blanks = " \t\r"
 
-// Parse parses a script and validates all of it. Its errors wrap ErrScript. They name the line, if one is at fault,
-// and its field.
+// Parse parses a script and validates all of it. Its errors wrap ErrScript. An error in a line names
+// the line and, where there is one, the field at fault.
 func Parse(text string) (*Script, error) {
 	s := &Script{Seed: defaultSeed}
 	for i, line := range strings.Split(text, "\n") {
--- a/internal/fault/parserule.go
+++ b/internal/fault/parserule.go
@@ -96,7 +96,7 @@
 
 // fieldReader reads the fields of a rule one by one. It keeps the first error, and reads nothing after it.
 type fieldReader struct {
-	fields []string // unread
+	fields []string // not read yet
 	err    error
 }
 
@@ -115,7 +115,7 @@
 	return field
 }
 
-// fail keeps an error that names a field, unless there is an earlier one.
+// fail records an error that names a field, unless there is an earlier error.
 func (r *fieldReader) fail(field, format string, args ...any) {
 	if r.err == nil {
 		r.err = fmt.Errorf(field+": "+format, args...)
--- a/internal/fault/plan.go
+++ b/internal/fault/plan.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// NoOffset is the Offset of a fault that fired at a time, or before its connection was accepted.
+// NoOffset is the Offset of a fault whose rule is timed, or blocks connections before they are accepted.
 const NoOffset = -1
 
 // Firing is a record of a fault that has fired.
 type Firing struct {
 	Link       string
-	ConnNumber int // from 1; 0: of a rule that blocks new connections and selects none by number
+	ConnNumber int // from 1; 0: the rule blocks new connections and selects none by number
 	Direction  Direction
-	Offset     int64 // bytes of the stream until the fault fired, or NoOffset
+	Offset     int64 // bytes of the stream before the fault fired, or NoOffset
 	ScriptLine int
 	Kind       Kind
 }
@@ -28,7 +28,7 @@
 	return fmt.Sprintf("%s#%d %s %s line %d %s", f.Link, f.ConnNumber, f.Direction, offset, f.ScriptLine, f.Kind)
 }
 
-// Ending is whether and how a stream ends after an Output.
+// Ending says whether and how a stream ends after an Output.
 type Ending int
 
 // The endings; EndClosed and EndReset also end the other direction.
@@ -39,7 +39,7 @@
 	EndReset             // the connection is closed with RST
 )
 
-// Output is data to write at a time, and the ending that follows it. Data may be empty.
+// Output holds data, the time to write it at, and the ending that follows it. Data may be empty.
 type Output struct {
 	Data   []byte
 	Due    time.Duration // since the start of the run
@@ -54,10 +54,11 @@
 	number  int
 	streams [2]*StreamPlan // indexed by Up and Down
 	firings []Firing
-	ended   bool // by a Close or Reset rule, after which no rule fires in either direction
+	ended   bool // a Close or Reset rule has fired; no rule fires after it in either direction
 }
 
-// PlanConn returns the plan for a connection of a link that begins now. Connections of a link are numbered from 1.
+// PlanConn returns the plan for a connection of a link. The connection begins at now. Each link numbers its
+// connections from 1.
 func (s *Script) PlanConn(link string, number int, now time.Duration) *ConnPlan {
 	c := &ConnPlan{script: s, link: link, number: number}
 	for d := range c.streams {
@@ -103,7 +104,7 @@
 }
 
 // draw returns a pseudorandom number. It depends only on the seed, the link, the connection's number, a rule's line
-// and an offset, not on what happened before.
+// and an offset, not on earlier draws.
 func (c *ConnPlan) draw(scriptLine int, offset int64) uint64 {
 	const increment = 0x9e3779b97f4a7c15 // of splitmix64
 	x := c.script.Seed
--- a/internal/fault/rule.go
+++ b/internal/fault/rule.go
@@ -1,6 +1,6 @@
-// Package fault plans faults on streams of bytes. A script lists the faults, and what is random depends on its seed
-// alone, so that the same bytes always get the same faults, however they are split into reads. The package uses no
-// sockets and no clock: callers pass in bytes and times, and carry out the output that it returns.
+// Package fault plans faults on streams of bytes. A script lists the faults, and its seed alone determines all random
+// choices, so that the same bytes always get the same faults, however they are split into reads. The package uses no
+// sockets and no clock: callers pass in bytes and times, write the outputs that it returns and apply their endings.
 //
 // A Script holds Links and Rules. A ConnPlan applies the rules of a link to one of its connections, with a
 // StreamPlan for each direction.
@@ -35,7 +35,7 @@
 	}
 }
 
-// Kind is what a fault does.
+// Kind identifies the effect of a fault.
 type Kind int
 
 // The kinds of faults.
@@ -96,28 +96,28 @@
 	Listen, Target netip.AddrPort
 }
 
-// Trigger is when a rule fires: at a time (a timed rule), after a number of bytes, or after the nth match of a
-// pattern. A rule whose trigger has none of the three fires when its connection begins. One that blocks new
-// connections fires before that: when the run starts or, for connection N, when connection N-1 has been accepted.
+// Trigger says when a rule fires: at a time (a timed rule), after a number of bytes, or after the nth match of a
+// pattern. A rule whose trigger has none of the three fires when its connection begins or, if the rule blocks new
+// connections, earlier: when the run starts or, for connection N, when connection N-1 has been accepted.
 type Trigger struct {
 	Time     time.Duration // since the start of the run; -1: not a timed rule
-	Byte     int64         // bytes of the stream; -1: not after a number of bytes
+	Byte     int64         // bytes of the stream before the rule fires; -1: not after a number of bytes
 	Pattern  string        // empty: not after a match
-	NthMatch int           // which match of the pattern, from 1
+	NthMatch int           // number of the match of the pattern after which the rule fires, from 1
 }
 
-// Rule is a line of a script that describes a fault: on which connections, when, and what it does.
+// Rule is a line of a script that describes a fault: its connections, its trigger and its effect.
 type Rule struct {
 	ScriptLine  int // from 1
 	Link        string
 	Direction   Direction
-	ConnNumber  int     // which connection of the link, from 1; 0: all
-	EveryNth    int     // only connections whose number is a multiple of it; 0: all
-	Probability float64 // that the rule applies to a connection; 0: not by chance
+	ConnNumber  int     // number of the only connection of the link, from 1; 0: all
+	EveryNth    int     // only connections whose number is a multiple of EveryNth; 0: all
+	Probability float64 // probability that the rule applies to a connection; 0: not selected by chance
 	Trigger     Trigger
 	Kind        Kind
 	Duration    time.Duration // 0: until the connection ends
-	Amount      int64         // bytes; for Rate: bytes per second; for Pieces: bytes per piece at most
+	Amount      int64         // Garble, Drop, Repeat: bytes to change; Rate: bytes per second; Pieces: maximum bytes per piece
 	Delay       time.Duration
 	Jitter      time.Duration // upper limit of the random time added to Delay
 }
--- a/internal/fault/stream.go
+++ b/internal/fault/stream.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// StreamPlan plans one direction of a connection. Feed takes the bytes that were read, CloseInput the end of the
-// input, and Advance only the time. Each returns the outputs to write, in order. Due times never decrease, except
-// that a reset is due at once.
+// StreamPlan plans one direction of a connection. Callers pass the bytes that were read to Feed, call CloseInput at
+// the end of the input, and call Advance when timed rules may be due. Each returns the outputs to write, in order.
+// Due times never decrease, except that a reset is due at once.
 type StreamPlan struct {
 	conn          *ConnPlan
 	direction     Direction
@@ -16,7 +16,7 @@
 	active        []activeRule   // rules that affect the size or the due time of outputs
 	editing       *activeRule    // the rule that changes bytes; nil: none
 	repeated      []byte         // bytes that an active Repeat rule will send once more
-	lastDue       time.Duration  // when the last output is due
+	lastDue       time.Duration  // due time of the last output so far
 	ended         bool
 	initialOutput []Output // of rules that fired when the connection began
 }
@@ -24,8 +24,8 @@
 // activeRule is a rule that has fired and still has an effect.
 type activeRule struct {
 	rule      *Rule
-	until     time.Duration // 0: until the connection ends
-	bytesLeft int64         // how many more bytes it changes; Garble, Drop and Repeat only
+	until     time.Duration // since the start of the run; 0: until the connection ends
+	bytesLeft int64         // bytes that the rule has yet to change; used only by Garble, Drop and Repeat
 }
 
 // addRule adds a rule that applies to the connection. A rule whose trigger has been reached fires at once.
@@ -132,7 +132,7 @@
 	return append(output, s.shape(edited, now)...)
 }
 
-// CloseInput takes the end of the input and returns the last outputs. They end the stream with EndHalfClosed, unless
+// CloseInput handles the end of the input and returns the last outputs. They end the stream with EndHalfClosed, unless
 // a rule has ended it.
 func (s *StreamPlan) CloseInput(now time.Duration) []Output {
 	output := s.Advance(now)
@@ -142,7 +142,8 @@
 	return append(output, s.end(now, EndHalfClosed))
 }
 
-// end ends the stream. A reset is due now, any other ending after the output so far.
+// end ends the stream and returns the output with its ending. A reset is due now, any other ending no earlier than
+// the output before it.
 func (s *StreamPlan) end(now time.Duration, ending Ending) Output {
 	s.ended = true
 	if ending > EndHalfClosed {
--- a/internal/fault/timing.go
+++ b/internal/fault/timing.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	// pieceGap is the time between two pieces. It keeps the receiver from reading them as one.
+	// pieceGap is the time between two pieces. It keeps the receiver from getting both in one read.
 	pieceGap = time.Millisecond
-	// unlimitedSilence is when output is due during a silence without a duration: after the end of any run.
+	// unlimitedSilence is the due time of output during a silence without a duration. It is after the end of any run.
 	unlimitedSilence = 365 * 24 * time.Hour
 )
 
@@ -29,8 +29,8 @@
 	return output
 }
 
-// dueTime returns when the next bytes, as many as size, are due: now, or the latest time that an active rule gives. It
-// never decreases, so that bytes keep their order.
+// dueTime returns the due time of the next size bytes: the latest of now, the times that the active rules give, and
+// the last due time. Due times thus never decrease, so that bytes keep their order.
 func (s *StreamPlan) dueTime(now time.Duration, size int) time.Duration {
 	due := now
 	for _, a := range s.active {
@@ -40,7 +40,7 @@
 	return s.lastDue
 }
 
-// dueByRule returns when the next bytes, as many as size, are due by one active rule.
+// dueByRule returns the due time that one active rule gives the next size bytes.
 func (s *StreamPlan) dueByRule(a activeRule, now time.Duration, size int) time.Duration {
 	switch r := a.rule; r.Kind {
 	case Delay:
@@ -60,7 +60,7 @@
 	}
 }
 
-// jitter returns the random part of a delay at the current offset.
+// jitter returns the random part of a Delay rule's delay, drawn for the current offset.
 func (s *StreamPlan) jitter(r *Rule) time.Duration {
 	if r.Jitter == 0 {
 		return 0
--- a/internal/fault/validate.go
+++ b/internal/fault/validate.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// maxRepeatBytes limits what a stream buffers for a Repeat rule.
+// maxRepeatBytes is the maximum number of bytes that a stream buffers for a Repeat rule.
 const maxRepeatBytes = 1 << 20
 
 // validate rejects a rule whose fields contradict each other, exceed a limit or lack a duration.
@@ -28,7 +28,7 @@
 	return nil
 }
 
-// validateSelection rejects more than one way to select connections.
+// validateSelection rejects a rule that selects connections in more than one way.
 func (r *Rule) validateSelection() error {
 	if countTrue(r.ConnNumber > 0, r.EveryNth > 0, r.Probability > 0) > 1 {
 		return errors.New("conn: only one of conn, every and chance is allowed")
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// validate rejects more than one condition, and 'nth' without a pattern.
+// validate rejects a trigger with more than one condition, or with 'nth' but without a pattern.
 func (t Trigger) validate() error {
 	if countTrue(t.Time >= 0, t.Byte >= 0, t.Pattern != "") > 1 {
 		return errors.New("time: only one of time, byte and match is allowed")
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// canBlockNewConns reports whether a rule's conditions suit a fault on new connections. Before it is accepted, a
-// connection has neither bytes nor directions, and a rule can select it only if it knows which one comes next.
+// canBlockNewConns reports whether a rule's conditions suit a fault on new connections. Before a connection is
+// accepted, it has neither bytes nor directions, and a rule can select it only by naming its number in advance.
 func (r *Rule) canBlockNewConns() bool {
 	byBytes := r.Trigger.Byte >= 0 || r.Trigger.Pattern != ""
 	return !byBytes && r.Direction == Both && r.EveryNth == 0 && r.Probability == 0
