--- a/internal/relay/conn.go
+++ b/internal/relay/conn.go
@@ -52,7 +52,7 @@
 }
 
 // relayDirection reads one direction until it ends, while a second goroutine writes the output that the plan
-// returns. It returns when both have ended.
+// returns. It returns when both goroutines have ended.
 func (c *relayedConn) relayDirection(d fault.Direction, from, to *net.TCPConn) {
 	outputs := newOutputQueue()
 	stream := c.plan.Stream(d)
@@ -89,7 +89,7 @@
 	c.enqueue(planned, outputs)
 }
 
-// read reads one direction, and enqueues the output for it, until the stream or the connection ends.
+// read reads one direction, and enqueues the output that the plan returns, until the stream or the connection ends.
 func (c *relayedConn) read(from *net.TCPConn, s *fault.StreamPlan, outputs *outputQueue) {
 	buffer := make([]byte, readBufferSize)
 	for {
@@ -131,7 +131,7 @@
 	return true
 }
 
-// write writes each output at its time, until the queue is closed or the connection has ended. An ending takes
+// write writes each output when it is due, until the queue is closed or the connection has ended. An ending takes
 // effect when write reaches it, after the output before it.
 func (c *relayedConn) write(to *net.TCPConn, outputs *outputQueue) {
 	for o := range outputs.pending {
--- a/internal/relay/listener.go
+++ b/internal/relay/listener.go
@@ -12,17 +12,18 @@
 )
 
 const (
-	// acceptBacklog is how many connections may wait to be accepted while the link is not stalled.
+	// acceptBacklog is the maximum number of connections that wait to be accepted while the link is not stalled.
 	acceptBacklog = 128
-	// maxFillers limits the fillers: connections that the relay opens to a stalled link to fill its accept queue.
+	// maxFillers is the maximum number of fillers: connections that the relay opens to a stalled link to fill its
+	// accept queue.
 	maxFillers = 4
 	// fillerTimeout limits the connect of a filler. A filler that takes longer shows that the accept queue is full.
 	fillerTimeout = 50 * time.Millisecond
 	// reopenInterval is the time between two attempts to listen again on an address that another socket has
 	// taken.
 	reopenInterval = 10 * time.Millisecond
-	// changePollInterval is the longest that the accepting goroutine waits for a change of the listener before it
-	// checks again.
+	// changePollInterval is the maximum time for which the accepting goroutine waits for a change of the listener
+	// before it tries to accept again.
 	changePollInterval = 20 * time.Millisecond
 )
 
@@ -35,13 +36,13 @@
 	mu       sync.Mutex       // guards the fields below
 	listener *net.TCPListener // nil: new connections are refused
 	closed   bool
-	changed  chan struct{}       // closed and replaced when listener changes, or accepts again after a stall
+	changed  chan struct{}       // closed and replaced when listener is replaced, or accepts again after a stall
 	fillers  map[string]net.Conn // the relay's own connections that fill the accept queue, by local address
 	accepted int                 // connections accepted so far, without the fillers
 }
 
-// openLink listens on a link's address, and schedules the rules that block new connections. A rule for a later
-// connection than the first is started by handle.
+// openLink listens on a link's address, and schedules the rules that block new connections. The rules for
+// connection 2 and later are started by handle instead.
 func (r *Relay) openLink(link fault.Link) (*linkListener, error) {
 	l := &linkListener{relay: r, link: link, changed: make(chan struct{}), fillers: map[string]net.Conn{}}
 	listener, err := net.Listen("tcp", link.Listen.String())
@@ -111,7 +112,8 @@
 	}
 }
 
-// tryReopen listens again, unless the link listens already or is closed. It reports whether reopen is done.
+// tryReopen listens again, unless the link listens already or is closed. It reports false if reopen
+// has to retry.
 func (l *linkListener) tryReopen() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -126,8 +128,8 @@
 	return true
 }
 
-// setBacklog sets how many connections may wait to be accepted. It calls listen(2) again: the system takes a new
-// backlog for a listening socket. The caller holds mu.
+// setBacklog sets the maximum number of connections that wait to be accepted. It calls listen(2) again, which changes
+// the backlog of a socket that already listens. The caller holds mu.
 func (l *linkListener) setBacklog(size int) error {
 	raw, err := l.listener.SyscallConn()
 	if err != nil {
@@ -138,7 +140,7 @@
 	return errors.Join(err, listenErr)
 }
 
-// stall stops accepting, sets the backlog to 0 and fills the accept queue with connections of the relay's own.
+// stall stops accepting, sets the backlog to 0 and fills the accept queue with fillers.
 func (l *linkListener) stall() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -163,7 +165,7 @@
 	if l.listener == nil {
 		return
 	}
-	l.setBacklog(acceptBacklog)         //nolint:errcheck // connections are accepted with a short queue too
+	l.setBacklog(acceptBacklog)         //nolint:errcheck // connections are accepted even if the queue stays short
 	l.listener.SetDeadline(time.Time{}) //nolint:errcheck // it fails only for a closed listener
 	l.notifyChanged()
 }
@@ -211,8 +213,8 @@
 	}
 }
 
-// handle relays an accepted connection, or closes it if it is a filler. Before that it starts the rules that block
-// the next connection.
+// handle relays an accepted connection, or closes it if it is a filler. Before it relays a connection, it starts
+// the rules that block the next one.
 func (l *linkListener) handle(conn *net.TCPConn) {
 	number, filler := l.register(conn)
 	if filler != nil {
--- a/internal/relay/outputqueue.go
+++ b/internal/relay/outputqueue.go
@@ -14,7 +14,7 @@
 // outputQueue holds the outputs of one direction until its writer takes them, in order. They come from the reader
 // and from timed rules.
 type outputQueue struct {
-	mu      sync.Mutex // held by put, so that the queue is not closed meanwhile
+	mu      sync.Mutex // put holds it while it sends to pending, so that close can't close pending meanwhile
 	closed  bool
 	pending chan fault.Output
 }
@@ -38,7 +38,7 @@
 	}
 }
 
-// close closes the queue. The writer still gets what is pending. It must be called only once.
+// close closes the queue. The writer still gets the pending outputs. close must be called only once.
 func (q *outputQueue) close() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -21,7 +21,7 @@
 	script     *fault.Script
 	record     func(fault.Firing)
 	start      time.Time
-	ctx        context.Context // ends with Close
+	ctx        context.Context // ends when Close is called
 	cancel     context.CancelFunc
 	goroutines sync.WaitGroup
 	listeners  []*linkListener
