--- a/cmd/faultproxy/compare.go
+++ b/cmd/faultproxy/compare.go
@@ -9,9 +9,9 @@
 	"strings"
 )
 
-// compareLogs returns an error unless two logs hold the same faults. The order of connections is ignored: they run
-// concurrently, so that it differs between runs. The order within one direction of a connection is fixed by the plan
-// and is compared.
+// compareLogs returns an error unless two logs hold the same faults. Connections run concurrently, so
+// the order of their lines differs between runs and is ignored. The order within one direction of a connection is
+// fixed by the plan and is compared.
 func compareLogs(pathA, pathB string, out io.Writer) error {
 	a, err := readSorted(pathA)
 	if err != nil {
--- a/cmd/faultproxy/main.go
+++ b/cmd/faultproxy/main.go
@@ -29,8 +29,8 @@
 	log      string        // path; empty: standard output
 	check    bool          // only check the script
 	compare  bool          // only compare two logs
-	duration time.Duration // 0: until a signal
-	seed     uint64        // 0: the script's
+	duration time.Duration // of the run; 0: until a signal
+	seed     uint64        // 0: the seed of the script
 	logs     []string      // paths of the logs to compare
 }
 
@@ -95,14 +95,14 @@
 		if err != nil {
 			return err
 		}
-		defer file.Close() //nolint:errcheck // each line is written when its fault fires; run returns a failed write
+		defer file.Close() //nolint:errcheck // each line is written when its fault fires; run returns the error of a failed write
 		out = file
 	}
 	return relayUntilStopped(script, o.duration, out)
 }
 
-// relayUntilStopped relays until SIGINT or SIGTERM, or for a duration that is not 0, and logs each fault that fires.
-// It returns the last error of a write to the log.
+// relayUntilStopped relays until SIGINT or SIGTERM or, unless duration is 0, until duration has passed. It logs each
+// fault that fires. It returns the last error of a write to the log.
 func relayUntilStopped(script *fault.Script, duration time.Duration, log io.Writer) error {
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGINT, syscall.SIGTERM)
