--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -4,7 +4,7 @@
 //	toy ask CLASS OBJECT   one request to the proxy on 127.0.0.1:7000
 //
 // The cache and the origin generate each object from its key and store none. An object counts as cached from
-// its second request on a connection until that connection ends; nothing is evicted before.
+// its second request on a connection until that connection ends; no object is evicted earlier.
 package main
 
 import (
@@ -45,7 +45,7 @@
 // beginResponder is the body of a BEGIN_REQUEST record: role responder, close the connection after the answer.
 const beginResponder = "\x00\x01\x00\x00\x00\x00\x00\x00"
 
-// progressInterval is how often the coordinator sends the index of its last event.
+// progressInterval is the interval at which the coordinator sends the index of its last event.
 const progressInterval = time.Second
 
 func main() {
@@ -96,7 +96,7 @@
 }
 
 // sendEvents sends events to a watching proxy: first event 1, the full endpoint list, unless the proxy has it, and
-// then the index of that event at every progressInterval.
+// then the index of that event once per progressInterval.
 func sendEvents(conn net.Conn) error {
 	var lastIndex int
 	if _, err := fmt.Fscanf(conn, "follow %d\n", &lastIndex); err != nil {
@@ -188,7 +188,8 @@
 	h := fnv.New64a()
 	h.Write([]byte(object)) //nolint:errcheck // a hash takes everything
 	var params []byte
-	// PIECE is the part of the object, from 0. LOT is its purge group: any will do, as nothing is purged.
+	// HTTP_X_PIECE is the number of the object's part, from 0. HTTP_X_LOT is the object's purge group: any number
+	// will do, as nothing is purged.
 	for _, pair := range []struct{ name, value string }{
 		{"SCRIPT_NAME", "/ops/" + class}, {"HTTP_REQ_ID", fmt.Sprintf("%016x", rand.Uint64())},
 		{"HTTP_REQ_WAIT_MS", "3000"}, {"HTTP_REQ_KEY", fmt.Sprintf("%016x", h.Sum64())},
