--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -9,11 +9,13 @@
 
 // Tolerances that several rules share.
 const (
-	// maxNotifyDelay is how long after its publication an event counts as known to a proxy, delivered or not.
+	// maxNotifyDelay is the time after which a published event counts as known to a proxy, delivered or not.
 	maxNotifyDelay = 7 * time.Second
-	// socketSlack is added to the rules' time limits, because they are checked by when bytes arrive at sockets.
+	// socketSlack is added to the rules' time limits, because the checks use the times at which bytes arrive
+	// at sockets.
 	socketSlack = 50 * time.Millisecond
-	// machineSlack is how late this package's clients and servers may observe something on a busy machine.
+	// machineSlack is the delay that the rules allow for observations by this package's clients and servers on a busy
+	// machine.
 	machineSlack = 150 * time.Millisecond
 )
 
@@ -22,7 +24,7 @@
 	Rule     string
 	At       time.Duration // since the start of the run
 	Text     string
-	Keywords []string // find the timeline's entries about the request, servers and proxy concerned
+	Keywords []string // names of the request, servers and proxy concerned, by which a report selects timeline entries
 }
 
 // String returns the violation as one line.
--- a/internal/soak/checker_test.go
+++ b/internal/soak/checker_test.go
@@ -31,7 +31,7 @@
 	return h
 }
 
-// TestHistoryChecker breaks each rule in an otherwise valid history, and checks that only this rule is reported. It
+// TestHistoryChecker breaks rules in an otherwise valid history, and checks that only the broken rules are reported. It
 // also checks that allowed deviations are not reported.
 func TestHistoryChecker(t *testing.T) {
 	delivered := func(e WatchEvent) func(*History) {
@@ -163,7 +163,7 @@
 	}
 }
 
-// repeatedKeyed gives the read an idempotency key, and repeats its call after a time. Its deduplication window is
+// repeatedKeyed gives the read an idempotency key, and repeats its call after a time. The deduplication window is
 // 400 ms.
 func repeatedKeyed(after time.Duration) func(*History) {
 	return func(h *History) {
--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -21,12 +21,12 @@
 	Events       []*WatchEvent
 	Starts       []ServerStart
 	Incarnations []*Incarnation
-	Withheld     map[int][]Span // by proxy number: when the coordinator sent it no events
+	Withheld     map[int][]Span // by proxy number: spans in which the coordinator sent the proxy no events
 
 	mu               sync.Mutex // guards the fields above while the run lasts, and those below
 	start            time.Time
 	timeline         []TimelineEntry
-	schedulingDelays []Span // when this process was not scheduled in time
+	schedulingDelays []Span // spans in which this process was not scheduled in time
 }
 
 // NewHistory returns an empty history whose clock starts now.
@@ -38,9 +38,9 @@
 func (h *History) Now() time.Duration { return time.Since(h.start) }
 
 const (
-	delayProbes        = 4 // goroutines: a delay may affect only some threads
+	delayProbes        = 4 // number of goroutines that detect delays: a delay may affect only some threads
 	delayProbeInterval = 5 * time.Millisecond
-	minSchedulingDelay = 20 * time.Millisecond
+	minSchedulingDelay = 20 * time.Millisecond // a sleep of delayProbeInterval that takes longer is recorded
 )
 
 // recordSchedulingDelays records the spans in which this process was not scheduled in time, until ended is
@@ -64,7 +64,7 @@
 	}
 }
 
-// observationSlack returns how late an observation between two moments may be: machineSlack plus all
+// observationSlack returns the delay allowed for an observation between two moments: machineSlack plus all
 // scheduling delays that overlap the interval. The caller holds mu.
 func (h *History) observationSlack(from, to time.Duration) time.Duration {
 	sum := machineSlack
--- a/internal/soak/records.go
+++ b/internal/soak/records.go
@@ -6,7 +6,7 @@
 )
 
 // Unless a comment says otherwise, a field of type time.Duration in this file is a point in time since the
-// start of the run; 0 means that it did not happen.
+// start of the run; 0 means that what the field records did not happen.
 
 // TimelineEntry is one line of the timeline.
 type TimelineEntry struct {
@@ -28,7 +28,7 @@
 	Body               string // the first bytes of the body, which start with the Serial of the call that served it
 }
 
-// Rejected reports whether the answer rejects the request, which promises that it is safe to send again.
+// Rejected reports whether the answer rejects the request, and so promises that the request is safe to send again.
 func (a FinalAnswer) Rejected() bool {
 	return a.ProtocolOverloaded || a.Status == "503" || a.Status == "429"
 }
@@ -55,7 +55,7 @@
 	FirstByteAt, CompleteAt   time.Duration // when the first byte arrived and the last byte was read
 	Timeout                   time.Duration // how much time the proxy gives the server
 	MaxAge                    time.Duration // maximum age of a copy that may answer it; 0: no limit
-	ReadLate                  bool          // the server hung just before, so the call may have been sent earlier
+	ReadLate                  bool          // the server hung shortly before it read the call, which may have been sent during the hang
 	Executed                  bool          // the origin began to execute it; writes only
 	Result                    string        // result word of the answer
 	CopyMadeAt                time.Time     // when the origin produced the copy that was served; zero: none
@@ -67,8 +67,8 @@
 	Index        int
 	PublishedAt  time.Duration
 	DeliveredAt  map[int]time.Duration // by proxy number: when the event's line had been written
-	Withdrawn    []string              // servers that are draining or removed
-	Serving      []string              // servers that are serving
+	Withdrawn    []string              // servers that the event announces as draining, removed or in an unknown state
+	Serving      []string              // servers that the event announces as serving
 	PurgedObject string                // empty: none
 	PurgedGroup  int                   // -1: none
 	PurgedBefore time.Time             // copies made before this time are purged; zero: no purge
@@ -108,8 +108,8 @@
 // Limits holds the limits that the proxies' configuration and the rules set.
 type Limits struct {
 	MemoryKB, Descriptors int           // per proxy
-	DrainGrace            time.Duration // how long after the notification a draining server may still get calls
-	PurgeGrace            time.Duration // how long after the notification a purged copy may still be served
+	DrainGrace            time.Duration // time after the notification for which a draining server may still get calls
+	PurgeGrace            time.Duration // time after the notification for which a purged copy may still be served
 	OverloadMultiple      float64       // multiple of its capacity above which a server is overloaded
 	SlowStartCapacity     float64       // fraction of its capacity that a server has when it starts
 	LinkTransfers         float64       // concurrent transfers that a cache's link carries
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// reportDistance is how much of the timeline a report shows before and after a violation.
+// reportDistance is the time before and after a violation for which a report shows the timeline.
 const reportDistance = 4 * time.Second
 
 // writeReport writes the schedule, and the timeline around each violation, to violations.txt.
--- a/internal/soak/rule_calls.go
+++ b/internal/soak/rule_calls.go
@@ -6,19 +6,19 @@
 )
 
 const (
-	// cancelGrace is how long after the client has cancelled a request a call for it may still begin.
+	// cancelGrace is the time after a client's cancellation of a request in which a call for it may still begin.
 	cancelGrace = 100 * time.Millisecond
-	// deadlineSlack is how much later than the client's deadline the deadline of a call may be.
+	// deadlineSlack is the maximum time by which the deadline of a call may be later than the client's deadline.
 	deadlineSlack = 150 * time.Millisecond
 )
 
-// callTimeUncertainty is how much too early or too late a call's first byte may have been observed, compared with
-// an event: TCP_INFO gives the byte's arrival in clock ticks of the system of up to 10 ms, and the event's own
-// time is taken while it is being published.
+// callTimeUncertainty is the maximum error, in either direction, of the time between an event and a call's first
+// byte: TCP_INFO gives the byte's arrival in the system's clock ticks of up to 10 ms, and the event's own time is
+// taken while the event is being published.
 const callTimeUncertainty = 20 * time.Millisecond
 
 // checkCall checks the rules on when and where a call may be sent. They do not apply to a call that the server
-// read late, because nobody knows when it was sent.
+// read late, because the time at which it was sent is unknown.
 func (c *historyChecker) checkCall(call *Call) {
 	req := c.requests[call.ID]
 	if req == nil {
--- a/internal/soak/rule_incarnations.go
+++ b/internal/soak/rule_incarnations.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	// maxReadyDelay is how long a process may take to become ready.
+	// maxReadyDelay is the maximum time that a process may take to become ready.
 	maxReadyDelay = 10 * time.Second
-	// killDelay is how long after SIGTERM a process is killed, beyond the longest deadline.
+	// killDelay is added to the longest deadline to get the time between SIGTERM and a kill.
 	killDelay = 700 * time.Millisecond
 )
 
@@ -25,7 +25,8 @@
 	c.checkResources(inc, keywords)
 }
 
-// checkReady checks that a process is ready within maxReadyDelay, unless it was ended or exited before that.
+// checkReady checks that a process is ready within maxReadyDelay, unless it exited or was sent
+// SIGTERM or SIGKILL before that.
 func (c *historyChecker) checkReady(inc *Incarnation, keywords []string) {
 	due := inc.afterRunningFor(inc.StartedAt, maxReadyDelay)
 	isBeforeDue := func(at time.Duration) bool { return at != 0 && at < due }
@@ -36,8 +37,8 @@
 	}
 }
 
-// checkExit checks that a process exits only after SIGTERM or a kill, and after SIGTERM without an error and
-// before it has to be killed.
+// checkExit checks that a process exits only after SIGTERM or a kill, and that after SIGTERM it exits without an
+// error and does not have to be killed.
 func (c *historyChecker) checkExit(inc *Incarnation, keywords []string) {
 	beforeSigterm := inc.SigtermAt == 0 || inc.ExitedAt < inc.SigtermAt
 	if inc.ExitedAt != 0 && beforeSigterm && inc.KilledAt == 0 {
--- a/internal/soak/rule_slowstart.go
+++ b/internal/soak/rule_slowstart.go
@@ -55,8 +55,8 @@
 	return count, notified
 }
 
-// For n calls, slowStartAllowance adds a margin of a multiple of sqrt(n), the standard deviation of a count, and
-// a constant. Small counts vary more in proportion, so counts below fewCalls get a larger margin.
+// For n calls, slowStartAllowance adds a margin: a multiple of sqrt(n), the standard deviation of a count, plus a
+// constant. Small counts vary more in proportion, so counts below fewCalls get a larger margin.
 const (
 	fewCalls = 30
 
