--- a/internal/soak/admin.go
+++ b/internal/soak/admin.go
@@ -17,7 +17,7 @@
 	adminTimeout = 2 * time.Second
 )
 
-// callAdmin sends an HTTP request to the operators' address and returns the status of the answer.
+// callAdmin sends an HTTP request to the proxy's admin address and returns the status of the answer.
 func (p *process) callAdmin(method, path string) (status int, err error) {
 	conn, err := net.DialTimeout("tcp", p.admin, dialTimeout)
 	if err != nil {
@@ -45,7 +45,7 @@
 	p.mu.Unlock()
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
-		return // it has exited
+		return // the process has exited
 	}
 	memoryKB := peakMemoryKB(string(status))
 	descriptors, err := filepath.Glob(fmt.Sprintf("/proc/%d/fd/*", pid))
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -101,7 +101,8 @@
 	return p.start()
 }
 
-// servers returns the caches, the parent and the origin. Parent and origin are nil if start failed before them.
+// servers returns the caches, the parent and the origin. The parent and the origin are nil if start failed before it
+// had started them.
 func (r *run) servers() []*server { return append(slices.Clone(r.caches), r.parent, r.origin) }
 
 // returnedAddrs holds the addresses that freeAddr has returned, because the system may offer one again before a
@@ -133,7 +134,7 @@
 `
 
 // startRelay starts a relay in front of a server if it is an odd-numbered cache, and does nothing otherwise. The
-// relay draws the faults of its connections by the run's seed.
+// seed of the relay's fault script is the run's seed.
 func (r *run) startRelay(s *server) error {
 	if s.kind != "std" || len(r.caches)%2 == 0 {
 		return nil
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -9,14 +9,14 @@
 
 const (
 	reloadSignal = syscall.SIGHUP
-	// retireExtraDrain is how much longer than its duration a "retire" fault drains a cache: longer than
-	// maxNotifyDelay.
+	// retireExtraDrain is the time for which a "retire" fault drains a cache beyond the fault's duration. It is longer
+	// than maxNotifyDelay.
 	retireExtraDrain = 9 * time.Second
 	// resetFraction is the fraction of a server's connections that a "reset" fault resets.
 	resetFraction = 0.5
-	// hangBeforeSigterm is how long servers have hung when a "term-hung" fault sends SIGTERM.
+	// hangBeforeSigterm is the time for which servers have hung when a "term-hung" fault sends SIGTERM.
 	hangBeforeSigterm = 200 * time.Millisecond
-	// purgeStormSize is how many objects a "purge-storm" fault purges.
+	// purgeStormSize is the number of objects that a "purge-storm" fault purges.
 	purgeStormSize = 10
 )
 
@@ -79,7 +79,7 @@
 
 // restartProcess ends a proxy's process and starts the next one, which may run under a fault. If the soak test holds
 // the clients' socket and the fault is not "kill", the next process starts before the old one ends, as on the
-// platform that proxies run on: otherwise connections that come in between would wait for its start.
+// platform that proxies run on. Otherwise connections that arrive between the two would wait for the start.
 func (r *run) restartProcess(p *process, f Fault) {
 	takeover := p.socket != nil && f.Kind != "kill"
 	r.prepareRestart(p, f)
@@ -240,7 +240,8 @@
 	r.setCoordinatorMode(f, modeHealthy)
 }
 
-// setCoordinatorMode sets the coordinator's mode for every second proxy, those with the parity of the fault's target.
+// setCoordinatorMode sets the coordinator's mode for every second proxy: those whose number has the parity of the
+// fault's target.
 func (r *run) setCoordinatorMode(f Fault, m coordinatorMode) {
 	for i := range r.fleet {
 		if i%len(r.coordinatorModeMu) == f.Target%len(r.coordinatorModeMu) {
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -18,14 +18,15 @@
 const firstExtraFD = 3
 
 const (
-	// signalHandlingDelay is how long after its start a process is sure to handle signals. An earlier signal would
-	// end it.
+	// signalHandlingDelay is the time after its start from which a process is sure to handle signals. An earlier
+	// signal would end the process.
 	signalHandlingDelay = 500 * time.Millisecond
-	// reloadableAge is how long after its start a proxy may be ordered to reload its configuration.
+	// reloadableAge is the time after its start from which a proxy may be told to reload its configuration.
 	reloadableAge = time.Second
-	// statePollInterval is how often the state of a process is polled.
+	// statePollInterval is the time between two polls of a process's state.
 	statePollInterval = 10 * time.Millisecond
-	// connsAfterSigterm and requestsAfterSigterm are how long after SIGTERM clients still connect and make requests.
+	// connsAfterSigterm and requestsAfterSigterm are the times after SIGTERM for which clients still connect and make
+	// requests.
 	connsAfterSigterm    = 400 * time.Millisecond
 	requestsAfterSigterm = 600 * time.Millisecond
 	// requestsUntilExit, in place of requestsAfterSigterm, lets clients make requests on their open connections until
@@ -34,20 +35,20 @@
 )
 
 // process is one edge proxy of the fleet. Its incarnations are the processes that run one after another in its
-// place.
+// place. Two of them run at once while one takes over from the other.
 type process struct {
 	r        *run
 	number   int
-	addr     string // for clients
+	addr     string // address for clients
 	config   string // path of the configuration file
 	settings map[string]any
 	socket   *os.File   // listens for clients and is held by the soak test; nil: each incarnation opens its own
-	admin    string     // address for operators
+	admin    string     // address for admin calls
 	faultMu  sync.Mutex // held while a fault of the proxy lasts
 
 	// For the next incarnation:
-	environment []string // variables beside those of all proxies
-	logUnread   bool     // its log is not read before it has exited
+	environment []string // environment variables in addition to those that all proxies get
+	logUnread   bool     // the incarnation's log is not read before it has exited
 
 	mu              sync.Mutex // guards the fields below
 	cmd             *exec.Cmd  // command of the current incarnation
@@ -60,7 +61,7 @@
 func (p *process) name() string { return proxyName(p.number) }
 
 // writeConfig writes the configuration, which includes the events published so far, and returns the index of the
-// last one.
+// last event.
 func (p *process) writeConfig() (knownEvents int, err error) {
 	index, updates := p.r.coordinator.knownEvents()
 	text, err := json.Marshal(map[string]any{
@@ -234,7 +235,7 @@
 	p.awaitState(func(inc *Incarnation, age time.Duration) bool { return inc.ReadyAt != 0 || age > signalHandlingDelay })
 }
 
-// awaitReloadable waits until the proxy may be ordered to reload its configuration.
+// awaitReloadable waits until the proxy may be told to reload its configuration.
 func (p *process) awaitReloadable() {
 	p.awaitState(func(inc *Incarnation, age time.Duration) bool { return inc.ReadyAt != 0 && age > reloadableAge })
 }
@@ -265,8 +266,8 @@
 	}
 }
 
-// maxShutdown returns how long after SIGTERM a process may run before the platform kills it. The platform waits for
-// the longest deadline of the settings, but at most for maxDeadline, and for killDelay.
+// maxShutdown returns the time after SIGTERM at which the platform kills a process that still runs: the longest
+// deadline of the settings, but at most maxDeadline, plus killDelay.
 func maxShutdown() time.Duration { return min(classDeadline, maxDeadline) + killDelay }
 
 // kill ends the current incarnation by SIGKILL and waits for its exit.
@@ -294,7 +295,7 @@
 
 // replace starts the next incarnation on the same socket while the current one runs. When the new one is ready, or has
 // exited, it ends the old one by SIGTERM, and kills it if it has not exited within maxShutdown. The new one gets another
-// address for operators.
+// address for admin calls.
 func (p *process) replace() error {
 	p.mu.Lock()
 	old := p.incarnation
--- a/internal/soak/processfaults.go
+++ b/internal/soak/processfaults.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// connsAfterDrainOrder is how long after the order to drain clients still open connections.
+	// connsAfterDrainOrder is the time after the order to drain for which clients still open connections.
 	connsAfterDrainOrder = 200 * time.Millisecond
 	// dialRetryInterval is the time between two attempts of an idle client to connect.
 	dialRetryInterval = 10 * time.Millisecond
@@ -30,7 +30,7 @@
 // signalInterval is the time between two signals of a series.
 const signalInterval = 30 * time.Millisecond
 
-// reloadInSeries orders three reloads in a row, each of a configuration that it writes before.
+// reloadInSeries writes a configuration and sends the signal to reload it, three times in a row.
 func (r *run) reloadInSeries(p *process, f Fault) {
 	p.awaitReloadable()
 	for range 3 {
@@ -62,8 +62,8 @@
 	return os.WriteFile(p.config, text[:len(text)/2], 0o600)
 }
 
-// drain orders the proxy to drain and, a length of time after connsAfterDrainOrder, to serve again. From
-// connsAfterDrainOrder on, clients open no connections, and use those that they have until the proxy closes them.
+// drain tells the proxy to drain, waits for connsAfterDrainOrder and then for length, and tells the proxy to serve
+// again. After the first wait, clients open no connections, and use those that they have until the proxy closes them.
 func (p *process) drain(length time.Duration) {
 	status, err := p.callAdmin("PUT", "/ops/drain/start")
 	if err != nil || status != statusOK {
@@ -103,14 +103,14 @@
 	clients.Wait()
 }
 
-// connectIdleClient connects, and waits until the proxy closes the connection or the time is end.
+// connectIdleClient connects, and waits until the proxy closes the connection or end is reached.
 func (p *process) connectIdleClient(end time.Time) {
 	conn, err := net.DialTimeout("tcp", p.addr, dialTimeout)
 	if err != nil {
 		time.Sleep(dialRetryInterval)
 		return
 	}
-	conn.SetReadDeadline(end)  //nolint:errcheck // it fails as the read does
+	conn.SetReadDeadline(end)  //nolint:errcheck // if it fails, the read fails too
 	conn.Read(make([]byte, 1)) //nolint:errcheck // any result ends the wait
 	conn.Close()               //nolint:errcheck // the proxy may have closed it
 }
--- a/internal/soak/purges.go
+++ b/internal/soak/purges.go
@@ -12,7 +12,7 @@
 	purgeDelay = 40 * time.Millisecond
 	// meanPurgeInterval is the mean of the exponentially distributed time between two purges of the background load.
 	meanPurgeInterval = 400 * time.Millisecond
-	// purgeRNGStream is the stream of a seed's PCG random numbers that draws the background load of purges.
+	// purgeRNGStream selects the PCG stream of the run's seed from which the background load of purges is drawn.
 	purgeRNGStream = 13
 )
 
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -54,16 +54,16 @@
 	origin      *server
 	fleet       []*process
 	relays      []*relay.Relay
-	// coordinatorModeMu is held while the coordinator is in a faulty mode for the proxies whose number modulo 2 is
-	// the index.
+	// coordinatorModeMu has one mutex for the proxies with even and one for those with odd numbers, by number modulo
+	// 2. It is held while the coordinator is in a faulty mode for these proxies.
 	coordinatorModeMu [2]sync.Mutex
 
-	surgeUntil atomic.Int64  // until when clients make more requests, as nanoseconds since the start of the run
+	surgeUntil atomic.Int64  // end of the latest surge, in nanoseconds since the start of the run
 	failures   chan error    // errors of the soak test itself
 	ended      chan struct{} // closed when the schedule has ended
 }
 
-// Run runs a fleet under the schedule that a seed draws, checks the history and returns the violations. An error
+// Run runs a fleet under the schedule that is drawn from a seed, checks the history and returns the violations. An error
 // means that the soak test itself failed, so that the run says nothing about the proxies.
 func Run(seed uint64, o Options) (Result, error) {
 	kinds := o.FaultKinds
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -13,8 +13,8 @@
 	Kind     string
 	At       time.Duration // since the start of the run
 	Duration time.Duration // as drawn; some kinds last a multiple or a part of it, others ignore it
-	// Target is the proxy's index in the fleet or, for faults of a cache, the index among the caches. The coordinator's
-	// and other faults derive from it a cache, a group, an object, or which half of the fleet is affected.
+	// Target is the proxy's index in the fleet or, for faults of a cache, the index among the caches. For faults of the
+	// coordinator and other faults, it determines a cache, a group, an object or the affected half of the fleet.
 	Target int
 }
 
@@ -35,14 +35,14 @@
 )
 
 const (
-	quietStart        = time.Second             // before the first fault
-	quietEnd          = 3 * time.Second         // without new faults and requests, before the run ends
+	quietStart        = time.Second             // time before the first fault
+	quietEnd          = 3 * time.Second         // time without new faults and requests at the end of the run
 	minFaultDuration  = 300 * time.Millisecond  // inclusive
 	maxFaultDuration  = 2500 * time.Millisecond // exclusive
-	meanFaultInterval = 550 * time.Millisecond  // of an exponential distribution: two or three faults overlap
+	meanFaultInterval = 550 * time.Millisecond  // mean of an exponential distribution, so that two or three faults overlap
 )
 
-// scheduleRNGStream is the stream of a seed's PCG random numbers that draws its schedule.
+// scheduleRNGStream selects the PCG stream of a seed from which the seed's schedule is drawn.
 const scheduleRNGStream = 11
 
 // FaultKinds returns all kinds of faults.
--- a/internal/soak/settings.go
+++ b/internal/soak/settings.go
@@ -6,7 +6,7 @@
 const (
 	proxyMemoryMB       = 64
 	proxyDescriptors    = 256
-	flowBytesPerSecond  = 200_000 // of one transfer; an object takes about 50 ms
+	flowBytesPerSecond  = 200_000 // rate of one transfer; an object takes about 50 ms
 	cacheWeight         = 3.0     // concurrent transfers that a cache's link carries
 	deduplicationWindow = 400 * time.Millisecond
 	slowStartCapacity   = 0.1 // fraction of a server's capacity at its start
@@ -14,10 +14,10 @@
 	overloadMultiple    = 2 // of a server's capacity, above which it is overloaded
 	overloadWindow      = time.Second
 	maxDeadline         = 3 * time.Second
-	classDeadline       = 6 * time.Second // of each class, in the settings
+	classDeadline       = 6 * time.Second // deadline of each class in the settings
 )
 
-// The grace periods after a proxy was notified. The rules set them.
+// The grace periods after a proxy was notified, as the rules set them.
 const (
 	drainGrace = 500 * time.Millisecond
 	purgeGrace = 300 * time.Millisecond
@@ -37,8 +37,8 @@
 	}
 }
 
-// settingsFor returns the settings in the configuration of the proxy with an index in a fleet of a given size, with
-// hedging on or off.
+// settingsFor returns the settings for the configuration of one proxy, with hedging on or off. index is the number of
+// the proxy, and fleet the number of proxies.
 func settingsFor(index, fleet int, hedging bool) map[string]any {
 	return map[string]any{
 		"areas": []string{"hub", "edge"}, "host-types": []string{"std", "parent", "origin"}, "zone": 1,
