--- a/internal/soak/answers.go
+++ b/internal/soak/answers.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	bodySize      = 10 << 10 // bytes of an object
-	fillTime      = 8 * time.Millisecond
+	bodySize      = 10 << 10              // bytes of an object
+	fillTime      = 8 * time.Millisecond  // of a simulated fill
 	maxAnswerTime = 25 * time.Millisecond // for a server that is not slow
 	maxWriteTime  = 2 * maxAnswerTime
-	slowFactor    = 20 // how many times longer a slow server takes
+	slowFactor    = 20 // factor by which a slow server takes longer
 
 	overloadChance = 0.5         // probability that a call is rejected during an "overload" fault
 	crashedChance  = 0.02        // probability that a write is answered with "crashed"
 	joinChance     = 0.03        // probability that a call joins a fill that began before it
-	maxJoinedAge   = time.Second // how long ago that fill began, at most
+	maxJoinedAge   = time.Second // maximum age of such a fill when the call joins it
 )
 
 // recordCall adds a call to the history. The words are those of its command: REQ, the ID, the fields and the
--- a/internal/soak/clientconn.go
+++ b/internal/soak/clientconn.go
@@ -8,28 +8,28 @@
 )
 
 const (
-	// idleCloseRaceWindow is how long before a proxy closes an idle connection a request may have been sent that the
-	// proxy has not read.
+	// idleCloseRaceWindow is the period before a proxy closes an idle connection in which a client may still send a
+	// request that the proxy no longer reads.
 	idleCloseRaceWindow = 60 * time.Millisecond
-	// unusedIdleAge is how long after its opening an unused connection counts as idle. The proxy may close it from
-	// then on, because no request is open on it; a first request before that must be answered.
+	// unusedIdleAge is the age from which an unused connection counts as idle. From that age on, the proxy may close
+	// it, because no request is open on it; a first request that is sent earlier must be answered.
 	unusedIdleAge = 500 * time.Millisecond
-	// keptBodyBytes is how much of an answer's body is recorded.
+	// keptBodyBytes is the maximum number of bytes of an answer's body that are recorded.
 	keptBodyBytes = 64
-	// timelineBodyBytes is how much of an answer's body the timeline shows.
+	// timelineBodyBytes is the maximum number of bytes of an answer's body that the timeline shows.
 	timelineBodyBytes = 20
 	writeTimeout      = 5 * time.Second
 	// maxRequestID is the highest FastCGI request ID that a client uses. The next request gets ID 1 again.
 	maxRequestID = 60000
 )
 
-// clientConn is a client's connection to a proxy. A goroutine in readAnswers reads from it until it ends, and then
-// closes it.
+// clientConn is a client's connection to a proxy. readAnswers runs in a goroutine of its own, reads until the
+// connection ends, and then closes it.
 type clientConn struct {
 	clients     *proxyClients
 	history     *History
 	conn        net.Conn
-	number      int // counts the connections to the proxy, from 1
+	number      int // number of the connection among those to the proxy, from 1
 	incarnation int // number of the proxy's incarnation
 	openedAt    time.Duration
 	outputs     map[uint16][]byte // output so far by request ID; used only by readAnswers
@@ -101,7 +101,7 @@
 }
 
 func (c *clientConn) write(data []byte) error {
-	c.conn.SetWriteDeadline(time.Now().Add(writeTimeout)) //nolint:errcheck // it fails as the write does
+	c.conn.SetWriteDeadline(time.Now().Add(writeTimeout)) //nolint:errcheck // if it fails, the write fails too
 	_, err := c.conn.Write(data)
 	return err
 }
@@ -153,7 +153,7 @@
 		ProtocolOverloaded: hasProtocolStatus && endRequest[fcgiProtocolStatus] == fcgiOverloaded,
 		Body:               body[:min(len(body), keptBodyBytes)],
 	}
-	// END_REQUEST without output is no answer unless it rejects the request: it confirms an abort.
+	// An END_REQUEST without output confirms an abort and is no answer, unless it rejects the request.
 	confirmsAbort := hasProtocolStatus && text == "" && !a.ProtocolOverloaded
 	if !confirmsAbort {
 		c.history.withLock(func() { req.Answers = append(req.Answers, a) })
@@ -161,7 +161,7 @@
 	c.history.Logf("client", "%s answered %s %q", req.ID, status, a.Body[:min(len(a.Body), timelineBodyBytes)])
 }
 
-// takeRequest marks the request with an ID as answered and returns it, also if it was answered before. It returns nil
+// takeRequest marks the request with an ID as answered and returns it, even if it was answered before. It returns nil
 // if the ID is unknown.
 func (c *clientConn) takeRequest(id uint16) *Request {
 	c.mu.Lock()
--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	objectCount    = 60 // different keys
-	groupCount     = 8
+	objectCount    = 60 // number of different objects
+	groupCount     = 8  // number of purge groups
 	requestTimeout = 1500 * time.Millisecond
 	shortTimeout   = 30 * time.Millisecond
 	longTimeout    = 5 * time.Second // longer than a process may run after SIGTERM
 	dialTimeout    = time.Second
-	idleCloseAfter = 3500 * time.Millisecond // after which a client closes an idle connection
+	idleCloseAfter = 3500 * time.Millisecond // idle time after which a client closes a connection
 
 	burstRequests      = 8
 	maxAbortDelay      = 30 * time.Millisecond // from a request to its abort
@@ -98,7 +98,7 @@
 	}
 }
 
-// pickConn returns an open connection or a new one, or nil if there is none and it can't connect.
+// pickConn returns an open connection or opens one. It returns nil if it has to open one and can't.
 func (pc *proxyClients) pickConn(mayConnect bool) *clientConn {
 	if len(pc.conns) > 0 && (!mayConnect || pc.rng.Float64() < reuseFraction) {
 		return pc.conns[pc.rng.IntN(len(pc.conns))]
--- a/internal/soak/coordinator.go
+++ b/internal/soak/coordinator.go
@@ -22,8 +22,8 @@
 	modeDown                          // connections are refused, and open streams are closed
 	modeSilent                        // streams stay open and send nothing
 	modeSlow                          // streams send one event of the endpoint list byte by byte
-	modeTruncateClose                 // some streams are closed within the line of an event
-	modeTruncateStall                 // some streams stop sending within the line of an event and stay open
+	modeTruncateClose                 // some streams are closed in the middle of an event's line
+	modeTruncateStall                 // some streams stop sending in the middle of an event's line and stay open
 	modeHalfPrefix                    // some streams send half of an event's line before the whole line
 	modeDuplicate                     // each event is sent twice
 )
@@ -34,7 +34,7 @@
 	history *History
 
 	mu           sync.Mutex // guards the fields below and those of the watch servers
-	lines        []string   // of the events, whose indexes start at 1
+	lines        []string   // lines of the events, whose indexes start at 1
 	events       []*WatchEvent
 	watchServers map[int]*watchServer // by proxy number
 }
@@ -59,8 +59,8 @@
 	return c.watchServers[proxy].addr
 }
 
-// setMode sets the coordinator's mode for a proxy, and records in the history when events were withheld. After
-// modeDown, it returns when the address is open again.
+// setMode sets the coordinator's mode for a proxy. If the mode before withheld events, it records the span in the
+// history. After modeDown, it returns when the address is open again.
 func (c *coordinator) setMode(proxy int, m coordinatorMode) {
 	c.mu.Lock()
 	ws := c.watchServers[proxy]
@@ -84,7 +84,7 @@
 	}
 }
 
-// publish publishes an event with the next index. The format of its line has one verb, for the index.
+// publish publishes an event with the next index. format is the event's line with one verb, for the index.
 func (c *coordinator) publish(e *WatchEvent, format string) {
 	c.mu.Lock()
 	e.Index = len(c.events) + 1
@@ -98,8 +98,8 @@
 	c.history.Logf("coord", "event %s", line)
 }
 
-// knownEvents returns the index of the last event, and the well-formed events as the JSON list of a
-// configuration.
+// knownEvents returns the index of the last event, and the well-formed events as the JSON list in a
+// proxy's configuration.
 func (c *coordinator) knownEvents() (lastIndex int, updates string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/soak/corruption.go
+++ b/internal/soak/corruption.go
@@ -1,9 +1,9 @@
 package soak
 
-// This file corrupts the lines of events that the coordinator sends. A proxy still has to know each event within
-// maxNotifyDelay, because a new stream sends it again intact.
+// The code in this file corrupts the lines of events that the coordinator sends. A proxy still has to know each event
+// within maxNotifyDelay, because a new stream sends it again intact.
 
-// maxCorruptions is how many streams in a row are corrupted at most, and how often the line of one event is.
+// maxCorruptions is the maximum number of corrupted streams in a row, and of times that one event's line is corrupted.
 const maxCorruptions = 3
 
 // streamAction says what a stream does after a line.
@@ -19,9 +19,9 @@
 // corruption records what the coordinator has corrupted for one proxy since its mode was set.
 type corruption struct {
 	mode             coordinatorMode
-	heartbeatSent    bool        // since the mode was set; shows that no failed streams precede the corrupted ones
-	streamsToCorrupt int         // how many streams may still be corrupted
-	corruptedLines   map[int]int // by index of an event: how often its line was corrupted
+	heartbeatSent    bool        // sent since the mode was set, so that no failed streams precede the corrupted ones
+	streamsToCorrupt int         // number of streams that may still be corrupted
+	corruptedLines   map[int]int // by event index: number of times that the event's line was corrupted
 }
 
 func newCorruption(m coordinatorMode) corruption {
@@ -46,8 +46,8 @@
 	return ws.corruption.apply(e, line)
 }
 
-// apply corrupts the line of an event according to the mode. modeHalfPrefix damages a single event, so it is used
-// only on events of the endpoint list: purges are many and soon have no effect any more.
+// apply corrupts the line of an event according to the mode. modeHalfPrefix damages a single event. It is applied
+// only to events of the endpoint list, because purges are many and each soon has no effect any more.
 func (c *corruption) apply(e *WatchEvent, line string) (text string, next streamAction) {
 	whole := line + "\n"
 	half := line[:len(line)/2]
--- a/internal/soak/fastcgi.go
+++ b/internal/soak/fastcgi.go
@@ -33,7 +33,7 @@
 // param is a FastCGI parameter.
 type param struct{ name, value string }
 
-// requestID returns a random number in the form of a request's ID.
+// requestID formats a random number as a request's ID.
 func requestID(number uint64) string { return fmt.Sprintf("%016x", number) }
 
 // encodeRequest encodes all records of a request.
@@ -75,7 +75,7 @@
 	return append(out, content...)
 }
 
-// readRecord reads a record. The content includes the padding; the proxy sends none.
+// readRecord reads a record. The content includes the padding, but the proxy sends no padding.
 func readRecord(in io.Reader) (kind byte, id uint16, content []byte, err error) {
 	var header [fcgiHeaderSize]byte
 	if _, err := io.ReadFull(in, header[:]); err != nil {
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -12,13 +12,14 @@
 )
 
 const (
-	// lateReadsAfterHang is how long after a hang a server may still read calls that were sent during it.
+	// lateReadsAfterHang is the time after a hang in which a server may still read calls that were sent during the
+	// hang.
 	lateReadsAfterHang = 300 * time.Millisecond
-	// maxPurgeDelay is the longest time until a server drops purged copies.
+	// maxPurgeDelay is the maximum time between a purge and a server's drop of the purged copies.
 	maxPurgeDelay = 5 * time.Second
-	// hangPollInterval is how often a hung server checks whether the hang is over.
+	// hangPollInterval is the interval at which a hung server checks whether the hang is over.
 	hangPollInterval = time.Millisecond
-	// serverRNGStream is the stream of a seed's PCG random numbers that a server draws from.
+	// serverRNGStream selects the PCG stream of a server's seed from which the server draws.
 	serverRNGStream = 7
 )
 
@@ -41,8 +42,8 @@
 	slowUntil     time.Duration
 	malformUntil  time.Duration // may malform its answers
 	overloadUntil time.Duration // may reject calls
-	restartedAt   time.Time     // zero: not during the run
-	state         string        // in the endpoint list
+	restartedAt   time.Time     // zero: not restarted during the run
+	state         string        // state in the endpoint list
 }
 
 // sequence returns consecutive numbers, starting from 1.
@@ -132,14 +133,15 @@
 	conn.Close()                     //nolint:errcheck // as above
 }
 
-// extendFault moves the end of a fault, one of the fields whose names end in Until, to a time if that is later.
+// extendFault moves the end of a fault to a time, if that is later than the present end. until points to the field that
+// holds the end, such as hungUntil.
 func (s *server) extendFault(until *time.Duration, at time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	*until = max(*until, at)
 }
 
-// faultActive reports whether a fault, given by the field that holds its end, is active now.
+// faultActive reports whether a fault is active now. until points to the field that holds the fault's end.
 func (s *server) faultActive(until *time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -199,7 +201,7 @@
 			return
 		}
 		if words[0] != "REQ" || len(words) != 4 {
-			continue // STOP is ignored, as the answer and the STOP may always cross on the way
+			continue // a STOP is ignored, because it and the answer may cross on the way in any case
 		}
 		call := s.recordCall(words, firstByteAt, readLate)
 		go s.answer(call, out)
--- a/internal/soak/watchserver.go
+++ b/internal/soak/watchserver.go
@@ -9,12 +9,13 @@
 )
 
 const (
-	// heartbeatInterval is how often a stream without new events sends a heartbeat: the index of the last event.
+	// heartbeatInterval is the interval at which a stream without new events sends a heartbeat: the index of the last
+	// event.
 	heartbeatInterval = time.Second
-	// eventPollInterval is how often a stream checks for the next event.
+	// eventPollInterval is the interval at which a stream checks for the next event.
 	eventPollInterval = 2 * time.Millisecond
-	// slowLineTime is how long a slow stream takes for one line. Together with the line after it, that stays within
-	// maxNotifyDelay.
+	// slowLineTime is the time that a slow stream takes to send one line. Sending that line and the next one takes no
+	// longer than maxNotifyDelay.
 	slowLineTime = 6 * time.Second
 )
 
@@ -81,8 +82,8 @@
 	return ws.mode == modeSilent
 }
 
-// serve reads from which index a proxy follows, and sends it the events after that index until the connection
-// ends.
+// serve reads the index that a proxy follows from, and sends the proxy the events after that index until the
+// connection ends.
 func (ws *watchServer) serve(conn net.Conn) {
 	ws.addStream(conn)
 	defer func() {
@@ -168,8 +169,8 @@
 // changesEndpoints reports whether an event changes the endpoint list.
 func (e *WatchEvent) changesEndpoints() bool { return len(e.Withdrawn)+len(e.Serving) > 0 }
 
-// writePaced writes a line, byte by byte with a pause before each if byteInterval is not 0. It returns false if the
-// connection has ended.
+// writePaced writes a line: at once if byteInterval is 0, else byte by byte with that pause before each. It returns
+// false if the connection has ended.
 func writePaced(conn net.Conn, line string, byteInterval time.Duration) bool {
 	if byteInterval == 0 {
 		_, err := conn.Write([]byte(line))
