--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -142,7 +142,7 @@
 		}
 		cached[key] = true
 		h := fnv.New64a()
-		h.Write([]byte(key)) //nolint:errcheck // a hash takes everything
+		h.Write([]byte(key)) //nolint:errcheck // a write to a hash never fails
 		fields := fmt.Sprintf("etag=%016x,made=%d,note=%s,ttfb=0", h.Sum64(), time.Now().UnixMilli(), note)
 		if _, err := conn.Write(bulkArray(words[1], "served", fields, "object "+key+" from the "+name+"\n")); err != nil {
 			return err
@@ -186,7 +186,7 @@
 	}
 	defer conn.Close() //nolint:errcheck // nothing more is written
 	h := fnv.New64a()
-	h.Write([]byte(object)) //nolint:errcheck // a hash takes everything
+	h.Write([]byte(object)) //nolint:errcheck // a write to a hash never fails
 	var params []byte
 	// HTTP_X_PIECE is the number of the object's part, from 0. HTTP_X_LOT is the object's purge group: any number
 	// will do, as nothing is purged.
--- a/internal/fault/stream.go
+++ b/internal/fault/stream.go
@@ -18,7 +18,7 @@
 	repeated      []byte         // bytes that an active Repeat rule will send once more
 	lastDue       time.Duration  // due time of the last output so far
 	ended         bool
-	initialOutput []Output // of rules that fired when the connection began
+	initialOutput []Output // outputs of rules that fired when the connection began; returned by the first Advance
 }
 
 // activeRule is a rule that has fired and still has an effect.
--- a/internal/fault/trigger.go
+++ b/internal/fault/trigger.go
@@ -3,7 +3,7 @@
 // pendingRule is a rule that has not fired yet, with the state of the search for its pattern.
 type pendingRule struct {
 	rule         *Rule
-	failureTable []int // of the Knuth-Morris-Pratt search; nil without a pattern
+	failureTable []int // failure table of the Knuth-Morris-Pratt search; nil without a pattern
 	matched      int   // length of the pattern's prefix that the last bytes of the stream match
 	matches      int   // complete matches so far
 }
--- a/internal/relay/outputqueue.go
+++ b/internal/relay/outputqueue.go
@@ -7,7 +7,7 @@
 	"cloverdoor/internal/fault"
 )
 
-// maxPendingOutputs limits the outputs of one direction that wait for their due time. Each holds at most
+// maxPendingOutputs is the maximum number of outputs of one direction that wait for their due time. Each holds at most
 // readBufferSize bytes, plus what a Repeat rule sends again.
 const maxPendingOutputs = 32
 
--- a/internal/soak/clientconn.go
+++ b/internal/soak/clientconn.go
@@ -177,7 +177,7 @@
 }
 
 // mayRaceIdleClose reports whether the proxy may have closed the connection as idle before it read a request: the
-// request was sent in full at most idleCloseRaceWindow before the close, and is not the first one on a connection
+// request was sent in full less than idleCloseRaceWindow before the close, and is not the first one on a connection
 // younger than unusedIdleAge.
 func (c *clientConn) mayRaceIdleClose(req *Request, closedAt time.Duration) bool {
 	if req.SentAt == 0 || closedAt-req.SentAt >= idleCloseRaceWindow {
--- a/internal/soak/records.go
+++ b/internal/soak/records.go
@@ -113,7 +113,7 @@
 	OverloadMultiple      float64       // multiple of its capacity above which a server is overloaded
 	SlowStartCapacity     float64       // fraction of its capacity that a server has when it starts
 	LinkTransfers         float64       // concurrent transfers that a cache's link carries
-	TransferTime          time.Duration // of one object
+	TransferTime          time.Duration // time that the transfer of one object takes
 	OverloadWindow        time.Duration // window in which calls are counted against the capacity
 	SlowStartDuration     time.Duration
 	MaxDeadline           time.Duration // longest time that a proxy gives a request
--- a/internal/soak/settings.go
+++ b/internal/soak/settings.go
@@ -11,7 +11,7 @@
 	deduplicationWindow = 400 * time.Millisecond
 	slowStartCapacity   = 0.1 // fraction of a server's capacity at its start
 	slowStartDuration   = 4 * time.Second
-	overloadMultiple    = 2 // of a server's capacity, above which it is overloaded
+	overloadMultiple    = 2 // multiple of a server's capacity above which it is overloaded
 	overloadWindow      = time.Second
 	maxDeadline         = 3 * time.Second
 	classDeadline       = 6 * time.Second // deadline of each class in the settings
