--- a/cmd/edgeproxy/main.go
+++ b/cmd/edgeproxy/main.go
@@ -18,10 +18,11 @@
 )
 
 const (
-	// startupRetryTimeout is how long the start is retried while the machine lacks descriptors or memory.
+	// startupRetryTimeout is the time for which a step of the start is retried while the machine lacks descriptors
+	// or memory.
 	startupRetryTimeout  = 5 * time.Second
 	startupRetryInterval = 20 * time.Millisecond
-	// logFlushTimeout is how long the program waits at its end for the last log lines to be written.
+	// logFlushTimeout limits the program's wait for its last log lines to be written before it exits.
 	logFlushTimeout = proxy.ExitMargin / 4
 	// heapLimitPercent is the percentage of the process's memory limit that is set as the garbage collector's
 	// limit. The rest is for memory that the collector does not count.
@@ -53,12 +54,12 @@
 	}
 }
 
-// signals are the channels of the signals that the program handles: SIGTERM and SIGINT stop it, SIGHUP reloads
+// signals holds the channels of the signals that the program handles: SIGTERM and SIGINT stop it, SIGHUP reloads
 // its configuration.
 type signals struct{ stop, reload chan os.Signal }
 
-// listenForSignals starts to handle signals. SIGPIPE is ignored, so that the program continues when the reader
-// of its log has gone.
+// listenForSignals starts to receive signals and returns their channels. SIGPIPE is ignored, so that the program
+// continues when the reader of its log has gone.
 func listenForSignals() signals {
 	signal.Ignore(syscall.SIGPIPE)
 	s := signals{stop: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
@@ -69,7 +70,7 @@
 
 // run starts a proxy with a configuration and serves until it has been stopped.
 func run(cfg *config, clock eventloop.TimeSource, s signals, logger *slog.Logger, out *logging.Writer) error {
-	// The platform kills a process that reaches its memory limit, so the garbage collector has to work harder
+	// The platform kills a process that reaches its memory limit, so the garbage collector has to run more often
 	// before that.
 	debug.SetMemoryLimit(int64(cfg.proxy.MaxMemoryBytes) * heapLimitPercent / 100)
 	loop, err := newLoop(clock)
