--- a/cmd/edgeproxy/config.go
+++ b/cmd/edgeproxy/config.go
@@ -18,32 +18,32 @@
 	minSockets  = 64
 	// firstInheritableFD is the first descriptor after standard input, output and error.
 	firstInheritableFD = 3
-	// overlappingProcesses is how many processes of one proxy run at a time while a new one replaces the old
-	// one on the listening socket that both inherit. The memory limit and the descriptors for connections to
-	// caches, parents and the origin are divided among them; those for client connections are not.
+	// overlappingProcesses is the number of processes of one proxy that run at the same time while a new one
+	// replaces the old one on the listening socket that both inherit. The memory limit and the descriptors for
+	// connections to caches, parents and the origin are divided among them; those for client connections are not.
 	overlappingProcesses = 2
 )
 
 // config holds the configuration: the file that BALANCER_CONFIG names, overridden by the environment, and the
 // values decoded from it.
 type config struct {
-	Name   string `json:"name"`       // of this instance in the log
+	Name   string `json:"name"`       // name of this instance in the log
 	Listen string `json:"listen"`     // address for clients
 	Admin  string `json:"admin_addr"` // address for operators; empty: none
-	Seed   string `json:"seed"`       // hexadecimal
+	Seed   string `json:"seed"`       // hexadecimal seed of the random decisions
 	Limits struct {
 		MemoryMB int `json:"memory_mb"` // MiB
 		Sockets  int `json:"sockets"`   // descriptors
 	} `json:"limits"`
 	Coordinator            string             `json:"coordinator"`
 	TransferBytesPerSecond float64            `json:"flow_bytes_per_s"` // rate of one transfer; 0: unknown
-	KnownState             watch.InitialState `json:"known"`
+	KnownState             watch.InitialState `json:"known"`            // endpoints and purges known at the start
 	Settings               json.RawMessage    `json:"settings"`
 
 	fields map[string]json.RawMessage // top-level fields of the file, not decoded
 
 	listen, admin, coordinator netip.AddrPort // parsed from the fields Listen, Admin and Coordinator
-	inheritedListenFD          int            // descriptor of an open listening socket for clients; 0: none
+	inheritedListenFD          int            // descriptor of the inherited listening socket for clients; 0: none
 	proxy                      proxy.Config
 }
 
