--- a/cmd/edgeproxy/helpers_test.go
+++ b/cmd/edgeproxy/helpers_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// closeOnce closes c. It does not fail if c is closed already.
+// closeOnce closes c, which may be closed already. Any other error fails the test.
 func closeOnce(tb testing.TB, c io.Closer) {
 	tb.Helper()
 	err := c.Close()
@@ -25,7 +25,7 @@
 	}
 }
 
-// mustWrite writes text to a connection that the program must still read.
+// mustWrite writes text to a connection that the program must not have closed: an error fails the test.
 func mustWrite(tb testing.TB, conn io.Writer, text string) {
 	tb.Helper()
 	if _, err := io.WriteString(conn, text); err != nil {
--- a/cmd/edgeproxy/main_test.go
+++ b/cmd/edgeproxy/main_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// TestMain runs the program instead of the tests if a test has started this binary for that.
+// TestMain runs the program instead of the tests in a process that a test has started as the program.
 func TestMain(m *testing.M) {
 	if os.Getenv(programEnv) != "" {
 		serveWithTestClock()
