--- a/cmd/edgeproxy/soak_test.go
+++ b/cmd/edgeproxy/soak_test.go
@@ -27,9 +27,8 @@
 }
 
 // TestSoak runs a fleet of real processes for each seed, under random faults drawn from the seed, and checks the
-// history of each run against the rules of package soak.
-// The environment sets the seeds, the number of processes and the duration: CI runs a few short seeds, `make soak`
-// more.
+// history of each run against the rules of package soak. The environment sets the seeds, the number of processes and
+// the duration of a run: CI makes a few short runs, `make soak` more.
 func TestSoak(t *testing.T) {
 	first := envInt(t, "SEED", 1)
 	seeds := envInt(t, "SEEDS", 4)
@@ -45,7 +44,7 @@
 			Shrink: os.Getenv("SHRINK") != "",
 		})
 		if err != nil {
-			t.Fatalf("seed %d could not be played: %v", seed, err)
+			t.Fatalf("seed %d could not be run: %v", seed, err)
 		}
 		t.Logf("seed %d: %d faults, %d processes, %d requests, %d served, %d violations",
 			seed, len(result.Schedule), result.Incarnations, result.Requests, result.Served, len(result.Violations))
