--- a/cmd/edgeproxy/admin_test.go
+++ b/cmd/edgeproxy/admin_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// TestStats checks the metrics after requests with different outcomes and after an event.
+// TestStats checks the metrics after requests with different outcomes and after an event of the coordinator.
 func TestStats(t *testing.T) {
 	env := startTestEnv(t)
 	c := env.dial()
@@ -44,7 +44,7 @@
 	env.checkMetrics(map[string]int{operationsMetric("artes", "fulfilled"): 1, "svc_open_requests": 0})
 	c.request(4, "artes", longTimeoutMS, 1, "")
 	receive(t, env.cache.calls, "call")
-	c.writeRecord(recordAbort, 4, "") // its client aborts it
+	c.writeRecord(recordAbort, 4, "") // the client aborts its request
 	receive(t, c.answers, "END_REQUEST")
 	env.checkMetrics(map[string]int{operationsMetric("artes", "faulted"): 1, "svc_open_requests": 0})
 	env.sendEvent(endpointEvent(2, false, endpoint("c1", "std", "edge", "DRAINING", env.cache.Addr())))
@@ -81,8 +81,8 @@
 	}
 }
 
-// requestUntilRejected makes reads on a connection until one is rejected, and answers the ones before. As each read
-// follows at once, the connection is never idle.
+// requestUntilRejected sends reads on a client's connection until one is rejected, and answers the calls of the reads
+// before it. Each read is sent as soon as the one before is answered, so that the connection is never idle.
 func (env *testEnv) requestUntilRejected(c *client, firstID uint16) {
 	env.t.Helper()
 	for id := firstID; ; id++ {
@@ -177,7 +177,7 @@
 }
 
 // TestUnservedRequestsAreCountedByReason guards against answers that appear in no metric: each answer that serves
-// nothing is counted under its reason, also if the request was never submitted.
+// nothing is counted under its reason, even if the request was never submitted to the decision module.
 func TestUnservedRequestsAreCountedByReason(t *testing.T) {
 	env := startTestEnv(t)
 	c := env.dial()
