--- a/cmd/edgeproxy/cache_test.go
+++ b/cmd/edgeproxy/cache_test.go
@@ -24,7 +24,7 @@
 	}
 	n, err := strconv.Atoi(got.fields["w"])
 	if err != nil || n <= 0 || n > longTimeoutMS || got.words[1] != "9b1f03aa5c7e2d41" {
-		t.Errorf("got call %q, want the ID of the request and a timeout up to its own", got.words)
+		t.Errorf("got call %q, want the ID of the request and a timeout no longer than the request's", got.words)
 	}
 	got.answer("served", "etag=4be0c1927d55a6f4,made=1,note=TCP_MISS,ttfb=3", big)
 	a := receive(t, c.answers, "answer")
@@ -73,13 +73,13 @@
 	closeOnce(t, got.conn)
 	a := receive(t, c.answers, "answer")
 	if a.status != "502" {
-		t.Errorf("after a reset: %+v", a)
+		t.Errorf("after a reset: got answer %+v, want status 502", a)
 	}
 	closeOnce(t, env.origin) // connects are refused from now on
 	c.request(2, "registro", longTimeoutMS, 1, write)
 	a = receive(t, c.answers, "answer")
 	if a.status != "503" || !strings.Contains(a.headers, "Srv-Wait-Ms: ") {
-		t.Errorf("after a refused connect: %+v", a)
+		t.Errorf("after a refused connect: got answer %+v, want status 503 and Srv-Wait-Ms", a)
 	}
 	if len(env.origin.calls) != 0 {
 		t.Error("a write was retried")
@@ -138,12 +138,12 @@
 	mustWrite(t, calls[0].conn, "noise\r\n")
 	a := receive(t, c.answers, "answer")
 	if a.id != 1 || a.status != "502" {
-		t.Errorf("malformed answer: %+v", a)
+		t.Errorf("malformed answer: got answer %+v, want ID 1 and status 502", a)
 	}
 	for i, got := range calls[1:] {
 		got.answer("served", "-", "fine")
 		if a := receive(t, c.answers, "answer"); int(a.id) != i+2 || a.body != "fine" {
-			t.Errorf("request %d: %+v", i+2, a)
+			t.Errorf(`request %d: got answer %+v, want its ID and body "fine"`, i+2, a)
 		}
 	}
 }
