--- a/cmd/edgeproxy/client_test.go
+++ b/cmd/edgeproxy/client_test.go
@@ -93,7 +93,7 @@
 	}
 }
 
-// TestNoRetryAfterWhereItIsOff checks that rejections carry no Retry-After advice if the settings turn it off.
+// TestNoRetryAfterWhereItIsOff checks that rejections have no header Srv-Wait-Ms if the setting retry-after is off.
 func TestNoRetryAfterWhereItIsOff(t *testing.T) {
 	env := startTestEnv(t)
 	env.reload(`"second-copies":true`, `"retry-after":false,"second-copies":true`)
@@ -115,12 +115,12 @@
 	c := env.dial()
 	out := &bufferedConn{Conn: c.Conn}
 	(&client{Conn: out}).request(1, "artes", longTimeoutMS, 1, "")
-	for begin := time.Now(); len(out.buffer) > 0; time.Sleep(50 * time.Millisecond) { // not a race: the pace of the client
+	for begin := time.Now(); len(out.buffer) > 0; time.Sleep(50 * time.Millisecond) { // not a race: sets the pace of the client
 		n := 1
 		if time.Since(begin) > 3*time.Second {
 			n = len(out.buffer)
 		}
-		c.Write(out.buffer[:n]) //nolint:errcheck // shows in the answers
+		c.Write(out.buffer[:n]) //nolint:errcheck // a lost connection shows in the answers
 		out.buffer = out.buffer[n:]
 	}
 	a := receive(t, c.answers, "answer")
