--- a/cmd/edgeproxy/clientlimits_test.go
+++ b/cmd/edgeproxy/clientlimits_test.go
@@ -88,7 +88,7 @@
 	for i, c := range all {
 		out := &bufferedConn{Conn: c.Conn}
 		(&client{Conn: out}).writeRecord(recordStdin, 2, content)
-		c.Write(out.buffer[part:]) //nolint:errcheck // as above
+		c.Write(out.buffer[part:]) //nolint:errcheck // a lost connection shows in the answers
 		c.request(3, "artes", longTimeoutMS, i, "")
 		for id := uint16(0); id != 3; {
 			a := receive(t, c.answers, "answer")
@@ -130,7 +130,7 @@
 	for _, got := range calls {
 		answered.Go(func() { got.answer("served", "-", big) })
 	}
-	answered.Wait() // the sockets' buffers are full
+	answered.Wait() // the sockets' buffers hold all answers
 	resume()
 	for i, c := range all {
 		for range each {
@@ -196,7 +196,7 @@
 	early := env.dial()
 	served("early", early)
 	var silent []*client
-	for range 600 { // more than the two fifths of the descriptors that clients may use: 409
+	for range 600 { // more than 409, the two fifths of the descriptors that clients may use
 		silent = append(silent, env.dial())
 	}
 	served("late", env.dial())
@@ -237,7 +237,7 @@
 	}
 	a := receive(t, answers, "rejection")
 	if a.protocol != 2 {
-		t.Errorf("%+v, want OVERLOADED", a)
+		t.Errorf("got answer %+v, want OVERLOADED", a)
 	}
 	for _, c := range conns {
 		closeOnce(t, c)
@@ -258,7 +258,7 @@
 	env.cache.answerAll("served", "-", "fine")
 	receive(t, env.followLines, "follow")
 	env.stopCoordinator()
-	for i := range 700 { // more than the two fifths of the descriptors that clients may use: 409
+	for i := range 700 { // more than 409, the two fifths of the descriptors that clients may use
 		c := env.dial()
 		c.request(1, "artes", longTimeoutMS, i, "")
 		a := receive(t, c.answers, "answer")
