--- a/cmd/edgeproxy/clock_test.go
+++ b/cmd/edgeproxy/clock_test.go
@@ -15,8 +15,8 @@
 	"cloverdoor/internal/eventloop"
 )
 
-// clockMessageSize is the size in bytes of a message between a test and a program with a manual clock. A message
-// is the time of a step, or the same time as its acknowledgment.
+// clockMessageSize is the size in bytes of a message between a test and a program with a manual clock. The test sends
+// the time of a step, to which the clock advances; the program acknowledges the step with the same time.
 const clockMessageSize = 8
 
 // manualClock is the test's side of the clock of a program whose time passes only when the test advances it.
@@ -53,7 +53,7 @@
 	cmd.Env = append(cmd.Env, fmt.Sprintf("CLOVERDOOR_TEST_CLOCK=%d", m.now), fmt.Sprintf("CLOVERDOOR_TEST_CLOCK_FD=%d", first))
 }
 
-// advance advances the program's time. When it returns, the program has carried out everything that became due.
+// advance advances the program's time by offset. When it returns, the program has carried out everything that became due.
 func (m *manualClock) advance(offset time.Duration) {
 	m.t.Helper()
 	m.now += offset
@@ -79,13 +79,14 @@
 	pending bool // a step has been read and is not acknowledged yet
 }
 
-// stepPollInterval is how long, in real time, the program waits for events before it looks for the next step.
+// stepPollInterval limits, in real time, the program's wait for events before it looks for the next step.
 const stepPollInterval = time.Millisecond
 
 // Now returns the time of the last step.
 func (c *manualTimeSource) Now() eventloop.Timestamp { return c.now }
 
-// PollTimeout acknowledges the step that the last turn has carried out, and reads the next one.
+// PollTimeout acknowledges the step if the last turn of the event loop has carried one out, and reads the next one if
+// it has arrived. It returns wanted, but at most stepPollInterval.
 func (c *manualTimeSource) PollTimeout(wanted time.Duration) time.Duration {
 	var step [clockMessageSize]byte
 	if c.pending {
@@ -110,7 +111,7 @@
 // Now returns the wrong time.
 func (c offsetClock) Now() eventloop.Timestamp { return c.TimeSource.Now() + c.by }
 
-// clockOffsetEnv is the environment variable with the offset of the program's wall clock.
+// clockOffsetEnv is the environment variable with the duration by which the program's wall clock is wrong.
 const clockOffsetEnv = "CLOVERDOOR_TEST_CLOCK_OFFSET"
 
 // serveWithTestClock runs the program with the clock and the system call faults that its environment sets. A violation
