--- a/cmd/edgeproxy/config_test.go
+++ b/cmd/edgeproxy/config_test.go
@@ -159,7 +159,7 @@
 	receive(t, env.origin.calls, "call").answer("crashed", "-", "")
 	a = receive(t, c.answers, "answer")
 	if a.status != "502" {
-		t.Errorf("a write that may have been executed: %+v", a)
+		t.Errorf("a write that may have been executed: got answer %+v, want status 502", a)
 	}
 	c.request(4, "nuevos", longTimeoutMS, 4, "")
 	receive(t, env.cache.calls, "call").answer("served", "-", "new")
@@ -170,7 +170,7 @@
 	c.request(5, "artes", longTimeoutMS, 5, "")
 	a = receive(t, c.answers, "answer")
 	if a.status != "400" {
-		t.Errorf("a removed class: %+v", a)
+		t.Errorf("a removed class: got answer %+v, want status 400", a)
 	}
 	open.answer("served", "-", "fine")
 	a = receive(t, c.answers, "answer")
@@ -225,7 +225,7 @@
 		cmd.Env = env.cmd.Env
 		out, err := cmd.CombinedOutput()
 		if err == nil || strings.Count(string(out), "\n") != 1 || !strings.Contains(string(out), "settings: ") {
-			t.Errorf("%s: error %v, output %q", change[1], err, out)
+			t.Errorf("%s: got error %v, output %q, want an error of one line about the settings", change[1], err, out)
 		}
 	}
 }
--- a/cmd/edgeproxy/replace_test.go
+++ b/cmd/edgeproxy/replace_test.go
@@ -117,7 +117,7 @@
 		cmd.Env = append(env.cmd.Env, "BALANCER_LISTEN_FD="+fd)
 		out, err := cmd.CombinedOutput()
 		if err == nil || strings.Count(string(out), "\n") != 1 || !strings.Contains(string(out), "escriptor") {
-			t.Errorf("BALANCER_LISTEN_FD=%s: error %v, output %q", fd, err, out)
+			t.Errorf("BALANCER_LISTEN_FD=%s: got error %v, output %q, want an error of one line about the descriptor", fd, err, out)
 		}
 	}
 }
