--- a/cmd/edgeproxy/coordinator_test.go
+++ b/cmd/edgeproxy/coordinator_test.go
@@ -75,19 +75,19 @@
 			receive(t, c.answers, "answer")
 			maxAge, _ := strconv.ParseInt(got.fields["maxage"], 10, 64)
 			if maxAge > sincePurge {
-				t.Errorf("%q: the maximum age is over the %d ms since the purge", got.words[2], sincePurge)
+				t.Errorf("%q: the maximum age exceeds the %d ms since the purge", got.words[2], sincePurge)
 			}
 			return maxAge > 0
 		})
 		c.request(1000, "artes", longTimeoutMS, 1, "")
 		got := receive(t, env.cache.calls, "call")
 		if !strings.Contains(got.fields["flags"], "coalesce") {
-			t.Errorf("%q: each call that misses after a purge would fill separately", got.words[2])
+			t.Errorf("%q lacks the flag coalesce: each call that misses after a purge would fill separately", got.words[2])
 		}
 		got.answer("served", fmt.Sprintf("etag=a,note=TCP_JOIN,made=%d", purgedAt.UnixMilli()-1000), "from before the purge")
 		got = receive(t, env.cache.calls, "further call")
 		if strings.Contains(got.fields["flags"], "coalesce") {
-			t.Errorf("%q: the call may join the same fill again", got.words[2])
+			t.Errorf("%q has the flag coalesce: the call may join the same fill again", got.words[2])
 		}
 		got.answer("served", fmt.Sprintf("etag=b,note=TCP_MISS,made=%d", purgedAt.UnixMilli()+100), "from after the purge")
 		a := receive(t, c.answers, "answer")
@@ -106,7 +106,7 @@
 		t.Helper()
 		got := receive(t, env.followLines, "follow "+what)
 		if got != want {
-			t.Errorf("%s: %q, want %q", what, got, want)
+			t.Errorf("%s: got line %q, want %q", what, got, want)
 		}
 	}
 	follow("at the start", "follow 1")
@@ -125,7 +125,7 @@
 	follow("after silence", "follow 3")
 }
 
-// TestAliveOnceTheListIsKnown checks that /alive answers 503 until the endpoint list is known, and 200 then.
+// TestAliveOnceTheListIsKnown checks that /alive answers 503 until the endpoint list is known, and 200 afterwards.
 func TestAliveOnceTheListIsKnown(t *testing.T) {
 	env := newTestEnv(t)
 	env.start()
@@ -138,7 +138,7 @@
 	c.request(1, "artes", longTimeoutMS, 1, "")
 	a := receive(t, c.answers, "answer")
 	if a.status != "503" {
-		t.Errorf("without an endpoint list: %+v", a)
+		t.Errorf("without an endpoint list: got answer %+v, want status 503", a)
 	}
 	env.sendEvent(fullList(env.cache.Addr(), env.origin.Addr()))
 	env.awaitAlive("200")
