--- a/cmd/edgeproxy/coordinatorenv_test.go
+++ b/cmd/edgeproxy/coordinatorenv_test.go
@@ -33,7 +33,7 @@
 	return l.Addr().String()
 }
 
-// serveCoordinator serves the coordinator on a listener, or closes the listener if the coordinator is down at the
+// serveCoordinator runs the coordinator on a listener, or closes the listener if the coordinator is to be down at the
 // start.
 func (env *testEnv) serveCoordinator(l net.Listener) {
 	env.coordinatorListener = l
@@ -108,7 +108,7 @@
 		c.request(1, "artes", longTimeoutMS, i, "")
 		a := receive(env.t, c.answers, "answer")
 		if a.body != body {
-			env.t.Errorf("object %d: %+v", i, a)
+			env.t.Errorf("object %d: got answer %+v", i, a)
 		}
 	}
 	if len(env.cache.calls) > 0 {
@@ -116,7 +116,7 @@
 	}
 }
 
-// slowCoordinator sends the same line on each stream, a few bytes at each writeNext.
+// slowCoordinator sends the same line on each stream, a few bytes at each call of writeNext.
 type slowCoordinator struct {
 	net.Listener
 	line string
@@ -145,7 +145,8 @@
 	return s
 }
 
-// writeNext writes the next bytes of the line on each stream.
+// writeNext writes the given number of further bytes of the line on each stream, or the rest of the line if there are
+// fewer.
 func (s *slowCoordinator) writeNext(bytes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
