--- a/cmd/edgeproxy/coordinatorlines_test.go
+++ b/cmd/edgeproxy/coordinatorlines_test.go
@@ -83,7 +83,7 @@
 		drain.writeNext(1 + len(drain.line)/int(duration/step))
 		env.clock.advance(step)
 	}
-	env.awaitAlive("200") // a turn of the event loop later: everything sent before has been read
+	env.awaitAlive("200") // answered in a later turn of the event loop: everything sent before has been read
 	env.checkServedOnlyBy("second")
 }
 
@@ -120,7 +120,7 @@
 	}
 	env.sendEvent("{broken")
 	env.sendEvent(endpointEvent(3, false, endpoint("c2", "std", "edge", "SERVING", env.cache.Addr())))
-	env.eventually("the event after it is applied", func() bool { return env.metric("svc_registry_entries") == 3 })
+	env.eventually("the event after the malformed line is applied", func() bool { return env.metric("svc_registry_entries") == 3 })
 	if env.metric("svc_registry_unreadable") != 1 || len(env.followLines) != 0 {
 		t.Errorf("%d unreadable lines, %d reconnects", env.metric("svc_registry_unreadable"), len(env.followLines))
 	}
@@ -139,7 +139,7 @@
 }
 
 // TestMissingEventsAreSkipped checks that events that are still missing after a reconnect are skipped, that the events
-// after them are applied, and that one of them is applied when it arrives late.
+// after them are applied, and that a skipped event is applied if it arrives late.
 func TestMissingEventsAreSkipped(t *testing.T) {
 	env := startTestEnv(t)
 	receive(t, env.followLines, "follow")
@@ -192,9 +192,9 @@
 	}
 }
 
-// TestCorruptedDrainIsRequestedAgain guards against a drain that is lost for good because its line was corrupted once
-// in the middle of the input and never requested again. The drain takes effect although newer events were applied
-// before it.
+// TestCorruptedDrainIsRequestedAgain guards against a drain that is lost for good because its line arrives corrupted
+// once, with other lines behind it, and is never requested again. The drain takes effect although newer events were
+// applied before it.
 func TestCorruptedDrainIsRequestedAgain(t *testing.T) {
 	env := startTestEnv(t)
 	receive(t, env.followLines, "follow")
@@ -210,7 +210,7 @@
 		t.Fatal(err)
 	}
 	env.sendEvent(drain[:len(drain)/2] + drain + "\n" + string(after))
-	env.eventually("the event after it is applied", func() bool { return env.metric("svc_registry_entries") == 3 })
+	env.eventually("the event after the corrupted line is applied", func() bool { return env.metric("svc_registry_entries") == 3 })
 	got := receive(t, env.followLines, "follow again")
 	if got != "follow 1" {
 		t.Errorf(`got line %q, want "follow 1"`, got)
