--- a/cmd/edgeproxy/disconnect_test.go
+++ b/cmd/edgeproxy/disconnect_test.go
@@ -163,7 +163,7 @@
 	for range 31 {
 		a := receive(t, c.answers, "answer")
 		if a.status != "200" || len(a.body) != 240_000 {
-			t.Errorf("got answer %+v", a)
+			t.Errorf("got answer %+v, want status 200 and 240,000 bytes", a)
 		}
 	}
 	a := receive(t, c.answers, "answer")
@@ -189,7 +189,7 @@
 	c.writeRecord(recordAbort, 99, "")
 	receive(t, env.cache.stops, "STOP") // no request is open: the program closes the connection
 	c.closeWrite()
-	env.awaitAlive("200") // a turn of the event loop later: the program has closed its side
+	env.awaitAlive("200") // answered in a later turn of the event loop: the program has closed its side
 	go c.readAnswers()
 	for range 31 {
 		a := receive(t, c.answers, "answer")
@@ -199,8 +199,8 @@
 	}
 }
 
-// TestIdleConnectionsAreClosed checks that connections that are idle for too long, between requests or within one, are
-// closed, except while a request on them waits for its answer.
+// TestIdleConnectionsAreClosed checks that connections that are idle for too long, between requests or with an
+// incomplete request, are closed, except while a request on them waits for its answer.
 func TestIdleConnectionsAreClosed(t *testing.T) {
 	t.Parallel()
 	env := startTestEnv(t)
@@ -220,6 +220,6 @@
 	receive(t, env.cache.calls, "call").answer("served", "-", "late")
 	a := receive(t, waiting.answers, "answer")
 	if a.body != "late" {
-		t.Errorf("the client that waits for an answer: %+v", a)
+		t.Errorf(`the client that waits for an answer: got answer %+v, want body "late"`, a)
 	}
 }
