--- a/cmd/edgeproxy/env_test.go
+++ b/cmd/edgeproxy/env_test.go
@@ -34,9 +34,9 @@
 	cmd           *exec.Cmd
 	configPath    string
 	initialConfig string     // configuration text at the start
-	addr          string     // for clients
-	adminAddr     string     // for operators
-	exited        chan error // the result of each process of env.cmd that has exited
+	addr          string     // address for clients
+	adminAddr     string     // address for operators
+	exited        chan error // result of Wait for each process that was started as env.cmd; nil: status 0
 	cache, origin *fakeServer
 
 	followLines         chan string              // lines that the program sends to the coordinator
@@ -47,9 +47,9 @@
 	watchConn           net.Conn // current stream from the coordinator; guarded by mu
 
 	// Set by a test before the start:
-	stderr          *os.File     // of the program
+	stderr          *os.File     // standard error of the program
 	inheritedSocket *os.File     // listening socket for clients, as the platform passes it; nil: the program opens its own
-	clock           *manualClock // of the program; nil: the system clock
+	clock           *manualClock // clock of the program; nil: the system clock
 	memoryMB        int          // memory limit of the program, MiB
 	extraEnv        []string     // additional environment variables of the program
 }
@@ -163,7 +163,8 @@
 	return old
 }
 
-// programCommand writes a configuration, and returns the command that starts the program with it and its path.
+// programCommand writes a configuration file, and returns the command that starts the program with it and the path of
+// the file.
 func programCommand(t *testing.T, config any) (cmd *exec.Cmd, path string) {
 	t.Helper()
 	text, err := json.Marshal(config)
