--- a/cmd/edgeproxy/fastcgi_client_test.go
+++ b/cmd/edgeproxy/fastcgi_client_test.go
@@ -141,8 +141,8 @@
 // closeWrite closes the client's sending direction.
 func (c *client) closeWrite() { c.Conn.(*net.TCPConn).CloseWrite() } //nolint:errcheck // a lost connection shows in the answers
 
-// newUnreadingClient returns a connection with so many answers that nobody reads, more than 1 MB, that the program
-// blocks further requests on it. It also returns the call of its request 99, which is in flight at the cache.
+// newUnreadingClient returns a client's connection on which more than 1 MB of answers wait unread, so that the program
+// blocks further requests on it. It also returns the call of request 99 on it, which is in flight at the cache.
 func newUnreadingClient(env *testEnv) (clientConn net.Conn, inFlight *receivedCall) {
 	env.t.Helper()
 	conn, err := net.Dial("tcp", env.addr)
@@ -163,5 +163,5 @@
 	return conn, inFlight
 }
 
-// pastDisconnectGrace is longer than the time after a disconnect in which an attempt may still begin.
+// pastDisconnectGrace is longer than the time after a client's disconnect during which its attempts may still begin.
 const pastDisconnectGrace = 150 * time.Millisecond
