--- a/cmd/edgeproxy/fault_test.go
+++ b/cmd/edgeproxy/fault_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestResetAroundAWrite checks that a write is executed at most once and gets one answer if the connection to the
-// origin is reset, at whatever point. The map gives how often the write is executed for each fault.
+// origin is reset, at whatever point. The map gives the number of executions of the write for each fault.
 func TestResetAroundAWrite(t *testing.T) {
 	const onceIfServed = -1 // one execution if the answer is served, none otherwise
 	for rule, runs := range map[string]int{
@@ -46,7 +46,8 @@
 				runs = 1
 			}
 		}
-		c.request(2, "registro", longTimeoutMS, 2, "x") // reaches the origin on another connection, after all calls of the first
+		// The second request reaches the origin on another connection, after all calls of the first.
+		c.request(2, "registro", longTimeoutMS, 2, "x")
 		a = receive(t, c.answers, "answer")
 		if a.id != 2 || a.status != "200" {
 			t.Errorf("%s, next request: got answer %+v, want ID 2 and status 200", rule, a)
@@ -143,8 +144,8 @@
 }
 
 // TestMalformedAnswersThroughTheRelay checks that truncated, duplicate and corrupted answers fail only their own
-// attempt, and that each request gets one answer. The map gives the status of the request that the fault meets, "" if
-// any status will do.
+// attempt, and that each request gets one answer. The map gives, for each fault, the status of the answer to the
+// request that it affects; "" stands for any status.
 func TestMalformedAnswersThroughTheRelay(t *testing.T) {
 	for rule, want := range map[string]string{
 		"c down conn 1 byte 40 : close":      "200", // retried
--- a/cmd/edgeproxy/faultyrelay_test.go
+++ b/cmd/edgeproxy/faultyrelay_test.go
@@ -21,8 +21,8 @@
 // Addr returns the address of the relay.
 func (r *faultyRelay) Addr() net.Addr { return r.relay.Addr("c") }
 
-// log returns the faults that have fired, one a line, sorted as text so that it does not depend on the order in which
-// they fired.
+// log returns the faults that have fired, one a line. The lines are sorted as text, so that the result does not depend
+// on the order in which the faults fired.
 func (r *faultyRelay) log() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -31,8 +31,7 @@
 	return strings.Join(list, "\n")
 }
 
-// newFaultyRelay starts a relay to an address with fault rules for the link "c", which is the name of the relay in
-// a script.
+// newFaultyRelay starts a relay to an address with a script of fault rules. In the rules, the relay is the link "c".
 func newFaultyRelay(t *testing.T, target string, rules ...string) *faultyRelay {
 	t.Helper()
 	script, err := fault.Parse(fmt.Sprintf("seed 3\nlink c listen 127.0.0.1:0 to %s\n%s", target, strings.Join(rules, "\n")))
