--- a/cmd/edgeproxy/scriptplay_test.go
+++ b/cmd/edgeproxy/scriptplay_test.go
@@ -18,8 +18,8 @@
 	clockStep = 25 * time.Millisecond
 )
 
-// playTime returns how long the script is played on the program's clock: the duration in the environment variable
-// FAULT_SOAK, or defaultPlayTime.
+// playTime returns the time for which the script is played, on the program's clock: the duration in the environment
+// variable FAULT_SOAK, or defaultPlayTime.
 func playTime(t *testing.T) time.Duration {
 	t.Helper()
 	text := os.Getenv("FAULT_SOAK")
@@ -33,8 +33,8 @@
 	return d
 }
 
-// playScript plays a fixed script of faults on the connections of clients, servers and the coordinator with fixed
-// traffic. It returns the program's counters of outcomes and the faults that fired, except those on the connections
+// playScript sends fixed traffic while a fixed script injects faults into the connections of clients, servers and the
+// coordinator. It returns the program's counters of outcomes and the faults that fired, except those on the connections
 // to the coordinator. The program's clock advances only between two requests, so that the speed of the machine has no
 // effect. If slow is set, some answers take longer than the program waits for an answer before it retries.
 func playScript(t *testing.T, length time.Duration, slow bool) (counters, faults string) {
@@ -46,7 +46,7 @@
 		for got := range env.cache.calls {
 			calls++
 			if slow && calls%50 == 25 {
-				time.Sleep(slowAnswer) // not a race: the outcomes must not depend on it
+				time.Sleep(slowAnswer) // not a race: the outcomes must not depend on this delay
 			}
 			got.answer("served", "made=1,note=TCP_HIT", strings.Repeat("c", 500))
 		}
@@ -86,7 +86,7 @@
 			lost++
 			c = nil
 		case int(a.id) != i%1000+1:
-			t.Fatalf("request %d: %+v", i, a)
+			t.Fatalf("request %d: got answer %+v, want the ID of the request", i, a)
 		}
 	}
 	env.eventually("no request is open", func() bool { return env.metric("svc_open_requests") == 0 })
