--- a/cmd/edgeproxy/shutdown_test.go
+++ b/cmd/edgeproxy/shutdown_test.go
@@ -84,7 +84,7 @@
 		env.signal(syscall.SIGTERM)
 		env.awaitAlive("503")
 		env.awaitNotListening()
-		c.Write(rest) //nolint:errcheck // shows in the answers
+		c.Write(rest) //nolint:errcheck // a lost connection shows in the answers
 		a := receive(t, c.answers, "answer")
 		if a.id != 2 || a.body != "fine" && a.status != "503" {
 			t.Errorf("%d bytes before SIGTERM: got answer %+v, want ID 2 and a served or rejected request", part, a)
@@ -105,7 +105,7 @@
 	resume := env.pause()
 	c := env.dial()
 	c.request(1, "artes", longTimeoutMS, 1, "")
-	time.Sleep(time.Second) // not a race: when it resumes, the time in which it listens is over
+	time.Sleep(time.Second) // not a race: when the program resumes, the time for which it goes on listening is over
 	resume()
 	a := receive(t, c.answers, "answer")
 	if a.body != "fine" {
@@ -162,7 +162,7 @@
 // TestShutdownAnswersRequestsInFlight checks that requests in flight at SIGTERM whose server hangs are answered before
 // the platform may kill the process, however late their deadlines are.
 func TestShutdownAnswersRequestsInFlight(t *testing.T) {
-	// untilKill is maxShutdownDeadline and killGrace of package proxy together, as these settings have no deadline.
+	// untilKill is maxShutdownDeadline plus killGrace of package proxy, as the settings of this test have no deadline.
 	const untilKill, step = 3700 * time.Millisecond, 50 * time.Millisecond
 	env := newTestEnv(t)
 	env.clock = newManualClock(t)
@@ -198,7 +198,8 @@
 	t.Parallel()
 	env := newTestEnv(t)
 	env.cache.answerAll("served", "-", "fine")
-	env.extraEnv = []string{syscallFaultsEnv + "=accept:ENFILE:2-60"} // one failure every 20 ms: longer than the socket otherwise stays open
+	// One failure every 20 ms: for longer than the listening socket would otherwise stay open.
+	env.extraEnv = []string{syscallFaultsEnv + "=accept:ENFILE:2-60"}
 	env.startWith(env.cache.Addr(), env.origin.Addr())
 	if err := env.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
