--- a/cmd/edgeproxy/syscallfaults_test.go
+++ b/cmd/edgeproxy/syscallfaults_test.go
@@ -23,10 +23,11 @@
 const randomFaultsEnv = "CLOVERDOOR_TEST_RANDOM_FAULTS"
 
 const (
-	failureChance       = 0.01              // that a system call fails
-	disconnectChance    = failureChance / 4 // that a read or write breaks a connection that the program has opened
-	shortTransferChance = 0.05              // that a read or write transfers only a part
-	// failureStream is the PCG stream of a seed that the failures are drawn from.
+	failureChance       = 0.01              // chance that a system call fails
+	disconnectChance    = failureChance / 4 // chance that a read or write breaks a connection that the program has opened
+	shortTransferChance = 0.05              // chance that a read or write transfers only a part
+	// failureStream is the second half of the PCG seed for the failures. The first half is the seed in
+	// randomFaultsEnv.
 	failureStream = 5
 	// maxErrno is greater than all error numbers.
 	maxErrno = 200
@@ -162,8 +163,8 @@
 	panic(name)
 }
 
-// failCall makes a system call fail with a code, from the call with the number from to the one with the number to,
-// counted from 1.
+// failCall makes a system call fail with a code. The calls are counted from 1: from is the number of the first call that
+// fails, to that of the last.
 func failCall(call string, code unix.Errno, from, to int) {
 	count := 0
 	fails := func() bool {
