--- a/internal/proxy/eviction.go
+++ b/internal/proxy/eviction.go
@@ -17,9 +17,10 @@
 	// evictSilentAfter is for a client that has sent nothing yet: a normal client sends its request as soon as
 	// it is connected.
 	evictSilentAfter = 50 * time.Millisecond
-	// evictIdleAfter is for a client whose requests have all been answered. The client repeats a request that
-	// crosses the close within 50 ms. With a longer time, a few hundred clients a second that each send one
-	// request and stay connected would hold all connections.
+	// evictIdleAfter is for a client whose requests have all been answered. The proxy may close a connection
+	// without an open request: a client sends a request again if it reached the proxy within 50 ms of that close.
+	// With a longer evictIdleAfter, a few hundred clients a second that each send one request and stay connected
+	// would hold all connections.
 	evictIdleAfter = 100 * time.Millisecond
 	// evictPartialAfter is for a client that paused in the middle of a request, which the eviction loses.
 	evictPartialAfter = 250 * time.Millisecond
