--- a/policy/guard.go
+++ b/policy/guard.go
@@ -87,9 +87,9 @@
 	return Verdict{}
 }
 
-// CloseInfo describes a client's connection that might be closed. A field that is left zero is not checked.
-// HasUnreadInput is required: without it a client may lose a request that it has sent in part when its
-// connection is closed after a timeout.
+// CloseInfo describes a client's connection that might be closed. HasUnreadInput is required. Any other field
+// that is left zero is not checked: PartialRequest is left zero for a close after a timeout, as a client may
+// then lose a request that it has sent in part.
 type CloseInfo struct {
 	OpenRequests   int  // requests that arrived completely and are not answered
 	PartialRequest bool // a request has arrived in part
