--- a/policy/links.go
+++ b/policy/links.go
@@ -151,7 +151,8 @@
 	return a.missProbability
 }
 
-// linkCapacity is an endpoint's configured weight, in transfers, or defaultCapacity if none is configured.
+// linkCapacity is an endpoint's weight, in transfers, or defaultCapacity where weights are not capacities or
+// the endpoint has none.
 func (r *Router) linkCapacity(e *endpointState, defaultCapacity float64) float64 {
 	if r.settings.WeightsConfigured && e.Weight > 0 {
 		return e.Weight
