--- a/internal/proxy/watchretry.go
+++ b/internal/proxy/watchretry.go
@@ -28,9 +28,9 @@
 	minStreamCheckInterval = 50 * time.Millisecond
 
 	// quickRetries is the number of streams in a row that get only quickRetryTimeout for their first line. A drain
-	// must be obeyed after 7 s whether its event has arrived or not, so all of these streams must be opened before
-	// that: the first is opened at most lineTimeout after the last readable line, the others at intervals of
-	// quickRetryTimeout, so the last one after about 6 s.
+	// must be obeyed after 7 s whether its event has arrived or not, so all of these streams must be opened well
+	// before that: the first is opened at most lineTimeout after the last readable line, the others at intervals of
+	// quickRetryTimeout, so the last one after about 6 s, which leaves it about 1 s to deliver the event.
 	quickRetries = 3
 	// quickRetryTimeout is the longest time that such a stream may take for its first line. A heartbeat arrives
 	// within a second.
