--- a/cmd/edgeproxy/admin_test.go
+++ b/cmd/edgeproxy/admin_test.go
@@ -161,7 +161,10 @@
 	}
 	env.eventually("all answers are ready", func() bool { return env.metric(operationsMetric("artes", "fulfilled")) == 32 })
 	env.adminCall("PUT", "/ops/drain/start")
-	time.Sleep(time.Second) // not a race: the client reads nothing for longer than the program waits for a close
+	// Not a race: the client reads nothing for longer than lingerInterval of package eventloop, the shortest time that a
+	// closing connection waits for its peer. If that wait began before all output was written, the client would lose the
+	// rest of its answers.
+	time.Sleep(time.Second)
 	slowClient.request(100, "artes", longTimeoutMS, 100, "")
 	c := newClient(conn)
 	for range 33 {
