--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -151,7 +151,8 @@
 }
 
 // surge raises the rate of the clients' requests by surgeFactor for surgeDuration, so that the load that a
-// server in slow start could get exceeds twice its capacity at that time, which is the limit of checkSlowStart.
+// server in slow start could get exceeds twice its capacity at that time: the limit of checkSlowStart without
+// its margin.
 func (r *run) surge() {
 	r.surgeUntil.Store(int64(r.history.Now() + surgeDuration))
 }
