--- a/internal/relay/listener.go
+++ b/internal/relay/listener.go
@@ -204,7 +204,8 @@
 }
 
 // awaitChange waits until the listener has changed or the relay is closed, but no longer than changePollInterval: an
-// accept may also fail while the listener stays as it is.
+// accept may also fail while the listener stays as it is. A change can come before the failed accept returns, so
+// serve takes changed before it accepts.
 func (l *linkListener) awaitChange(changed <-chan struct{}) {
 	select {
 	case <-changed:
