--- a/internal/fastcgi/decoder.go
+++ b/internal/fastcgi/decoder.go
@@ -114,7 +114,7 @@
 		return nil, fmt.Errorf("%w: BEGIN_REQUEST of %d bytes", ErrRecord, len(content))
 	}
 	if d.receiving[id] != nil || d.inProgress[id] {
-		return nil, fmt.Errorf("%w: request %d begun twice", ErrRecord, id)
+		return nil, fmt.Errorf("%w: BEGIN_REQUEST for request %d, which is already open", ErrRecord, id)
 	}
 	role := binary.BigEndian.Uint16(content)
 	keepConn := content[2]&flagKeepConn != 0
--- a/internal/fastcgi/fastcgi_test.go
+++ b/internal/fastcgi/fastcgi_test.go
@@ -137,10 +137,10 @@
 		in   []byte
 		want error
 	}{
-		"unsupported version":             {[]byte{2, 1, 0, 1, 0, 0, 0, 0}, ErrVersion},
-		"short BEGIN_REQUEST":             {encodeRecord(typeBegin, 1, "abc"), ErrRecord},
-		"begun twice while partial":       {join(encodeBegin(1, 1, 1), encodeBegin(1, 1, 1)), ErrRecord},
-		"begun again before the response": {join(completeRequest(1), encodeBegin(1, 1, 1)), ErrRecord},
+		"unsupported version":                  {[]byte{2, 1, 0, 1, 0, 0, 0, 0}, ErrVersion},
+		"short BEGIN_REQUEST":                  {encodeRecord(typeBegin, 1, "abc"), ErrRecord},
+		"BEGIN_REQUEST for a partial request":  {join(encodeBegin(1, 1, 1), encodeBegin(1, 1, 1)), ErrRecord},
+		"BEGIN_REQUEST for a complete request": {join(completeRequest(1), encodeBegin(1, 1, 1)), ErrRecord},
 		"truncated pair": {
 			join(encodeBegin(1, 1, 1), encodeRecord(typeParams, 1, "\x05\x05ab"), encodeRecord(typeParams, 1, "")),
 			ErrRecord,
