--- a/internal/fastcgi/decoder.go
+++ b/internal/fastcgi/decoder.go
@@ -93,15 +93,15 @@
 	case typeAbort:
 		return d.handleAbort(id), nil
 	}
-	p := d.receiving[id]
-	if p == nil {
+	partial := d.receiving[id]
+	if partial == nil {
 		return nil, nil // the protocol requires records of unknown requests to be ignored
 	}
 	switch recordType {
 	case typeParams:
-		return d.addParams(p, content)
+		return d.addParams(partial, content)
 	case typeStdin:
-		return d.addBody(p, content)
+		return d.addBody(partial, content)
 	case typeData:
 		return nil, nil // unused in the Responder role
 	}
@@ -135,10 +135,10 @@
 // handleAbort handles an ABORT_REQUEST. A request that is not complete is answered here, as the application
 // has not received it. The abort of an unknown request is ignored.
 func (d *Decoder) handleAbort(id uint16) Event {
-	p := d.receiving[id]
-	if p != nil {
-		d.drop(p)
-		return Reply{Data: AppendAborted(nil, id), Close: !p.req.KeepConn}
+	partial := d.receiving[id]
+	if partial != nil {
+		d.drop(partial)
+		return Reply{Data: AppendAborted(nil, id), Close: !partial.req.KeepConn}
 	}
 	if d.inProgress[id] {
 		return Abort{ID: id}
@@ -148,54 +148,54 @@
 
 // reject drops a request that exceeds a limit or has parameters after the empty PARAMS record. Its further
 // records are ignored.
-func (d *Decoder) reject(p *partialRequest) Rejected {
-	d.drop(p)
-	return Rejected{ID: p.req.ID, KeepConn: p.req.KeepConn, Err: ErrTooLarge}
+func (d *Decoder) reject(partial *partialRequest) Rejected {
+	d.drop(partial)
+	return Rejected{ID: partial.req.ID, KeepConn: partial.req.KeepConn, Err: ErrTooLarge}
 }
 
 // drop removes a request that is not complete.
-func (d *Decoder) drop(p *partialRequest) {
-	delete(d.receiving, p.req.ID)
-	d.bufferedBytes -= len(p.params) + len(p.req.Body)
+func (d *Decoder) drop(partial *partialRequest) {
+	delete(d.receiving, partial.req.ID)
+	d.bufferedBytes -= len(partial.params) + len(partial.req.Body)
 }
 
 // addParams handles a PARAMS record; an empty one ends the parameters. Parameters after the end are rejected
 // like parameters over the limit.
-func (d *Decoder) addParams(p *partialRequest, content []byte) (Event, error) {
+func (d *Decoder) addParams(partial *partialRequest, content []byte) (Event, error) {
 	if len(content) > 0 {
-		if p.paramsDone || len(p.params)+len(content) > maxParamBytes {
-			return d.reject(p), nil
+		if partial.paramsDone || len(partial.params)+len(content) > maxParamBytes {
+			return d.reject(partial), nil
 		}
-		p.params = append(p.params, content...)
+		partial.params = append(partial.params, content...)
 		d.bufferedBytes += len(content)
 		return nil, nil
 	}
-	params, err := decodePairs(p.params)
+	params, err := decodePairs(partial.params)
 	if err != nil {
 		return nil, err
 	}
-	d.bufferedBytes -= len(p.params)
-	p.req.Params = params
-	p.req.Script = params["SCRIPT_NAME"]
-	p.params = nil
-	p.paramsDone = true
+	d.bufferedBytes -= len(partial.params)
+	partial.req.Params = params
+	partial.req.Script = params["SCRIPT_NAME"]
+	partial.params = nil
+	partial.paramsDone = true
 	return nil, nil
 }
 
 // addBody handles a STDIN record; an empty one completes the request.
-func (d *Decoder) addBody(p *partialRequest, content []byte) (Event, error) {
+func (d *Decoder) addBody(partial *partialRequest, content []byte) (Event, error) {
 	if len(content) > 0 {
-		if len(p.req.Body)+len(content) > maxBodyBytes {
-			return d.reject(p), nil
+		if len(partial.req.Body)+len(content) > maxBodyBytes {
+			return d.reject(partial), nil
 		}
-		p.req.Body = append(p.req.Body, content...)
+		partial.req.Body = append(partial.req.Body, content...)
 		d.bufferedBytes += len(content)
 		return nil, nil
 	}
-	if !p.paramsDone {
+	if !partial.paramsDone {
 		return nil, fmt.Errorf("%w: STDIN ended before PARAMS", ErrRecord)
 	}
-	d.drop(p)
-	d.inProgress[p.req.ID] = true
-	return &p.req, nil
+	d.drop(partial)
+	d.inProgress[partial.req.ID] = true
+	return &partial.req, nil
 }
--- a/internal/fastcgi/fastcgi_test.go
+++ b/internal/fastcgi/fastcgi_test.go
@@ -14,8 +14,8 @@
 }
 
 // encodeRecord encodes a record without padding.
-func encodeRecord(kind byte, id uint16, content string) []byte {
-	return append(appendHeader(nil, kind, id, len(content)), content...)
+func encodeRecord(recordType byte, id uint16, content string) []byte {
+	return append(appendHeader(nil, recordType, id, len(content)), content...)
 }
 
 func join(parts ...[]byte) []byte { return bytes.Join(parts, nil) }
@@ -38,12 +38,12 @@
 }
 
 // decode decodes data that arrives in pieces of the given number of bytes.
-func decode(t *testing.T, data []byte, piece int) (events []Event, err error) {
+func decode(t *testing.T, data []byte, pieceBytes int) (events []Event, err error) {
 	t.Helper()
 	var d Decoder
 	var buffered []byte
 	for len(data) > 0 || len(buffered) > 0 {
-		n := min(piece, len(data))
+		n := min(pieceBytes, len(data))
 		buffered = append(buffered, data[:n]...)
 		data = data[n:]
 		for {
@@ -72,7 +72,7 @@
 	for len(data) > 0 {
 		used, ev, err := d.Decode(data)
 		if used == 0 || err != nil {
-			t.Fatalf("Decode used %d bytes, error %v", used, err)
+			t.Fatalf("Decode used %d bytes, error %v, want a complete record", used, err)
 		}
 		data = data[used:]
 		if ev != nil {
@@ -83,14 +83,14 @@
 }
 
 func TestDecodeInPieces(t *testing.T) {
-	for _, piece := range []int{1, 7, 1 << 20} {
-		events, err := decode(t, join(completeRequest(1), completeRequest(2)), piece)
+	for _, pieceBytes := range []int{1, 7, 1 << 20} {
+		events, err := decode(t, join(completeRequest(1), completeRequest(2)), pieceBytes)
 		if err != nil || len(events) != 2 {
-			t.Fatalf("pieces of %d: got events %v, error %v", piece, events, err)
+			t.Fatalf("pieces of %d: got events %v, error %v, want 2 requests", pieceBytes, events, err)
 		}
 		r := events[1].(*Request)
 		if r.ID != 2 || !r.KeepConn || r.Script != "/ops/artes" || len(r.Params["LONG"]) != 300 || string(r.Body) != "abcd" {
-			t.Fatalf("pieces of %d: got request %+v", piece, r)
+			t.Fatalf("pieces of %d: got request %+v, want that of completeRequest(2)", pieceBytes, r)
 		}
 	}
 }
@@ -156,18 +156,19 @@
 // A request that exceeds a limit is rejected once and its further records are ignored. A request over the
 // connection's limit on requests is answered as overloaded.
 func TestRequestsOverLimitsAreRejected(t *testing.T) {
-	var many []byte
+	var begunRequests []byte
 	for id := range uint16(maxRequests) {
-		many = append(many, encodeBegin(id+2, 1, 1)...)
+		begunRequests = append(begunRequests, encodeBegin(id+2, 1, 1)...)
 	}
-	big := strings.Repeat("x", 60000)
-	rest := join(encodeRecord(typeStdin, 1, "more"), encodeRecord(typeParams, 1, ""), encodeRecord(typeStdin, 1, ""))
+	longContent := strings.Repeat("x", 60000)
+	furtherRecords := join(encodeRecord(typeStdin, 1, "more"),
+		encodeRecord(typeParams, 1, ""), encodeRecord(typeStdin, 1, ""))
 	for name, c := range map[string]struct {
 		in   []byte
 		want Event
 	}{
 		"parameters too large": {
-			join(encodeBegin(1, 1, 1), encodeRecord(typeParams, 1, big)),
+			join(encodeBegin(1, 1, 1), encodeRecord(typeParams, 1, longContent)),
 			Rejected{1, true, ErrTooLarge},
 		},
 		"parameters after their end": {
@@ -175,13 +176,13 @@
 			Rejected{1, true, ErrTooLarge},
 		},
 		"body too large": {
-			join(encodeBegin(1, 1, 0), encodeRecord(typeStdin, 1, big), encodeRecord(typeStdin, 1, big)),
+			join(encodeBegin(1, 1, 0), encodeRecord(typeStdin, 1, longContent), encodeRecord(typeStdin, 1, longContent)),
 			Rejected{1, false, ErrTooLarge},
 		},
-		"too many requests": {join(many, encodeBegin(1, 1, 1)), Reply{Data: AppendEnd(nil, 1, 0, StatusOverloaded)}},
+		"too many requests": {join(begunRequests, encodeBegin(1, 1, 1)), Reply{Data: AppendEnd(nil, 1, 0, StatusOverloaded)}},
 	} {
 		var d Decoder
-		events := decodeAll(t, &d, join(c.in, rest))
+		events := decodeAll(t, &d, join(c.in, furtherRecords))
 		if len(events) != 1 || !reflect.DeepEqual(events[0], c.want) {
 			t.Errorf("%s: got events %+v", name, events)
 		}
@@ -213,17 +214,17 @@
 func TestLongBodyIsSplitIntoRecords(t *testing.T) {
 	body := bytes.Repeat([]byte("z"), 3*maxContentBytes+5)
 	out := AppendResponse(nil, 4, Response{Status: 200, Headers: [][2]string{{"X-Unchanged", "1"}}, Body: body})
-	var text []byte
+	var output []byte
 	for len(out) > 0 {
 		n := int(out[4])<<8 | int(out[5])
 		if out[1] == typeStdout {
-			text = append(text, out[headerBytes:headerBytes+n]...)
+			output = append(output, out[headerBytes:headerBytes+n]...)
 		}
 		out = out[headerBytes+n:]
 	}
 	want := "Status: 200\r\nX-Unchanged: 1\r\n\r\n" + string(body)
-	if string(text) != want {
-		t.Fatalf("wrong output: got %d bytes, want %d", len(text), len(want))
+	if string(output) != want {
+		t.Fatalf("wrong output: got %d bytes, want %d", len(output), len(want))
 	}
 }
 
--- a/internal/fastcgi/management.go
+++ b/internal/fastcgi/management.go
@@ -17,14 +17,14 @@
 	if err != nil {
 		return nil, err
 	}
-	var body []byte
-	for _, known := range knownVariables {
-		_, isRequested := requested[known.name]
+	var pairs []byte
+	for _, variable := range knownVariables {
+		_, isRequested := requested[variable.name]
 		if isRequested {
-			body = appendPair(body, known.name, known.value)
+			pairs = appendPair(pairs, variable.name, variable.value)
 		}
 	}
-	return Reply{Data: append(appendHeader(nil, typeGetResult, 0, len(body)), body...)}, nil
+	return Reply{Data: append(appendHeader(nil, typeGetResult, 0, len(pairs)), pairs...)}, nil
 }
 
 // encodeUnknownType encodes the answer to a record of an unknown type.
