--- a/internal/resp/answer.go
+++ b/internal/resp/answer.go
@@ -111,39 +111,39 @@
 
 // Decode decodes one answer from the start of data. It returns how many bytes the answer has, 0 if it is not
 // complete. Its errors wrap ErrMalformed.
-func Decode(data []byte) (used int, a Answer, err error) {
-	n, count, err := decodeNumber(data, arrayPrefix)
-	if n == 0 || err != nil {
-		return 0, a, err
+func Decode(data []byte) (used int, answer Answer, err error) {
+	headerSize, count, err := decodeNumber(data, arrayPrefix)
+	if headerSize == 0 || err != nil {
+		return 0, answer, err
 	}
 	if count != answerElements {
-		return 0, a, fmt.Errorf("%w: array of %d elements", ErrMalformed, count)
+		return 0, answer, fmt.Errorf("%w: array of %d elements", ErrMalformed, count)
 	}
-	used = n
+	used = headerSize
 	var elements [answerElements][]byte
 	for i, limit := range elementLimits {
 		size, element, err := decodeBulk(data[used:], limit)
 		if size == 0 || err != nil {
-			return 0, a, err
+			return 0, answer, err
 		}
 		elements[i] = element
 		used += size
 	}
-	a, err = newAnswer(elements)
-	return used, a, err
+	answer, err = newAnswer(elements)
+	return used, answer, err
 }
 
 // newAnswer decodes the elements of an answer.
 func newAnswer(elements [answerElements][]byte) (Answer, error) {
-	a := Answer{ID: string(elements[elementID]), Status: statusByWireName[string(elements[elementStatus])]}
-	if a.Status == 0 {
-		return a, fmt.Errorf("%w: unknown status %q", ErrMalformed, elements[elementStatus])
+	answer := Answer{ID: string(elements[elementID]), Status: statusByWireName[string(elements[elementStatus])]}
+	if answer.Status == 0 {
+		return answer, fmt.Errorf("%w: unknown status %q", ErrMalformed, elements[elementStatus])
 	}
-	if err := a.decodeFields(elements[elementFields]); err != nil {
-		return a, err
+	if err := answer.decodeFields(elements[elementFields]); err != nil {
+		return answer, err
 	}
-	a.Body = bytes.Clone(elements[elementBody])
-	return a, nil
+	answer.Body = bytes.Clone(elements[elementBody])
+	return answer, nil
 }
 
 // decodeFields decodes the list of fields.
--- a/internal/resp/call.go
+++ b/internal/resp/call.go
@@ -29,7 +29,7 @@
 // Flags of a call.
 const (
 	flagCoalesceFill         = "coalesce"
-	flagCachedOnly           = "shallow"
+	flagSourceCachedOnly     = "shallow"
 	flagStaleWhileRevalidate = "freshen"
 )
 
@@ -106,7 +106,7 @@
 		flags = append(flags, flagCoalesceFill)
 	}
 	if c.SourceCachedOnly {
-		flags = append(flags, flagCachedOnly)
+		flags = append(flags, flagSourceCachedOnly)
 	}
 	if c.StaleWhileRevalidate {
 		flags = append(flags, flagStaleWhileRevalidate)
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -9,26 +9,26 @@
 )
 
 // encodeBulks encodes an array of bulk strings.
-func encodeBulks(parts ...string) string {
-	out := []byte("*" + string('0'+rune(len(parts))) + "\r\n")
-	for _, p := range parts {
-		out = appendBulk(out, p)
+func encodeBulks(elements ...string) string {
+	out := []byte("*" + string('0'+rune(len(elements))) + "\r\n")
+	for _, element := range elements {
+		out = appendBulk(out, element)
 	}
 	return string(out)
 }
 
 func TestEncodeCalls(t *testing.T) {
-	full := Call{
+	fullCall := Call{
 		ID: "9b1f", Class: "artes", Object: "7f3a", Part: "3", Timeout: 1500 * time.Millisecond, Source: "s-1",
 		RetentionRank: 2, MaxAge: 2500 * time.Microsecond, KnownVersion: "4be0",
 		CoalesceFill: true, StaleWhileRevalidate: true, Body: []byte("B"),
 	}
-	shortMaxAge := Call{ID: "1", Class: "c", Object: "k", Part: "0", MaxAge: time.Microsecond, SourceCachedOnly: true}
+	shortMaxAgeCall := Call{ID: "1", Class: "c", Object: "k", Part: "0", MaxAge: time.Microsecond, SourceCachedOnly: true}
 	for _, tt := range []struct{ got, want string }{
-		{string(AppendCall(nil, &full)), encodeBulks("REQ", "9b1f",
+		{string(AppendCall(nil, &fullCall)), encodeBulks("REQ", "9b1f",
 			"c=artes,k=7f3a,p=3,w=1500,src=s-1,keep=2,maxage=2,flags=coalesce+freshen,have=4be0", "B")},
 		// A MaxAge under a millisecond must not become 0, which would allow any copy that is fresh by its class.
-		{string(AppendCall(nil, &shortMaxAge)), encodeBulks("REQ", "1", "c=c,k=k,p=0,w=0,maxage=1,flags=shallow", "")},
+		{string(AppendCall(nil, &shortMaxAgeCall)), encodeBulks("REQ", "1", "c=c,k=k,p=0,w=0,maxage=1,flags=shallow", "")},
 		{string(AppendStop(nil, "9b1f")), encodeBulks("STOP", "9b1f")},
 	} {
 		if tt.got != tt.want {
@@ -39,7 +39,7 @@
 
 func TestDecodeInPieces(t *testing.T) {
 	const fields = "etag=4be0,made=1764576000123,note=TCP_MISS_ROOT,ttfb=12.5,load=util:0.6;inflight:7"
-	text := encodeBulks("9b1f", "served", fields, "bytes\r\n") +
+	encoded := encodeBulks("9b1f", "served", fields, "bytes\r\n") +
 		encodeBulks("2", "overload", "-", "")
 	want := []Answer{
 		{
@@ -48,11 +48,11 @@
 		},
 		{ID: "2", Status: StatusOverloaded, Body: []byte{}},
 	}
-	for piece := 1; piece <= len(text); piece += 13 {
+	for pieceBytes := 1; pieceBytes <= len(encoded); pieceBytes += 13 {
 		var got []Answer
 		buffered := ""
-		for rest := text; rest != ""; {
-			n := min(piece, len(rest))
+		for rest := encoded; rest != ""; {
+			n := min(pieceBytes, len(rest))
 			buffered += rest[:n]
 			rest = rest[n:]
 			for {
@@ -68,20 +68,20 @@
 			}
 		}
 		if !reflect.DeepEqual(got, want) {
-			t.Fatalf("pieces of %d: got answers %+v", piece, got)
+			t.Fatalf("pieces of %d: got answers %+v", pieceBytes, got)
 		}
 	}
 }
 
 func TestMalformedAnswers(t *testing.T) {
-	for _, text := range []string{
+	for _, malformed := range []string{
 		"hello", "*3\r\n", "*x\r\n", "*4\rx", "*\r\n", "*99999999999\r\n", "*4\r\n:1\r\n", "*4\r\n$-1\r\n",
 		"*4\r\n$1\r\n1xx", "*4\r\n$999\r\n", encodeBulks("1", "perhaps", "-", ""), encodeBulks("1", "served", "note", ""),
 		encodeBulks("1", "served", "made=soon", ""), encodeBulks("1", "served", "ttfb=x", ""),
 		encodeBulks("1", "served", "-", strings.Repeat("x", maxBodyBytes+1)),
 	} {
-		if used, _, err := Decode([]byte(text)); !errors.Is(err, ErrMalformed) {
-			t.Errorf("%.40q: used %d bytes, error %v", text, used, err)
+		if used, _, err := Decode([]byte(malformed)); !errors.Is(err, ErrMalformed) {
+			t.Errorf("%.40q: used %d bytes, error %v, want ErrMalformed", malformed, used, err)
 		}
 	}
 }
