--- a/internal/watch/decode.go
+++ b/internal/watch/decode.go
@@ -32,18 +32,18 @@
 // UnmarshalJSON decodes an event. A part that is malformed, or that this version does not know, must not hide
 // the others: it is counted in Unreadable. Only an event that is not an object or has no index above 0 is an
 // error. An event without any part counts as one unreadable part.
-func (e *Event) UnmarshalJSON(text []byte) error {
-	var number struct {
+func (e *Event) UnmarshalJSON(encoded []byte) error {
+	var indexOnly struct {
 		Index int64 `json:"index"`
 	}
 	var parts map[string]json.RawMessage
-	if err := errors.Join(json.Unmarshal(text, &number), json.Unmarshal(text, &parts)); err != nil {
+	if err := errors.Join(json.Unmarshal(encoded, &indexOnly), json.Unmarshal(encoded, &parts)); err != nil {
 		return err
 	}
-	if number.Index <= 0 {
+	if indexOnly.Index <= 0 {
 		return fmt.Errorf("%w: no index", ErrMalformed)
 	}
-	*e = Event{Index: number.Index}
+	*e = Event{Index: indexOnly.Index}
 	for name, part := range parts {
 		e.decodePart(name, part)
 	}
@@ -71,12 +71,12 @@
 }
 
 // decodeEndpoints decodes an endpoint update. An entry without a readable ID is left out.
-func (e *Event) decodeEndpoints(text json.RawMessage) {
+func (e *Event) decodeEndpoints(part json.RawMessage) {
 	var update struct {
 		Full    bool              `json:"full"`
 		Servers []json.RawMessage `json:"servers"`
 	}
-	if json.Unmarshal(text, &update) != nil {
+	if json.Unmarshal(part, &update) != nil {
 		e.Unreadable++
 		return
 	}
@@ -91,19 +91,19 @@
 
 // decodeEndpoint decodes an entry of the endpoint list. An entry that has an ID but is otherwise unreadable is
 // decoded as deleted. hasID is false if the ID is unreadable too.
-func (e *Event) decodeEndpoint(text json.RawMessage) (endpoint Endpoint, hasID bool) {
-	err := json.Unmarshal(text, &endpoint)
+func (e *Event) decodeEndpoint(entry json.RawMessage) (endpoint Endpoint, hasID bool) {
+	err := json.Unmarshal(entry, &endpoint)
 	if err == nil && isKnownState(endpoint.State) && endpoint.ID != "" {
 		return endpoint, true
 	}
 	e.Unreadable++
-	var entry struct {
+	var idOnly struct {
 		ID string `json:"id"`
 	}
-	if json.Unmarshal(text, &entry) != nil || entry.ID == "" {
+	if json.Unmarshal(entry, &idOnly) != nil || idOnly.ID == "" {
 		return Endpoint{}, false
 	}
-	return Endpoint{ID: entry.ID, State: StateDeleted}, true
+	return Endpoint{ID: idOnly.ID, State: StateDeleted}, true
 }
 
 func isKnownState(state string) bool {
@@ -111,9 +111,9 @@
 }
 
 // decodePurge decodes a purge. A purge that is malformed or has no target becomes a purge of everything.
-func (e *Event) decodePurge(text json.RawMessage) {
+func (e *Event) decodePurge(part json.RawMessage) {
 	var purge Purge
-	err := json.Unmarshal(text, &purge)
+	err := json.Unmarshal(part, &purge)
 	if err == nil && (purge.Object != "" || purge.Group != nil) {
 		e.Purge = &purge
 		return
--- a/internal/watch/framing.go
+++ b/internal/watch/framing.go
@@ -30,4 +30,4 @@
 }
 
 // EncodeFollow returns the line that asks the coordinator for all events with an index above last.
-func EncodeFollow(last int64) []byte { return fmt.Appendf(nil, "follow %d\n", last) }
+func EncodeFollow(lastIndex int64) []byte { return fmt.Appendf(nil, "follow %d\n", lastIndex) }
