--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -52,24 +52,24 @@
 
 // Decode decodes the head of a request from the start of data. It returns how many bytes the head has,
 // including any empty lines before it, or 0 if it is not complete.
-func Decode(data []byte) (used int, r Request, err error) {
+func Decode(data []byte) (used int, req Request, err error) {
 	start := emptyLineBytes(data)
 	headBytes := bytes.Index(data[start:], []byte(headEnd))
 	if headBytes > maxHeadBytes || headBytes < 0 && len(data) > maxHeadBytes {
-		return 0, r, ErrTooLarge
+		return 0, req, ErrTooLarge
 	}
 	if headBytes < 0 {
-		return 0, r, nil
+		return 0, req, nil
 	}
 	line, headers, _ := strings.Cut(string(data[start:start+headBytes]), lineEnd)
-	r, err = decodeRequestLine(line)
+	req, err = decodeRequestLine(line)
 	if err != nil {
-		return 0, r, err
+		return 0, req, err
 	}
 	if err := checkHeaders(headers); err != nil {
-		return 0, r, err
+		return 0, req, err
 	}
-	return start + headBytes + len(headEnd), r, nil
+	return start + headBytes + len(headEnd), req, nil
 }
 
 // emptyLineBytes returns the length of the empty lines before a request, which a server ignores.
@@ -82,13 +82,13 @@
 }
 
 func decodeRequestLine(line string) (Request, error) {
-	words := strings.Split(line, " ")
-	if len(words) != 3 {
+	fields := strings.Split(line, " ")
+	if len(fields) != 3 {
 		return Request{}, malformedLine(line)
 	}
-	method := words[0]
-	target := words[1]
-	version := words[2]
+	method := fields[0]
+	target := fields[1]
+	version := fields[2]
 	if method == "" || !strings.HasPrefix(target, "/") || !strings.HasPrefix(version, "HTTP/1.") {
 		return Request{}, malformedLine(line)
 	}
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -40,7 +40,7 @@
 	want := "HTTP/1.1 405 Method Not Allowed\r\nContent-Type: text/plain; charset=utf-8\r\nAllow: GET\r\n" +
 		"Content-Length: 3\r\nConnection: close\r\n\r\nno\n"
 	if got != want {
-		t.Errorf("got %q", got)
+		t.Errorf("got %q, want status 405 with the Allow header and the body", got)
 	}
 }
 
