--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -9,7 +9,7 @@
 // Flags of a fetch. A message carries the sum of those that are set.
 const (
 	flagCoalesceFill         = 1
-	flagCachedOnly           = 2
+	flagSourceCachedOnly     = 2
 	flagStaleWhileRevalidate = 8
 )
 
@@ -39,22 +39,22 @@
 	case policy.Cancel:
 		return action{Name: actionCancel, Instance: instance, Request: &a.ID, Attempt: &a.Attempt}
 	case policy.StartTimer:
-		in := toMicroseconds(a.In)
-		return action{Name: actionStartTimer, Instance: instance, In: &in, Token: &a.Token}
+		delay := toMicroseconds(a.In)
+		return action{Name: actionStartTimer, Instance: instance, In: &delay, Token: &a.Token}
 	}
 	panic("unknown action")
 }
 
 // fetchFlags returns the sum of the flags that are set.
-func fetchFlags(f policy.Fetch) int {
+func fetchFlags(fetch policy.Fetch) int {
 	sum := 0
-	if f.CoalesceFill {
+	if fetch.CoalesceFill {
 		sum += flagCoalesceFill
 	}
-	if f.SourceCachedOnly {
-		sum += flagCachedOnly
+	if fetch.SourceCachedOnly {
+		sum += flagSourceCachedOnly
 	}
-	if f.StaleWhileRevalidate {
+	if fetch.StaleWhileRevalidate {
 		sum += flagStaleWhileRevalidate
 	}
 	return sum
--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -54,11 +54,11 @@
 
 // serveLine answers a batch.
 func (h *Host) serveLine(line []byte, output *bufio.Writer) error {
-	answer, err := h.HandleBatch(line)
+	encodedReply, err := h.HandleBatch(line)
 	if err != nil {
 		return err
 	}
-	if _, err := output.Write(append(answer, '\n')); err != nil {
+	if _, err := output.Write(append(encodedReply, '\n')); err != nil {
 		return err
 	}
 	return output.Flush()
@@ -75,19 +75,19 @@
 	if b.Now == nil {
 		return nil, errors.New("invalid batch: no moment-us")
 	}
-	answer := reply{Actions: []action{}}
-	for _, raw := range b.Events {
+	batchReply := reply{Actions: []action{}}
+	for _, rawEvent := range b.Events {
 		var e event
-		if err := json.Unmarshal(raw, &e); err != nil {
+		if err := json.Unmarshal(rawEvent, &e); err != nil {
 			return nil, fmt.Errorf("invalid event: %w", err)
 		}
 		actions, err := h.handleEvent(*b.Now, &e)
 		if err != nil {
 			return nil, err
 		}
-		answer.Actions = append(answer.Actions, actions...)
+		batchReply.Actions = append(batchReply.Actions, actions...)
 	}
-	return json.Marshal(answer)
+	return json.Marshal(batchReply)
 }
 
 // handleEvent handles one event and returns the actions of its instance. A panic is reported to the simulator
@@ -113,11 +113,11 @@
 
 // start starts an instance. It replaces a running one of the same name.
 func (h *Host) start(e *event) error {
-	decoded, err := settings.Decode(e.Settings)
+	decodedSettings, err := settings.Decode(e.Settings)
 	if err != nil {
 		return fmt.Errorf("invalid settings: %w", err)
 	}
-	h.routers[e.Instance] = policy.New(decoded.Policy, e.Seed)
+	h.routers[e.Instance] = policy.New(decodedSettings.Policy, e.Seed)
 	return nil
 }
 
@@ -129,11 +129,11 @@
 		h.logf("%s for an instance that is not running: %q", e.Name, e.Instance)
 		return nil
 	}
-	decoded := h.decodeEvent(e)
-	if decoded == nil {
+	policyEvent := h.decodeEvent(e)
+	if policyEvent == nil {
 		return nil
 	}
-	for _, a := range router.Handle(now.duration(), decoded) {
+	for _, a := range router.Handle(now.duration(), policyEvent) {
 		actions = append(actions, encodeAction(e.Instance, a))
 	}
 	return actions
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -35,7 +35,7 @@
 	}
 	lines := strings.Split(strings.TrimSpace(out), "\n")
 	if len(lines) != 2 || lines[0] != `{"cmds":[]}` {
-		t.Fatalf("got replies %q", lines)
+		t.Fatalf("got replies %q, want 2, the first without actions", lines)
 	}
 	want := `{"cmds":[{"op":"FetchThrough","proxy-id":"proxy/1","job":5,"store":"10.0.0.1:7001",` +
 		`"from-where":"10.0.0.2:7001","hold-rank":1,"manner":8},`
@@ -47,14 +47,14 @@
 func TestEventForUnknownInstanceIsLogged(t *testing.T) {
 	out, log, err := serve(t, `{"moment-us":1,"happened":[{"op":"Due","proxy-id":"proxy/9","mark":1}]}`)
 	if err != nil || out != "{\"cmds\":[]}\n" || !strings.Contains(log, "proxy/9") {
-		t.Fatalf("output %q, log %q, error %v", out, log, err)
+		t.Fatalf("output %q, log %q, error %v, want no action and a log line that names proxy/9", out, log, err)
 	}
 }
 
 func TestInvalidBatches(t *testing.T) {
 	for _, line := range []string{`hello`, `[]`, `{}`, `{"moment-us":1,"happened":[7]}`} {
 		if _, _, err := serve(t, line); err == nil {
-			t.Errorf("line %s was accepted", line)
+			t.Errorf("line %s was accepted as a batch", line)
 		}
 	}
 }
@@ -72,7 +72,7 @@
 		`{"op":"Page","ref":0,"hosts":[]},` +
 		`{"op":"Ingress","proxy-id":"proxy/1","job":5,"asset":"f-1","kind":0,"expires-in-us":2000000}]}`))
 	if err != nil || !strings.Contains(string(out), `"store":"10.0.0.7:7001"`) {
-		t.Fatalf("reply %s, error %v", out, err)
+		t.Fatalf("reply %s, error %v, want a fetch from 10.0.0.7:7001", out, err)
 	}
 }
 
@@ -90,6 +90,6 @@
 		`{"op":"Page","ref":0,"hosts":[{"store":"a","status":2}]},` +
 		`{"op":"Membership","proxy-id":"proxy/1","mode":1,"ref":0}]}`))
 	if err != nil || !strings.Contains(string(out), `"op":"Fault"`) {
-		t.Fatalf("reply %s, error %v", out, err)
+		t.Fatalf("reply %s, error %v, want the action Fault", out, err)
 	}
 }
