--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -91,14 +91,14 @@
 // configuration are known from its start.
 func (c *historyChecker) notifiedAt(e *WatchEvent, req *Request) time.Duration {
 	incarnation := c.history.incarnation(req.Proxy, req.Incarnation)
-	unreachable := c.history.Withheld[req.Proxy]
+	unreachableSpans := c.history.Withheld[req.Proxy]
 	if incarnation != nil {
-		unreachable = slices.Concat(unreachable, incarnation.Paused)
+		unreachableSpans = slices.Concat(unreachableSpans, incarnation.Paused)
 	}
-	at := afterExcluding(unreachable, e.PublishedAt, maxNotifyDelay)
-	delivered, ok := e.DeliveredAt[req.Proxy]
+	at := afterExcluding(unreachableSpans, e.PublishedAt, maxNotifyDelay)
+	deliveredAt, ok := e.DeliveredAt[req.Proxy]
 	if ok {
-		at = min(at, delivered)
+		at = min(at, deliveredAt)
 	}
 	if incarnation != nil && e.Index <= incarnation.ConfigEventIndex {
 		at = min(at, incarnation.StartedAt)
--- a/internal/soak/checker_test.go
+++ b/internal/soak/checker_test.go
@@ -34,7 +34,7 @@
 // TestHistoryChecker breaks rules in an otherwise valid history, and checks that only the broken rules are reported. It
 // also checks that allowed deviations are not reported.
 func TestHistoryChecker(t *testing.T) {
-	delivered := func(e WatchEvent) func(*History) {
+	deliverEvent := func(e WatchEvent) func(*History) {
 		return func(h *History) {
 			e.Index = 2
 			e.PublishedAt = 8 * time.Second
@@ -75,14 +75,14 @@
 			h.Incarnations[0].Paused = []Span{{10 * time.Second, 11 * time.Second}}
 		}, ""},
 		{"executed twice", func(h *History) {
-			again := *h.Calls[1]
-			again.Serial = 3
-			h.Calls = append(h.Calls, &again)
+			repeatedCall := *h.Calls[1]
+			repeatedCall.Serial = 3
+			h.Calls = append(h.Calls, &repeatedCall)
 		}, "ran twice"},
 		{"rejected after its execution", func(h *History) { h.Requests[1].Answers[0].Status = "503" }, "refused after run"},
 		{"served without an execution", func(h *History) { h.Calls[1].Executed = false }, "served unrun"},
-		{"repeated within the deduplication window", repeatedKeyed(300 * time.Millisecond), ""},
-		{"repeated after the deduplication window", repeatedKeyed(700 * time.Millisecond), "repeat after window"},
+		{"repeated within the deduplication window", repeatedKeyedCall(300 * time.Millisecond), ""},
+		{"repeated after the deduplication window", repeatedKeyedCall(700 * time.Millisecond), "repeat after window"},
 		{"call without a request", func(h *History) { h.Calls[0].ID = "other" }, "unknown call"},
 		{"call begins after the client has disconnected", func(h *History) {
 			h.Requests[0].CancelledAt = 9 * time.Second
@@ -91,24 +91,24 @@
 			h.Requests[0].CancelledAt = 9950 * time.Millisecond
 		}, ""},
 		{"deadline later than the client's", func(h *History) { h.Calls[0].Timeout = 1400 * time.Millisecond }, "deadline"},
-		{"call to a draining server", delivered(WatchEvent{PurgedGroup: -1, Withdrawn: []string{"cache"}}), "drain"},
+		{"call to a draining server", deliverEvent(WatchEvent{PurgedGroup: -1, Withdrawn: []string{"cache"}}), "drain"},
 		{"call to a draining server, event not delivered", undeliveredDrain(), "drain"},
 		{"call to a draining server, events withheld", undeliveredDrain(
 			Span{3 * time.Second, 6 * time.Second}, Span{5 * time.Second, 10 * time.Second}), ""},
-		{"call names a removed fill source", delivered(WatchEvent{PurgedGroup: -1, Withdrawn: []string{"parent"}}), "drain"},
+		{"call names a removed fill source", deliverEvent(WatchEvent{PurgedGroup: -1, Withdrawn: []string{"parent"}}), "drain"},
 		{"server serves and drains again within the uncertainty of the call's time",
-			drainedAgain(10*time.Second, 12*time.Millisecond), ""},
+			repeatedDrain(10*time.Second, 12*time.Millisecond), ""},
 		{"server serves and drains again later than the uncertainty of the call's time",
-			drainedAgain(10*time.Second, 60*time.Millisecond), "drain"},
-		{"another server drains", delivered(WatchEvent{PurgedGroup: -1, Withdrawn: []string{"other"}}), ""},
+			repeatedDrain(10*time.Second, 60*time.Millisecond), "drain"},
+		{"another server drains", deliverEvent(WatchEvent{PurgedGroup: -1, Withdrawn: []string{"other"}}), ""},
 		{"copy older than a purge of its object", func(h *History) {
-			delivered(WatchEvent{PurgedObject: "x", PurgedGroup: -1, PurgedBefore: h.start.Add(time.Second)})(h)
+			deliverEvent(WatchEvent{PurgedObject: "x", PurgedGroup: -1, PurgedBefore: h.start.Add(time.Second)})(h)
 		}, "purged copy"},
 		{"copy older than a purge of its group", func(h *History) {
-			delivered(WatchEvent{PurgedObject: "-", PurgedGroup: 3, PurgedBefore: h.start.Add(time.Second)})(h)
+			deliverEvent(WatchEvent{PurgedObject: "-", PurgedGroup: 3, PurgedBefore: h.start.Add(time.Second)})(h)
 		}, "purged copy"},
 		{"copy younger than a purge", func(h *History) {
-			delivered(WatchEvent{PurgedObject: "x", PurgedGroup: -1, PurgedBefore: h.start.Add(-time.Second)})(h)
+			deliverEvent(WatchEvent{PurgedObject: "x", PurgedGroup: -1, PurgedBefore: h.start.Add(-time.Second)})(h)
 		}, ""},
 		{"ready too late", func(h *History) { h.Incarnations[0].ReadyAt = 20 * time.Second }, "not ready"},
 		{"exits without SIGTERM", func(h *History) {
@@ -143,37 +143,37 @@
 	}
 }
 
-// drainedAgain adds events that drain the cache 2 s before servingAt, announce it as serving at servingAt, and drain
-// it again 1 ms later. The first byte of the call to the cache was observed callBefore before servingAt.
-func drainedAgain(servingAt, callBefore time.Duration) func(*History) {
+// repeatedDrain adds events that drain the cache 2 s before servingAt, announce it as serving at servingAt, and drain
+// it again 1 ms later. The first byte of the call to the cache was observed leadTime before servingAt.
+func repeatedDrain(servingAt, leadTime time.Duration) func(*History) {
 	event := func(index int, at time.Duration) *WatchEvent {
 		return &WatchEvent{Index: index, PublishedAt: at, DeliveredAt: map[int]time.Duration{1: at}, PurgedGroup: noGroup}
 	}
 	return func(h *History) {
-		first := event(2, servingAt-2*time.Second)
-		serving := event(3, servingAt)
-		second := event(4, servingAt+time.Millisecond)
-		first.Withdrawn = []string{"cache"}
-		serving.Serving = []string{"cache"}
-		second.Withdrawn = []string{"cache"}
-		h.Events = append(h.Events, first, serving, second)
+		firstDrain := event(2, servingAt-2*time.Second)
+		servingEvent := event(3, servingAt)
+		secondDrain := event(4, servingAt+time.Millisecond)
+		firstDrain.Withdrawn = []string{"cache"}
+		servingEvent.Serving = []string{"cache"}
+		secondDrain.Withdrawn = []string{"cache"}
+		h.Events = append(h.Events, firstDrain, servingEvent, secondDrain)
 		h.Requests[0].SentAt = servingAt - 100*time.Millisecond
-		h.Calls[0].FirstByteAt = servingAt - callBefore
-		h.Calls[0].CompleteAt = servingAt - callBefore
+		h.Calls[0].FirstByteAt = servingAt - leadTime
+		h.Calls[0].CompleteAt = servingAt - leadTime
 	}
 }
 
-// repeatedKeyed gives the read an idempotency key, and repeats its call after a time. The deduplication window is
+// repeatedKeyedCall gives the read an idempotency key, and repeats its call after a time. The deduplication window is
 // 400 ms.
-func repeatedKeyed(after time.Duration) func(*History) {
+func repeatedKeyedCall(delay time.Duration) func(*History) {
 	return func(h *History) {
 		h.Limits.DeduplicationWindow = 400 * time.Millisecond
 		h.Requests[0].Class = classKeyed
-		again := *h.Calls[0]
-		again.Serial = 3
-		again.FirstByteAt += after
-		again.Timeout = 0
-		h.Calls = append(h.Calls, &again)
+		repeatedCall := *h.Calls[0]
+		repeatedCall.Serial = 3
+		repeatedCall.FirstByteAt += delay
+		repeatedCall.Timeout = 0
+		h.Calls = append(h.Calls, &repeatedCall)
 	}
 }
 
--- a/internal/soak/rule_answers.go
+++ b/internal/soak/rule_answers.go
@@ -22,9 +22,10 @@
 		return
 	}
 	if len(req.Answers) > 0 {
-		late := req.Answers[0].At - due
-		if late > 0 {
-			c.report("late answer", req.Answers[0].At, keywords, "%s was answered %.3f s too late", subject, late.Seconds())
+		lateBy := req.Answers[0].At - due
+		if lateBy > 0 {
+			c.report("late answer", req.Answers[0].At, keywords,
+				"%s was answered %.3f s too late", subject, lateBy.Seconds())
 		}
 		return
 	}
@@ -52,6 +53,7 @@
 		return due, true
 	}
 	killExpected := incarnation.SigtermAt != 0 && incarnation.SigtermAt < incarnation.KilledAt
-	beforeKill := req.SentAt < incarnation.KilledAt-idleCloseRaceWindow-c.history.observationSlack(req.SentAt, incarnation.KilledAt)
-	return due, killExpected && beforeKill
+	sentBeforeKill := req.SentAt <
+		incarnation.KilledAt-idleCloseRaceWindow-c.history.observationSlack(req.SentAt, incarnation.KilledAt)
+	return due, killExpected && sentBeforeKill
 }
--- a/internal/soak/rule_calls.go
+++ b/internal/soak/rule_calls.go
@@ -40,12 +40,12 @@
 	if req.CancelledAt == 0 {
 		return
 	}
-	last := req.CancelledAt + cancelGrace + c.history.observationSlack(req.CancelledAt, call.FirstByteAt)
-	if call.FirstByteAt > last {
-		since := call.FirstByteAt - req.CancelledAt
+	lastAllowed := req.CancelledAt + cancelGrace + c.history.observationSlack(req.CancelledAt, call.FirstByteAt)
+	if call.FirstByteAt > lastAllowed {
+		elapsed := call.FirstByteAt - req.CancelledAt
 		c.report("begun after left", call.FirstByteAt, keywords,
 			"a call for request %s began at %s %.3f s after its client had cancelled it",
-			call.ID, call.Server, since.Seconds())
+			call.ID, call.Server, elapsed.Seconds())
 	}
 }
 
@@ -65,8 +65,8 @@
 	if !withdrawn {
 		return
 	}
-	last := since + c.history.Limits.DrainGrace + socketSlack + c.history.observationSlack(since, call.FirstByteAt)
-	if call.FirstByteAt > last {
+	lastAllowed := since + c.history.Limits.DrainGrace + socketSlack + c.history.observationSlack(since, call.FirstByteAt)
+	if call.FirstByteAt > lastAllowed {
 		c.report("drain", call.FirstByteAt, keywords,
 			"a call for request %s went to or named %s %.3f s after its proxy was notified of its drain or removal",
 			call.ID, server, (call.FirstByteAt - since).Seconds())
--- a/internal/soak/rule_executions.go
+++ b/internal/soak/rule_executions.go
@@ -27,36 +27,36 @@
 	if req.Class != classKeyed {
 		return
 	}
-	first := c.firstPossibleExecution(req)
-	if first == nil {
+	firstCall := c.firstPossibleExecution(req)
+	if firstCall == nil {
 		return
 	}
 	for _, call := range c.history.Calls {
 		if call.ID != req.ID || call.ReadLate {
 			continue
 		}
-		last := first.FirstByteAt + c.history.Limits.DeduplicationWindow + socketSlack +
-			c.history.observationSlack(first.FirstByteAt, call.FirstByteAt)
-		if call.FirstByteAt > last {
-			since := call.FirstByteAt - first.FirstByteAt
+		lastAllowed := firstCall.FirstByteAt + c.history.Limits.DeduplicationWindow + socketSlack +
+			c.history.observationSlack(firstCall.FirstByteAt, call.FirstByteAt)
+		if call.FirstByteAt > lastAllowed {
+			elapsed := call.FirstByteAt - firstCall.FirstByteAt
 			c.report("repeat after window", call.FirstByteAt, []string{req.ID, proxyName(req.Proxy)},
-				"request %s was repeated %.3f s after a call that may have been executed", req.ID, since.Seconds())
+				"request %s was repeated %.3f s after a call that may have been executed", req.ID, elapsed.Seconds())
 		}
 	}
 }
 
 // firstPossibleExecution returns the first call for a request that may have been executed, or nil if there is
 // none.
-func (c *historyChecker) firstPossibleExecution(req *Request) (first *Call) {
+func (c *historyChecker) firstPossibleExecution(req *Request) (firstCall *Call) {
 	for _, call := range c.history.Calls {
 		if call.ID != req.ID || call.ReadLate || provesNotExecuted(call.Result) {
 			continue
 		}
-		if first == nil || call.FirstByteAt < first.FirstByteAt {
-			first = call
+		if firstCall == nil || call.FirstByteAt < firstCall.FirstByteAt {
+			firstCall = call
 		}
 	}
-	return first
+	return firstCall
 }
 
 // provesNotExecuted reports whether an answer's result word proves that its call was not executed.
--- a/internal/soak/rule_incarnations.go
+++ b/internal/soak/rule_incarnations.go
@@ -30,9 +30,9 @@
 func (c *historyChecker) checkReady(inc *Incarnation, keywords []string) {
 	due := inc.afterRunningFor(inc.StartedAt, maxReadyDelay)
 	isBeforeDue := func(at time.Duration) bool { return at != 0 && at < due }
-	endedBefore := isBeforeDue(inc.KilledAt) || isBeforeDue(inc.SigtermAt) || isBeforeDue(inc.ExitedAt)
-	inTime := inc.ReadyAt != 0 && inc.ReadyAt <= due
-	if !inTime && !endedBefore {
+	endedBeforeDue := isBeforeDue(inc.KilledAt) || isBeforeDue(inc.SigtermAt) || isBeforeDue(inc.ExitedAt)
+	readyInTime := inc.ReadyAt != 0 && inc.ReadyAt <= due
+	if !readyInTime && !endedBeforeDue {
 		c.report("not ready", inc.StartedAt, keywords, "%v was not ready in time", inc)
 	}
 }
@@ -40,8 +40,8 @@
 // checkExit checks that a process exits only after SIGTERM or a kill, and that after SIGTERM it exits without an
 // error and does not have to be killed.
 func (c *historyChecker) checkExit(inc *Incarnation, keywords []string) {
-	beforeSigterm := inc.SigtermAt == 0 || inc.ExitedAt < inc.SigtermAt
-	if inc.ExitedAt != 0 && beforeSigterm && inc.KilledAt == 0 {
+	exitedBeforeSigterm := inc.SigtermAt == 0 || inc.ExitedAt < inc.SigtermAt
+	if inc.ExitedAt != 0 && exitedBeforeSigterm && inc.KilledAt == 0 {
 		c.report("crash", inc.ExitedAt, keywords, "%v exited by itself: %s", inc, inc.ExitError)
 	}
 	if inc.SigtermAt != 0 && inc.KilledAt == 0 && inc.ExitedAt > inc.SigtermAt && inc.ExitError != "" {
--- a/internal/soak/rule_purges.go
+++ b/internal/soak/rule_purges.go
@@ -41,14 +41,15 @@
 // checkPurgeGrace reports a call that was sent later than PurgeGrace after the proxy was notified of a purge of
 // the copy that served it.
 func (c *historyChecker) checkPurgeGrace(req *Request, call *Call, e *WatchEvent) {
-	notified := c.notifiedAt(e, req)
-	last := notified + c.history.Limits.PurgeGrace + socketSlack + c.history.observationSlack(notified, call.FirstByteAt)
-	if call.FirstByteAt <= last {
+	notifiedTime := c.notifiedAt(e, req)
+	lastAllowed := notifiedTime + c.history.Limits.PurgeGrace + socketSlack +
+		c.history.observationSlack(notifiedTime, call.FirstByteAt)
+	if call.FirstByteAt <= lastAllowed {
 		return
 	}
-	since := call.FirstByteAt - notified
+	elapsed := call.FirstByteAt - notifiedTime
 	keywords := []string{req.ID, call.Server, req.Object, proxyName(req.Proxy)}
 	c.report("purged copy", call.FirstByteAt, keywords,
 		"request %s was sent %.3f s after its proxy was notified of a purge, and served from a copy made %v before the purge",
-		req.ID, since.Seconds(), e.PurgedBefore.Sub(call.CopyMadeAt))
+		req.ID, elapsed.Seconds(), e.PurgedBefore.Sub(call.CopyMadeAt))
 }
--- a/internal/soak/rule_slowstart.go
+++ b/internal/soak/rule_slowstart.go
@@ -13,14 +13,14 @@
 // proxies, because the others can't know that the server has started. Only the first violation is reported.
 func (c *historyChecker) checkSlowStart(start ServerStart) {
 	calls := c.callsDuringSlowStart(start)
-	for i, last := range calls {
-		allowed := c.slowStartAllowance(last.FirstByteAt - start.At)
-		count, notified := c.countInWindow(start, calls[:i+1])
-		enoughNotified := float64(notified) >= 2*float64(count)/3
-		if float64(count) > allowed && enoughNotified {
-			c.report("cold start", last.FirstByteAt, []string{start.Server},
+	for i, lastCall := range calls {
+		allowance := c.slowStartAllowance(lastCall.FirstByteAt - start.At)
+		count, notifiedCount := c.countInWindow(start, calls[:i+1])
+		enoughNotified := float64(notifiedCount) >= 2*float64(count)/3
+		if float64(count) > allowance && enoughNotified {
+			c.report("cold start", lastCall.FirstByteAt, []string{start.Server},
 				"%s got %d calls within %v, %.1f allowed, %d from proxies that were notified of its start",
-				start.Server, count, c.history.Limits.OverloadWindow, allowed, notified)
+				start.Server, count, c.history.Limits.OverloadWindow, allowance, notifiedCount)
 			return
 		}
 	}
@@ -41,18 +41,18 @@
 
 // countInWindow counts the calls in the OverloadWindow that ends with the last call, and those among them whose
 // proxy had been notified of the server's start.
-func (c *historyChecker) countInWindow(start ServerStart, calls []*Call) (count, notified int) {
+func (c *historyChecker) countInWindow(start ServerStart, calls []*Call) (count, notifiedCount int) {
 	windowStart := calls[len(calls)-1].FirstByteAt - c.history.Limits.OverloadWindow
 	for _, call := range calls {
 		if call.FirstByteAt <= windowStart {
 			continue
 		}
 		count++
-		if c.knewOfStart(start, call) {
-			notified++
+		if c.wasNotifiedOfStart(start, call) {
+			notifiedCount++
 		}
 	}
-	return count, notified
+	return count, notifiedCount
 }
 
 // For n calls, slowStartAllowance adds a margin: a multiple of sqrt(n), the standard deviation of a count, plus a
@@ -71,18 +71,19 @@
 // The operators' rule limits a sum of costs, not a number of calls: see docs/questions.md, 'N of the slow-start
 // rule'. All objects of a run have the same size, so each call costs one TransferTime. Proxies share the capacity
 // without knowing of each other's calls, so a margin for the variance of the count is added.
-func (c *historyChecker) slowStartAllowance(running time.Duration) float64 {
-	l := c.history.Limits
-	capacity := l.SlowStartCapacity + (1-l.SlowStartCapacity)*float64(running)/float64(l.SlowStartDuration)
-	calls := l.OverloadMultiple * l.LinkTransfers * capacity * l.OverloadWindow.Seconds() / l.TransferTime.Seconds()
+func (c *historyChecker) slowStartAllowance(uptime time.Duration) float64 {
+	limits := c.history.Limits
+	capacity := limits.SlowStartCapacity + (1-limits.SlowStartCapacity)*float64(uptime)/float64(limits.SlowStartDuration)
+	calls := limits.OverloadMultiple * limits.LinkTransfers * capacity * limits.OverloadWindow.Seconds() /
+		limits.TransferTime.Seconds()
 	if calls < fewCalls {
 		return calls + fewCallsMarginDeviations*math.Sqrt(calls) + fewCallsMarginCalls
 	}
 	return calls + marginDeviations*math.Sqrt(calls) + marginCalls
 }
 
-// knewOfStart reports whether the proxy that sent a call had been notified of the server's start before.
-func (c *historyChecker) knewOfStart(start ServerStart, call *Call) bool {
+// wasNotifiedOfStart reports whether the proxy that sent a call had been notified of the server's start before.
+func (c *historyChecker) wasNotifiedOfStart(start ServerStart, call *Call) bool {
 	req := c.requests[call.ID]
 	if req == nil {
 		return false
