--- a/internal/soak/answers.go
+++ b/internal/soak/answers.go
@@ -22,14 +22,14 @@
 	maxJoinedAge   = time.Second // maximum age of such a fill when the call joins it
 )
 
-// recordCall adds a call to the history. The words are those of its command: REQ, the ID, the fields and the
-// body.
-func (s *server) recordCall(words []string, firstByteAt time.Duration, readLate bool) *Call {
+// recordCall adds a call to the history. args holds the command and its arguments: REQ, the ID, the fields
+// and the body.
+func (s *server) recordCall(args []string, firstByteAt time.Duration, readLate bool) *Call {
 	call := &Call{
-		Server: s.id, ID: words[1], FirstByteAt: firstByteAt, CompleteAt: s.history.Now(), ReadLate: readLate,
+		Server: s.id, ID: args[1], FirstByteAt: firstByteAt, CompleteAt: s.history.Now(), ReadLate: readLate,
 		Serial: s.serials.next(),
 	}
-	for _, field := range strings.Split(words[2], ",") {
+	for _, field := range strings.Split(args[2], ",") {
 		name, value, _ := strings.Cut(field, "=")
 		switch name {
 		case "c":
@@ -70,7 +70,7 @@
 		return
 	}
 	s.simulateWork(maxAnswerTime)
-	madeAt, note, found := s.copyFor(call)
+	madeAt, cacheStatus, found := s.copyFor(call)
 	if !found {
 		s.writeAnswer(call, out, "not_here", "note=PEER_MISS", "")
 		return
@@ -78,7 +78,7 @@
 	s.history.withLock(func() { call.CopyMadeAt = madeAt })
 	body := fmt.Sprintf("%d %s ", call.Serial, call.Object)
 	body += strings.Repeat("x", bodySize-len(body))
-	fields := fmt.Sprintf("etag=%016x,made=%d,note=%s,ttfb=3", madeAt.UnixMilli(), madeAt.UnixMilli(), note)
+	fields := fmt.Sprintf("etag=%016x,made=%d,note=%s,ttfb=3", madeAt.UnixMilli(), madeAt.UnixMilli(), cacheStatus)
 	s.writeAnswer(call, out, "served", fields, body)
 }
 
@@ -100,18 +100,18 @@
 // simulateWork sleeps for a random time below maxTime, or slowFactor times as long if the server is slow. If the
 // server hangs after that, it waits for the end of the hang.
 func (s *server) simulateWork(maxTime time.Duration) {
-	length := time.Duration(s.draw() * float64(maxTime))
+	workTime := time.Duration(s.draw() * float64(maxTime))
 	if s.faultActive(&s.slowUntil) {
-		length *= slowFactor
+		workTime *= slowFactor
 	}
-	time.Sleep(length)
+	time.Sleep(workTime)
 	s.waitWhileHung()
 }
 
 // copyFor finds the cached copy that answers a call, or simulates a fill from the source that the call names. The
-// origin needs no source. The note tells the proxy where the copy came from. If found is false, the server has
+// origin needs no source. The cache status tells the proxy where the copy came from. If found is false, the server has
 // neither a copy nor a source.
-func (s *server) copyFor(call *Call) (madeAt time.Time, note string, found bool) {
+func (s *server) copyFor(call *Call) (madeAt time.Time, cacheStatus string, found bool) {
 	s.mu.Lock()
 	madeAt, cached := s.copies[call.Object]
 	s.mu.Unlock()
@@ -137,22 +137,22 @@
 func (s *server) writeAnswer(call *Call, out *lockedWriter, result, fields, body string) {
 	s.waitWhileHung()
 	s.history.withLock(func() { call.Result = result })
-	text := encodeBulks(call.ID, result, fields, body)
-	closes := false
+	encoded := encodeBulks(call.ID, result, fields, body)
+	mustClose := false
 	if s.faultActive(&s.malformUntil) {
-		text, closes = malform(text, s.draw())
+		encoded, mustClose = malform(encoded, s.draw())
 	}
-	out.write(text)
+	out.write(encoded)
 	s.history.Logf(s.id, "answered %s %s serial=%d", call.ID, result, call.Serial)
-	if closes {
+	if mustClose {
 		out.conn.Close() //nolint:errcheck // the proxy may have closed it
 	}
 }
 
 // malform replaces an answer with garbage, truncates it, duplicates it or leaves it as it is, depending on a random
 // number from [0, 1). It reports whether the connection is to be closed after it.
-func malform(text []byte, draw float64) (malformed []byte, closes bool) {
-	half := text[:len(text)/2]
+func malform(answer []byte, draw float64) (malformed []byte, mustClose bool) {
+	half := answer[:len(answer)/2]
 	switch {
 	case draw < 0.1:
 		return []byte("?nonsense\r\n"), false
@@ -161,9 +161,9 @@
 	case draw < 0.25:
 		return half, false
 	case draw < 0.35:
-		return append(text, text...), false
+		return append(answer, answer...), false
 	default:
-		return text, false
+		return answer, false
 	}
 }
 
@@ -173,8 +173,8 @@
 	conn net.Conn
 }
 
-func (w *lockedWriter) write(text []byte) {
+func (w *lockedWriter) write(data []byte) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.conn.Write(text) //nolint:errcheck // the proxy observes a lost connection itself
+	w.conn.Write(data) //nolint:errcheck // the proxy observes a lost connection itself
 }
--- a/internal/soak/resp.go
+++ b/internal/soak/resp.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// maxWords is the maximum number of words in a command.
-	maxWords = 8
-	// maxBulkSize is the maximum size of a command's word in bytes.
+	// maxArgs is the maximum number of arguments of a command, which include its name.
+	maxArgs = 8
+	// maxBulkSize is the maximum size of a command's argument in bytes.
 	maxBulkSize = 1 << 20
-	// lineEnd is the size in bytes of CR LF, which ends a line.
-	lineEnd = 2
+	// lineEndSize is the size in bytes of CR LF, which ends a line.
+	lineEndSize = 2
 )
 
 // encodeBulks encodes a RESP array of bulk strings.
-func encodeBulks(words ...string) []byte {
-	out := fmt.Appendf(nil, "*%d\r\n", len(words))
-	for _, w := range words {
-		out = fmt.Appendf(out, "$%d\r\n%s\r\n", len(w), w)
+func encodeBulks(elements ...string) []byte {
+	out := fmt.Appendf(nil, "*%d\r\n", len(elements))
+	for _, element := range elements {
+		out = fmt.Appendf(out, "$%d\r\n%s\r\n", len(element), element)
 	}
 	return out
 }
@@ -29,22 +29,22 @@
 // readCommand reads a RESP array of bulk strings.
 func readCommand(in *bufio.Reader) ([]string, error) {
 	count, err := readLength(in, '*')
-	if err != nil || count < 1 || count > maxWords {
+	if err != nil || count < 1 || count > maxArgs {
 		return nil, fmt.Errorf("array of %d: %w", count, err)
 	}
-	words := make([]string, count)
-	for i := range words {
+	args := make([]string, count)
+	for i := range args {
 		size, err := readLength(in, '$')
 		if err != nil || size > maxBulkSize {
 			return nil, fmt.Errorf("bulk of %d: %w", size, err)
 		}
-		text := make([]byte, size+lineEnd)
-		if _, err := io.ReadFull(in, text); err != nil {
+		bulk := make([]byte, size+lineEndSize)
+		if _, err := io.ReadFull(in, bulk); err != nil {
 			return nil, err
 		}
-		words[i] = string(text[:size])
+		args[i] = string(bulk[:size])
 	}
-	return words, nil
+	return args, nil
 }
 
 // readLength reads a line that consists of a prefix and a number, and returns the number.
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -133,12 +133,12 @@
 	conn.Close()                     //nolint:errcheck // as above
 }
 
-// extendFault moves the end of a fault to a time, if that is later than the present end. until points to the field that
+// extendFault moves the end of a fault to newEnd, if that is later than the present end. until points to the field that
 // holds the end, such as hungUntil.
-func (s *server) extendFault(until *time.Duration, at time.Duration) {
+func (s *server) extendFault(until *time.Duration, newEnd time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	*until = max(*until, at)
+	*until = max(*until, newEnd)
 }
 
 // faultActive reports whether a fault is active now. until points to the field that holds the fault's end.
@@ -169,14 +169,14 @@
 	return s.rng.Float64()
 }
 
-// purge drops matching copies made before a time, after a random delay.
-func (s *server) purge(matches func(object string) bool, before time.Time) {
+// purge drops matching copies made before madeBefore, after a random delay.
+func (s *server) purge(matches func(object string) bool, madeBefore time.Time) {
 	delay := time.Duration(s.draw() * float64(maxPurgeDelay))
 	time.AfterFunc(delay, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		for object, madeAt := range s.copies {
-			if matches(object) && madeAt.Before(before) {
+			if matches(object) && madeAt.Before(madeBefore) {
 				delete(s.copies, object)
 			}
 		}
@@ -196,32 +196,32 @@
 		s.waitWhileHung()
 		readLate := s.readsLate()
 		firstByteAt := s.history.Now() - timeSinceArrival(conn)
-		words, err := readCommand(in)
+		args, err := readCommand(in)
 		if err != nil {
 			return
 		}
-		if words[0] != "REQ" || len(words) != 4 {
+		if args[0] != "REQ" || len(args) != 4 {
 			continue // a STOP is ignored, because it and the answer may cross on the way in any case
 		}
-		call := s.recordCall(words, firstByteAt, readLate)
+		call := s.recordCall(args, firstByteAt, readLate)
 		go s.answer(call, out)
 	}
 }
 
 // timeSinceArrival returns how long ago the last bytes of a connection arrived at this machine, which may be long
 // before they are read. It returns 0 if that is unknown.
-func timeSinceArrival(conn net.Conn) (ago time.Duration) {
-	raw, err := conn.(*net.TCPConn).SyscallConn()
+func timeSinceArrival(conn net.Conn) (elapsed time.Duration) {
+	rawConn, err := conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return 0
 	}
-	raw.Control(func(fd uintptr) { //nolint:errcheck // the connection has ended: ago stays 0
+	rawConn.Control(func(fd uintptr) { //nolint:errcheck // the connection has ended: elapsed stays 0
 		info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
 		if err == nil {
-			ago = time.Duration(info.Last_data_recv) * time.Millisecond
+			elapsed = time.Duration(info.Last_data_recv) * time.Millisecond
 		}
 	})
-	return ago
+	return elapsed
 }
 
 // setState sets the server's state in the endpoint list. It returns the new entry, and when the server was
