--- a/internal/soak/clientconn.go
+++ b/internal/soak/clientconn.go
@@ -34,19 +34,19 @@
 	openedAt    time.Duration
 	outputs     map[uint16][]byte // output so far by request ID; used only by readAnswers
 
-	mu       sync.Mutex // guards the fields below
-	lastID   uint16
-	open     map[uint16]*Request
-	answered map[uint16]*Request
-	requests int
-	lastUsed time.Duration
-	ended    bool
+	mu               sync.Mutex // guards the fields below
+	lastID           uint16
+	openRequests     map[uint16]*Request
+	answeredRequests map[uint16]*Request
+	requestCount     int
+	lastUsed         time.Duration
+	ended            bool
 }
 
 func newClientConn(pc *proxyClients, conn net.Conn, incarnation int) *clientConn {
 	return &clientConn{
-		clients: pc, history: pc.history, conn: conn, number: pc.dialed, incarnation: incarnation,
-		openedAt: pc.history.Now(), open: map[uint16]*Request{}, answered: map[uint16]*Request{},
+		clients: pc, history: pc.history, conn: conn, number: pc.dialedConns, incarnation: incarnation,
+		openedAt: pc.history.Now(), openRequests: map[uint16]*Request{}, answeredRequests: map[uint16]*Request{},
 		outputs: map[uint16][]byte{}, lastUsed: pc.history.Now(),
 	}
 }
@@ -55,7 +55,7 @@
 func (c *clientConn) state() (idle, ended bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	idle = len(c.open) == 0 && c.history.Now()-c.lastUsed > idleCloseAfter
+	idle = len(c.openRequests) == 0 && c.history.Now()-c.lastUsed > idleCloseAfter
 	return idle, c.ended
 }
 
@@ -64,19 +64,19 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lastID = c.lastID%maxRequestID + 1
-	c.open[c.lastID] = req
+	c.openRequests[c.lastID] = req
 	req.Incarnation = c.incarnation
-	req.FirstOnConnection = c.requests == 0
-	c.requests++
+	req.FirstOnConnection = c.requestCount == 0
+	c.requestCount++
 	c.lastUsed = c.history.Now()
 	c.history.withLock(func() { c.history.Requests = append(c.history.Requests, req) })
 	return c.lastID
 }
 
 // send sends a request, followed by more bytes in the same write.
-func (c *clientConn) send(req *Request, more []byte) (id uint16) {
+func (c *clientConn) send(req *Request, trailingBytes []byte) (id uint16) {
 	id = c.register(req)
-	if c.write(append(encodeRequest(id, req), more...)) == nil {
+	if c.write(append(encodeRequest(id, req), trailingBytes...)) == nil {
 		c.history.withLock(func() { req.SentAt = c.history.Now() })
 	}
 	c.history.Logf("client", "sent to proxy-%d: %s %s k=%s on connection %d",
@@ -124,11 +124,11 @@
 func (c *clientConn) readAnswers() {
 	defer c.recordClose()
 	for {
-		kind, id, content, err := readRecord(c.conn)
+		recordType, id, content, err := readRecord(c.conn)
 		if err != nil {
 			return
 		}
-		switch kind {
+		switch recordType {
 		case fcgiStdout:
 			c.outputs[id] = append(c.outputs[id], content...)
 		case fcgiEndRequest:
@@ -140,25 +140,25 @@
 // recordAnswer records the answer that an END_REQUEST completes.
 func (c *clientConn) recordAnswer(id uint16, endRequest []byte) {
 	req := c.takeRequest(id)
-	text := string(c.outputs[id])
+	output := string(c.outputs[id])
 	delete(c.outputs, id)
 	if req == nil {
 		return
 	}
-	header, body, _ := strings.Cut(text, "\r\n\r\n")
+	header, body, _ := strings.Cut(output, "\r\n\r\n")
 	status, _, _ := strings.Cut(strings.TrimPrefix(header, "Status: "), "\r\n")
-	hasProtocolStatus := len(endRequest) > fcgiProtocolStatus
-	a := FinalAnswer{
+	hasProtocolStatus := len(endRequest) > fcgiProtocolStatusOffset
+	answer := FinalAnswer{
 		At: c.history.Now(), Status: status,
-		ProtocolOverloaded: hasProtocolStatus && endRequest[fcgiProtocolStatus] == fcgiOverloaded,
+		ProtocolOverloaded: hasProtocolStatus && endRequest[fcgiProtocolStatusOffset] == fcgiStatusOverloaded,
 		Body:               body[:min(len(body), keptBodyBytes)],
 	}
 	// An END_REQUEST without output confirms an abort and is no answer, unless it rejects the request.
-	confirmsAbort := hasProtocolStatus && text == "" && !a.ProtocolOverloaded
+	confirmsAbort := hasProtocolStatus && output == "" && !answer.ProtocolOverloaded
 	if !confirmsAbort {
-		c.history.withLock(func() { req.Answers = append(req.Answers, a) })
+		c.history.withLock(func() { req.Answers = append(req.Answers, answer) })
 	}
-	c.history.Logf("client", "%s answered %s %q", req.ID, status, a.Body[:min(len(a.Body), timelineBodyBytes)])
+	c.history.Logf("client", "%s answered %s %q", req.ID, status, answer.Body[:min(len(answer.Body), timelineBodyBytes)])
 }
 
 // takeRequest marks the request with an ID as answered and returns it, even if it was answered before. It returns nil
@@ -166,12 +166,12 @@
 func (c *clientConn) takeRequest(id uint16) *Request {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	req := c.open[id]
+	req := c.openRequests[id]
 	if req == nil {
-		req = c.answered[id]
+		req = c.answeredRequests[id]
 	}
-	delete(c.open, id)
-	c.answered[id] = req
+	delete(c.openRequests, id)
+	c.answeredRequests[id] = req
 	c.lastUsed = c.history.Now()
 	return req
 }
@@ -193,21 +193,21 @@
 	now := c.history.Now()
 	c.mu.Lock()
 	c.ended = true
-	open := c.open
-	c.open = map[uint16]*Request{}
+	openRequests := c.openRequests
+	c.openRequests = map[uint16]*Request{}
 	c.mu.Unlock()
 	raced := true
 	c.history.withLock(func() {
-		for _, req := range open {
+		for _, req := range openRequests {
 			raced = raced && c.mayRaceIdleClose(req, now)
 		}
 	})
-	for _, req := range open {
+	for _, req := range openRequests {
 		c.history.withLock(func() {
 			req.DisconnectedAt = now
 			req.AnswerNotRequired = req.AnswerNotRequired || raced
 		})
 		c.history.Logf("client", "connection %d to proxy-%d, opened %.3f s before, ended with %s open (raced with an idle close: %v)",
-			c.number, c.clients.p.number, (now - c.openedAt).Seconds(), req.ID, raced)
+			c.number, c.clients.proxy.number, (now - c.openedAt).Seconds(), req.ID, raced)
 	}
 }
--- a/internal/soak/clientconn_test.go
+++ b/internal/soak/clientconn_test.go
@@ -10,11 +10,11 @@
 func TestRequestRacesIdleClose(t *testing.T) {
 	const closedAt = 10 * time.Second
 	for _, c := range []struct {
-		name     string
-		openedAt time.Duration
-		sentAt   time.Duration
-		first    bool
-		want     bool
+		name              string
+		openedAt          time.Duration
+		sentAt            time.Duration
+		firstOnConnection bool
+		want              bool
 	}{
 		{"on a used connection", time.Second, closedAt - 20*time.Millisecond, false, true},
 		{"sent long before the close", time.Second, closedAt - 100*time.Millisecond, false, false},
@@ -23,9 +23,9 @@
 		{"not sent in full", time.Second, 0, false, false},
 	} {
 		conn := &clientConn{openedAt: c.openedAt}
-		req := &Request{SentAt: c.sentAt, FirstOnConnection: c.first}
+		req := &Request{SentAt: c.sentAt, FirstOnConnection: c.firstOnConnection}
 		if got := conn.mayRaceIdleClose(req, closedAt); got != c.want {
-			t.Errorf("%s: may race with the close: %v", c.name, got)
+			t.Errorf("%s: may race with the close: %v, want the opposite", c.name, got)
 		}
 	}
 }
--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -28,22 +28,22 @@
 	maxDisconnectDelay = 60 * time.Millisecond // from the requests to the disconnect
 	slowChunkBytes     = 40
 	slowChunkInterval  = 2 * time.Millisecond
-	idleConnections    = 10
+	idleConnCount      = 10
 	idleDuration       = time.Second
-	reuseFraction      = 0.85 // probability that an action uses an open connection
+	reuseChance        = 0.85 // probability that an action uses an open connection
 )
 
 // proxyClients holds the clients of one proxy. Its fields belong to the goroutine of run.
 type proxyClients struct {
-	p       *process
-	history *History
-	rng     *rand.Rand
-	conns   []*clientConn
-	dialed  int // number of connections opened so far
+	proxy       *process
+	history     *History
+	rng         *rand.Rand
+	conns       []*clientConn
+	dialedConns int // number of connections opened so far
 }
 
-func newProxyClients(p *process, seed uint64) *proxyClients {
-	return &proxyClients{p: p, history: p.r.history, rng: rand.New(rand.NewPCG(seed, uint64(p.number)))}
+func newProxyClients(proxy *process, seed uint64) *proxyClients {
+	return &proxyClients{proxy: proxy, history: proxy.r.history, rng: rand.New(rand.NewPCG(seed, uint64(proxy.number)))}
 }
 
 // run performs random actions until stop is closed, with exponentially distributed pauses.
@@ -52,7 +52,7 @@
 		select {
 		case <-stop:
 			return
-		case <-time.After(time.Duration(pc.rng.ExpFloat64() * float64(pc.p.r.requestInterval()))):
+		case <-time.After(time.Duration(pc.rng.ExpFloat64() * float64(pc.proxy.r.requestInterval()))):
 		}
 		pc.performRandomAction()
 	}
@@ -62,7 +62,7 @@
 // connection.
 func (pc *proxyClients) performRandomAction() {
 	pc.closeIdleConns()
-	state := pc.p.admission()
+	state := pc.proxy.admission()
 	if !state.acceptsRequests {
 		return
 	}
@@ -94,13 +94,13 @@
 			c.send(pc.newRequest(classRead, requestTimeout), nil)
 		}
 	default:
-		pc.connectIdle()
+		pc.openIdleConns()
 	}
 }
 
 // pickConn returns an open connection or opens one. It returns nil if it has to open one and can't.
 func (pc *proxyClients) pickConn(mayConnect bool) *clientConn {
-	if len(pc.conns) > 0 && (!mayConnect || pc.rng.Float64() < reuseFraction) {
+	if len(pc.conns) > 0 && (!mayConnect || pc.rng.Float64() < reuseChance) {
 		return pc.conns[pc.rng.IntN(len(pc.conns))]
 	}
 	if !mayConnect {
@@ -116,31 +116,31 @@
 // closeIdleConns closes connections that have been idle for idleCloseAfter, and drops them and those that have ended
 // from conns.
 func (pc *proxyClients) closeIdleConns() {
-	open := pc.conns[:0]
+	openConns := pc.conns[:0]
 	for _, c := range pc.conns {
 		idle, ended := c.state()
 		if idle {
 			c.conn.Close() //nolint:errcheck // the proxy may have closed it
 		}
 		if !ended && !idle {
-			open = append(open, c)
+			openConns = append(openConns, c)
 		}
 	}
-	pc.conns = open
+	pc.conns = openConns
 }
 
 // dial connects to the proxy. It returns nil if clients may not connect now or the connection fails.
 func (pc *proxyClients) dial() *clientConn {
-	state := pc.p.admission()
+	state := pc.proxy.admission()
 	if !state.acceptsConns {
 		return nil
 	}
-	conn, err := net.DialTimeout("tcp", pc.p.addr, dialTimeout)
+	conn, err := net.DialTimeout("tcp", pc.proxy.addr, dialTimeout)
 	if err != nil {
-		pc.history.Logf("client", "connecting to proxy-%d failed: %v", pc.p.number, err)
+		pc.history.Logf("client", "connecting to proxy-%d failed: %v", pc.proxy.number, err)
 		return nil
 	}
-	pc.dialed++
+	pc.dialedConns++
 	c := newClientConn(pc, conn, state.incarnation)
 	go c.readAnswers()
 	return c
@@ -151,7 +151,7 @@
 	number := pc.rng.IntN(objectCount)
 	return &Request{
 		ID: requestID(pc.rng.Uint64()), Class: class, Object: objectName(number), Group: number % groupCount,
-		Proxy: pc.p.number, Timeout: timeout,
+		Proxy: pc.proxy.number, Timeout: timeout,
 	}
 }
 
@@ -223,9 +223,9 @@
 	go c.writeSlowly(req, encodeRequest(id, req))
 }
 
-// connectIdle opens idleConnections connections, sends nothing on them, and closes them after idleDuration.
-func (pc *proxyClients) connectIdle() {
-	for range idleConnections {
+// openIdleConns opens idleConnCount connections, sends nothing on them, and closes them after idleDuration.
+func (pc *proxyClients) openIdleConns() {
+	for range idleConnCount {
 		c := pc.dial()
 		if c == nil {
 			return
--- a/internal/soak/fastcgi.go
+++ b/internal/soak/fastcgi.go
@@ -20,10 +20,10 @@
 const (
 	// fcgiHeaderSize is the length of a record's header in bytes.
 	fcgiHeaderSize = 8
-	// fcgiProtocolStatus is the offset of the protocol status in END_REQUEST.
-	fcgiProtocolStatus = 4
-	// fcgiOverloaded is the protocol status of a request that is rejected.
-	fcgiOverloaded = 2
+	// fcgiProtocolStatusOffset is the offset of the protocol status in END_REQUEST.
+	fcgiProtocolStatusOffset = 4
+	// fcgiStatusOverloaded is the protocol status of a request that is rejected.
+	fcgiStatusOverloaded = 2
 	// beginResponderBody is the body of BEGIN_REQUEST: the role is responder, and the connection stays open.
 	beginResponderBody = "\x00\x01\x01\x00\x00\x00\x00\x00"
 	// writeBodySize is the size of a write's body in bytes.
@@ -67,8 +67,8 @@
 }
 
 // encodeRecord encodes a record of FastCGI version 1 without padding.
-func encodeRecord(kind byte, id uint16, content string) []byte {
-	out := []byte{1, kind}
+func encodeRecord(recordType byte, id uint16, content string) []byte {
+	out := []byte{1, recordType}
 	out = binary.BigEndian.AppendUint16(out, id)
 	out = binary.BigEndian.AppendUint16(out, uint16(len(content)))
 	out = append(out, 0, 0) // padding length, reserved
@@ -76,7 +76,7 @@
 }
 
 // readRecord reads a record. The content includes the padding, but the proxy sends no padding.
-func readRecord(in io.Reader) (kind byte, id uint16, content []byte, err error) {
+func readRecord(in io.Reader) (recordType byte, id uint16, content []byte, err error) {
 	var header [fcgiHeaderSize]byte
 	if _, err := io.ReadFull(in, header[:]); err != nil {
 		return 0, 0, nil, err
