--- a/internal/soak/coordinator.go
+++ b/internal/soak/coordinator.go
@@ -64,20 +64,20 @@
 func (c *coordinator) setMode(proxy int, m coordinatorMode) {
 	c.mu.Lock()
 	ws := c.watchServers[proxy]
-	before := ws.mode
+	previousMode := ws.mode
 	now := c.history.Now()
-	if before == modeDown || before == modeSilent {
+	if previousMode == modeDown || previousMode == modeSilent {
 		c.history.withLock(func() { c.history.Withheld[proxy] = append(c.history.Withheld[proxy], Span{ws.modeSetAt, now}) })
 	}
 	ws.mode = m
 	ws.modeSetAt = now
 	ws.slowEventIndex = 0
 	ws.corruption = newCorruption(m)
-	if m == modeDown && before != modeDown {
+	if m == modeDown && previousMode != modeDown {
 		ws.closeAll()
 	}
 	c.mu.Unlock()
-	if before == modeDown && m != modeDown {
+	if previousMode == modeDown && m != modeDown {
 		for ws.listen() != nil {
 			time.Sleep(reopenInterval)
 		}
@@ -104,8 +104,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	isMalformed := func(line string) bool { return !strings.HasPrefix(line, `{"index"`) }
-	wellFormed := slices.DeleteFunc(slices.Clone(c.lines), isMalformed)
-	return len(c.lines), "[" + strings.Join(wellFormed, ",") + "]"
+	wellFormedLines := slices.DeleteFunc(slices.Clone(c.lines), isMalformed)
+	return len(c.lines), "[" + strings.Join(wellFormedLines, ",") + "]"
 }
 
 // eventAfter returns the event that follows an index, its line, and the index of the last event. The event is nil if
--- a/internal/soak/corruption.go
+++ b/internal/soak/corruption.go
@@ -37,32 +37,32 @@
 
 // corrupt returns the text to write for a line, and what the stream does after it. The event is nil for a heartbeat,
 // which is never corrupted. Nothing is corrupted before the first heartbeat since the mode was set.
-func (ws *watchServer) corrupt(e *WatchEvent, line string) (text string, next streamAction) {
+func (ws *watchServer) corrupt(e *WatchEvent, line string) (output string, next streamAction) {
 	ws.c.mu.Lock()
 	defer ws.c.mu.Unlock()
 	if e == nil || !ws.corruption.heartbeatSent {
 		return line + "\n", continueDelivered
 	}
-	return ws.corruption.apply(e, line)
+	return ws.corruption.corruptLine(e, line)
 }
 
-// apply corrupts the line of an event according to the mode. modeHalfPrefix damages a single event. It is applied
+// corruptLine corrupts the line of an event according to the mode. modeHalfPrefix damages a single event. It is applied
 // only to events of the endpoint list, because purges are many and each soon has no effect any more.
-func (c *corruption) apply(e *WatchEvent, line string) (text string, next streamAction) {
-	whole := line + "\n"
-	half := line[:len(line)/2]
+func (c *corruption) corruptLine(e *WatchEvent, line string) (output string, next streamAction) {
+	wholeLine := line + "\n"
+	halfLine := line[:len(line)/2]
 	switch {
 	case c.mode == modeDuplicate:
-		return whole + whole, continueDelivered
+		return wholeLine + wholeLine, continueDelivered
 	case c.mode == modeHalfPrefix && e.changesEndpoints() && c.corruptedLines[e.Index] < maxCorruptions:
 		c.corruptedLines[e.Index]++
-		return half + whole, continueUndelivered
+		return halfLine + wholeLine, continueUndelivered
 	case c.mode == modeTruncateClose && c.streamsToCorrupt > 0:
 		c.streamsToCorrupt--
-		return half, closeStream
+		return halfLine, closeStream
 	case c.mode == modeTruncateStall && c.streamsToCorrupt > 0:
 		c.streamsToCorrupt--
-		return half, stallStream
+		return halfLine, stallStream
 	}
-	return whole, continueDelivered
+	return wholeLine, continueDelivered
 }
--- a/internal/soak/purges.go
+++ b/internal/soak/purges.go
@@ -41,12 +41,12 @@
 	r.purge(e, fmt.Sprintf(`"shard":%d`, group), func(name string) bool { return groupOf(name) == group })
 }
 
-// purge publishes a purge of the copies made before now, and makes the caches and the parent drop them. key is
-// the JSON member of the event that names the object or the group.
-func (r *run) purge(e *WatchEvent, key string, matches func(object string) bool) {
+// purge publishes a purge of the copies made before now, and makes the caches and the parent drop them.
+// targetMember is the JSON member of the event that names the object or the group.
+func (r *run) purge(e *WatchEvent, targetMember string, matches func(object string) bool) {
 	e.PurgedBefore = time.Now()
 	time.Sleep(purgeDelay)
-	r.coordinator.publish(e, `{"index":%d,"evict":{`+key+fmt.Sprintf(`,"unix_ms":%d}}`, e.PurgedBefore.UnixMilli()))
+	r.coordinator.publish(e, `{"index":%d,"evict":{`+targetMember+fmt.Sprintf(`,"unix_ms":%d}}`, e.PurgedBefore.UnixMilli()))
 	for _, s := range append(slices.Clone(r.caches), r.parent) {
 		s.purge(matches, e.PurgedBefore)
 	}
--- a/internal/soak/watchserver.go
+++ b/internal/soak/watchserver.go
@@ -130,8 +130,8 @@
 			ws.recordHeartbeat()
 			line = strconv.Itoa(lastIndex)
 		}
-		text, next := ws.corrupt(event, line)
-		if !writePaced(conn, text, ws.byteInterval(event, len(line))) {
+		output, next := ws.corrupt(event, line)
+		if !writePaced(conn, output, ws.byteInterval(event, len(line))) {
 			return
 		}
 		switch next {
@@ -153,7 +153,7 @@
 
 // byteInterval returns the pause between two bytes of a line, or 0 if the line is written at once. Slow streams are
 // slow for one event of the endpoint list only, the same one for all streams of the proxy.
-func (ws *watchServer) byteInterval(e *WatchEvent, size int) time.Duration {
+func (ws *watchServer) byteInterval(e *WatchEvent, lineBytes int) time.Duration {
 	ws.c.mu.Lock()
 	defer ws.c.mu.Unlock()
 	if ws.mode != modeSlow || e == nil || !e.changesEndpoints() {
@@ -163,7 +163,7 @@
 		return 0
 	}
 	ws.slowEventIndex = e.Index
-	return slowLineTime / time.Duration(size)
+	return slowLineTime / time.Duration(lineBytes)
 }
 
 // changesEndpoints reports whether an event changes the endpoint list.
