--- a/internal/soak/admin.go
+++ b/internal/soak/admin.go
@@ -19,7 +19,7 @@
 
 // callAdmin sends an HTTP request to the proxy's admin address and returns the status of the answer.
 func (p *process) callAdmin(method, path string) (status int, err error) {
-	conn, err := net.DialTimeout("tcp", p.admin, dialTimeout)
+	conn, err := net.DialTimeout("tcp", p.adminAddr, dialTimeout)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -85,11 +85,11 @@
 	}
 	host := r.options.LoopbackAddr(proxyHost + number)
 	p := &process{
-		r: r, number: number, addr: freeAddr(host), admin: freeAddr(host),
-		config:   filepath.Join(r.options.ConfigDir, fmt.Sprintf("proxy-%d.json", number)),
-		settings: settingsFor(number, r.options.FleetSize, true),
+		r: r, number: number, addr: freeAddr(host), adminAddr: freeAddr(host),
+		configPath: filepath.Join(r.options.ConfigDir, fmt.Sprintf("proxy-%d.json", number)),
+		settings:   settingsFor(number, r.options.FleetSize, true),
 	}
-	if p.addr == "" || p.admin == "" {
+	if p.addr == "" || p.adminAddr == "" {
 		return fmt.Errorf("no free address for proxy %d", number)
 	}
 	if number%2 == 1 {
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -111,11 +111,11 @@
 		p.kill()
 	case "signals":
 		p.signalInSeries()
-		p.terminate(requestsUntilExit)
+		p.terminate(requestTimeUntilExit)
 	case "term-in-use", "term-hung":
-		p.terminate(requestsUntilExit)
+		p.terminate(requestTimeUntilExit)
 	default:
-		p.terminate(requestsAfterSigterm)
+		p.terminate(requestTimeAfterSigterm)
 	}
 }
 
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -25,26 +25,26 @@
 	reloadableAge = time.Second
 	// statePollInterval is the time between two polls of a process's state.
 	statePollInterval = 10 * time.Millisecond
-	// connsAfterSigterm and requestsAfterSigterm are the times after SIGTERM for which clients still connect and make
-	// requests.
-	connsAfterSigterm    = 400 * time.Millisecond
-	requestsAfterSigterm = 600 * time.Millisecond
-	// requestsUntilExit, in place of requestsAfterSigterm, lets clients make requests on their open connections until
-	// the process has exited.
-	requestsUntilExit = time.Hour
+	// connectTimeAfterSigterm and requestTimeAfterSigterm are the times after SIGTERM for which clients still connect
+	// and make requests.
+	connectTimeAfterSigterm = 400 * time.Millisecond
+	requestTimeAfterSigterm = 600 * time.Millisecond
+	// requestTimeUntilExit, in place of requestTimeAfterSigterm, lets clients make requests on their open connections
+	// until the process has exited.
+	requestTimeUntilExit = time.Hour
 )
 
 // process is one edge proxy of the fleet. Its incarnations are the processes that run one after another in its
 // place. Two of them run at once while one takes over from the other.
 type process struct {
-	r        *run
-	number   int
-	addr     string // address for clients
-	config   string // path of the configuration file
-	settings map[string]any
-	socket   *os.File   // listens for clients and is held by the soak test; nil: each incarnation opens its own
-	admin    string     // address for admin calls
-	faultMu  sync.Mutex // held while a fault of the proxy lasts
+	r          *run
+	number     int
+	addr       string // address for clients
+	configPath string // path of the configuration file
+	settings   map[string]any
+	socket     *os.File   // listens for clients and is held by the soak test; nil: each incarnation opens its own
+	adminAddr  string     // address for admin calls
+	faultMu    sync.Mutex // held while a fault of the proxy lasts
 
 	// For the next incarnation:
 	environment []string // environment variables in addition to those that all proxies get
@@ -64,8 +64,8 @@
 // last event.
 func (p *process) writeConfig() (knownEvents int, err error) {
 	index, updates := p.r.coordinator.knownEvents()
-	text, err := json.Marshal(map[string]any{
-		"name": p.name(), "listen": p.addr, "admin_addr": p.admin, "seed": strconv.FormatUint(p.r.seed+uint64(p.number), 16),
+	encoded, err := json.Marshal(map[string]any{
+		"name": p.name(), "listen": p.addr, "admin_addr": p.adminAddr, "seed": strconv.FormatUint(p.r.seed+uint64(p.number), 16),
 		"coordinator": p.r.coordinator.addrFor(p.number), "flow_bytes_per_s": flowBytesPerSecond,
 		"limits":   map[string]any{"cores": 1, "memory_mb": p.r.limits.MemoryKB / kbPerMB, "sockets": p.r.limits.Descriptors},
 		"known":    map[string]any{"index": index, "updates": json.RawMessage(updates)},
@@ -74,16 +74,16 @@
 	if err != nil {
 		return 0, err
 	}
-	next := p.config + ".next"
-	if err := os.WriteFile(next, text, 0o600); err != nil {
+	nextPath := p.configPath + ".next"
+	if err := os.WriteFile(nextPath, encoded, 0o600); err != nil {
 		return 0, err
 	}
-	return index, os.Rename(next, p.config)
+	return index, os.Rename(nextPath, p.configPath)
 }
 
 // start starts the next incarnation. Clients use it once it is ready.
 func (p *process) start() error {
-	lastEvent, err := p.writeConfig()
+	lastEventIndex, err := p.writeConfig()
 	if err != nil {
 		return err
 	}
@@ -94,7 +94,7 @@
 		number = p.incarnation.Number + 1
 	}
 	incarnation := &Incarnation{
-		Proxy: p.number, Number: number, StartedAt: p.r.history.Now(), ConfigEventIndex: lastEvent,
+		Proxy: p.number, Number: number, StartedAt: p.r.history.Now(), ConfigEventIndex: lastEventIndex,
 	}
 	cmd := p.command()
 	exited := make(chan struct{})
@@ -106,7 +106,7 @@
 		return err
 	}
 	p.r.history.withLock(func() { p.r.history.Incarnations = append(p.r.history.Incarnations, incarnation) })
-	p.r.history.Logf(p.name(), "incarnation %d starts, knows %d events, environment %v", number, lastEvent, p.environment)
+	p.r.history.Logf(p.name(), "incarnation %d starts, knows %d events, environment %v", number, lastEventIndex, p.environment)
 	logRead := make(chan struct{})
 	go func() {
 		defer close(logRead)
@@ -121,7 +121,7 @@
 func (p *process) command() *exec.Cmd {
 	cmd := exec.Command(p.r.options.Program)
 	cmd.Env = append(os.Environ(), p.r.options.ProgramEnv...)
-	cmd.Env = append(cmd.Env, "BALANCER_CONFIG="+p.config)
+	cmd.Env = append(cmd.Env, "BALANCER_CONFIG="+p.configPath)
 	cmd.Env = append(cmd.Env, p.environment...)
 	if p.socket != nil {
 		cmd.ExtraFiles = []*os.File{p.socket}
@@ -132,14 +132,14 @@
 
 // startWithLog starts a command and returns the read end of the pipe for its log.
 func (p *process) startWithLog(cmd *exec.Cmd) (log io.ReadCloser, err error) {
-	read, write, err := logPipe(p.logUnread)
+	reader, writer, err := logPipe(p.logUnread)
 	if err != nil {
 		return nil, err
 	}
-	cmd.Stderr = write
+	cmd.Stderr = writer
 	err = cmd.Start()
-	write.Close() //nolint:errcheck // the program has its own descriptor
-	return read, err
+	writer.Close() //nolint:errcheck // the program has its own descriptor
+	return reader, err
 }
 
 // recordExit waits for the exit of an incarnation and records it. The timeline shows the exit after the
@@ -248,8 +248,8 @@
 }
 
 // terminate ends the current incarnation by SIGTERM, and kills it if it has not exited within maxShutdown. Clients
-// make requests on open connections for requestsFor after the signal.
-func (p *process) terminate(requestsFor time.Duration) {
+// make requests on open connections for requestTime after the signal.
+func (p *process) terminate(requestTime time.Duration) {
 	p.awaitSignalHandling()
 	p.mu.Lock()
 	incarnation := p.incarnation
@@ -257,8 +257,8 @@
 	p.r.history.withLock(func() { incarnation.SigtermAt = p.r.history.Now() })
 	p.mu.Unlock()
 	p.signal(syscall.SIGTERM)
-	time.AfterFunc(connsAfterSigterm, func() { p.stopConns(incarnation) })
-	time.AfterFunc(requestsFor, func() { p.stopRequests(incarnation) })
+	time.AfterFunc(connectTimeAfterSigterm, func() { p.stopConns(incarnation) })
+	time.AfterFunc(requestTime, func() { p.stopRequests(incarnation) })
 	select {
 	case <-exited:
 	case <-time.After(maxShutdown()):
@@ -298,21 +298,21 @@
 // address for admin calls.
 func (p *process) replace() error {
 	p.mu.Lock()
-	old := p.incarnation
+	oldIncarnation := p.incarnation
 	oldCmd := p.cmd
 	oldExited := p.exited
-	p.admin = freeAddr(p.r.options.LoopbackAddr(proxyHost + p.number))
+	p.adminAddr = freeAddr(p.r.options.LoopbackAddr(proxyHost + p.number))
 	p.mu.Unlock()
 	if err := p.start(); err != nil {
 		return err
 	}
 	p.awaitState(func(inc *Incarnation, _ time.Duration) bool { return inc.ReadyAt != 0 })
-	p.r.history.withLock(func() { old.SigtermAt = p.r.history.Now() })
+	p.r.history.withLock(func() { oldIncarnation.SigtermAt = p.r.history.Now() })
 	oldCmd.Process.Signal(syscall.SIGTERM) //nolint:errcheck // it may have exited
 	select {
 	case <-oldExited:
 	case <-time.After(maxShutdown()):
-		p.r.history.withLock(func() { old.KilledAt = p.r.history.Now() })
+		p.r.history.withLock(func() { oldIncarnation.KilledAt = p.r.history.Now() })
 		oldCmd.Process.Kill() //nolint:errcheck // it may have exited
 		<-oldExited
 	}
--- a/internal/soak/processfaults.go
+++ b/internal/soak/processfaults.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// connsAfterDrainOrder is the time after the order to drain for which clients still open connections.
-	connsAfterDrainOrder = 200 * time.Millisecond
+	// connectTimeAfterDrainOrder is the time after the order to drain for which clients still open connections.
+	connectTimeAfterDrainOrder = 200 * time.Millisecond
 	// dialRetryInterval is the time between two attempts of an idle client to connect.
 	dialRetryInterval = 10 * time.Millisecond
 )
@@ -55,15 +55,16 @@
 
 // truncateConfig truncates the configuration file to half its length.
 func (p *process) truncateConfig() error {
-	text, err := os.ReadFile(p.config)
+	text, err := os.ReadFile(p.configPath)
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(p.config, text[:len(text)/2], 0o600)
+	return os.WriteFile(p.configPath, text[:len(text)/2], 0o600)
 }
 
-// drain tells the proxy to drain, waits for connsAfterDrainOrder and then for length, and tells the proxy to serve
-// again. After the first wait, clients open no connections, and use those that they have until the proxy closes them.
+// drain tells the proxy to drain, waits for connectTimeAfterDrainOrder and then for length, and tells the proxy to
+// serve again. After the first wait, clients open no connections, and use those that they have until the proxy
+// closes them.
 func (p *process) drain(length time.Duration) {
 	status, err := p.callAdmin("PUT", "/ops/drain/start")
 	if err != nil || status != statusOK {
@@ -73,7 +74,7 @@
 	p.mu.Lock()
 	incarnation := p.incarnation
 	p.mu.Unlock()
-	time.Sleep(connsAfterDrainOrder)
+	time.Sleep(connectTimeAfterDrainOrder)
 	p.stopConns(incarnation)
 	time.Sleep(length)
 	status, err = p.callAdmin("PUT", "/ops/drain/stop")
--- a/internal/soak/processlog.go
+++ b/internal/soak/processlog.go
@@ -17,17 +17,17 @@
 
 // logPipe opens a pipe for a process's log. If full is set, the pipe is filled, so that every write blocks until
 // the pipe is read.
-func logPipe(full bool) (read, write *os.File, err error) {
-	var ends [2]int
-	if err := syscall.Pipe2(ends[:], syscall.O_CLOEXEC); err != nil {
+func logPipe(full bool) (reader, writer *os.File, err error) {
+	var fds [2]int
+	if err := syscall.Pipe2(fds[:], syscall.O_CLOEXEC); err != nil {
 		return nil, nil, err
 	}
-	read = os.NewFile(uintptr(ends[0]), "log")
-	write = os.NewFile(uintptr(ends[1]), "log")
+	reader = os.NewFile(uintptr(fds[0]), "log")
+	writer = os.NewFile(uintptr(fds[1]), "log")
 	if full {
-		_, err = write.Write(bytes.Repeat([]byte("\n"), pipeSize))
+		_, err = writer.Write(bytes.Repeat([]byte("\n"), pipeSize))
 	}
-	return read, write, err
+	return reader, writer, err
 }
 
 // readLog copies the log of an incarnation into the timeline. With logUnread set, it reads nothing until the
@@ -43,11 +43,11 @@
 		p.r.history.Logf(faultSource, "the log of %s is not read until it exits", p.name())
 		<-exited
 	}
-	lines := bufio.NewScanner(log)
-	lines.Buffer(nil, maxLogLine)
-	for lines.Scan() {
-		if lines.Text() != "" {
-			p.r.history.Logf(p.name(), "log: %s", lines.Text())
+	scanner := bufio.NewScanner(log)
+	scanner.Buffer(nil, maxLogLine)
+	for scanner.Scan() {
+		if scanner.Text() != "" {
+			p.r.history.Logf(p.name(), "log: %s", scanner.Text())
 		}
 	}
 	io.Copy(io.Discard, log) //nolint:errcheck // drains the rest after a line that was too long
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -145,7 +145,7 @@
 func (r *run) terminateFleet() {
 	var proxies sync.WaitGroup
 	for _, p := range r.fleet {
-		proxies.Go(func() { p.terminate(requestsAfterSigterm) })
+		proxies.Go(func() { p.terminate(requestTimeAfterSigterm) })
 	}
 	proxies.Wait()
 }
