--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -38,7 +38,7 @@
 func (h *History) Now() time.Duration { return time.Since(h.start) }
 
 const (
-	delayProbes        = 4 // number of goroutines that detect delays: a delay may affect only some threads
+	delayProbeCount    = 4 // number of goroutines that detect delays: a delay may affect only some threads
 	delayProbeInterval = 5 * time.Millisecond
 	minSchedulingDelay = 20 * time.Millisecond // a sleep of delayProbeInterval that takes longer is recorded
 )
@@ -46,7 +46,7 @@
 // recordSchedulingDelays records the spans in which this process was not scheduled in time, until ended is
 // closed. Whatever the process observes in such a span is recorded late.
 func (h *History) recordSchedulingDelays(ended <-chan struct{}) {
-	for range delayProbes {
+	for range delayProbeCount {
 		go func() {
 			for {
 				from := h.Now()
@@ -67,13 +67,13 @@
 // observationSlack returns the delay allowed for an observation between two moments: machineSlack plus all
 // scheduling delays that overlap the interval. The caller holds mu.
 func (h *History) observationSlack(from, to time.Duration) time.Duration {
-	sum := machineSlack
+	slack := machineSlack
 	for _, delay := range h.schedulingDelays {
 		if delay.overlaps(from, to) {
-			sum += delay.To - delay.From
+			slack += delay.To - delay.From
 		}
 	}
-	return sum
+	return slack
 }
 
 // Logf adds a formatted entry to the timeline.
@@ -101,8 +101,8 @@
 	slices.SortStableFunc(h.timeline, func(a, b TimelineEntry) int { return cmp.Compare(a.At, b.At) })
 	var b strings.Builder
 	for _, entry := range h.timeline {
-		near := entry.At > at-distance && entry.At < at+distance
-		if near && (entry.Source == faultSource || entry.mentions(keywords)) {
+		isNear := entry.At > at-distance && entry.At < at+distance
+		if isNear && (entry.Source == faultSource || entry.mentions(keywords)) {
 			fmt.Fprintln(&b, entry)
 		}
 	}
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -50,26 +50,26 @@
 	return slices.Concat(processFaults, cacheFaults, coordinatorFaults, otherFaults)
 }
 
-// Schedule draws the faults of a run of the given length from the given kinds. fleet and caches are the numbers of
-// proxies and caches.
-func Schedule(seed uint64, length time.Duration, fleet, caches int, kinds []string) (schedule []Fault) {
+// Schedule draws the faults of a run of the given length from the given kinds. fleetSize and numCaches are the
+// numbers of proxies and caches.
+func Schedule(seed uint64, length time.Duration, fleetSize, numCaches int, kinds []string) (schedule []Fault) {
 	rng := rand.New(rand.NewPCG(seed, scheduleRNGStream))
 	at := quietStart
 	for at < length-quietEnd {
-		schedule = append(schedule, drawFault(rng, at, fleet, caches, kinds))
+		schedule = append(schedule, drawFault(rng, at, fleetSize, numCaches, kinds))
 		at += time.Duration(rng.ExpFloat64() * float64(meanFaultInterval))
 	}
 	return schedule
 }
 
 // drawFault draws one fault. A change of the order of the draws changes the schedules of all seeds.
-func drawFault(rng *rand.Rand, at time.Duration, fleet, caches int, kinds []string) Fault {
+func drawFault(rng *rand.Rand, at time.Duration, fleetSize, numCaches int, kinds []string) Fault {
 	f := Fault{At: at}
 	f.Kind = kinds[rng.IntN(len(kinds))]
 	f.Duration = minFaultDuration + time.Duration(rng.Int64N(int64(maxFaultDuration-minFaultDuration)))
-	f.Target = rng.IntN(fleet)
+	f.Target = rng.IntN(fleetSize)
 	if slices.Contains(cacheFaults, f.Kind) {
-		f.Target = rng.IntN(caches)
+		f.Target = rng.IntN(numCaches)
 	}
 	return f
 }
--- a/internal/soak/settings.go
+++ b/internal/soak/settings.go
@@ -37,17 +37,17 @@
 	}
 }
 
-// settingsFor returns the settings for the configuration of one proxy, with hedging on or off. index is the number of
-// the proxy, and fleet the number of proxies.
-func settingsFor(index, fleet int, hedging bool) map[string]any {
+// settingsFor returns the settings for the configuration of one proxy, with hedging on or off. number is that of the
+// proxy, and fleetSize the number of proxies.
+func settingsFor(number, fleetSize int, hedging bool) map[string]any {
 	return map[string]any{
 		"areas": []string{"hub", "edge"}, "host-types": []string{"std", "parent", "origin"}, "zone": 1,
-		"group-size": fleet, "index": index, "weight-source": "nominal",
+		"group-size": fleetSize, "index": number, "weight-source": "nominal",
 		"classes": classSettings(),
 		"domain": map[string]any{
 			"direct": true, "root-kind": 2, "upper-kind": 1, "can-join": true, "pass-on": []bool{false, true, false},
 			"cleared-within-us": 6000000, "purge-slack-us": 300000, "peers-fill": "location", "one-flow-kb-per-s": flowBytesPerSecond / 1000,
-			"count-by-zone": []int{0, fleet}, "attached-to": []int{0, 0}, "pipe-kb-per-s": []float64{0, 4000},
+			"count-by-zone": []int{0, fleetSize}, "attached-to": []int{0, 0}, "pipe-kb-per-s": []float64{0, 4000},
 			"parent-floor": 0.5, "upper-cold-us": 1, "parent-limit-factor": 2,
 		},
 		"limits": map[string]any{
@@ -68,8 +68,8 @@
 			"name": name, "semantics": semantics, "promise-us": 500000, "deadline-us": classDeadline.Microseconds(), "gain": gain, "aim-stretch": 2.0,
 		}
 	}
-	keyed := class(classKeyed, "idempotency_key", 1)
-	keyed["key-scope"] = "all"
-	keyed["window-us"] = deduplicationWindow.Microseconds()
-	return []any{class(classRead, "read_like", 2), class(classWrite, "non_idempotent", 3), keyed}
+	keyedClass := class(classKeyed, "idempotency_key", 1)
+	keyedClass["key-scope"] = "all"
+	keyedClass["window-us"] = deduplicationWindow.Microseconds()
+	return []any{class(classRead, "read_like", 2), class(classWrite, "non_idempotent", 3), keyedClass}
 }
--- a/internal/soak/shrink.go
+++ b/internal/soak/shrink.go
@@ -10,20 +10,20 @@
 // shrink removes faults from a schedule one at a time, keeping each removal after which the first violated rule is
 // still violated, and writes the shortest schedule to least.txt in the report directory. As the timing differs
 // between runs, a fault may be removed or kept by chance.
-func shrink(seed uint64, o Options, found Result) error {
+func shrink(seed uint64, o Options, firstResult Result) error {
 	reportDir := o.ReportDir
 	o.ReportDir = ""
 	o.Shrink = false
-	rule := found.Violations[0].Rule
-	shortest := found.Schedule
-	for i := 0; i < len(shortest); {
-		shorter := slices.Delete(slices.Clone(shortest), i, i+1)
-		result, err := runSchedule(seed, o, shorter)
+	rule := firstResult.Violations[0].Rule
+	shortestSchedule := firstResult.Schedule
+	for i := 0; i < len(shortestSchedule); {
+		shorterSchedule := slices.Delete(slices.Clone(shortestSchedule), i, i+1)
+		result, err := runSchedule(seed, o, shorterSchedule)
 		if err != nil {
 			return err
 		}
 		if result.violates(rule) {
-			shortest = shorter
+			shortestSchedule = shorterSchedule
 		} else {
 			i++
 		}
@@ -32,7 +32,7 @@
 		return nil
 	}
 	path := filepath.Join(seedDir(reportDir, seed), "least.txt")
-	return os.WriteFile(path, []byte(rule+"\n"+formatSchedule(shortest)), 0o644)
+	return os.WriteFile(path, []byte(rule+"\n"+formatSchedule(shortestSchedule)), 0o644)
 }
 
 // violates reports whether the run violated a rule.
--- a/internal/soak/spans.go
+++ b/internal/soak/spans.go
@@ -17,10 +17,10 @@
 // afterExcluding returns the moment at which length has passed since from, not counting the time within the
 // given spans, which may overlap.
 func afterExcluding(spans []Span, from, length time.Duration) time.Duration {
-	sorted := slices.SortedFunc(slices.Values(spans), func(a, b Span) int { return cmp.Compare(a.From, b.From) })
+	sortedSpans := slices.SortedFunc(slices.Values(spans), func(a, b Span) int { return cmp.Compare(a.From, b.From) })
 	end := from + length
 	countedTo := from
-	for _, s := range sorted {
+	for _, s := range sortedSpans {
 		begin := max(countedTo, s.From)
 		if s.To > begin && begin < end {
 			end += s.To - begin
