--- a/internal/soak/clientconn.go
+++ b/internal/soak/clientconn.go
@@ -39,7 +39,7 @@
 	openRequests     map[uint16]*Request
 	answeredRequests map[uint16]*Request
 	requestCount     int
-	lastUsed         time.Duration
+	lastUsedAt       time.Duration
 	ended            bool
 }
 
@@ -47,7 +47,7 @@
 	return &clientConn{
 		clients: pc, history: pc.history, conn: conn, number: pc.dialedConns, incarnation: incarnation,
 		openedAt: pc.history.Now(), openRequests: map[uint16]*Request{}, answeredRequests: map[uint16]*Request{},
-		outputs: map[uint16][]byte{}, lastUsed: pc.history.Now(),
+		outputs: map[uint16][]byte{}, lastUsedAt: pc.history.Now(),
 	}
 }
 
@@ -55,7 +55,7 @@
 func (c *clientConn) state() (idle, ended bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	idle = len(c.openRequests) == 0 && c.history.Now()-c.lastUsed > idleCloseAfter
+	idle = len(c.openRequests) == 0 && c.history.Now()-c.lastUsedAt > idleCloseAfter
 	return idle, c.ended
 }
 
@@ -68,7 +68,7 @@
 	req.Incarnation = c.incarnation
 	req.FirstOnConnection = c.requestCount == 0
 	c.requestCount++
-	c.lastUsed = c.history.Now()
+	c.lastUsedAt = c.history.Now()
 	c.history.withLock(func() { c.history.Requests = append(c.history.Requests, req) })
 	return c.lastID
 }
@@ -172,7 +172,7 @@
 	}
 	delete(c.openRequests, id)
 	c.answeredRequests[id] = req
-	c.lastUsed = c.history.Now()
+	c.lastUsedAt = c.history.Now()
 	return req
 }
 
--- a/internal/soak/corruption.go
+++ b/internal/soak/corruption.go
@@ -37,7 +37,7 @@
 
 // corrupt returns the text to write for a line, and what the stream does after it. The event is nil for a heartbeat,
 // which is never corrupted. Nothing is corrupted before the first heartbeat since the mode was set.
-func (ws *watchServer) corrupt(e *WatchEvent, line string) (output string, next streamAction) {
+func (ws *watchServer) corrupt(e *WatchEvent, line string) (output string, nextAction streamAction) {
 	ws.c.mu.Lock()
 	defer ws.c.mu.Unlock()
 	if e == nil || !ws.corruption.heartbeatSent {
@@ -48,7 +48,7 @@
 
 // corruptLine corrupts the line of an event according to the mode. modeHalfPrefix damages a single event. It is applied
 // only to events of the endpoint list, because purges are many and each soon has no effect any more.
-func (c *corruption) corruptLine(e *WatchEvent, line string) (output string, next streamAction) {
+func (c *corruption) corruptLine(e *WatchEvent, line string) (output string, nextAction streamAction) {
 	wholeLine := line + "\n"
 	halfLine := line[:len(line)/2]
 	switch {
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -48,15 +48,15 @@
 
 // sequence returns consecutive numbers, starting from 1.
 type sequence struct {
-	mu   sync.Mutex
-	last int
+	mu         sync.Mutex
+	lastNumber int
 }
 
 func (s *sequence) next() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.last++
-	return s.last
+	s.lastNumber++
+	return s.lastNumber
 }
 
 // newServer starts a server at an address.
--- a/internal/soak/watchserver.go
+++ b/internal/soak/watchserver.go
@@ -130,11 +130,11 @@
 			ws.recordHeartbeat()
 			line = strconv.Itoa(lastIndex)
 		}
-		output, next := ws.corrupt(event, line)
+		output, nextAction := ws.corrupt(event, line)
 		if !writePaced(conn, output, ws.byteInterval(event, len(line))) {
 			return
 		}
-		switch next {
+		switch nextAction {
 		case closeStream:
 			return
 		case stallStream:
