--- a/policy/cacheindex.go
+++ b/policy/cacheindex.go
@@ -46,7 +46,7 @@
 	if o.CacheStatus != CacheStatusSourceMiss {
 		return
 	}
-	req.avoid[a.source] = true
+	req.avoided[a.source] = true
 	if r.hasSiblingSource(a) {
 		a.source.cacheIndex.Remove(req.key)
 	}
--- a/policy/estimators.go
+++ b/policy/estimators.go
@@ -33,8 +33,8 @@
 	value  float64
 }
 
-// known reports whether there has been any observation.
-func (r *misindicationRatio) known() bool { return r.fills+r.epochs > 0 }
+// hasSamples reports whether there has been any observation.
+func (r *misindicationRatio) hasSamples() bool { return r.fills+r.epochs > 0 }
 
 // add counts a fill from the cache, or a miss of an object that the cache was believed to have.
 func (r *misindicationRatio) add(missed bool) {
@@ -42,12 +42,12 @@
 	if missed {
 		r.misses++
 	}
-	plain := float64(r.misses) / float64(r.fills)
+	epochRatio := float64(r.misses) / float64(r.fills)
 	epochComplete := r.fills == epochFills
 	if r.epochs == 0 {
-		r.value = plain
+		r.value = epochRatio
 	} else if epochComplete {
-		r.value += epochWeight * (plain - r.value)
+		r.value += epochWeight * (epochRatio - r.value)
 	}
 	if epochComplete {
 		r.fills = 0
--- a/policy/fetchoptions.go
+++ b/policy/fetchoptions.go
@@ -49,8 +49,8 @@
 // still wait for a fill in progress, as many requests miss at once after a purge. A retry may not, as that
 // fill may have begun before the purge.
 func (r *Router) limitAgeAfterPurge(fetch *Fetch, a *attempt) {
-	sincePurge, recent := r.recentPurge(a.request)
-	if !recent {
+	sincePurge, purgedRecently := r.recentPurge(a.request)
+	if !purgedRecently {
 		return
 	}
 	maxAge := fetch.MaxAge
--- a/policy/fillsource.go
+++ b/policy/fillsource.go
@@ -42,23 +42,23 @@
 		return nil
 	}
 	var best *endpointState
-	lowest := math.Inf(1)
-	average := r.meanMisindication()
+	lowestMisindication := math.Inf(1)
+	averageMisindication := r.meanMisindication()
 	for _, e := range r.ranked(r.caches, req) {
 		if e == target || !r.maySiblingFill(req, e) {
 			continue
 		}
-		misindication := average
-		if e.misindication.known() {
+		misindication := averageMisindication
+		if e.misindication.hasSamples() {
 			misindication = e.misindication.value
 		}
-		if misindication < lowest {
+		if misindication < lowestMisindication {
 			best = e
-			lowest = misindication
+			lowestMisindication = misindication
 		}
 	}
 	penalty := r.missPenalty()
-	worthAsking := 1+penalty*lowest < penalty
+	worthAsking := 1+penalty*lowestMisindication < penalty
 	if best == nil || !worthAsking {
 		return nil
 	}
@@ -68,7 +68,7 @@
 // maySiblingFill reports whether a cache of the zone probably has a request's object and has the capacity to
 // send it. The capacity is checked because all routers rank siblings alike and would all use a full one.
 func (r *Router) maySiblingFill(req *request, e *endpointState) bool {
-	if req.avoid[e] || !r.likelyCached(e, req) || !r.eligible(e, req) || r.isEjected(e) {
+	if req.avoided[e] || !r.likelyCached(e, req) || !r.eligible(e, req) || r.isEjected(e) {
 		return false
 	}
 	hasNoCapacity := r.secondsOverObjective(e, req) > 0
@@ -85,7 +85,7 @@
 	sum := 0.0
 	count := 0.0
 	for _, e := range r.caches {
-		if e.misindication.known() {
+		if e.misindication.hasSamples() {
 			sum += e.misindication.value
 			count++
 		}
--- a/policy/links.go
+++ b/policy/links.go
@@ -72,8 +72,8 @@
 // measured time.
 func (l *link) updateCapacity(pace float64) {
 	limitedPace := min(max(pace, 1/maxPaceChange), maxPaceChange)
-	learned := l.capacity * math.Pow(limitedPace, capacityWeight)
-	l.capacity = min(max(learned, l.nominalCapacity/capacityRange), l.nominalCapacity*capacityRange)
+	learnedCapacity := l.capacity * math.Pow(limitedPace, capacityWeight)
+	l.capacity = min(max(learnedCapacity, l.nominalCapacity/capacityRange), l.nominalCapacity*capacityRange)
 }
 
 // congestion is the time that one more transfer takes, as a multiple of its full-pace time; at least 1. A
@@ -113,12 +113,12 @@
 
 // load is this router's average load on the link, in transfers.
 func (l *link) load(now time.Duration) float64 {
-	current := 0.0
+	currentLoad := 0.0
 	for _, a := range l.inFlight {
-		current += a.loadOn(l)
+		currentLoad += a.loadOn(l)
 	}
 	elapsed := now - l.loadUpdatedAt
-	return l.meanLoad + (current-l.meanLoad)*-math.Expm1(-elapsed.Seconds()/loadAverageTime.Seconds())
+	return l.meanLoad + (currentLoad-l.meanLoad)*-math.Expm1(-elapsed.Seconds()/loadAverageTime.Seconds())
 }
 
 // updateLoad brings the average load up to date before the attempts in flight change.
--- a/policy/originlimit.go
+++ b/policy/originlimit.go
@@ -33,10 +33,10 @@
 
 // originConcurrencyLimit holds the current limit and the number of attempts that count against it.
 type originConcurrencyLimit struct {
-	limit        float64 // attempts
-	minimum      float64 // lowest limit, in attempts; at most 1
-	inFlight     int     // attempts that count against the limit
-	lastDecrease time.Duration
+	limit          float64 // attempts
+	minimum        float64 // lowest limit, in attempts; at most 1
+	inFlight       int     // attempts that count against the limit
+	lastDecreaseAt time.Duration
 }
 
 // admits reports whether one more attempt may load the origin. Random returns a number in [0, 1).
@@ -60,12 +60,12 @@
 // including the one that has just ended, if that is lower; but not below the minimum. It does nothing within
 // minDecreaseInterval of the last decrease.
 func (l *originConcurrencyLimit) decrease(now time.Duration, factor float64) {
-	if now-l.lastDecrease <= minDecreaseInterval {
+	if now-l.lastDecreaseAt <= minDecreaseInterval {
 		return
 	}
-	used := min(l.limit, float64(l.inFlight+1))
-	l.limit = max(l.minimum, used*factor)
-	l.lastDecrease = now
+	usedLimit := min(l.limit, float64(l.inFlight+1))
+	l.limit = max(l.minimum, usedLimit*factor)
+	l.lastDecreaseAt = now
 }
 
 // applyOriginLimit applies the limit to an attempt whose miss may load the origin. Expected hits, fills from
@@ -117,7 +117,7 @@
 	}
 	missedObjective := r.now > a.request.objectiveAt
 	transferSeconds := (o.Elapsed - o.SourceFirstByte).Seconds()
-	slow := o.FullPaceTransferTime > 0 &&
+	slowTransfer := o.FullPaceTransferTime > 0 &&
 		transferSeconds > slowTransferMultiple*o.FullPaceTransferTime.Seconds()
-	return missedObjective && slow
+	return missedObjective && slowTransfer
 }
--- a/policy/outliers.go
+++ b/policy/outliers.go
@@ -52,8 +52,9 @@
 // endpoint that answered. Successive failures of one target in one request count once.
 func (r *Router) countFailures(req *request, answeredBy *endpointState) {
 	for i, a := range req.attempts {
-		repeated := i > 0 && a.target == req.attempts[i-1].target
-		if a.state != attemptFailed || a.target == answeredBy || repeated || a.precedesRestartOf(a.target) {
+		repeatsTarget := i > 0 && a.target == req.attempts[i-1].target
+		if a.state != attemptFailed || a.target == answeredBy || repeatsTarget ||
+			a.precedesRestartOf(a.target) {
 			continue
 		}
 		a.target.consecutiveFailures++
--- a/policy/overdue.go
+++ b/policy/overdue.go
@@ -39,8 +39,8 @@
 	}
 	lost := a.target.latestAnsweredAttemptAt > a.createdAt
 	if lost {
-		a.releaseLinks(r.now)                            // nothing is being transferred any more
-		a.request.avoid[a.source] = a.source != a.target // a separate source may be what does not answer
+		a.releaseLinks(r.now)                              // nothing is being transferred any more
+		a.request.avoided[a.source] = a.source != a.target // a separate source may be what does not answer
 	}
 	r.ejectUnresponsive(a, lost)
 	if !r.mayHedge(a, lost) {
--- a/policy/purges.go
+++ b/policy/purges.go
@@ -60,20 +60,20 @@
 // purgedAt returns when a request's object or its group was last purged, and whether such a purge is
 // recorded.
 func (r *Router) purgedAt(req *request) (at time.Duration, purged bool) {
-	object, objectPurged := r.purges.objects[req.Object]
-	group, groupPurged := r.purges.groups[req.Group]
-	return max(object, group), objectPurged || groupPurged
+	objectPurgedAt, objectPurged := r.purges.objects[req.Object]
+	groupPurgedAt, groupPurged := r.purges.groups[req.Group]
+	return max(objectPurgedAt, groupPurgedAt), objectPurged || groupPurged
 }
 
 // recentPurge returns the time since the last purge of a request's object, and whether that purge may still
 // be incomplete. The time of such a purge is never 0, as a MaxAge of 0 in a Fetch means the class's FreshFor.
-func (r *Router) recentPurge(req *request) (since time.Duration, recent bool) {
+func (r *Router) recentPurge(req *request) (sincePurge time.Duration, recent bool) {
 	at, purged := r.purgedAt(req)
-	since = r.now - at
-	if !purged || since > r.purgeCompletion() {
+	sincePurge = r.now - at
+	if !purged || sincePurge > r.purgeCompletion() {
 		return 0, false
 	}
-	return max(since, time.Microsecond), true
+	return max(sincePurge, time.Microsecond), true
 }
 
 // purgedSince reports whether a request's object was purged at or after a time.
--- a/policy/request.go
+++ b/policy/request.go
@@ -34,7 +34,7 @@
 	firstPossibleRun *attempt // the first attempt that may have run, or nil
 	finished         bool     // it has its final answer, or needs none
 
-	avoid map[*endpointState]bool // endpoints that lack the object, failed or did not answer
+	avoided map[*endpointState]bool // endpoints that lack the object, failed or did not answer
 }
 
 // newRequest returns the state of a request that has arrived now, with its expected transfer time.
@@ -45,7 +45,7 @@
 		class:    class,
 		key:      mixHash(xxhash.Sum64String(arrived.Object) + uint64(arrived.Part)*partHashFactor),
 		deadline: r.now + arrived.Remaining,
-		avoid:    map[*endpointState]bool{},
+		avoided:  map[*endpointState]bool{},
 	}
 	r.estimateTransferTime(req)
 	objective := class.LatencyObjective + durationOf(class.LatencyObjectivePerTransfer*req.transferSeconds)
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -42,9 +42,9 @@
 		return
 	}
 	r.avoidAfter(a, o)
-	denied := r.retryDenialReason(req, a.target)
-	if denied != "" {
-		r.rejectOrFail(req, denied)
+	denialReason := r.retryDenialReason(req, a.target)
+	if denialReason != "" {
+		r.rejectOrFail(req, denialReason)
 		return
 	}
 	r.route(req)
@@ -58,12 +58,12 @@
 	case CacheStatusSourceMiss:
 		return // updateCacheIndex has excluded the source
 	case CacheStatusSourceFailed, CacheStatusSourceRejected, CacheStatusOriginFailed:
-		a.request.avoid[a.source] = true
+		a.request.avoided[a.source] = true
 		return
 	}
 	mayBeTransient := a.state == attemptFailed || a.state == attemptCancelled
 	if a.number > 0 || !mayBeTransient || r.isEjected(a.target) {
-		a.request.avoid[a.target] = true
+		a.request.avoided[a.target] = true
 	}
 }
 
@@ -74,9 +74,9 @@
 	if answerAt >= req.deadline {
 		return ReasonDeadlineExceeded
 	}
-	exhausted := r.attemptLimitReason(req)
-	if exhausted != "" {
-		return exhausted
+	limitReason := r.attemptLimitReason(req)
+	if limitReason != "" {
+		return limitReason
 	}
 	return r.repeatVerdict(req, target).Reason
 }
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -43,7 +43,7 @@
 		if fallback == nil {
 			fallback = e
 		}
-		if r.isEjected(e) || req.avoid[e] {
+		if r.isEjected(e) || req.avoided[e] {
 			continue
 		}
 		excess := r.secondsOverObjective(e, req)
@@ -74,8 +74,8 @@
 }
 
 // ranked returns endpoints in order of descending score for a request (hash order).
-func (r *Router) ranked(list []*endpointState, req *request) []*endpointState {
-	return slices.SortedStableFunc(slices.Values(list), func(a, b *endpointState) int {
+func (r *Router) ranked(endpoints []*endpointState, req *request) []*endpointState {
+	return slices.SortedStableFunc(slices.Values(endpoints), func(a, b *endpointState) int {
 		return cmp.Compare(r.rendezvousScore(b, req), r.rendezvousScore(a, req))
 	})
 }
