--- a/policy/fillsource_test.go
+++ b/policy/fillsource_test.go
@@ -50,8 +50,8 @@
 // A sibling is the source when 1 + beta*rho < beta: with beta 4 that is rho < 0.75.
 func TestSiblingIsSourceOnlyBelowMissPenalty(t *testing.T) {
 	for _, c := range []struct {
-		rho  float64
-		want bool
+		missRatio float64
+		want      bool
 	}{{0.74, true}, {0.76, false}} {
 		h := newHarness(t)
 		r := h.router
@@ -61,9 +61,9 @@
 			transferSeconds: 0.1, objectiveAt: h.now + time.Second,
 		}
 		r.recordCached(r.endpoints["b"], req, true)
-		r.endpoints["b"].misindication = misindicationRatio{fills: 1, value: c.rho}
+		r.endpoints["b"].misindication = misindicationRatio{fills: 1, value: c.missRatio}
 		if got := r.chooseSibling(req, r.endpoints["a"]) != nil; got != c.want {
-			t.Errorf("rho %v: sibling is the source: %v, want %v", c.rho, got, c.want)
+			t.Errorf("misindication ratio %v: sibling is the source: %v, want %v", c.missRatio, got, c.want)
 		}
 	}
 }
@@ -73,10 +73,10 @@
 func TestMissPenaltyFromFirstByteTimes(t *testing.T) {
 	h := newHarness(t)
 	if b := h.router.missPenalty(); b != initialMissPenalty {
-		t.Fatalf("initial beta %v, want initialMissPenalty", b)
+		t.Fatalf("initial miss penalty %v, want initialMissPenalty", b)
 	}
 	h.router.parentFirstByteSeconds.value, h.router.siblingFirstByteSeconds.value = 0.06, 0.02
 	if b := h.router.missPenalty(); math.Abs(b-3) > 1e-9 {
-		t.Fatalf("beta %v, want 3", b)
+		t.Fatalf("miss penalty %v, want 3", b)
 	}
 }
--- a/policy/guard_test.go
+++ b/policy/guard_test.go
@@ -8,7 +8,7 @@
 // The deduplication window is checked again before a retry's first byte, as the retry may have waited for its
 // connection.
 func TestRetryDoesNotStartAfterWindow(t *testing.T) {
-	for _, late := range []bool{false, true} {
+	for _, expired := range []bool{false, true} {
 		settings := testSettings()
 		settings.Classes[0] = Class{
 			Idempotency: IdempotencyKey, DeduplicationScope: ScopeAll, DeduplicationWindow: time.Second,
@@ -26,12 +26,13 @@
 		if fetchOf(h.handle(Outcome{ID: 1, Attempt: 0, Result: ResultReset})) == nil {
 			t.Fatal("not retried within the deduplication window")
 		}
-		if late {
+		if expired {
 			h.now += 200 * ms
 		}
 		_, verdict = h.router.MaySend(h.now, SendInfo{ID: 1, Attempt: 1, Remaining: time.Second})
-		if verdict.Allowed() == late || late && verdict != (Verdict{RuleDuplicate, ReasonWindowExpired}) {
-			t.Errorf("retry after the window: %v, verdict %+v", late, verdict)
+		if verdict.Allowed() == expired ||
+			expired && verdict != (Verdict{RuleDuplicate, ReasonWindowExpired}) {
+			t.Errorf("retry after the window: %v, verdict %+v", expired, verdict)
 		}
 	}
 }
@@ -41,7 +42,7 @@
 	drain := func(id string) Event {
 		return EndpointUpdate{Endpoints: []Endpoint{{ID: id, State: Draining, Zone: 1}}}
 	}
-	nothing := func(Fetch) Event { return TimerFired{} }
+	noEvent := func(Fetch) Event { return TimerFired{} }
 	drainTarget := func(f Fetch) Event { return drain(f.Target) }
 	drainSource := func(f Fetch) Event { return drain(f.Source) }
 	purgeObject := func(Fetch) Event { return Purge{Object: "x", Age: 70 * ms} }
@@ -53,7 +54,7 @@
 		maxAge       time.Duration
 		coalesceFill bool
 	}{
-		"nothing new":         {nothing, Verdict{}, 0, true},
+		"nothing new":         {noEvent, Verdict{}, 0, true},
 		"target draining":     {drainTarget, Verdict{RuleDrain, ReasonTargetDraining}, 0, false},
 		"source draining":     {drainSource, Verdict{RuleDrain, ReasonSourceDraining}, 0, false},
 		"object purged":       {purgeObject, Verdict{}, 90 * ms, true},
--- a/policy/idempotency_test.go
+++ b/policy/idempotency_test.go
@@ -30,12 +30,12 @@
 
 // A request with an idempotency key that may have run is retried only in its scope and within its window.
 func TestIdempotencyKeyScopeAndWindow(t *testing.T) {
-	first := &endpointState{Endpoint: Endpoint{ID: "a", Zone: 1, Cell: 3}}
+	firstTarget := &endpointState{Endpoint: Endpoint{ID: "a", Zone: 1, Cell: 3}}
 	for _, c := range []struct {
-		scope DeduplicationScope
-		to    Endpoint
-		after time.Duration
-		want  bool
+		scope          DeduplicationScope
+		repeatEndpoint Endpoint
+		after          time.Duration
+		want           bool
 	}{
 		{ScopeAll, Endpoint{Zone: 2}, time.Second, true},
 		{ScopeAll, Endpoint{Zone: 2}, 5 * time.Second, false},
@@ -47,9 +47,9 @@
 		r := New(testSettings(), 1)
 		req := &request{class: &Class{Idempotency: IdempotencyKey, DeduplicationScope: c.scope,
 			DeduplicationWindow: 5 * time.Second}}
-		req.firstPossibleRun = &attempt{target: first, createdAt: time.Hour}
+		req.firstPossibleRun = &attempt{target: firstTarget, createdAt: time.Hour}
 		r.now = time.Hour + c.after
-		if got := r.mayRepeat(req, &endpointState{Endpoint: c.to}); got != c.want {
+		if got := r.mayRepeat(req, &endpointState{Endpoint: c.repeatEndpoint}); got != c.want {
 			t.Errorf("%+v: may be repeated: %v", c, got)
 		}
 		if got := r.mayReject(req); got != (c.scope == ScopeAll) {
--- a/policy/loadshedding_test.go
+++ b/policy/loadshedding_test.go
@@ -11,16 +11,16 @@
 	send := func(id int64, kb float64) *Fetch {
 		return fetchOf(h.handle(Request{ID: id, Object: "x", SizeKB: kb, Remaining: 5 * time.Second}))
 	}
-	short, long := 0, 0
+	shortRejected, longRejected := 0, 0
 	for i := int64(1); i < 400; i++ {
 		if send(i*2, 100) == nil {
-			short++
+			shortRejected++
 		}
 		if send(i*2+1, 2000) == nil {
-			long++
+			longRejected++
 		}
 	}
-	if long == 0 || short >= long {
-		t.Fatalf("rejected %d short and %d long requests", short, long)
+	if longRejected == 0 || shortRejected >= longRejected {
+		t.Fatalf("rejected %d short and %d long requests", shortRejected, longRejected)
 	}
 }
--- a/policy/originlimit_test.go
+++ b/policy/originlimit_test.go
@@ -26,19 +26,19 @@
 	for i := int64(1); i < 8; i++ {
 		h.request(i, string(rune('a'+i)), 0)
 	}
-	before := h.router.originLimit.limit
+	limitBefore := h.router.originLimit.limit
 	h.now += 700 * ms
 	h.handle(Outcome{ID: 1, Result: ResultOK, CacheStatus: CacheStatusFilledByOrigin, Elapsed: 700 * ms,
 		SourceFirstByte: 600 * ms,
 		RequestFinished: true})
-	if h.router.originLimit.limit >= before {
-		t.Fatalf("limit %v after a slow answer, %v before", h.router.originLimit.limit, before)
+	if h.router.originLimit.limit >= limitBefore {
+		t.Fatalf("limit %v after a slow answer, %v before", h.router.originLimit.limit, limitBefore)
 	}
-	after := h.router.originLimit.limit
+	limitAfter := h.router.originLimit.limit
 	h.handle(Outcome{ID: 2, Result: ResultOK, CacheStatus: CacheStatusFilledByOrigin, Elapsed: 700 * ms,
 		SourceFirstByte: 50 * ms,
 		RequestFinished: true})
-	if h.router.originLimit.limit <= after {
+	if h.router.originLimit.limit <= limitAfter {
 		t.Fatal("a quick answer of the origin did not raise the limit")
 	}
 }
@@ -48,8 +48,8 @@
 // admitted. Incident ic689c2.
 func TestLimitFallsBelowOneWithManyRouters(t *testing.T) {
 	for _, c := range []struct {
-		routers int
-		below   bool
+		routers  int
+		belowOne bool
 	}{{300, true}, {1, false}} {
 		settings := testSettings()
 		settings.Routers = c.routers
@@ -61,7 +61,7 @@
 				Elapsed: 20 * ms})
 		}
 		lowestLimit := h.router.originLimit.limit
-		if (lowestLimit < 1) != c.below || lowestLimit <= 0 {
+		if (lowestLimit < 1) != c.belowOne || lowestLimit <= 0 {
 			t.Fatalf("%d routers: limit %v after failures", c.routers, lowestLimit)
 		}
 		a := &attempt{request: &request{class: &settings.Classes[0]}, source: h.router.endpoints["p"],
--- a/policy/overdue_test.go
+++ b/policy/overdue_test.go
@@ -15,11 +15,11 @@
 		h := newHarnessWith(t, settings)
 		home := h.serve(1, "x", CacheStatusFilled).Target
 		actions := h.request(2, "x", 0)
-		due := actions[1].(StartTimer)
+		timer := actions[1].(StartTimer)
 		h.now += ms
 		h.serve(3, "x", CacheStatusHit)
-		h.now += due.In
-		actions = h.handle(TimerFired{Token: due.Token})
+		h.now += timer.In
+		actions = h.handle(TimerFired{Token: timer.Token})
 		if !hedging {
 			if len(actions) != 1 || actions[0] != (Cancel{ID: 2}) {
 				t.Fatalf("got %+v, want the first attempt cancelled", actions)
@@ -49,21 +49,21 @@
 		h.handle(Outcome{ID: id + 1, Result: ResultOK, CacheStatus: CacheStatusHit, Elapsed: 100 * ms,
 			RequestFinished: true})
 	}
-	due := send(30, "large")[1].(StartTimer)
-	if due.In < 700*ms {
-		t.Errorf("overdue after %v, before the end of a transfer seven times as long as most", due.In)
+	timer := send(30, "large")[1].(StartTimer)
+	if timer.In < 700*ms {
+		t.Errorf("overdue after %v, before the end of a transfer seven times as long as most", timer.In)
 	}
 }
 
 // A write whose answer is lost is neither retried nor cancelled.
 func TestLostWriteIsNotRetried(t *testing.T) {
 	h := newHarness(t)
-	due := h.request(1, "w", 2)[1].(StartTimer)
+	timer := h.request(1, "w", 2)[1].(StartTimer)
 	h.now += ms
 	h.request(2, "w", 2)
 	h.handle(Outcome{ID: 2, Result: ResultOK, Elapsed: ms, RequestFinished: true})
-	h.now += due.In
-	if actions := h.handle(TimerFired{Token: due.Token}); len(actions) != 0 {
+	h.now += timer.In
+	if actions := h.handle(TimerFired{Token: timer.Token}); len(actions) != 0 {
 		t.Fatalf("got %+v for the overdue write, want no action", actions)
 	}
 }
@@ -81,11 +81,11 @@
 		attempts := 0
 		for id := int64(3); fetchOf(actions) != nil; id++ {
 			attempts++
-			due := actions[len(actions)-1].(StartTimer)
+			timer := actions[len(actions)-1].(StartTimer)
 			h.now += ms
 			h.serve(id, "x", CacheStatusHit) // the cache answers others: the answer to request 2 is lost
-			h.now += due.In
-			actions = h.handle(TimerFired{Token: due.Token})
+			h.now += timer.In
+			actions = h.handle(TimerFired{Token: timer.Token})
 			if len(actions) == 1 && actions[0] == (Cancel{ID: 2, Attempt: attempts - 1}) {
 				actions = h.handle(Outcome{ID: 2, Attempt: attempts - 1, Result: ResultCancelled})
 			}
--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -11,9 +11,9 @@
 			h := newHarness(t)
 			actions := h.request(1, "x", class)
 			finalAnswers := countFinalAnswers(actions)
-			for try := 0; fetchOf(actions) != nil; try++ {
+			for attempt := 0; fetchOf(actions) != nil; attempt++ {
 				h.now += 600 * ms
-				actions = h.handle(Outcome{ID: 1, Attempt: try, Result: result, Elapsed: 600 * ms})
+				actions = h.handle(Outcome{ID: 1, Attempt: attempt, Result: result, Elapsed: 600 * ms})
 				finalAnswers += countFinalAnswers(actions)
 			}
 			if finalAnswers != 1 || len(h.router.requests) != 0 {
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -48,14 +48,14 @@
 // When a zone is lost, all routers reject at once. Their Retry-After spreads the clients evenly: in each
 // interval of 20 ms, at most twice the mean number of clients return, and none returns before minRetryAfter.
 func TestFleetSpreadsRetryAfter(t *testing.T) {
-	const routers, each, bin = 300, 5, 20 * time.Millisecond
-	returning := map[time.Duration]int{}
+	const routers, requestsPerRouter, binWidth = 300, 5, 20 * time.Millisecond
+	returningClients := map[time.Duration]int{}
 	for i := range routers {
 		settings := testSettings()
 		settings.Routers, settings.RoutersInZone, settings.RouterIndex = routers, routers, i
 		r := New(settings, uint64(i))
 		r.Handle(time.Hour, EndpointUpdate{Full: true})
-		for id := range int64(each) {
+		for id := range int64(requestsPerRouter) {
 			actions := r.Handle(time.Hour, Request{ID: id + 1, Object: fmt.Sprint(id),
 				Remaining: 3 * time.Second})
 			rejection, ok := actions[len(actions)-1].(Reject)
@@ -63,13 +63,13 @@
 				t.Fatalf("router %d: got %+v, want a Reject with a RetryAfter of 1 to 2 times minRetryAfter",
 					i, actions)
 			}
-			returning[rejection.RetryAfter/bin]++
+			returningClients[rejection.RetryAfter/binWidth]++
 		}
 	}
-	meanPerBin := float64(routers*each) / float64(minRetryAfter/bin)
-	for i, n := range returning {
+	meanPerBin := float64(routers*requestsPerRouter) / float64(minRetryAfter/binWidth)
+	for i, n := range returningClients {
 		if float64(n) > 2*meanPerBin {
-			t.Errorf("%d clients return in the 20 ms from %v on, the mean is %.1f", n, i*bin, meanPerBin)
+			t.Errorf("%d clients return in the 20 ms from %v on, the mean is %.1f", n, i*binWidth, meanPerBin)
 		}
 	}
 }
--- a/policy/router_test.go
+++ b/policy/router_test.go
@@ -35,17 +35,17 @@
 	h := newHarnessWith(t, settings)
 	h.serve(1, "x", CacheStatusHit)
 	learned := h.router.classTransferSeconds["old"].value
-	write := fetchOf(h.request(2, "y", 2))
+	writeFetch := fetchOf(h.request(2, "y", 2))
 
-	later := settings
+	newSettings := settings
 	writeClass := Class{
 		Name: "write", Idempotency: NonIdempotent, Uncacheable: true, PriorityWeight: 3,
 		LatencyObjective: 500 * ms,
 	}
-	later.Classes = []Class{writeClass, settings.Classes[0]}
-	later.MaxAttempts = 1
-	h.handle(later)
-	if f := fetchOf(h.request(3, "z", 0)); f == nil || f.Target != "o" || f.Target != write.Target {
+	newSettings.Classes = []Class{writeClass, settings.Classes[0]}
+	newSettings.MaxAttempts = 1
+	h.handle(newSettings)
+	if f := fetchOf(h.request(3, "z", 0)); f == nil || f.Target != "o" || f.Target != writeFetch.Target {
 		t.Errorf("write by the new class number: got %+v, want the origin as the target", f)
 	}
 	inProgress := h.router.requests[2]
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -48,8 +48,8 @@
 // over.
 func TestNearParentsArePreferred(t *testing.T) {
 	for _, c := range []struct {
-		hubs       []int
-		near, most int
+		hubs          []int
+		near, maxNear int
 	}{{[]int{0, 0, 2}, 60, 100}, {nil, 20, 80}, {[]int{-7, 0, 99}, 0, 100}, {[]int{0}, 20, 80}} {
 		hubSettings := testSettings()
 		hubSettings.ZoneHubs = c.hubs
@@ -66,7 +66,7 @@
 				near++
 			}
 		}
-		if near < c.near || near > c.most {
+		if near < c.near || near > c.maxNear {
 			t.Errorf("hubs %v: the near parent is chosen for %d of 100 objects", c.hubs, near)
 		}
 		h.handle(EndpointUpdate{Endpoints: []Endpoint{{ID: "p", State: Removed, Kind: 1}}})
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -114,17 +114,17 @@
 	if !r.knowsOwnLoad(e, window) {
 		return false
 	}
-	cost := r.slowStartCostSeconds(req)
-	total := cost
+	costSeconds := r.slowStartCostSeconds(req)
+	totalSeconds := costSeconds
 	for _, a := range e.slowStartAttempts {
-		total += r.slowStartCostSeconds(a.request)
+		totalSeconds += r.slowStartCostSeconds(a.request)
 	}
 	quota := r.slowStartQuota(e)
-	if total <= quota*fraction*window.Seconds() {
+	if totalSeconds <= quota*fraction*window.Seconds() {
 		return true
 	}
-	onlyOneInWindow := total == cost
-	return onlyOneInWindow && r.hasQuotaTurn(e, window, cost/(quota*rotationUtilization))
+	onlyOneInWindow := totalSeconds == costSeconds
+	return onlyOneInWindow && r.hasQuotaTurn(e, window, costSeconds/(quota*rotationUtilization))
 }
 
 // knowsOwnLoad reports whether this router knows all attempts that it has sent to an endpoint within the
@@ -159,8 +159,8 @@
 // at full capacity that would have offered as much.
 func (rules slowStartRules) offeredSeconds(age time.Duration) float64 {
 	seconds := max(age, 0).Seconds()
-	risen := (1 - rules.initialCapacity) * seconds / rules.duration.Seconds() / 2
-	return seconds * (rules.initialCapacity + risen)
+	gainedCapacity := (1 - rules.initialCapacity) * seconds / rules.duration.Seconds() / 2
+	return seconds * (rules.initialCapacity + gainedCapacity)
 }
 
 // slowStartCostSeconds is the part of a budget that a request uses, in transfer seconds: its own transfer
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -55,7 +55,7 @@
 // fleet is a number of routers that keep receiving requests for objects of one endpoint in slow start.
 type fleet struct {
 	settings Settings
-	list     EndpointUpdate
+	update   EndpointUpdate
 	routers  []*Router
 	now      time.Duration
 
@@ -71,7 +71,7 @@
 // newFleet returns a fleet whose routers know an endpoint list without an endpoint in slow start.
 func newFleet(routers int, starting string) *fleet {
 	f := &fleet{
-		settings: testSettings(), list: allEndpoints(), routers: make([]*Router, routers), now: fleetStart,
+		settings: testSettings(), update: allEndpoints(), routers: make([]*Router, routers), now: fleetStart,
 		starting: starting, startedAt: fleetStart + time.Second,
 	}
 	f.settings.Routers = routers
@@ -93,7 +93,7 @@
 // restart replaces a router by a new one that knows only the endpoint list.
 func (f *fleet) restart(i int) {
 	f.routers[i] = New(f.settingsOf(i), uint64(i))
-	f.routers[i].Handle(f.now, f.list)
+	f.routers[i].Handle(f.now, f.update)
 }
 
 // settingsOf returns the settings of one router.
@@ -105,8 +105,8 @@
 
 // listSlowStart changes the endpoint list: the endpoint has started, and the others of its tier are removed.
 func (f *fleet) listSlowStart() {
-	for i := range f.list.Endpoints {
-		e := &f.list.Endpoints[i]
+	for i := range f.update.Endpoints {
+		e := &f.update.Endpoints[i]
 		e.Started = 0
 		if e.ID == f.starting {
 			e.Started = f.startedAt
@@ -121,7 +121,7 @@
 	switch at {
 	case 2 * time.Second: // the endpoint's start is reported a second late
 		for _, r := range f.routers {
-			r.Handle(f.now, f.list)
+			r.Handle(f.now, f.update)
 		}
 	case 4 * time.Second: // the settings change
 		for i, r := range f.routers {
@@ -153,10 +153,11 @@
 	}
 }
 
-// allowed is the number of attempts of 0.1 s that the endpoint can take in the window that ends at a time.
-func (f *fleet) allowed(at time.Duration) float64 {
-	risen := (1 - f.fraction) * float64(at-f.startedAt) / float64(f.duration)
-	transfers := f.settings.OverloadMultiple * f.capacity * (f.fraction + risen)
+// allowedAttempts is the number of attempts of 0.1 s that the endpoint can take in the window that ends at a
+// time.
+func (f *fleet) allowedAttempts(at time.Duration) float64 {
+	gainedCapacity := (1 - f.fraction) * float64(at-f.startedAt) / float64(f.duration)
+	transfers := f.settings.OverloadMultiple * f.capacity * (f.fraction + gainedCapacity)
 	return transfers * f.settings.OverloadWindow.Seconds() / 0.1
 }
 
@@ -171,7 +172,7 @@
 				sent++
 			}
 		}
-		n := f.allowed(at)
+		n := f.allowedAttempts(at)
 		excess = max(excess, float64(sent)-(n+2*math.Sqrt(n)+2))
 	}
 	return excess
