--- a/internal/connpool/acquire.go
+++ b/internal/connpool/acquire.go
@@ -51,13 +51,13 @@
 // is reachable; if there is none, it dials a new one. It fails with ErrConnLimit if the overdue connection is
 // stale or if there are already DedicatedConns connections or more; any other error is the error of the dial. The
 // caller releases the overdue connection, which serves other uses once it is established.
-func (ps *Pools) Reassign(overdue *PooledConn, accepts func(*PooledConn) bool) (*PooledConn, error) {
-	pool := overdue.pool
-	existing := pool.pickActiveSince(overdue, accepts)
+func (ps *Pools) Reassign(overdueConn *PooledConn, accepts func(*PooledConn) bool) (*PooledConn, error) {
+	pool := overdueConn.pool
+	existing := pool.pickActiveSince(overdueConn, accepts)
 	if existing != nil {
 		return existing.startUse(), nil
 	}
-	if overdue.Stale || !ps.belowDedicatedConns() {
+	if overdueConn.Stale || !ps.belowDedicatedConns() {
 		return nil, ErrConnLimit
 	}
 	dialed, err := pool.dial()
@@ -103,10 +103,10 @@
 
 // pickActiveSince returns the most suitable connection that accepts a use and was established, or has
 // received something, since the overdue one was dialed; nil if there is none.
-func (p *endpointPool) pickActiveSince(overdue *PooledConn, accepts func(*PooledConn) bool) *PooledConn {
+func (p *endpointPool) pickActiveSince(overdueConn *PooledConn, accepts func(*PooledConn) bool) *PooledConn {
 	var best *PooledConn
 	for _, conn := range p.conns {
-		activeSince := conn.Connected() && conn.LastReceived() > overdue.CreatedAt()
+		activeSince := conn.Connected() && conn.LastReceived() > overdueConn.CreatedAt()
 		if !activeSince || !conn.hasCapacity() || !accepts(conn) {
 			continue
 		}
--- a/internal/eventloop/handler.go
+++ b/internal/eventloop/handler.go
@@ -18,7 +18,7 @@
 	Handler
 	// PeerClosing is called once, when the loop notices that the peer has shut down its sending side. Input
 	// from before the shutdown may still be unread. The shutdown took place after the given time; 0: unknown.
-	PeerClosing(after Timestamp)
+	PeerClosing(closedAfter Timestamp)
 	// PeerClosed is called once, when all input from before the shutdown has been passed to Receive. It
 	// reports whether output for the peer is pending: the connection then stays open until the handler closes
 	// it, once all of the output is written. Otherwise the loop closes the connection at once.
--- a/internal/eventloop/input.go
+++ b/internal/eventloop/input.go
@@ -134,8 +134,8 @@
 // unread request may have arrived long ago, as the process does not always have a CPU. The result is also true
 // if the system cannot tell.
 func (c *Conn) HasUnreadInput() bool {
-	var first [1]byte
-	n, err := System.Peek(c.fd, first[:])
+	var buffer [1]byte
+	n, err := System.Peek(c.fd, buffer[:])
 	if err != nil {
 		isUnknown := isTransient(err) && !errors.Is(err, unix.EAGAIN)
 		return isUnknown
--- a/internal/eventloop/output.go
+++ b/internal/eventloop/output.go
@@ -18,13 +18,13 @@
 
 // output is an entry of the output queue: bytes, or a message of which nothing has been written yet.
 type output struct {
-	data    []byte
-	message Message // nil once a part of it has been written; the rest is in data
-	written func()  // method Written of a message of which a part has been written; otherwise nil
+	data      []byte
+	message   Message // nil once a part of it has been written; the rest is in data
+	onWritten func()  // method Written of a message of which a part has been written; otherwise nil
 }
 
 // isPlainBytes reports whether the output was queued by Write, not as a message.
-func (o *output) isPlainBytes() bool { return o.message == nil && o.written == nil }
+func (o *output) isPlainBytes() bool { return o.message == nil && o.onWritten == nil }
 
 // QueuedOutput returns how many bytes wait to be written, and the time since which the peer has accepted
 // none. A message counts only once a part of it has been written.
@@ -63,11 +63,11 @@
 	if len(c.outputQueue) == 0 {
 		return false
 	}
-	last := &c.outputQueue[len(c.outputQueue)-1]
-	if !last.isPlainBytes() || len(last.data)+len(data) > maxJoinedBytes {
+	lastOutput := &c.outputQueue[len(c.outputQueue)-1]
+	if !lastOutput.isPlainBytes() || len(lastOutput.data)+len(data) > maxJoinedBytes {
 		return false
 	}
-	last.data = append(last.data, data...)
+	lastOutput.data = append(lastOutput.data, data...)
 	return true
 }
 
@@ -143,10 +143,10 @@
 // or the connection is closed. A message of which the peer accepted no byte is encoded again for the next
 // write, as its contents may have changed by then.
 func (c *Conn) writeFirst() (more bool, err error) {
-	first := &c.outputQueue[0]
-	data := first.data
-	if first.message != nil {
-		encoded, wanted := first.message.Encode()
+	head := &c.outputQueue[0]
+	data := head.data
+	if head.message != nil {
+		encoded, wanted := head.message.Encode()
 		if c.closed { // Encode may close a connection that was open for this message only
 			return false, nil
 		}
@@ -169,22 +169,22 @@
 // recordWritten accounts for the first n bytes of data, the contents of the queue's first entry, as written.
 // It reports whether that is all of data.
 func (c *Conn) recordWritten(data []byte, n int) (complete bool) {
-	first := &c.outputQueue[0] // fetched again: output queued by Encode may have moved the queue
+	head := &c.outputQueue[0] // fetched again: output queued by Encode may have moved the queue
 	c.lastWrittenAt = c.loop.now
-	if first.message != nil {
-		message := first.message
+	if head.message != nil {
+		message := head.message
 		c.addQueuedBytes(len(data))
-		first.message = nil
-		first.written = message.Written
+		head.message = nil
+		head.onWritten = message.Written
 		message.Started(n == len(data))
 	}
 	c.addQueuedBytes(-n)
 	if n < len(data) {
-		first.data = data[n:]
+		head.data = data[n:]
 		return false
 	}
-	if first.written != nil {
-		first.written()
+	if head.onWritten != nil {
+		head.onWritten()
 	}
 	c.outputQueue = c.outputQueue[1:]
 	return true
--- a/internal/eventloop/system.go
+++ b/internal/eventloop/system.go
@@ -5,18 +5,18 @@
 // SystemCalls are the socket and epoll system calls that tests can replace. They return the errors that the
 // manual pages list.
 type SystemCalls struct {
-	Socket    func(family, kind, protocol int) (int, error)
-	Connect   func(fd int, to unix.Sockaddr) error
+	Socket    func(family, socketType, protocol int) (int, error)
+	Connect   func(fd int, addr unix.Sockaddr) error
 	Accept    func(fd, flags int) (int, error)
 	Read      func(fd int, data []byte) (int, error)
 	Write     func(fd int, data []byte) (int, error)
 	Peek      func(fd int, data []byte) (int, error) // does not block; the bytes it returns stay unread
-	Shutdown  func(fd, how int) error
+	Shutdown  func(fd, direction int) error
 	SetOption func(fd, level, option, value int) error
 	GetOption func(fd, level, option int) (int, error)
 	PeerName  func(fd int) error // returns nil if the socket is connected
-	Control   func(epoll, operation, fd int, event *unix.EpollEvent) error
-	Wait      func(epoll int, events []unix.EpollEvent, millis int) (int, error)
+	Control   func(epollFD, operation, fd int, event *unix.EpollEvent) error
+	Wait      func(epollFD int, events []unix.EpollEvent, timeoutMillis int) (int, error)
 }
 
 // System holds the calls in use. Only tests replace them, with calls that fail, and never while a loop runs.
--- a/internal/eventloop/system_test.go
+++ b/internal/eventloop/system_test.go
@@ -15,15 +15,15 @@
 // substitute replaces system calls until the test ends.
 func substitute(t *testing.T, change func(*SystemCalls)) {
 	t.Helper()
-	before := System
-	t.Cleanup(func() { System = before })
+	original := System
+	t.Cleanup(func() { System = original })
 	change(&System)
 }
 
 // echo is a handler that answers with what it receives.
 type echo struct {
 	conn     *Conn
-	ended    error // passed to Closed; nil before
+	closeErr error // passed to Closed; nil before
 	received []byte
 }
 
@@ -33,7 +33,7 @@
 	return len(data), nil
 }
 
-func (e *echo) Closed(err error) { e.ended = err }
+func (e *echo) Closed(err error) { e.closeErr = err }
 
 // testListener is a listener on loopback with a loop of its own.
 type testListener struct {
@@ -155,11 +155,11 @@
 		minCalls: 1, // attempted again while the connection is served
 		install: func(s *SystemCalls, nextError func() error) {
 			original := s.Control
-			s.Control = func(epoll, operation, fd int, event *unix.EpollEvent) error {
+			s.Control = func(epollFD, operation, fd int, event *unix.EpollEvent) error {
 				if err := nextError(); err != nil {
 					return err
 				}
-				return original(epoll, operation, fd, event)
+				return original(epollFD, operation, fd, event)
 			}
 		},
 	},
@@ -225,10 +225,10 @@
 			return nil
 		})
 	})
-	answered := make(chan error, 1)
-	go func() { answered <- readWithin(client, time.Second, 5) }()
-	turns := runTurns(t, listener.loop, func() bool { return len(answered) > 0 })
-	if err := <-answered; err != nil {
+	readResult := make(chan error, 1)
+	go func() { readResult <- readWithin(client, time.Second, 5) }()
+	turns := runTurns(t, listener.loop, func() bool { return len(readResult) > 0 })
+	if err := <-readResult; err != nil {
 		t.Errorf("no answer: %v; the server's connection: %v", err, server)
 	}
 	if calls < call.minCalls {
@@ -258,18 +258,18 @@
 		return server
 	})
 	listener.dial(t)
-	refused := 0
+	refusals := 0
 	substitute(t, func(s *SystemCalls) {
 		original := s.Control
-		s.Control = func(epoll, operation, fd int, event *unix.EpollEvent) error {
-			if fd == listener.fd && event.Events != 0 && refused < 3 {
-				refused++
+		s.Control = func(epollFD, operation, fd int, event *unix.EpollEvent) error {
+			if fd == listener.fd && event.Events != 0 && refusals < 3 {
+				refusals++
 				return unix.ENOMEM
 			}
-			return original(epoll, operation, fd, event)
+			return original(epollFD, operation, fd, event)
 		}
 	})
-	runTurns(t, listener.loop, func() bool { return refused > 0 })
+	runTurns(t, listener.loop, func() bool { return refusals > 0 })
 	ensureCapacity = true
 	calls := 0
 	accept := System.Accept
@@ -317,8 +317,8 @@
 		substitute(t, func(s *SystemCalls) { s.Write = func(int, []byte) (int, error) { return -1, errno } })
 		caller.conn.Write([]byte("another call"))
 		loop.Flush()
-		if string(caller.received) != "answer" || !errors.Is(caller.ended, errno) {
-			t.Errorf("write error %v: received %q before the connection ended with %v", errno, caller.received, caller.ended)
+		if string(caller.received) != "answer" || !errors.Is(caller.closeErr, errno) {
+			t.Errorf("write error %v: received %q before the connection ended with %v", errno, caller.received, caller.closeErr)
 		}
 	}
 }
@@ -346,10 +346,10 @@
 		servers = append(servers, &halfEcho{echo: echo{conn: c}})
 		return servers[len(servers)-1]
 	})
-	first := listener.dial(t)
+	firstConn := listener.dial(t)
 	runTurns(t, listener.loop, func() bool { return len(servers) == 1 })
 	listener.dial(t) // before the first connection is closed, so that the listener's event comes first
-	if err := first.Close(); err != nil {
+	if err := firstConn.Close(); err != nil {
 		t.Fatal(err)
 	}
 	waitUntil(func() bool { return hungUp(servers[0].conn.fd) })
@@ -365,8 +365,9 @@
 	if servers[1].conn.fd != fd {
 		t.Fatalf("the new connection has descriptor %d, want the old one's, %d", servers[1].conn.fd, fd)
 	}
-	if servers[1].closing || servers[1].ended != nil {
-		t.Errorf("the new connection was notified of the end of the old one: closing %v, ended %v", servers[1].closing, servers[1].ended)
+	if servers[1].closing || servers[1].closeErr != nil {
+		t.Errorf("the new connection was notified of the end of the old one: closing %v, ended %v",
+			servers[1].closing, servers[1].closeErr)
 	}
 }
 
@@ -388,7 +389,7 @@
 // The process is stopped just after a poll has returned. Input that arrives before it continues counts as
 // delayed, although only the poll of the next turn reports it.
 func TestSchedulingDelayWhenStoppedAfterAPoll(t *testing.T) {
-	const stopped = 2 * time.Second
+	const stopDuration = 2 * time.Second
 	clock := &testClock{now: Timestamp(time.Now().UnixNano())}
 	loop, err := NewLoop(clock)
 	if err != nil {
@@ -424,14 +425,14 @@
 		waitUntil(conns[i].HasUnreadInput)
 	}
 	sendInput(0)
-	stop := true
+	stopPending := true
 	substitute(t, func(s *SystemCalls) {
 		original := s.Wait
-		s.Wait = func(epoll int, events []unix.EpollEvent, millis int) (int, error) {
-			n, err := original(epoll, events, millis)
-			if stop && n > 0 {
-				stop = false
-				clock.now += stopped
+		s.Wait = func(epollFD int, events []unix.EpollEvent, timeoutMillis int) (int, error) {
+			n, err := original(epollFD, events, timeoutMillis)
+			if stopPending && n > 0 {
+				stopPending = false
+				clock.now += stopDuration
 				sendInput(1)
 			}
 			return n, err
@@ -439,7 +440,7 @@
 	})
 	runTurns(t, loop, func() bool { return len(delays) == 2 })
 	for i, delay := range delays {
-		if delay < stopped-expectedPollInterval {
+		if delay < stopDuration-expectedPollInterval {
 			t.Errorf("input %d counts as delayed by only %v", i+1, delay)
 		}
 	}
--- a/internal/logging/ratelimit.go
+++ b/internal/logging/ratelimit.go
@@ -22,9 +22,9 @@
 // whose message repeats too often are suppressed; the next record with that message that is logged
 // gives their number in its attribute "suppressed".
 func New(dst io.Writer, instance string) *slog.Logger {
-	text := slog.NewTextHandler(dst, &slog.HandlerOptions{Level: slog.LevelInfo})
-	limited := &rateLimiter{next: text, quotas: newQuotas(time.Now)}
-	return slog.New(limited).With("instance", instance)
+	textHandler := slog.NewTextHandler(dst, &slog.HandlerOptions{Level: slog.LevelInfo})
+	limiter := &rateLimiter{next: textHandler, quotas: newQuotas(time.Now)}
+	return slog.New(limiter).With("instance", instance)
 }
 
 // rateLimiter is a slog.Handler that limits how often each message is logged. All handlers derived from one
--- a/internal/logging/writer.go
+++ b/internal/logging/writer.go
@@ -51,14 +51,14 @@
 // Write queues a copy of one line, truncated to maxLineBytes. It never blocks and never fails; if the queue
 // is full, it drops and counts the line.
 func (w *Writer) Write(line []byte) (int, error) {
-	queued := make([]byte, min(len(line), maxLineBytes))
-	copy(queued, line)
-	isTruncated := len(queued) < len(line)
+	queuedLine := make([]byte, min(len(line), maxLineBytes))
+	copy(queuedLine, line)
+	isTruncated := len(queuedLine) < len(line)
 	if isTruncated {
-		queued[len(queued)-1] = '\n'
+		queuedLine[len(queuedLine)-1] = '\n'
 	}
 	select {
-	case w.lines <- queued:
+	case w.lines <- queuedLine:
 	default:
 		w.dropped.Add(1)
 	}
