--- a/internal/proxy/adminoperations.go
+++ b/internal/proxy/adminoperations.go
@@ -65,9 +65,9 @@
 
 // phaseResponse returns an answer with the name of the phase. Its status is 200 if phase equals wanted, otherwise
 // otherStatus.
-func phaseResponse(phase, wanted Phase, otherStatus int) http1.Response {
+func phaseResponse(phase, wantedPhase Phase, otherStatus int) http1.Response {
 	status := otherStatus
-	if phase == wanted {
+	if phase == wantedPhase {
 		status = statusOK
 	}
 	return http1.Response{Status: status, Body: phase.String() + "\n"}
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -94,15 +94,15 @@
 // reassign moves the call from an overdue connection to another one. The call stays if the pool provides no other
 // connection, or if no move is needed: the first byte has been written, the attempt has ended, or the connection is
 // established or has ended.
-func (a *attempt) reassign(overdue *connpool.PooledConn, reassignmentsLeft int) {
-	if a.ended || a.started || overdue.Connected() || overdue.Ended() {
+func (a *attempt) reassign(overdueConn *connpool.PooledConn, reassignmentsLeft int) {
+	if a.ended || a.started || overdueConn.Connected() || overdueConn.Ended() {
 		return
 	}
-	other, err := a.p.pools.Reassign(overdue, a.req.canUseConn)
+	otherConn, err := a.p.pools.Reassign(overdueConn, a.req.canUseConn)
 	if err != nil {
 		return
 	}
 	delete(a.upstream.calls, a.req.ID)
-	overdue.Release()
-	a.enqueue(other, reassignmentsLeft-1)
+	overdueConn.Release()
+	a.enqueue(otherConn, reassignmentsLeft-1)
 }
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -36,7 +36,7 @@
 			t.Error(err)
 		}
 	})
-	seen := make(chan string, 10)
+	receivedCalls := make(chan string, 10)
 	go func() {
 		for {
 			conn, err := ln.Accept()
@@ -46,11 +46,11 @@
 			go func() {
 				conn.SetReadDeadline(time.Now().Add(time.Second)) //nolint:errcheck // ends the read
 				text, _ := io.ReadAll(conn)
-				seen <- string(text)
+				receivedCalls <- string(text)
 			}()
 		}
 	}()
-	set, err := settings.Decode(json.RawMessage(`{"areas":["hub"],"host-types":["std","parent","origin"],"group-size":1,
+	proxySettings, err := settings.Decode(json.RawMessage(`{"areas":["hub"],"host-types":["std","parent","origin"],"group-size":1,
 		"classes":[{"name":"w","semantics":"non_idempotent","promise-us":500000,"gain":1}],
 		"domain":{"direct":true,"root-kind":2,"upper-kind":1,"pass-on":[true]},"limits":{"may-cancel":true,"max-attempts":4}}`))
 	if err != nil {
@@ -64,31 +64,31 @@
 		ID: "o", Addr: ln.Addr().String(), Zone: "hub", Kind: "origin", State: watch.StateServing, Weight: 100,
 	}
 	p := New(loop, Config{
-		Settings:       set,
+		Settings:       proxySettings,
 		MaxDescriptors: 100,
 		MaxMemoryBytes: 1 << 26,
 		InitialState: watch.InitialState{Index: 1, Events: []watch.Event{
 			{Index: 1, Endpoints: &watch.EndpointUpdate{Full: true, Endpoints: []watch.Endpoint{endpoint}}},
 		}},
 	}, slog.New(slog.DiscardHandler))
-	in := Request{ID: "9b1f03aa5c7e2d41", ClassName: "w", Object: "7f3a9c21e0b4d655", Timeout: time.Minute}
-	id := p.submitRequest(in, discardResponder{})
+	parsed := Request{ID: "9b1f03aa5c7e2d41", ClassName: "w", Object: "7f3a9c21e0b4d655", Timeout: time.Minute}
+	id := p.submitRequest(parsed, discardResponder{})
 	p.dispatchEvents() // queues the call on a connection that is not established yet
 	a := p.requests[id].attempts[0]
-	first := a.upstream.conn
-	second, err := p.pools.Reassign(first, func(s *connpool.PooledConn) bool { return s != first })
-	if err != nil || second == first {
+	firstConn := a.upstream.conn
+	secondConn, err := p.pools.Reassign(firstConn, func(s *connpool.PooledConn) bool { return s != firstConn })
+	if err != nil || secondConn == firstConn {
 		t.Fatal("no other connection", err)
 	}
-	a.enqueue(second, 0)
-	a.enqueue(first, 0)
+	a.enqueue(secondConn, 0)
+	a.enqueue(firstConn, 0)
 	for end := time.Now().Add(300 * time.Millisecond); time.Now().Before(end) || !a.started; {
 		if err := loop.Wait(10 * time.Millisecond); err != nil {
 			t.Fatal(err)
 		}
 		loop.Flush()
 	}
-	if text := <-seen + <-seen; strings.Count(text, "REQ") != 1 {
+	if text := <-receivedCalls + <-receivedCalls; strings.Count(text, "REQ") != 1 {
 		t.Errorf("received %q, want exactly one call", text)
 	}
 }
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -39,8 +39,8 @@
 	MaxMemoryBytes         int                // bytes that the process may use
 	TransferBytesPerSecond float64            // rate of one transfer; 0: unknown
 
-	DroppedLogLines func() int64      // number of log lines dropped so far; nil: unknown
-	OnViolation     func(text string) // called when the invariant checker finds a violation; nil: it is only counted
+	DroppedLogLines func() int64         // number of log lines dropped so far; nil: unknown
+	OnViolation     func(message string) // called when the invariant checker finds a violation; nil: it is only counted
 }
 
 // runtimeConfig is the part of the configuration that a reload replaces, with the values derived from it. It
@@ -53,13 +53,13 @@
 }
 
 // newRuntimeConfig returns the configuration for settings, which must be valid.
-func newRuntimeConfig(set settings.Settings, transferBytesPerSecond float64) runtimeConfig {
+func newRuntimeConfig(proxySettings settings.Settings, transferBytesPerSecond float64) runtimeConfig {
 	c := runtimeConfig{
-		Settings:               set,
+		Settings:               proxySettings,
 		classIndexes:           map[string]int{},
 		transferBytesPerSecond: transferBytesPerSecond,
 	}
-	for i, class := range set.Policy.Classes {
+	for i, class := range proxySettings.Policy.Classes {
 		c.classIndexes[class.Name] = i
 	}
 	return c
--- a/internal/proxy/coordinatorclock.go
+++ b/internal/proxy/coordinatorclock.go
@@ -78,15 +78,15 @@
 }
 
 // addLowerBound adds a lower bound and removes those that are no higher.
-func (c *coordinatorClock) addLowerBound(added offsetBound) {
-	c.lowerBounds = slices.DeleteFunc(c.lowerBounds, func(b offsetBound) bool { return b.offset <= added.offset })
-	c.lowerBounds = append(c.lowerBounds, added)
+func (c *coordinatorClock) addLowerBound(newBound offsetBound) {
+	c.lowerBounds = slices.DeleteFunc(c.lowerBounds, func(b offsetBound) bool { return b.offset <= newBound.offset })
+	c.lowerBounds = append(c.lowerBounds, newBound)
 }
 
 // addUpperBound adds an upper bound and removes those that are no lower.
-func (c *coordinatorClock) addUpperBound(added offsetBound) {
-	c.upperBounds = slices.DeleteFunc(c.upperBounds, func(b offsetBound) bool { return b.offset >= added.offset })
-	c.upperBounds = append(c.upperBounds, added)
+func (c *coordinatorClock) addUpperBound(newBound offsetBound) {
+	c.upperBounds = slices.DeleteFunc(c.upperBounds, func(b offsetBound) bool { return b.offset >= newBound.offset })
+	c.upperBounds = append(c.upperBounds, newBound)
 }
 
 // estimateOffset returns an offset that agrees with the bounds: 0 if it agrees, else the present offset if it agrees,
--- a/internal/proxy/disconnect.go
+++ b/internal/proxy/disconnect.go
@@ -25,8 +25,8 @@
 // PeerClosing records that the client closed its sending side after the given time (0: unknown). The client
 // has most likely closed the connection, but may also wait for its answers: those that come within
 // disconnectGrace are still sent.
-func (c *clientConn) PeerClosing(after eventloop.Timestamp) {
-	c.disconnectedSince = max(unknownDisconnectTime, after)
+func (c *clientConn) PeerClosing(closedAfter eventloop.Timestamp) {
+	c.disconnectedSince = max(unknownDisconnectTime, closedAfter)
 	c.server.loop.At(c.disconnectedSince+disconnectGrace, c.cancelOpenRequests)
 }
 
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -27,9 +27,9 @@
 // record returns a FastCGI record of request 1. kind is the record type: 1 begins a request, 2 aborts it, 4 carries
 // its params and 5 its input.
 func record(kind byte, content string) []byte {
-	head := []byte{1, kind, 0, 1, 0, 0, 0, 0}
-	binary.BigEndian.PutUint16(head[4:], uint16(len(content)))
-	return append(head, content...)
+	header := []byte{1, kind, 0, 1, 0, 0, 0, 0}
+	binary.BigEndian.PutUint16(header[4:], uint16(len(content)))
+	return append(header, content...)
 }
 
 // completeRequest returns the records of a complete request.
@@ -42,10 +42,10 @@
 		{"HTTP_REQ_WAIT_MS", millis}, {"HTTP_X_PIECE", "0"}, {"HTTP_X_LOT", "0"}} {
 		pairs = append(append(append(pairs, byte(len(p[0])), byte(len(p[1]))), p[0]...), p[1]...)
 	}
-	out := record(1, "\x00\x01\x01\x00\x00\x00\x00\x00")
-	out = append(out, record(4, string(pairs))...)
-	out = append(out, record(4, "")...)
-	return append(out, record(5, "")...)
+	records := record(1, "\x00\x01\x01\x00\x00\x00\x00\x00")
+	records = append(records, record(4, string(pairs))...)
+	records = append(records, record(4, "")...)
+	return append(records, record(5, "")...)
 }
 
 // Guards against a call that is started although its client has disconnected, or aborted the request, after the
@@ -105,7 +105,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { closeConn(t, origin) })
-	set, err := settings.Decode(json.RawMessage(`{"areas":["hub"],"host-types":["std","parent","origin"],"group-size":1,
+	proxySettings, err := settings.Decode(json.RawMessage(`{"areas":["hub"],"host-types":["std","parent","origin"],"group-size":1,
 		"classes":[{"name":"w","semantics":"non_idempotent","promise-us":500000,"gain":1}],
 		"domain":{"direct":true,"root-kind":2,"upper-kind":1,"pass-on":[true]},"limits":{"may-cancel":true,"max-attempts":4}}`))
 	if err != nil {
@@ -115,7 +115,7 @@
 		ID: "o", Addr: origin.Addr().String(), Zone: "hub", Kind: "origin", State: watch.StateServing, Weight: 100,
 	}}}
 	p := New(loop, Config{
-		Settings: set, MaxDescriptors: 100, MaxMemoryBytes: 1 << 26,
+		Settings: proxySettings, MaxDescriptors: 100, MaxMemoryBytes: 1 << 26,
 		InitialState: watch.InitialState{Index: 1, Events: []watch.Event{{Index: 1, Endpoints: list}}},
 	}, slog.New(slog.DiscardHandler))
 	addr := freeAddr(t)
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -71,17 +71,17 @@
 // withoutSuperseded returns the changes of a late update without those to endpoints whose state a newer update
 // determines. A full list becomes a list of changes in which the endpoints that it leaves out are deleted.
 func (t *endpointTable) withoutSuperseded(
-	late *watch.EndpointUpdate, superseded func(endpoint string) bool,
+	lateUpdate *watch.EndpointUpdate, superseded func(endpoint string) bool,
 ) *watch.EndpointUpdate {
 	changes := &watch.EndpointUpdate{}
 	named := map[string]bool{}
-	for _, entry := range late.Endpoints {
+	for _, entry := range lateUpdate.Endpoints {
 		named[entry.ID] = true
 		if !superseded(entry.ID) {
 			changes.Endpoints = append(changes.Endpoints, entry)
 		}
 	}
-	if !late.Full {
+	if !lateUpdate.Full {
 		return changes
 	}
 	for _, id := range slices.Sorted(maps.Keys(t.startMillis)) {
@@ -117,8 +117,8 @@
 	if endpoint.State == policy.Removed {
 		return endpoint
 	}
-	before, known := t.startMillis[entry.ID]
-	if known && before != entry.StartedMillis {
+	previousStart, known := t.startMillis[entry.ID]
+	if known && previousStart != entry.StartedMillis {
 		t.pools.DiscardConns(entry.ID)
 	}
 	t.startMillis[entry.ID] = entry.StartedMillis
--- a/internal/proxy/endpoints_test.go
+++ b/internal/proxy/endpoints_test.go
@@ -84,8 +84,8 @@
 // its list corrects the clock: all start times of a list, in whatever order, must be converted with the clock offset
 // that applies after the whole list.
 func TestStartTimesOfOneListUseOneOffset(t *testing.T) {
-	const behind = time.Hour
-	c := newClockTest(t, -behind)
+	const clockLag = time.Hour
+	c := newClockTest(t, -clockLag)
 	var notified []policy.Endpoint
 	corrected := time.Duration(0)
 	table := &endpointTable{
@@ -99,11 +99,11 @@
 			ID: id, State: watch.StateServing, Kind: "std", Zone: "edge", Addr: "127.0.0.1:1", StartedMillis: started.Milliseconds(),
 		}
 	}
-	first := entry("a", c.correctStart-2*behind)
+	first := entry("a", c.correctStart-2*clockLag)
 	table.apply(&watch.EndpointUpdate{Full: true, Endpoints: []watch.Endpoint{first}})
 	before := notified[0].Started
 	table.apply(&watch.EndpointUpdate{Endpoints: []watch.Endpoint{first, entry("b", c.correctStart)}})
-	if want := before + corrected; corrected != -behind || notified[0].Started != want {
+	if want := before + corrected; corrected != -clockLag || notified[0].Started != want {
 		t.Errorf("corrected by %v; start time %v, want %v", corrected, notified[0].Started, want)
 	}
 }
--- a/internal/proxy/eviction_test.go
+++ b/internal/proxy/eviction_test.go
@@ -9,14 +9,15 @@
 // time.
 func TestEvictionClasses(t *testing.T) {
 	classes := []evictionClass{silentClient, idleClient, partialClient}
-	last := time.Duration(0)
+	previousIdleTime := time.Duration(0)
 	for i, class := range classes {
 		if int(class) != i {
 			t.Errorf("class %d is evicted as number %d", class, i)
 		}
-		if class.minIdleTime() <= last {
-			t.Errorf("class %d may be evicted after %v, the class before it after %v", class, class.minIdleTime(), last)
+		if class.minIdleTime() <= previousIdleTime {
+			t.Errorf("class %d may be evicted after %v, the class before it after %v",
+				class, class.minIdleTime(), previousIdleTime)
 		}
-		last = class.minIdleTime()
+		previousIdleTime = class.minIdleTime()
 	}
 }
--- a/internal/proxy/fastcgiserver.go
+++ b/internal/proxy/fastcgiserver.go
@@ -36,9 +36,9 @@
 	classIndex(name string) (index int, known bool)
 	// submitRequest takes a complete request and returns its number, or 0 when the request was answered at once.
 	// Every request gets exactly one answer, unless handleDisconnect or handleConnectionClosed ends it first.
-	submitRequest(in Request, to Responder) int64
+	submitRequest(parsed Request, responder Responder) int64
 	// rejectUnsubmitted counts and answers a request that has never been submitted.
-	rejectUnsubmitted(in Request, to Responder, a Answer)
+	rejectUnsubmitted(parsed Request, responder Responder, a Answer)
 	// handleDisconnect ends a request that its client has aborted. It gets no answer.
 	handleDisconnect(number int64)
 	// cancelAfterDisconnect cancels a request whose client has probably disconnected. It answers the request at
--- a/internal/proxy/fields_test.go
+++ b/internal/proxy/fields_test.go
@@ -10,14 +10,14 @@
 func TestObjectSizes(t *testing.T) {
 	f := &FastCGIServer{handler: &Proxy{config: runtimeConfig{classIndexes: map[string]int{"artes": 0}}}}
 	for text, want := range map[string]float64{"": 0, "0": 0, "2666.007": 2666.007, "1e3": 1000} {
-		in, err := f.parse(requestWith("HTTP_REQ_KB", text))
-		if err != nil || in.SizeKB != want {
-			t.Errorf("%q: %v, %v", text, in.SizeKB, err)
+		parsed, err := f.parse(requestWith("HTTP_REQ_KB", text))
+		if err != nil || parsed.SizeKB != want {
+			t.Errorf("%q: %v, %v", text, parsed.SizeKB, err)
 		}
 	}
 	for _, text := range []string{"large", "-1", "NaN", "Inf", "1e12", "1,5", " 1"} {
-		if in, err := f.parse(requestWith("HTTP_REQ_KB", text)); err == nil {
-			t.Errorf("%q is decoded as %v", text, in.SizeKB)
+		if parsed, err := f.parse(requestWith("HTTP_REQ_KB", text)); err == nil {
+			t.Errorf("%q is decoded as %v", text, parsed.SizeKB)
 		}
 	}
 }
--- a/internal/proxy/invariants.go
+++ b/internal/proxy/invariants.go
@@ -61,11 +61,11 @@
 // endpoints in use before a full list: it does not detect faults in those. In production, violations are counted and
 // logged; in tests, onViolation ends the program.
 type invariantChecker struct {
-	p             *Proxy
+	proxy         *Proxy
 	drainingSince map[string]eventloop.Timestamp // by endpoint id: when its drain was reported
 	purges        map[any]purgeRecord            // by object (string) or group (int)
 	counts        [violationCount]int64
-	onViolation   func(text string) // nil: violations are only counted and logged
+	onViolation   func(message string) // nil: violations are only counted and logged
 }
 
 // purgeRecord is a purge that the coordinator has reported.
@@ -85,9 +85,9 @@
 	sentAt eventloop.Timestamp // when the first byte of its call was written
 }
 
-func newInvariantChecker(p *Proxy, onViolation func(text string)) *invariantChecker {
+func newInvariantChecker(proxy *Proxy, onViolation func(message string)) *invariantChecker {
 	return &invariantChecker{
-		p:             p,
+		proxy:         proxy,
 		drainingSince: map[string]eventloop.Timestamp{},
 		purges:        map[any]purgeRecord{},
 		onViolation:   onViolation,
@@ -97,7 +97,8 @@
 // report counts and logs a violation.
 func (c *invariantChecker) report(v violation, q *request, detail string) {
 	c.counts[v]++
-	c.p.log.Error("invariant violated", "violation", violationNames[v], "request", q.ID, "class", q.ClassName, "detail", detail)
+	c.proxy.log.Error("invariant violated", "violation", violationNames[v],
+		"request", q.ID, "class", q.ClassName, "detail", detail)
 	if c.onViolation != nil {
 		c.onViolation(fmt.Sprintf("%s: request %s of class %s: %s", violationNames[v], q.ID, q.ClassName, detail))
 	}
@@ -105,7 +106,7 @@
 
 // observeEvent records the drains and purges of a watch event. It must be called before the event is applied.
 func (c *invariantChecker) observeEvent(ev watch.Event) {
-	now := c.p.loop.Now()
+	now := c.proxy.loop.Now()
 	if ev.Purge != nil && ev.Purge.AtMillis > 0 {
 		c.recordPurge(ev.Purge, now)
 	}
@@ -119,7 +120,7 @@
 func (c *invariantChecker) recordDrains(update *watch.EndpointUpdate, now eventloop.Timestamp) {
 	maps.DeleteFunc(c.drainingSince, func(_ string, since eventloop.Timestamp) bool { return now-since > drainingRetention })
 	if update.Full {
-		for id := range c.p.endpoints.startMillis {
+		for id := range c.proxy.endpoints.startMillis {
 			c.markDraining(id, now)
 		}
 	}
@@ -142,7 +143,7 @@
 // recordPurge records a purge and forgets those that must have been completed by all caches. The latest purge
 // of an object or group counts.
 func (c *invariantChecker) recordPurge(purge *watch.Purge, now eventloop.Timestamp) {
-	retention := c.p.config.Policy.PurgeCompletedWithin + purgeRetentionMargin
+	retention := c.proxy.config.Policy.PurgeCompletedWithin + purgeRetentionMargin
 	maps.DeleteFunc(c.purges, func(_ any, record purgeRecord) bool { return now-record.receivedAt > retention })
 	var key any
 	switch {
@@ -160,7 +161,7 @@
 
 // checkSent checks an attempt when the first byte of its call has been written.
 func (c *invariantChecker) checkSent(a *attempt) {
-	now := c.p.loop.ReadClock()
+	now := c.proxy.loop.ReadClock()
 	for _, id := range []string{a.target, a.source} {
 		since, draining := c.drainingSince[id]
 		if draining && now-since > drainGracePeriod+checkTolerance {
@@ -200,7 +201,7 @@
 	if ans.CreatedAtMillis == 0 {
 		return
 	}
-	limit := c.p.config.Policy.PurgeGrace + checkTolerance
+	limit := c.proxy.config.Policy.PurgeGrace + checkTolerance
 	for _, key := range []any{a.req.Object, a.req.Group} {
 		purge, known := c.purges[key]
 		if known && a.record.sentAt-purge.receivedAt > limit && ans.CreatedAtMillis < purge.createdBefore {
--- a/internal/proxy/invariants_test.go
+++ b/internal/proxy/invariants_test.go
@@ -56,7 +56,7 @@
 	for _, c := range []struct {
 		want    violation // violationCount: none
 		request request
-		do      func(f checkerFixture)
+		run     func(f checkerFixture)
 	}{
 		{violationCount, request{}, func(f checkerFixture) {
 			f.attempt.target, f.attempt.source = drained, drained
@@ -126,7 +126,7 @@
 		}
 		q.idempotency = policy.NonIdempotent
 		wait := func(d time.Duration) { clock.now += d }
-		c.do(checkerFixture{invariantChecker: checker, attempt: &attempt{p: p, req: &q}, wait: wait})
+		c.run(checkerFixture{invariantChecker: checker, attempt: &attempt{p: p, req: &q}, wait: wait})
 		var want [violationCount]int64
 		if c.want < violationCount {
 			want[c.want] = 1
--- a/internal/proxy/memory.go
+++ b/internal/proxy/memory.go
@@ -13,10 +13,10 @@
 
 // memoryBudget counts the bytes that are buffered for clients and caches, and says when there are too many.
 type memoryBudget struct {
-	loop          *eventloop.Loop // its buffers count too
-	rejectAt      int             // number of buffered bytes at which new requests are rejected
-	requestBodies int             // bytes of the open requests' bodies
-	partial       int             // bytes of partial requests, and of requests blocked by backpressure
+	loop            *eventloop.Loop // its buffers count too
+	rejectAt        int             // number of buffered bytes at which new requests are rejected
+	requestBodies   int             // bytes of the open requests' bodies
+	partialRequests int             // bytes of partial requests, and of requests blocked by backpressure
 }
 
 func newMemoryBudget(loop *eventloop.Loop, limitBytes int) *memoryBudget {
@@ -24,7 +24,9 @@
 }
 
 // buffered returns the total number of buffered bytes.
-func (m *memoryBudget) buffered() int { return m.loop.BufferedBytes() + m.requestBodies + m.partial }
+func (m *memoryBudget) buffered() int {
+	return m.loop.BufferedBytes() + m.requestBodies + m.partialRequests
+}
 
 // full reports whether new requests are to be rejected.
 func (m *memoryBudget) full() bool { return m.buffered() >= m.rejectAt }
--- a/internal/proxy/missingevents.go
+++ b/internal/proxy/missingevents.go
@@ -64,10 +64,10 @@
 
 // dropExhausted forgets the events that have reached maxRequestsForMissing and returns how many it forgot.
 func (m *missingEvents) dropExhausted() int {
-	before := len(m.requests)
+	countBefore := len(m.requests)
 	maps.DeleteFunc(m.requests, func(_ int64, requests int) bool { return requests >= maxRequestsForMissing })
 	m.resetIfEmpty()
-	return before - len(m.requests)
+	return countBefore - len(m.requests)
 }
 
 // recordDelivered records an event that was applied, new or late: it is no longer missing, and the endpoints that
--- a/internal/proxy/partialcall_test.go
+++ b/internal/proxy/partialcall_test.go
@@ -41,7 +41,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { closeConn(t, server) })
-	set, err := settings.Decode(json.RawMessage(`{"areas":["hub"],"host-types":["std","parent","origin"],"group-size":1,
+	proxySettings, err := settings.Decode(json.RawMessage(`{"areas":["hub"],"host-types":["std","parent","origin"],"group-size":1,
 		"classes":[{"name":"r","semantics":"read_like","promise-us":500000,"gain":1}],
 		"domain":{"direct":true,"root-kind":2,"upper-kind":1,"pass-on":[true]},
 		"limits":{"may-cancel":true,"max-attempts":4,"streams-per-conn":32,"second-copies":true}}`))
@@ -52,7 +52,7 @@
 		ID: "o", Addr: server.Addr().String(), Zone: "hub", Kind: "origin", State: watch.StateServing, Weight: 100,
 	}}}
 	return New(loop, Config{
-		Settings: set, MaxDescriptors: 1, MaxMemoryBytes: 1 << 26,
+		Settings: proxySettings, MaxDescriptors: 1, MaxMemoryBytes: 1 << 26,
 		InitialState: watch.InitialState{Index: 1, Events: []watch.Event{{Index: 1, Endpoints: list}}},
 	}, slog.New(slog.DiscardHandler))
 }
@@ -79,8 +79,8 @@
 		}
 	}
 	submit := func(id string) *request {
-		in := Request{ID: id, ClassName: "r", Object: "7f3a9c21e0b4d655", Timeout: time.Minute}
-		return p.requests[p.submitRequest(in, discardResponder{})]
+		parsed := Request{ID: id, ClassName: "r", Object: "7f3a9c21e0b4d655", Timeout: time.Minute}
+		return p.requests[p.submitRequest(parsed, discardResponder{})]
 	}
 	allowWrites := blockWrites(t)
 	cancelled := submit("0000000000000001")
--- a/internal/proxy/partialrequest.go
+++ b/internal/proxy/partialrequest.go
@@ -50,6 +50,6 @@
 	if c.openRequests == nil {
 		buffered = 0
 	}
-	c.server.memory.partial += buffered - c.partialBytes
+	c.server.memory.partialRequests += buffered - c.partialBytes
 	c.partialBytes = buffered
 }
--- a/internal/proxy/partialrequest_test.go
+++ b/internal/proxy/partialrequest_test.go
@@ -10,12 +10,12 @@
 	f.conns[c] = true
 	c.setPartialBytes(1000)
 	c.setPartialBytes(700)
-	if f.memory.partial != 700 {
-		t.Errorf("%d bytes counted", f.memory.partial)
+	if f.memory.partialRequests != 700 {
+		t.Errorf("%d bytes counted", f.memory.partialRequests)
 	}
 	c.Closed(nil)
 	c.setPartialBytes(700)
-	if f.memory.partial != 0 || len(f.conns) != 0 {
-		t.Errorf("%d bytes and %d connections counted after the close", f.memory.partial, len(f.conns))
+	if f.memory.partialRequests != 0 || len(f.conns) != 0 {
+		t.Errorf("%d bytes and %d connections counted after the close", f.memory.partialRequests, len(f.conns))
 	}
 }
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -23,10 +23,10 @@
 // At most one read is in progress at a time. Requests for a reload that arrive during a read lead to one more read.
 func TestConfigLoaderReadsOneAtATime(t *testing.T) {
 	errRead := errors.New("read")
-	goOn, begun := make(chan bool), make(chan bool, 10)
+	proceed, started := make(chan bool), make(chan bool, 10)
 	load := func() (PrepareUpdateFunc, error) {
-		begun <- true
-		<-goOn
+		started <- true
+		<-proceed
 		return nil, errRead
 	}
 	var l configLoader
@@ -39,17 +39,17 @@
 		l.start(load, 0)
 		l.requested = true
 	}
-	<-begun
-	if _, done := l.poll(0); done || len(begun) != 0 {
-		t.Fatalf("done %v, %d more reads", done, len(begun))
+	<-started
+	if _, done := l.poll(0); done || len(started) != 0 {
+		t.Fatalf("done %v, %d more reads", done, len(started))
 	}
-	goOn <- true
+	proceed <- true
 	if result := awaitLoad(t, &l, 0); !errors.Is(result.err, errRead) {
 		t.Errorf("the read ended with error %v, want the one that load returned", result.err)
 	}
 	l.start(load, 0)
-	<-begun
-	goOn <- true
+	<-started
+	proceed <- true
 	awaitLoad(t, &l, 0)
 	l.start(load, 0)
 	if l.results != nil {
@@ -59,10 +59,10 @@
 
 // A read that exceeds its time limit fails. What it returns later is not taken for the result of the next read.
 func TestConfigLoaderTimeLimit(t *testing.T) {
-	slow := make(chan bool)
+	release := make(chan bool)
 	errLate, errNext := errors.New("late"), errors.New("next")
 	l := configLoader{requested: true}
-	l.start(func() (PrepareUpdateFunc, error) { <-slow; return nil, errLate }, time.Second)
+	l.start(func() (PrepareUpdateFunc, error) { <-release; return nil, errLate }, time.Second)
 	if _, done := l.poll(time.Second + loadTimeout - 1); done {
 		t.Error("the read has failed too early")
 	}
@@ -72,7 +72,7 @@
 	}
 	l.requested = true
 	l.start(func() (PrepareUpdateFunc, error) { return nil, errNext }, 2*time.Second)
-	slow <- true
+	release <- true
 	if result := awaitLoad(t, &l, 2*time.Second); !errors.Is(result.err, errNext) {
 		t.Errorf("the next read ended with error %v, want its own", result.err)
 	}
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -46,32 +46,32 @@
 
 // submitRequest admits a request whose last byte has just been received. It returns the request's number, which
 // handleDisconnect and cancelAfterDisconnect take, or 0 if the request was answered with a rejection.
-func (p *Proxy) submitRequest(in Request, responder Responder) int64 {
-	verdict := p.mayAdmit(in, responder)
+func (p *Proxy) submitRequest(parsed Request, responder Responder) int64 {
+	verdict := p.mayAdmit(parsed, responder)
 	if !p.counters.recordVerdict(actionStart, verdict) {
-		p.log.Info("request not admitted", "request", in.ID, "rule", verdict.Rule, "reason", verdict.Reason)
-		p.rejectUnsubmitted(in, responder, rejection(verdict))
+		p.log.Info("request not admitted", "request", parsed.ID, "rule", verdict.Rule, "reason", verdict.Reason)
+		p.rejectUnsubmitted(parsed, responder, rejection(verdict))
 		return 0
 	}
-	q := p.admit(in, responder)
+	q := p.admit(parsed, responder)
 	p.notify(policy.Request{
 		ID:        q.number,
-		Object:    in.Object,
-		Part:      in.Part,
-		Group:     in.Group,
-		Class:     in.Class,
-		SizeKB:    in.SizeKB,
+		Object:    parsed.Object,
+		Part:      parsed.Part,
+		Group:     parsed.Group,
+		Class:     parsed.Class,
+		SizeKB:    parsed.SizeKB,
 		Remaining: q.deadline - p.loop.Now(),
 	})
 	return q.number
 }
 
 // mayAdmit asks policy.MayAdmit whether a request may be admitted.
-func (p *Proxy) mayAdmit(in Request, responder Responder) policy.Verdict {
+func (p *Proxy) mayAdmit(parsed Request, responder Responder) policy.Verdict {
 	return policy.MayAdmit(policy.AdmitInfo{
 		ClientDisconnected: responder.ClientDisconnected().GraceOver,
 		RejectingNew:       p.lifecycle.rejecting(),
-		Remaining:          in.Timeout,
+		Remaining:          parsed.Timeout,
 		UnreleasedRequests: len(p.requests),
 		MaxOpenRequests:    p.config.openRequestLimit(),
 		MemoryFull:         p.memory.full(),
@@ -88,14 +88,14 @@
 }
 
 // admit adds a request to the open ones and starts its timer.
-func (p *Proxy) admit(in Request, responder Responder) *request {
+func (p *Proxy) admit(parsed Request, responder Responder) *request {
 	p.lastRequestNumber++
 	q := &request{
-		Request:     in,
+		Request:     parsed,
 		number:      p.lastRequestNumber,
 		responder:   responder,
-		idempotency: p.config.Policy.Classes[in.Class].Idempotency,
-		deadline:    p.answerDeadline(in.Timeout),
+		idempotency: p.config.Policy.Classes[parsed.Class].Idempotency,
+		deadline:    p.answerDeadline(parsed.Timeout),
 	}
 	p.requests[q.number] = q
 	p.openRequests++
@@ -116,8 +116,8 @@
 }
 
 // rejectUnsubmitted answers a request that has not been submitted to the decision module.
-func (p *Proxy) rejectUnsubmitted(in Request, responder Responder, a Answer) {
-	p.counters.countOutcome(in.ClassName, a.Status.outcome())
+func (p *Proxy) rejectUnsubmitted(parsed Request, responder Responder, a Answer) {
+	p.counters.countOutcome(parsed.ClassName, a.Status.outcome())
 	p.counters.countNotServed(a.Reason)
 	responder.Respond(p.config.applyRetryAfterSetting(a))
 }
--- a/internal/proxy/result_test.go
+++ b/internal/proxy/result_test.go
@@ -15,11 +15,11 @@
 func TestResultOfAnswer(t *testing.T) {
 	const bound = 1000 // Unix milliseconds
 	for _, c := range []struct {
-		name  string
-		known string // version of the client's copy
-		bound int64  // earliest creation time that is accepted; 0: any
-		ans   resp.Answer
-		want  policy.Result
+		name          string
+		clientVersion string // version of the client's copy
+		bound         int64  // earliest creation time that is accepted; 0: any
+		ans           resp.Answer
+		want          policy.Result
 	}{
 		{"served", "", 0, resp.Answer{Status: resp.StatusServed}, policy.ResultOK},
 		{"as old as allowed", "", bound, resp.Answer{Status: resp.StatusServed, CreatedAtMillis: bound}, policy.ResultOK},
@@ -34,7 +34,7 @@
 		{"not run", "", 0, resp.Answer{Status: resp.StatusNotRun}, policy.ResultNotSent},
 		{"unknown status", "", 0, resp.Answer{Status: -1}, policy.ResultError},
 	} {
-		a := &attempt{req: &request{Request: Request{KnownVersion: c.known}}, oldestCopyMillis: c.bound}
+		a := &attempt{req: &request{Request: Request{KnownVersion: c.clientVersion}}, oldestCopyMillis: c.bound}
 		if got := a.resultOfAnswer(c.ans); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -35,7 +35,7 @@
 // connection: answers carry only the request's id, so the answer to a cancelled call would be taken for the answer
 // to the next call.
 func (u *upstream) accepts(q *request) bool {
-	if u.unresponsive() || u.calls[q.ID] != nil {
+	if u.isUnresponsive() || u.calls[q.ID] != nil {
 		return false
 	}
 	for _, a := range q.attempts {
@@ -46,10 +46,10 @@
 	return true
 }
 
-// unresponsive reports whether nothing has been received for too long while answers were due. The server may be
+// isUnresponsive reports whether nothing has been received for too long while answers were due. The server may be
 // cut off from the network: a call would wait on the connection until its deadline, and a non-idempotent call could
 // not be retried. The time counts from the first unanswered call, even if calls have been cancelled since.
-func (u *upstream) unresponsive() bool {
+func (u *upstream) isUnresponsive() bool {
 	return u.waitingSince != 0 && u.p.loop.Now()-u.waitingSince > unresponsiveAfter
 }
 
@@ -116,6 +116,7 @@
 // the connection, if an answer has arrived in part, as its rest would be read as the start of the next answer, or if
 // the stopped call was written in part. The rest of such a call is written only while other calls keep the connection
 // open, and for maxPartialWriteTime at most.
-func (u *upstream) isUnusableAfter(stopped *attempt) bool {
-	return u.unresponsive() || u.conn.UnparsedBytes() > 0 || !stopped.written || u.p.requiresConnClose(stopped)
+func (u *upstream) isUnusableAfter(stoppedAttempt *attempt) bool {
+	return u.isUnresponsive() || u.conn.UnparsedBytes() > 0 || !stoppedAttempt.written ||
+		u.p.requiresConnClose(stoppedAttempt)
 }
--- a/internal/proxy/watch.go
+++ b/internal/proxy/watch.go
@@ -76,8 +76,8 @@
 
 // unreadableLine is a line that could not be decoded, with its place among the events.
 type unreadableLine struct {
-	text  []byte
-	after int64 // index of the last event delivered before the line
+	content []byte
+	after   int64 // index of the last event delivered before the line
 }
 
 // start opens the first stream.
@@ -176,10 +176,10 @@
 // isRepeatedUnreadable reports whether the previous unreadable line was the same and followed the same event. If
 // not, it remembers this one.
 func (w *coordinatorWatch) isRepeatedUnreadable(line []byte) bool {
-	if w.lastUnreadable.after == w.lastIndex && bytes.Equal(w.lastUnreadable.text, line) {
+	if w.lastUnreadable.after == w.lastIndex && bytes.Equal(w.lastUnreadable.content, line) {
 		return true
 	}
-	w.lastUnreadable = unreadableLine{text: bytes.Clone(line), after: w.lastIndex}
+	w.lastUnreadable = unreadableLine{content: bytes.Clone(line), after: w.lastIndex}
 	return false
 }
 
--- a/internal/proxy/watch_test.go
+++ b/internal/proxy/watch_test.go
@@ -14,19 +14,19 @@
 // After the first 2 s, no interval of 20 ms has more than twice the mean number of calls. All pauses are at most
 // maxReconnectBackoff, so all proxies are connected again within that time after the outage.
 func TestFleetReconnectsEvenly(t *testing.T) {
-	const processes, outage, bin = 300, 8 * time.Second, 20 * time.Millisecond
-	calls := make([]int, outage/bin)
+	const processes, outage, binWidth = 300, 8 * time.Second, 20 * time.Millisecond
+	calls := make([]int, outage/binWidth)
 	total := 0
 	for seed := range uint64(processes) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		pause := minReconnectBackoff
-		for at := jitteredBackoff(pause, rng); at < outage; at += jitteredBackoff(pause, rng) {
-			calls[at/bin]++
+		backoff := minReconnectBackoff
+		for at := jitteredBackoff(backoff, rng); at < outage; at += jitteredBackoff(backoff, rng) {
+			calls[at/binWidth]++
 			total++
-			pause = min(2*pause, maxReconnectBackoff)
+			backoff = min(2*backoff, maxReconnectBackoff)
 		}
 	}
-	laterCalls := calls[2*time.Second/bin:]
+	laterCalls := calls[2*time.Second/binWidth:]
 	mean := float64(total) / float64(len(calls))
 	for i, n := range laterCalls {
 		if float64(n) > 2*mean {
--- a/internal/proxy/watchclock_test.go
+++ b/internal/proxy/watchclock_test.go
@@ -93,10 +93,10 @@
 // as 9 s newer than they were.
 func TestEventsAfterOutageDoNotMoveClock(t *testing.T) {
 	const outage = 9 * time.Second
-	checkAge := func(t *testing.T, what string, got, want time.Duration) {
+	checkAge := func(t *testing.T, event string, got, want time.Duration) {
 		t.Helper()
 		if got > want || got < want-maxReportDelay {
-			t.Errorf("%s counts as %v old, want %v", what, got, want)
+			t.Errorf("%s counts as %v old, want %v", event, got, want)
 		}
 	}
 	for name, publish := range map[string]func(*clockHarness){"purge": (*clockHarness).publishPurge, "start": (*clockHarness).publishStart} {
@@ -155,7 +155,7 @@
 		if age := c.awaitPurgeAge(); age > 2*harnessStep {
 			t.Errorf("clock wrong by %v: a new purge counts as %v old", clockError, age)
 		}
-		if off := (c.proxy.clock.offset + clockError).Abs(); off > maxReportDelay {
+		if offsetError := (c.proxy.clock.offset + clockError).Abs(); offsetError > maxReportDelay {
 			t.Errorf("clock wrong by %v: corrected by %v", clockError, c.proxy.clock.offset)
 		}
 		c.close()
--- a/internal/proxy/watchharness_test.go
+++ b/internal/proxy/watchharness_test.go
@@ -97,15 +97,15 @@
 // listen opens the coordinator's listening socket and returns its address.
 func (h *watchHarness) listen() netip.AddrPort {
 	h.t.Helper()
-	fd, err1 := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
-	err2 := unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}})
-	err3 := unix.Listen(fd, 64)
-	name, err4 := unix.Getsockname(fd)
-	if err := errors.Join(err1, err2, err3, err4); err != nil {
+	fd, errSocket := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
+	errBind := unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}})
+	errListen := unix.Listen(fd, 64)
+	sockaddr, errName := unix.Getsockname(fd)
+	if err := errors.Join(errSocket, errBind, errListen, errName); err != nil {
 		h.t.Fatal(err)
 	}
 	h.listener = fd
-	bound := name.(*unix.SockaddrInet4)
+	bound := sockaddr.(*unix.SockaddrInet4)
 	return netip.AddrPortFrom(netip.AddrFrom4(bound.Addr), uint16(bound.Port))
 }
 
--- a/internal/proxy/watchrecovery.go
+++ b/internal/proxy/watchrecovery.go
@@ -51,9 +51,9 @@
 			break
 		}
 	}
-	lost := w.missing.dropExhausted()
-	if lost > 0 {
-		w.log.Error("coordinator events lost, given up", "events", lost, "event", w.lastIndex)
+	lostEvents := w.missing.dropExhausted()
+	if lostEvents > 0 {
+		w.log.Error("coordinator events lost, given up", "events", lostEvents, "event", w.lastIndex)
 	}
 	if w.missing.isEmpty() {
 		w.scheduleReconnect(errRecoveryEnded)
--- a/internal/proxy/watchrecovery_test.go
+++ b/internal/proxy/watchrecovery_test.go
@@ -110,13 +110,13 @@
 // TestMissingEventIsRecoveredThoughStreamsFail guards against missing events that delay new ones, or are never
 // delivered, when the next streams fail.
 func TestMissingEventIsRecoveredThoughStreamsFail(t *testing.T) {
-	for name, broken := range failureScripts() {
+	for name, brokenScript := range failureScripts() {
 		h := newWatchHarness(t, func(stream int) streamScript {
 			switch stream {
 			case 0:
 				return replaceEventLine(2, "{broken\n")
 			case 1, 2:
-				return broken()
+				return brokenScript()
 			}
 			return sendAll
 		})
@@ -183,7 +183,7 @@
 	if policy.Ready != 2 || policy.Draining != 1 {
 		t.Fatal("the numbers of the states in want are out of date")
 	}
-	for late := range series {
+	for lateIndex := range series {
 		table := newRecordedTable(t)
 		var missing missingEvents
 		table.apply(&watch.EndpointUpdate{Full: true, Endpoints: entries("z SERVING")})
@@ -192,13 +192,15 @@
 			missing.recordDelivered(watch.Event{Index: int64(index), Endpoints: series[index]})
 		}
 		for index, update := range series {
-			if index == late {
+			if index == lateIndex {
 				missing.add(int64(index), int64(index), 0)
 				continue
 			}
 			apply(index, update)
 		}
-		apply(late, table.withoutSuperseded(series[late], func(endpoint string) bool { return missing.isSuperseded(int64(late), endpoint) }))
+		apply(lateIndex, table.withoutSuperseded(series[lateIndex], func(endpoint string) bool {
+			return missing.isSuperseded(int64(lateIndex), endpoint)
+		}))
 		var got []string
 		for id, state := range table.states {
 			if state != policy.Removed {
@@ -207,10 +209,10 @@
 		}
 		slices.Sort(got)
 		if fmt.Sprint(got) != want {
-			t.Errorf("event %d late: %v, want %s", late, got, want)
+			t.Errorf("event %d late: %v, want %s", lateIndex, got, want)
 		}
 		if !missing.isEmpty() || missing.newestByEndpoint != nil {
-			t.Errorf("event %d late: missing events are not reset: %+v", late, missing)
+			t.Errorf("event %d late: missing events are not reset: %+v", lateIndex, missing)
 		}
 	}
 }
--- a/internal/proxy/watchretry.go
+++ b/internal/proxy/watchretry.go
@@ -88,7 +88,7 @@
 // middle of a line, it closes them, and if maxWatchStreams are open, it closes the oldest. It never closes the
 // stream that mostAdvancedStream returns.
 func (w *coordinatorWatch) closeExcessStreams() {
-	kept := w.mostAdvancedStream()
+	keptStream := w.mostAdvancedStream()
 	receiving := 0
 	for _, s := range w.streams {
 		if s.isReceiving() {
@@ -97,7 +97,7 @@
 	}
 	for _, s := range slices.Clone(w.streams) {
 		tooManyReceive := receiving >= maxReceivingStreams && s.isReceiving()
-		if s != kept && (tooManyReceive || len(w.streams) >= maxWatchStreams) {
+		if s != keptStream && (tooManyReceive || len(w.streams) >= maxWatchStreams) {
 			w.closeStream(s)
 		}
 	}
@@ -106,16 +106,16 @@
 // mostAdvancedStream returns the stream that has received the most bytes of an incomplete line, among those that have
 // spent at most maxLineTime on the line; nil: there is none.
 func (w *coordinatorWatch) mostAdvancedStream() *watchStream {
-	var most *watchStream
+	var mostAdvanced *watchStream
 	for _, s := range w.streams {
 		if !s.isReceiving() || w.loop.Now()-s.lastReadableLineAt > maxLineTime {
 			continue
 		}
-		if most == nil || s.conn.UnparsedBytes() > most.conn.UnparsedBytes() {
-			most = s
+		if mostAdvanced == nil || s.conn.UnparsedBytes() > mostAdvanced.conn.UnparsedBytes() {
+			mostAdvanced = s
 		}
 	}
-	return most
+	return mostAdvanced
 }
 
 // scheduleReconnect schedules a reconnect after the backoff, unless one is scheduled already or a healthy stream is
--- a/internal/proxy/watchstalls_test.go
+++ b/internal/proxy/watchstalls_test.go
@@ -102,13 +102,13 @@
 // An event with nothing but an index must not be treated as a heartbeat: a heartbeat with a new index shows that
 // an event is missing.
 func TestEmptyEventIsNotHeartbeat(t *testing.T) {
-	for _, empty := range []string{`{"index":%d}`, `{"index":%d,"endpoints":null}`} {
+	for _, emptyEvent := range []string{`{"index":%d}`, `{"index":%d,"endpoints":null}`} {
 		h := newWatchHarness(t, func(int) streamScript { return sendAll })
 		h.run(2 * time.Second)
-		h.publish(empty)
+		h.publish(emptyEvent)
 		h.publish(drainEvent)
 		if took := h.runUntil(3, time.Minute); took >= maxEventDelay {
-			t.Errorf("%s: the next event was delivered after %v, with %d streams", empty, took, len(h.streams))
+			t.Errorf("%s: the next event was delivered after %v, with %d streams", emptyEvent, took, len(h.streams))
 		}
 	}
 }
