--- a/internal/connpool/acquire.go
+++ b/internal/connpool/acquire.go
@@ -31,16 +31,16 @@
 	if pool == nil {
 		return nil, ErrEndpointRemoved
 	}
-	existing := pool.pickExisting(use)
-	if existing != nil && !ps.prefersNew(existing, use) {
-		return existing.startUse(), nil
+	existingConn := pool.pickExisting(use)
+	if existingConn != nil && !ps.prefersNew(existingConn, use) {
+		return existingConn.startUse(), nil
 	}
-	dialed, err := pool.dial()
+	dialedConn, err := pool.dial()
 	switch {
 	case err == nil:
-		return dialed.startUse(), nil
-	case existing != nil:
-		return existing.startUse(), nil
+		return dialedConn.startUse(), nil
+	case existingConn != nil:
+		return existingConn.startUse(), nil
 	default:
 		return nil, err
 	}
@@ -53,18 +53,18 @@
 // caller releases the overdue connection, which serves other uses once it is established.
 func (ps *Pools) Reassign(overdueConn *PooledConn, accepts func(*PooledConn) bool) (*PooledConn, error) {
 	pool := overdueConn.pool
-	existing := pool.pickActiveSince(overdueConn, accepts)
-	if existing != nil {
-		return existing.startUse(), nil
+	existingConn := pool.pickActiveSince(overdueConn, accepts)
+	if existingConn != nil {
+		return existingConn.startUse(), nil
 	}
 	if overdueConn.Stale || !ps.belowDedicatedConns() {
 		return nil, ErrConnLimit
 	}
-	dialed, err := pool.dial()
+	dialedConn, err := pool.dial()
 	if err != nil {
 		return nil, err
 	}
-	return dialed.startUse(), nil
+	return dialedConn.startUse(), nil
 }
 
 // prefersNew reports whether a use gets a new connection although an existing one accepts it. While there are
@@ -72,14 +72,14 @@
 // MaxSharedUses of them: whatever ends or corrupts a connection affects all its uses. A non-idempotent use also
 // gets a new connection instead of an idle one if new connections have recently been lost less often than
 // connections that were idle for as long as the existing one.
-func (ps *Pools) prefersNew(existing *PooledConn, use UseInfo) bool {
+func (ps *Pools) prefersNew(existingConn *PooledConn, use UseInfo) bool {
 	if !ps.belowDedicatedConns() {
 		return false
 	}
-	if existing.InUse > 0 {
-		return use.NonIdempotent || existing.InUse >= ps.limits.MaxSharedUses
+	if existingConn.InUse > 0 {
+		return use.NonIdempotent || existingConn.InUse >= ps.limits.MaxSharedUses
 	}
-	return use.NonIdempotent && ps.idleLoss[existing.idleBucket()] > ps.idleLoss[newConnBucket]
+	return use.NonIdempotent && ps.idleLoss[existingConn.idleBucket()] > ps.idleLoss[newConnBucket]
 }
 
 func (ps *Pools) belowDedicatedConns() bool { return ps.connCount < ps.limits.DedicatedConns }
@@ -140,14 +140,14 @@
 	if ps.connCount >= ps.limits.MaxConns {
 		return nil, fmt.Errorf("%s: %w", p.addr, ErrConnLimit)
 	}
-	pooled := &PooledConn{pool: p}
-	pooled.Owner = ps.newHandler(pooled)
-	conn, err := ps.loop.Dial(p.addr, ps.limits.ConnectTimeout, pooled.Owner)
+	pooledConn := &PooledConn{pool: p}
+	pooledConn.Owner = ps.newHandler(pooledConn)
+	conn, err := ps.loop.Dial(p.addr, ps.limits.ConnectTimeout, pooledConn.Owner)
 	if err != nil {
 		return nil, err
 	}
-	pooled.Conn = conn
+	pooledConn.Conn = conn
 	ps.connCount++
-	p.conns = append(p.conns, pooled)
-	return pooled, nil
+	p.conns = append(p.conns, pooledConn)
+	return pooledConn, nil
 }
--- a/internal/connpool/idleloss.go
+++ b/internal/connpool/idleloss.go
@@ -63,11 +63,11 @@
 // maxUpTo returns the largest estimate of the idle buckets up to the given one, since a longer idle time is
 // at least as risky as a shorter one. The bucket of new connections does not count.
 func (e *idleLossEstimates) maxUpTo(bucket idleBucket) float64 {
-	largest := 0.0
+	largestFraction := 0.0
 	for _, fraction := range e[firstIdleBucket : bucket+1] {
-		largest = max(largest, fraction)
+		largestFraction = max(largestFraction, fraction)
 	}
-	return largest
+	return largestFraction
 }
 
 // decay reduces all estimates. It is called once a second.
--- a/internal/proxy/adminoperations.go
+++ b/internal/proxy/adminoperations.go
@@ -63,7 +63,7 @@
 	return phaseResponse(handler.stopDrain(), Serving, statusConflict)
 }
 
-// phaseResponse returns an answer with the name of the phase. Its status is 200 if phase equals wanted, otherwise
+// phaseResponse returns an answer with the name of the phase. Its status is 200 if phase is wantedPhase, otherwise
 // otherStatus.
 func phaseResponse(phase, wantedPhase Phase, otherStatus int) http1.Response {
 	status := otherStatus
--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -45,14 +45,14 @@
 // reading but does not close the connection, so the returned error is always nil.
 func (c *clientConn) Receive(data []byte) (used int, err error) {
 	completeBefore := c.completeRequests
-	skipped := min(c.skipBytes, len(data))
-	c.skipBytes -= skipped
-	decoded, err := c.decodeRecords(data[skipped:])
+	skippedBytes := min(c.skipBytes, len(data))
+	c.skipBytes -= skippedBytes
+	decodedBytes, err := c.decodeRecords(data[skippedBytes:])
 	if err != nil {
 		c.stopReading(err)
 		return len(data), nil
 	}
-	used = skipped + decoded
+	used = skippedBytes + decodedBytes
 	if c.server.memory.critical() {
 		used += c.rejectPartial(data[used:])
 	}
--- a/internal/proxy/coordinatorclock.go
+++ b/internal/proxy/coordinatorclock.go
@@ -51,15 +51,15 @@
 // observe compares a time reported by the coordinator with the loop's time. If the offset changes by at least
 // minCorrection, it corrects the offset and calls notify. publishedAfter is a time of the loop at which the event
 // was not published yet; 0: unknown, in which case only a reported time in the future has an effect.
-func (c *coordinatorClock) observe(reported, publishedAfter eventloop.Timestamp) {
+func (c *coordinatorClock) observe(reportedTime, publishedAfter eventloop.Timestamp) {
 	now := c.loop.Now()
-	if publishedAfter == 0 && reported <= c.toCoordinator(now) {
+	if publishedAfter == 0 && reportedTime <= c.toCoordinator(now) {
 		return
 	}
 	c.removeExpiredBounds(now)
-	c.addLowerBound(offsetBound{observedAt: now, offset: reported - now})
+	c.addLowerBound(offsetBound{observedAt: now, offset: reportedTime - now})
 	if publishedAfter != 0 {
-		c.addUpperBound(offsetBound{observedAt: now, offset: reported - publishedAfter + maxReportDelay})
+		c.addUpperBound(offsetBound{observedAt: now, offset: reportedTime - publishedAfter + maxReportDelay})
 	}
 	change := c.estimateOffset() - c.offset
 	if change.Abs() < minCorrection {
@@ -113,8 +113,8 @@
 }
 
 // toLocal converts the coordinator's time to the loop's.
-func (c *coordinatorClock) toLocal(reported eventloop.Timestamp) eventloop.Timestamp {
-	return reported - c.offset
+func (c *coordinatorClock) toLocal(reportedTime eventloop.Timestamp) eventloop.Timestamp {
+	return reportedTime - c.offset
 }
 
 // toCoordinator converts the loop's time to the coordinator's.
--- a/internal/proxy/partialrequest.go
+++ b/internal/proxy/partialrequest.go
@@ -26,11 +26,11 @@
 		c.server.counters.countNotServed(policy.ReasonMemory)
 		c.conn.Write(fastcgi.AppendEnd(nil, id, 0, fastcgi.StatusOverloaded))
 	}
-	missing := fastcgi.MissingBytes(record)
-	if missing == 0 || len(record) < minSkippedBytes {
+	missingBytes := fastcgi.MissingBytes(record)
+	if missingBytes == 0 || len(record) < minSkippedBytes {
 		return 0
 	}
-	c.skipBytes = missing
+	c.skipBytes = missingBytes
 	return len(record)
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -117,11 +117,11 @@
 
 // maxDeadline returns the longest deadline of a class, 0 if no class has one.
 func (d *document) maxDeadline() time.Duration {
-	var longest time.Duration
+	var longestDeadline time.Duration
 	for _, class := range d.Classes {
-		longest = max(longest, valueOr(class.Deadline, 0).duration())
+		longestDeadline = max(longestDeadline, valueOr(class.Deadline, 0).duration())
 	}
-	return longest
+	return longestDeadline
 }
 
 // routersInZone returns the number of proxies in this proxy's zone, at least 1 for this proxy itself; 0: unknown.
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -55,15 +55,15 @@
 			e.setState(Removed, r.now)
 		}
 	}
-	for _, listed := range update.Endpoints {
-		e := r.endpoints[listed.ID]
+	for _, listedEndpoint := range update.Endpoints {
+		e := r.endpoints[listedEndpoint.ID]
 		if e == nil {
-			e = &endpointState{hash: xxhash.Sum64String(listed.ID), link: newLink()}
+			e = &endpointState{hash: xxhash.Sum64String(listedEndpoint.ID), link: newLink()}
 			e.removedAt = r.now
 			e.resetContentsAndHealth()
-			r.endpoints[listed.ID] = e
+			r.endpoints[listedEndpoint.ID] = e
 		}
-		e.update(listed, r.now)
+		e.update(listedEndpoint, r.now)
 	}
 	r.forgetRemoved()
 	r.updateTopology()
@@ -86,16 +86,16 @@
 
 // update replaces the listed fields of an endpoint. After a restart or a removal, it also resets what is
 // known about the endpoint's contents and health.
-func (e *endpointState) update(listed Endpoint, now time.Duration) {
-	restarted := e.Started != listed.Started
-	if restarted || listed.State == Removed {
+func (e *endpointState) update(listedEndpoint Endpoint, now time.Duration) {
+	restarted := e.Started != listedEndpoint.Started
+	if restarted || listedEndpoint.State == Removed {
 		e.resetContentsAndHealth()
 	}
 	if restarted { // attempts sent to the previous incarnation do not load this one
 		e.slowStartAttempts = nil
 	}
-	e.setState(listed.State, now)
-	e.Endpoint = listed
+	e.setState(listedEndpoint.State, now)
+	e.Endpoint = listedEndpoint
 }
 
 // resetContentsAndHealth marks an endpoint as empty, not ejected and without failures, as after a restart.
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -12,7 +12,7 @@
 func TestReplacedEndpointsAreForgotten(t *testing.T) {
 	const replaced, interval = 10_000, time.Second
 	h := newHarness(t)
-	listed := len(h.router.endpoints)
+	listedEndpoints := len(h.router.endpoints)
 	heapBefore := heapBytes()
 	for i := range replaced {
 		h.now += interval
@@ -26,10 +26,10 @@
 		}
 	}
 	heapAfter := heapBytes()
-	kept := len(h.router.endpoints)
-	t.Logf("%d endpoints kept, the heap grew by %d KB", kept, (heapAfter-heapBefore)/1024)
-	if limit := listed + 2 + int(removedRetention/interval); kept > limit {
-		t.Errorf("%d endpoints kept, want at most %d", kept, limit)
+	keptEndpoints := len(h.router.endpoints)
+	t.Logf("%d endpoints kept, the heap grew by %d KB", keptEndpoints, (heapAfter-heapBefore)/1024)
+	if limit := listedEndpoints + 2 + int(removedRetention/interval); keptEndpoints > limit {
+		t.Errorf("%d endpoints kept, want at most %d", keptEndpoints, limit)
 	}
 }
 
--- a/policy/idempotency.go
+++ b/policy/idempotency.go
@@ -13,8 +13,8 @@
 
 // repeatVerdict decides whether another attempt is harmless at an endpoint.
 func (r *Router) repeatVerdict(req *request, e *endpointState) Verdict {
-	first := req.firstPossibleRun
-	if first == nil {
+	firstRun := req.firstPossibleRun
+	if firstRun == nil {
 		return Verdict{}
 	}
 	switch req.class.Idempotency {
@@ -23,10 +23,10 @@
 	case NonIdempotent:
 		return Verdict{RuleDuplicate, ReasonMayHaveRun}
 	}
-	if r.now-first.createdAt >= req.class.DeduplicationWindow {
+	if r.now-firstRun.createdAt >= req.class.DeduplicationWindow {
 		return Verdict{RuleDuplicate, ReasonWindowExpired}
 	}
-	if !req.class.DeduplicationScope.covers(first.target, e) {
+	if !req.class.DeduplicationScope.covers(firstRun.target, e) {
 		return Verdict{RuleDuplicate, ReasonMayHaveRun}
 	}
 	return Verdict{}
--- a/policy/outliers_test.go
+++ b/policy/outliers_test.go
@@ -74,9 +74,9 @@
 
 // restart updates the endpoint list with an endpoint that has restarted now.
 func (h *harness) restart(id string) {
-	listed := h.router.endpoints[id].Endpoint
-	listed.Started = h.now
-	h.handle(EndpointUpdate{Endpoints: []Endpoint{listed}})
+	listedEndpoint := h.router.endpoints[id].Endpoint
+	listedEndpoint.Started = h.now
+	h.handle(EndpointUpdate{Endpoints: []Endpoint{listedEndpoint}})
 }
 
 // failOnce sends a request that fails whenever it is sent to the given endpoint, and that another endpoint
