--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -24,7 +24,7 @@
 
 // When a third of all attempts fail, every request is still answered: the retry budget limits retries only in
 // an overload.
-func TestEveryThirdAttemptFails(t *testing.T) {
+func TestEveryThirdAttemptFailingIsRetried(t *testing.T) {
 	h, attempts := newHarness(t), 0
 	for id := range int64(300) {
 		h.now += 20 * ms
--- a/policy/router_test.go
+++ b/policy/router_test.go
@@ -7,7 +7,7 @@
 )
 
 // The same settings, seed and events give the same actions.
-func TestDeterministic(t *testing.T) {
+func TestSameEventsGiveSameActions(t *testing.T) {
 	run := func() (all [][]Action) {
 		h := newHarness(t)
 		for i := int64(1); i < 300; i++ {
