--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -30,7 +30,7 @@
 		}
 	}
 	if dropped := w.Dropped(); dropped < lines-maxQueuedLines-1 || dropped > lines-maxQueuedLines {
-		t.Errorf("%d lines dropped", dropped)
+		t.Errorf("%d lines dropped, want all but maxQueuedLines, or one fewer", dropped)
 	}
 	w.Close(time.Millisecond)
 	close(dst.release)
@@ -65,7 +65,7 @@
 		}
 	}
 	if logged != maxRecordsPerInterval {
-		t.Errorf("%d records logged", logged)
+		t.Errorf("%d records logged, want maxRecordsPerInterval", logged)
 	}
 	if allowed, _ := q.take("another"); !allowed {
 		t.Error("a message with another text was suppressed")
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -79,7 +79,7 @@
 			f.clock.now += 200 * time.Millisecond
 			f.p.runEventQueue()
 			if want := name == "nothing"; a.started != want {
-				t.Errorf("call started: %v", a.started)
+				t.Errorf("call started: %v, want the opposite", a.started)
 			}
 		})
 	}
@@ -199,7 +199,7 @@
 		}
 	}
 	if denials := f.p.counters.denials; len(denials) != 0 || len(server.conns) != 1 {
-		t.Errorf("denials: %v; %d connections", denials, len(server.conns))
+		t.Errorf("denials: %v, want none; %d connections, want 1", denials, len(server.conns))
 	}
 	f.p.answer(a.req, Answer{Status: Failed})
 	f.loop.Flush()
--- a/internal/proxy/fields_test.go
+++ b/internal/proxy/fields_test.go
@@ -12,12 +12,12 @@
 	for text, want := range map[string]float64{"": 0, "0": 0, "2666.007": 2666.007, "1e3": 1000} {
 		parsed, err := f.parse(requestWith("HTTP_REQ_KB", text))
 		if err != nil || parsed.SizeKB != want {
-			t.Errorf("%q: %v, %v", text, parsed.SizeKB, err)
+			t.Errorf("%q: size %v, error %v, want that number, 0 if empty", text, parsed.SizeKB, err)
 		}
 	}
 	for _, text := range []string{"large", "-1", "NaN", "Inf", "1e12", "1,5", " 1"} {
 		if parsed, err := f.parse(requestWith("HTTP_REQ_KB", text)); err == nil {
-			t.Errorf("%q is decoded as %v", text, parsed.SizeKB)
+			t.Errorf("%q is decoded as %v, want an error", text, parsed.SizeKB)
 		}
 	}
 }
--- a/internal/proxy/partialrequest_test.go
+++ b/internal/proxy/partialrequest_test.go
@@ -11,11 +11,11 @@
 	c.setPartialBytes(1000)
 	c.setPartialBytes(700)
 	if f.memory.partialRequests != 700 {
-		t.Errorf("%d bytes counted", f.memory.partialRequests)
+		t.Errorf("%d bytes counted, want 700", f.memory.partialRequests)
 	}
 	c.Closed(nil)
 	c.setPartialBytes(700)
 	if f.memory.partialRequests != 0 || len(f.conns) != 0 {
-		t.Errorf("%d bytes and %d connections counted after the close", f.memory.partialRequests, len(f.conns))
+		t.Errorf("%d bytes and %d connections counted after the close, want none", f.memory.partialRequests, len(f.conns))
 	}
 }
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -41,7 +41,7 @@
 	}
 	<-started
 	if _, done := l.poll(0); done || len(started) != 0 {
-		t.Fatalf("done %v, %d more reads", done, len(started))
+		t.Fatalf("done %v, %d more reads, want neither", done, len(started))
 	}
 	proceed <- true
 	if result := awaitLoad(t, &l, 0); !errors.Is(result.err, errRead) {
@@ -68,7 +68,7 @@
 	}
 	result, done := l.poll(time.Second + loadTimeout)
 	if !done || !errors.Is(result.err, errLoadTimeout) {
-		t.Errorf("done %v, error %v", done, result.err)
+		t.Errorf("done %v, error %v, want true and errLoadTimeout", done, result.err)
 	}
 	l.requested = true
 	l.start(func() (PrepareUpdateFunc, error) { return nil, errNext }, 2*time.Second)
--- a/internal/proxy/watchrecovery_test.go
+++ b/internal/proxy/watchrecovery_test.go
@@ -78,7 +78,7 @@
 		}
 		h.run(30 * time.Second)
 		if got := fmt.Sprint(h.delivered.indices, h.delivered.late); got != "[3 4 2] [2]" {
-			t.Errorf("%s: delivered: %s", c.name, got)
+			t.Errorf("%s: delivered: %s, want [3 4 2] [2]", c.name, got)
 		}
 		if last := h.followedIndices()[len(h.streams)-1]; last != 1 {
 			t.Errorf("%s: the streams followed from %v", c.name, h.followedIndices())
--- a/internal/proxy/watchstalls_test.go
+++ b/internal/proxy/watchstalls_test.go
@@ -94,7 +94,7 @@
 	}
 	h.runUntil(6, 2*time.Minute)
 	if got := fmt.Sprint(h.delivered.indices); got != "[2 3 4 5 6]" {
-		t.Errorf("delivered: %s", got)
+		t.Errorf("delivered: %s, want [2 3 4 5 6]", got)
 	}
 }
 
--- a/internal/proxy/watchstream_test.go
+++ b/internal/proxy/watchstream_test.go
@@ -66,7 +66,7 @@
 		w := &coordinatorWatch{handler: handler, loop: loop, log: slog.New(slog.DiscardHandler), lastIndex: 5, lastGap: c.lastGap}
 		s := &watchStream{owner: w, skippedLines: c.skipped}
 		if err := s.handleEvent(c.event); errors.Is(err, errEventGap) != c.isGap {
-			t.Errorf("%s: error %v", c.name, err)
+			t.Errorf("%s: error %v, want errEventGap for a gap only", c.name, err)
 		}
 		if !slices.Equal(handler.indices, c.delivered) || handler.unreadable != c.unreadable {
 			t.Errorf("%s: delivered %v, %d parts unreadable", c.name, handler.indices, handler.unreadable)
--- a/policy/linkpace_test.go
+++ b/policy/linkpace_test.go
@@ -38,8 +38,8 @@
 			t.Fatalf("%+v: no link was congested", c)
 		}
 		if learned := congestedLink.capacity != congestedLink.nominalCapacity; learned != c.learns {
-			t.Errorf("%+v: link capacity %v, nominal %v", c, congestedLink.capacity,
-				congestedLink.nominalCapacity)
+			t.Errorf("%+v: link capacity %v, nominal %v, want them to differ if it learns",
+				c, congestedLink.capacity, congestedLink.nominalCapacity)
 		}
 	}
 }
--- a/policy/overdue_test.go
+++ b/policy/overdue_test.go
@@ -91,7 +91,8 @@
 			}
 		}
 		if attempts != settings.MaxAttempts || len(actions) != 0 {
-			t.Errorf("hedging %v: %d attempts, then %+v", hedging, attempts, actions)
+			t.Errorf("hedging %v: %d attempts, then %+v, want MaxAttempts, then no action",
+				hedging, attempts, actions)
 		}
 	}
 }
