--- a/internal/eventloop/clock.go
+++ b/internal/eventloop/clock.go
@@ -12,7 +12,7 @@
 	// PollTimeout returns how long the next poll may block in real time, at most wanted. It is called once in
 	// each turn, before the loop polls for readiness; by then everything due up to the previous turn has been
 	// carried out, so that a manual clock may advance in this call.
-	PollTimeout(wanted time.Duration) time.Duration
+	PollTimeout(wantedTimeout time.Duration) time.Duration
 }
 
 // systemClock starts at the system's Unix time and then follows the monotonic clock, so that setting the
@@ -26,4 +26,4 @@
 func (c systemClock) Now() Timestamp { return Timestamp(c.start.UnixNano()) + time.Since(c.start) }
 
 // PollTimeout returns wanted unchanged.
-func (c systemClock) PollTimeout(wanted time.Duration) time.Duration { return wanted }
+func (c systemClock) PollTimeout(wantedTimeout time.Duration) time.Duration { return wantedTimeout }
--- a/internal/eventloop/system_test.go
+++ b/internal/eventloop/system_test.go
@@ -382,8 +382,8 @@
 type testClock struct{ now Timestamp }
 
 func (c *testClock) Now() Timestamp { return c.now }
-func (c *testClock) PollTimeout(wanted time.Duration) time.Duration {
-	return min(wanted, time.Millisecond)
+func (c *testClock) PollTimeout(wantedTimeout time.Duration) time.Duration {
+	return min(wantedTimeout, time.Millisecond)
 }
 
 // The process is stopped just after a poll has returned. Input that arrives before it continues counts as
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -20,8 +20,8 @@
 type manualClock struct{ now eventloop.Timestamp }
 
 func (c *manualClock) Now() eventloop.Timestamp { return c.now }
-func (c *manualClock) PollTimeout(wanted time.Duration) time.Duration {
-	return min(wanted, time.Millisecond)
+func (c *manualClock) PollTimeout(wantedTimeout time.Duration) time.Duration {
+	return min(wantedTimeout, time.Millisecond)
 }
 
 // record returns a FastCGI record of request 1. kind is the record type: 1 begins a request, 2 aborts it, 4 carries
@@ -111,12 +111,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	list := &watch.EndpointUpdate{Full: true, Endpoints: []watch.Endpoint{{
+	endpointList := &watch.EndpointUpdate{Full: true, Endpoints: []watch.Endpoint{{
 		ID: "o", Addr: origin.Addr().String(), Zone: "hub", Kind: "origin", State: watch.StateServing, Weight: 100,
 	}}}
 	p := New(loop, Config{
 		Settings: proxySettings, MaxDescriptors: 100, MaxMemoryBytes: 1 << 26,
-		InitialState: watch.InitialState{Index: 1, Events: []watch.Event{{Index: 1, Endpoints: list}}},
+		InitialState: watch.InitialState{Index: 1, Events: []watch.Event{{Index: 1, Endpoints: endpointList}}},
 	}, slog.New(slog.DiscardHandler))
 	addr := freeAddr(t)
 	if err := p.Listen(addr, 10); err != nil {
--- a/internal/proxy/lifecycle.go
+++ b/internal/proxy/lifecycle.go
@@ -71,9 +71,9 @@
 }
 
 // setPhase changes the phase. openRequests is only logged.
-func (l *lifecycle) setPhase(next Phase, openRequests int) {
-	l.log.Info("phase changed", "from", l.phase, "to", next, "open_requests", openRequests)
-	l.phase = next
+func (l *lifecycle) setPhase(nextPhase Phase, openRequests int) {
+	l.log.Info("phase changed", "from", l.phase, "to", nextPhase, "open_requests", openRequests)
+	l.phase = nextPhase
 }
 
 // beginDrain starts an operator's drain.
--- a/internal/proxy/partialcall_test.go
+++ b/internal/proxy/partialcall_test.go
@@ -48,12 +48,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	list := &watch.EndpointUpdate{Full: true, Endpoints: []watch.Endpoint{{
+	endpointList := &watch.EndpointUpdate{Full: true, Endpoints: []watch.Endpoint{{
 		ID: "o", Addr: server.Addr().String(), Zone: "hub", Kind: "origin", State: watch.StateServing, Weight: 100,
 	}}}
 	return New(loop, Config{
 		Settings: proxySettings, MaxDescriptors: 1, MaxMemoryBytes: 1 << 26,
-		InitialState: watch.InitialState{Index: 1, Events: []watch.Event{{Index: 1, Endpoints: list}}},
+		InitialState: watch.InitialState{Index: 1, Events: []watch.Event{{Index: 1, Endpoints: endpointList}}},
 	}, slog.New(slog.DiscardHandler))
 }
 
--- a/internal/proxy/watch.go
+++ b/internal/proxy/watch.go
@@ -72,12 +72,12 @@
 
 // eventGap is a range of missing events, between the last index delivered or skipped (after) and the next index
 // received (before).
-type eventGap struct{ after, before int64 }
+type eventGap struct{ afterIndex, beforeIndex int64 }
 
 // unreadableLine is a line that could not be decoded, with its place among the events.
 type unreadableLine struct {
-	content []byte
-	after   int64 // index of the last event delivered before the line
+	content    []byte
+	afterIndex int64 // index of the last event delivered before the line
 }
 
 // start opens the first stream.
@@ -176,10 +176,10 @@
 // isRepeatedUnreadable reports whether the previous unreadable line was the same and followed the same event. If
 // not, it remembers this one.
 func (w *coordinatorWatch) isRepeatedUnreadable(line []byte) bool {
-	if w.lastUnreadable.after == w.lastIndex && bytes.Equal(w.lastUnreadable.content, line) {
+	if w.lastUnreadable.afterIndex == w.lastIndex && bytes.Equal(w.lastUnreadable.content, line) {
 		return true
 	}
-	w.lastUnreadable = unreadableLine{content: bytes.Clone(line), after: w.lastIndex}
+	w.lastUnreadable = unreadableLine{content: bytes.Clone(line), afterIndex: w.lastIndex}
 	return false
 }
 
--- a/internal/proxy/watchretry.go
+++ b/internal/proxy/watchretry.go
@@ -66,11 +66,11 @@
 
 // nextStreamCheck returns the time until the streams must be checked again.
 func (w *coordinatorWatch) nextStreamCheck() time.Duration {
-	next := time.Duration(0)
+	untilStalled := time.Duration(0)
 	for _, s := range w.streams {
-		next = max(next, s.stalledAt()-w.loop.Now())
+		untilStalled = max(untilStalled, s.stalledAt()-w.loop.Now())
 	}
-	return min(max(next, minStreamCheckInterval), streamCheckInterval)
+	return min(max(untilStalled, minStreamCheckInterval), streamCheckInterval)
 }
 
 // hasHealthyStream reports whether at least one open stream is not stalled.
--- a/internal/proxy/watchstream.go
+++ b/internal/proxy/watchstream.go
@@ -149,7 +149,7 @@
 	}
 	requests := 0
 	if ev.Index > s.maxNextIndex(ev) {
-		if !w.isRepeatedGap(eventGap{after: w.lastIndex, before: ev.Index}) {
+		if !w.isRepeatedGap(eventGap{afterIndex: w.lastIndex, beforeIndex: ev.Index}) {
 			return errEventGap
 		}
 		if ev.IsHeartbeat() {
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -84,14 +84,14 @@
 }
 
 // countFinalAnswers counts the final answers among actions.
-func countFinalAnswers(actions []Action) (n int) {
+func countFinalAnswers(actions []Action) (count int) {
 	for _, a := range actions {
 		switch a.(type) {
 		case Reject, Fail:
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 // serve sends a request of class 0, answers it after 150 ms and returns its Fetch.
--- a/policy/links.go
+++ b/policy/links.go
@@ -196,12 +196,12 @@
 
 // capacityOfAllCaches is the total capacity of the listed caches of all zones, in transfers.
 func (r *Router) capacityOfAllCaches() float64 {
-	total := 0.0
+	totalCapacity := 0.0
 	for _, id := range slices.Sorted(maps.Keys(r.endpoints)) { // a fixed order gives the same rounding
 		e := r.endpoints[id]
 		if e.State != Removed && r.isCache(e) {
-			total += r.linkCapacity(e, defaultLinkCapacity)
+			totalCapacity += r.linkCapacity(e, defaultLinkCapacity)
 		}
 	}
-	return total
+	return totalCapacity
 }
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -54,9 +54,9 @@
 		hubSettings := testSettings()
 		hubSettings.ZoneHubs = c.hubs
 		h := &harness{t: t, router: New(hubSettings, 1), now: time.Hour}
-		list := allEndpoints()
-		list.Endpoints[4].Zone = 2 // q is in zone 2, p in zone 0, the router in zone 1
-		h.handle(list)
+		update := allEndpoints()
+		update.Endpoints[4].Zone = 2 // q is in zone 2, p in zone 0, the router in zone 1
+		h.handle(update)
 		near := 0
 		for i := range 100 {
 			req := &request{Request: Request{Object: "x"}, class: &h.router.settings.Classes[0],
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -33,9 +33,9 @@
 	sent := 0
 	for i := range settings.Routers {
 		h := &harness{t: t, router: New(settings, uint64(i)), now: time.Hour}
-		list := allEndpoints()
-		list.Endpoints[3].Started, list.Endpoints[4].State = h.now, Removed // p starts, q is removed
-		h.handle(list)
+		update := allEndpoints()
+		update.Endpoints[3].Started, update.Endpoints[4].State = h.now, Removed // p starts, q is removed
+		h.handle(update)
 		for id := int64(1); id < 20; id++ {
 			if f := fetchOf(h.request(id, string(rune('a'+id)), 0)); f != nil && f.Source == "p" {
 				sent++
@@ -44,7 +44,7 @@
 	}
 	// Each attempt costs 0.1 transfer seconds. The parent of three caches of unknown capacity starts at a
 	// tenth of its capacity and can take twice that for 2 s.
-	if most := fillFraction * 3 * defaultLinkCapacity * 0.1 * 2 * 2; float64(sent)*0.1 > most {
+	if maxSeconds := fillFraction * 3 * defaultLinkCapacity * 0.1 * 2 * 2; float64(sent)*0.1 > maxSeconds {
 		t.Fatalf("%d attempts sent to a parent in slow start by 100 routers, want fewer", sent)
 	}
 }
@@ -240,9 +240,9 @@
 		// Each attempt costs 0.1 transfer seconds; the endpoint can take 2 times the slow-start fraction of 5
 		// transfers for 1 s.
 		fraction := h.router.slowStartFraction(h.router.endpoints[home])
-		if most := 2 * fraction * 5; sent == 0 || float64(sent)*0.1 > most {
+		if maxSeconds := 2 * fraction * 5; sent == 0 || float64(sent)*0.1 > maxSeconds {
 			t.Errorf("restarted %v: %d of %d sent at once, %.1f s allowed", restarts, sent, len(waiting),
-				most)
+				maxSeconds)
 		}
 	}
 }
