--- a/internal/eventloop/clock.go
+++ b/internal/eventloop/clock.go
@@ -9,8 +9,8 @@
 type TimeSource interface {
 	// Now returns the current time. It never decreases.
 	Now() Timestamp
-	// PollTimeout returns how long the next poll may block in real time, at most wanted. It is called once in
-	// each turn, before the loop polls for readiness; by then everything due up to the previous turn has been
+	// PollTimeout returns how long the next poll may block in real time, at most wantedTimeout. It is called
+	// once in each turn, before the loop polls for readiness; by then everything due up to the previous turn has been
 	// carried out, so that a manual clock may advance in this call.
 	PollTimeout(wantedTimeout time.Duration) time.Duration
 }
@@ -25,5 +25,5 @@
 // Now returns the Unix time at the start plus the monotonic time since.
 func (c systemClock) Now() Timestamp { return Timestamp(c.start.UnixNano()) + time.Since(c.start) }
 
-// PollTimeout returns wanted unchanged.
+// PollTimeout returns wantedTimeout unchanged.
 func (c systemClock) PollTimeout(wantedTimeout time.Duration) time.Duration { return wantedTimeout }
--- a/internal/proxy/watch.go
+++ b/internal/proxy/watch.go
@@ -70,8 +70,8 @@
 	recoveryDue   eventloop.Timestamp // when recoveryTimer fires
 }
 
-// eventGap is a range of missing events, between the last index delivered or skipped (after) and the next index
-// received (before).
+// eventGap is a range of missing events, between the last index delivered or skipped (afterIndex) and the next
+// index received (beforeIndex).
 type eventGap struct{ afterIndex, beforeIndex int64 }
 
 // unreadableLine is a line that could not be decoded, with its place among the events.
