--- a/internal/eventloop/clock.go
+++ b/internal/eventloop/clock.go
@@ -9,10 +9,10 @@
 type TimeSource interface {
 	// Now returns the current time. It never decreases.
 	Now() Timestamp
-	// PollTimeout returns how long the next poll may block in real time, at most wanted. It is called once in
-	// each turn, before the loop polls for readiness; by then everything due up to the previous turn has been
+	// PollTimeout returns how long the next poll may block in real time, at most wantedTimeout. It is called
+	// once in each turn, before the loop polls for readiness; by then everything due up to the previous turn has been
 	// carried out, so that a manual clock may advance in this call.
-	PollTimeout(wanted time.Duration) time.Duration
+	PollTimeout(wantedTimeout time.Duration) time.Duration
 }
 
 // systemClock starts at the system's Unix time and then follows the monotonic clock, so that setting the
@@ -25,5 +25,5 @@
 // Now returns the Unix time at the start plus the monotonic time since.
 func (c systemClock) Now() Timestamp { return Timestamp(c.start.UnixNano()) + time.Since(c.start) }
 
-// PollTimeout returns wanted unchanged.
-func (c systemClock) PollTimeout(wanted time.Duration) time.Duration { return wanted }
+// PollTimeout returns wantedTimeout unchanged.
+func (c systemClock) PollTimeout(wantedTimeout time.Duration) time.Duration { return wantedTimeout }
--- a/internal/proxy/coordinatorclock.go
+++ b/internal/proxy/coordinatorclock.go
@@ -51,15 +51,15 @@
 // observe compares a time reported by the coordinator with the loop's time. If the offset changes by at least
 // minCorrection, it corrects the offset and calls notify. publishedAfter is a time of the loop at which the event
 // was not published yet; 0: unknown, in which case only a reported time in the future has an effect.
-func (c *coordinatorClock) observe(reported, publishedAfter eventloop.Timestamp) {
+func (c *coordinatorClock) observe(reportedTime, publishedAfter eventloop.Timestamp) {
 	now := c.loop.Now()
-	if publishedAfter == 0 && reported <= c.toCoordinator(now) {
+	if publishedAfter == 0 && reportedTime <= c.toCoordinator(now) {
 		return
 	}
 	c.removeExpiredBounds(now)
-	c.addLowerBound(offsetBound{observedAt: now, offset: reported - now})
+	c.addLowerBound(offsetBound{observedAt: now, offset: reportedTime - now})
 	if publishedAfter != 0 {
-		c.addUpperBound(offsetBound{observedAt: now, offset: reported - publishedAfter + maxReportDelay})
+		c.addUpperBound(offsetBound{observedAt: now, offset: reportedTime - publishedAfter + maxReportDelay})
 	}
 	change := c.estimateOffset() - c.offset
 	if change.Abs() < minCorrection {
@@ -78,15 +78,15 @@
 }
 
 // addLowerBound adds a lower bound and removes those that are no higher.
-func (c *coordinatorClock) addLowerBound(added offsetBound) {
-	c.lowerBounds = slices.DeleteFunc(c.lowerBounds, func(b offsetBound) bool { return b.offset <= added.offset })
-	c.lowerBounds = append(c.lowerBounds, added)
+func (c *coordinatorClock) addLowerBound(newBound offsetBound) {
+	c.lowerBounds = slices.DeleteFunc(c.lowerBounds, func(b offsetBound) bool { return b.offset <= newBound.offset })
+	c.lowerBounds = append(c.lowerBounds, newBound)
 }
 
 // addUpperBound adds an upper bound and removes those that are no lower.
-func (c *coordinatorClock) addUpperBound(added offsetBound) {
-	c.upperBounds = slices.DeleteFunc(c.upperBounds, func(b offsetBound) bool { return b.offset >= added.offset })
-	c.upperBounds = append(c.upperBounds, added)
+func (c *coordinatorClock) addUpperBound(newBound offsetBound) {
+	c.upperBounds = slices.DeleteFunc(c.upperBounds, func(b offsetBound) bool { return b.offset >= newBound.offset })
+	c.upperBounds = append(c.upperBounds, newBound)
 }
 
 // estimateOffset returns an offset that agrees with the bounds: 0 if it agrees, else the present offset if it agrees,
@@ -113,8 +113,8 @@
 }
 
 // toLocal converts the coordinator's time to the loop's.
-func (c *coordinatorClock) toLocal(reported eventloop.Timestamp) eventloop.Timestamp {
-	return reported - c.offset
+func (c *coordinatorClock) toLocal(reportedTime eventloop.Timestamp) eventloop.Timestamp {
+	return reportedTime - c.offset
 }
 
 // toCoordinator converts the loop's time to the coordinator's.
--- a/internal/proxy/partialrequest.go
+++ b/internal/proxy/partialrequest.go
@@ -26,11 +26,11 @@
 		c.server.counters.countNotServed(policy.ReasonMemory)
 		c.conn.Write(fastcgi.AppendEnd(nil, id, 0, fastcgi.StatusOverloaded))
 	}
-	missing := fastcgi.MissingBytes(record)
-	if missing == 0 || len(record) < minSkippedBytes {
+	missingBytes := fastcgi.MissingBytes(record)
+	if missingBytes == 0 || len(record) < minSkippedBytes {
 		return 0
 	}
-	c.skipBytes = missing
+	c.skipBytes = missingBytes
 	return len(record)
 }
 
@@ -50,6 +50,6 @@
 	if c.openRequests == nil {
 		buffered = 0
 	}
-	c.server.memory.partial += buffered - c.partialBytes
+	c.server.memory.partialRequests += buffered - c.partialBytes
 	c.partialBytes = buffered
 }
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -48,15 +48,15 @@
 // over.
 func TestNearParentsArePreferred(t *testing.T) {
 	for _, c := range []struct {
-		hubs       []int
-		near, most int
+		hubs          []int
+		near, maxNear int
 	}{{[]int{0, 0, 2}, 60, 100}, {nil, 20, 80}, {[]int{-7, 0, 99}, 0, 100}, {[]int{0}, 20, 80}} {
 		hubSettings := testSettings()
 		hubSettings.ZoneHubs = c.hubs
 		h := &harness{t: t, router: New(hubSettings, 1), now: time.Hour}
-		list := allEndpoints()
-		list.Endpoints[4].Zone = 2 // q is in zone 2, p in zone 0, the router in zone 1
-		h.handle(list)
+		update := allEndpoints()
+		update.Endpoints[4].Zone = 2 // q is in zone 2, p in zone 0, the router in zone 1
+		h.handle(update)
 		near := 0
 		for i := range 100 {
 			req := &request{Request: Request{Object: "x"}, class: &h.router.settings.Classes[0],
@@ -66,7 +66,7 @@
 				near++
 			}
 		}
-		if near < c.near || near > c.most {
+		if near < c.near || near > c.maxNear {
 			t.Errorf("hubs %v: the near parent is chosen for %d of 100 objects", c.hubs, near)
 		}
 		h.handle(EndpointUpdate{Endpoints: []Endpoint{{ID: "p", State: Removed, Kind: 1}}})
