--- a/internal/fault/conflict.go
+++ b/internal/fault/conflict.go
@@ -38,10 +38,10 @@
 // checkConflicts rejects two rules that act on the same thing at the same point.
 func (s *Script) checkConflicts() error {
 	for i, rule := range s.Rules {
-		for _, earlier := range s.Rules[:i] {
-			if rule.conflictsWith(earlier) {
+		for _, earlierRule := range s.Rules[:i] {
+			if rule.conflictsWith(earlierRule) {
 				return fmt.Errorf("%w: line %d: %s: contradicts %s in line %d",
-					ErrScript, rule.ScriptLine, rule.Kind, earlier.Kind, earlier.ScriptLine)
+					ErrScript, rule.ScriptLine, rule.Kind, earlierRule.Kind, earlierRule.ScriptLine)
 			}
 		}
 	}
--- a/internal/fault/fault_test.go
+++ b/internal/fault/fault_test.go
@@ -69,20 +69,20 @@
 }
 
 // feedInReads feeds data to a stream in reads of the given size, and returns its output and ending.
-func feedInReads(s *StreamPlan, data []byte, size int) (out []byte, end Ending) {
+func feedInReads(s *StreamPlan, data []byte, readSize int) (out []byte, ending Ending) {
 	for len(data) > 0 {
-		n := min(size, len(data))
+		n := min(readSize, len(data))
 		for _, output := range s.Feed(data[:n], 0) {
 			out = append(out, output.Data...)
-			end = max(end, output.Ending)
+			ending = max(ending, output.Ending)
 		}
 		data = data[n:]
 	}
 	for _, output := range s.CloseInput(0) {
 		out = append(out, output.Data...)
-		end = max(end, output.Ending)
+		ending = max(ending, output.Ending)
 	}
-	return out, end
+	return out, ending
 }
 
 // TestFaultsDoNotDependOnReads checks that the same bytes get the same faults, however they are split into reads.
@@ -100,17 +100,17 @@
 	}
 	for number := 1; number <= 20; number++ {
 		var want []byte
-		var wantEnd Ending
+		var wantEnding Ending
 		var wantFirings string
 		for _, size := range []int{1 << 20, 1, 2, 7, 100} { // the first size puts all data into one read
 			c := script.PlanConn("c", number, 0)
-			out, end := feedInReads(c.Stream(Up), data, size)
+			out, ending := feedInReads(c.Stream(Up), data, size)
 			firings := fmt.Sprint(c.TakeFirings())
 			if size == 1<<20 {
 				want = out
-				wantEnd = end
+				wantEnding = ending
 				wantFirings = firings
-			} else if !bytes.Equal(out, want) || end != wantEnd || firings != wantFirings {
+			} else if !bytes.Equal(out, want) || ending != wantEnding || firings != wantFirings {
 				t.Fatalf("connection %d: reads of %d bytes differ from one read in output, ending or faults: %s and %s",
 					number, size, firings, wantFirings)
 			}
@@ -122,8 +122,8 @@
 func TestFaultKinds(t *testing.T) {
 	const data = "abcdefghij"
 	for rule, want := range map[string]struct {
-		out string
-		end Ending
+		out    string
+		ending Ending
 	}{
 		"c : delay 0s":            {data, EndHalfClosed},
 		"c byte 3 : reset":        {"abc", EndReset},
@@ -138,9 +138,9 @@
 		"c conn 2 byte 3 : reset": {data, EndHalfClosed},
 		"d byte 3 : reset":        {data, EndHalfClosed},
 	} {
-		out, end := feedInReads(mustParse(t, rule).PlanConn("c", 1, 0).Stream(Up), []byte(data), 4)
-		if string(out) != want.out || end != want.end {
-			t.Errorf("%s: output %q with ending %d, want %q with %d", rule, out, end, want.out, want.end)
+		out, ending := feedInReads(mustParse(t, rule).PlanConn("c", 1, 0).Stream(Up), []byte(data), 4)
+		if string(out) != want.out || ending != want.ending {
+			t.Errorf("%s: output %q with ending %d, want %q with %d", rule, out, ending, want.out, want.ending)
 		}
 	}
 	out, _ := feedInReads(mustParse(t, "c byte 2 : garble 3").PlanConn("c", 1, 0).Stream(Up), []byte(data), 4)
--- a/internal/fault/parse.go
+++ b/internal/fault/parse.go
@@ -114,13 +114,13 @@
 
 // parseLoopback parses an address and a port. Only loopback is accepted, so that faulty traffic can't reach
 // another machine.
-func parseLoopback(field, text string) (netip.AddrPort, error) {
-	addr, err := netip.ParseAddrPort(text)
+func parseLoopback(field, value string) (netip.AddrPort, error) {
+	addr, err := netip.ParseAddrPort(value)
 	if err != nil {
-		return addr, fmt.Errorf("%s: %q must be an IP address and a port", field, text)
+		return addr, fmt.Errorf("%s: %q must be an IP address and a port", field, value)
 	}
 	if !addr.Addr().IsLoopback() {
-		return addr, fmt.Errorf("%s: %s is not on loopback", field, text)
+		return addr, fmt.Errorf("%s: %s is not on loopback", field, value)
 	}
 	return addr, nil
 }
--- a/internal/fault/parserule.go
+++ b/internal/fault/parserule.go
@@ -16,11 +16,11 @@
 		return fmt.Errorf("%s: unknown link or keyword", rule.Link)
 	}
 	r := &fieldReader{fields: fields[1:]}
-	for r.more() && r.peek() != ":" {
+	for r.hasMore() && r.peek() != ":" {
 		rule.parseCondition(r)
 	}
 	r.take() // the colon
-	if r.err == nil && !r.more() {
+	if r.err == nil && !r.hasMore() {
 		return errors.New("no fault after ':'")
 	}
 	rule.parseFault(r)
@@ -72,11 +72,11 @@
 	case Rate, Pieces, Garble, Drop, Repeat:
 		r.Amount = in.number(word, 1)
 	case Silence, Refuse, Stall:
-		if in.more() {
+		if in.hasMore() {
 			r.Duration = in.duration(word)
 		}
 	}
-	for in.more() {
+	for in.hasMore() {
 		r.parseOption(in)
 	}
 }
@@ -100,14 +100,14 @@
 	err    error
 }
 
-func (r *fieldReader) more() bool { return r.err == nil && len(r.fields) > 0 }
+func (r *fieldReader) hasMore() bool { return r.err == nil && len(r.fields) > 0 }
 
 // peek returns the next field without taking it. There must be one.
 func (r *fieldReader) peek() string { return r.fields[0] }
 
 // take returns the next field, or "" if there is none.
 func (r *fieldReader) take() string {
-	if !r.more() {
+	if !r.hasMore() {
 		return ""
 	}
 	field := r.fields[0]
@@ -124,41 +124,41 @@
 
 // number reads a whole number of at least lowest.
 func (r *fieldReader) number(field string, lowest int64) int64 {
-	text := r.take()
-	n, err := strconv.ParseInt(text, 10, 64)
+	value := r.take()
+	n, err := strconv.ParseInt(value, 10, 64)
 	if err != nil || n < lowest {
-		r.fail(field, "%q must be a whole number of at least %d", text, lowest)
+		r.fail(field, "%q must be a whole number of at least %d", value, lowest)
 	}
 	return n
 }
 
 // duration reads a duration in Go's syntax, of at least 0.
 func (r *fieldReader) duration(field string) time.Duration {
-	text := r.take()
-	d, err := time.ParseDuration(text)
+	value := r.take()
+	d, err := time.ParseDuration(value)
 	if err != nil || d < 0 {
-		r.fail(field, "%q must be a duration of at least 0", text)
+		r.fail(field, "%q must be a duration of at least 0", value)
 	}
 	return d
 }
 
 // probability reads a number greater than 0 and at most 1.
 func (r *fieldReader) probability(field string) float64 {
-	text := r.take()
-	p, err := strconv.ParseFloat(text, 64)
+	value := r.take()
+	p, err := strconv.ParseFloat(value, 64)
 	inRange := p > 0 && p <= 1 // false for NaN
 	if err != nil || !inRange {
-		r.fail(field, "%q must be greater than 0 and at most 1", text)
+		r.fail(field, "%q must be greater than 0 and at most 1", value)
 	}
 	return p
 }
 
 // pattern reads a quoted pattern, which must not be empty.
 func (r *fieldReader) pattern(field string) string {
-	text := r.take()
-	pattern, err := strconv.Unquote(text)
+	value := r.take()
+	pattern, err := strconv.Unquote(value)
 	if err != nil || pattern == "" {
-		r.fail(field, "%s must be a quoted pattern, not empty", text)
+		r.fail(field, "%s must be a quoted pattern, not empty", value)
 	}
 	return pattern
 }
--- a/internal/fault/plan.go
+++ b/internal/fault/plan.go
@@ -108,8 +108,8 @@
 func (c *ConnPlan) draw(scriptLine int, offset int64) uint64 {
 	const increment = 0x9e3779b97f4a7c15 // of splitmix64
 	x := c.script.Seed
-	for _, part := range []uint64{uint64(c.number), uint64(scriptLine), uint64(offset)} {
-		x = mix(x + part + increment)
+	for _, input := range []uint64{uint64(c.number), uint64(scriptLine), uint64(offset)} {
+		x = mix(x + input + increment)
 	}
 	for _, b := range []byte(c.link) {
 		x = mix(x + uint64(b))
--- a/internal/fault/stream.go
+++ b/internal/fault/stream.go
@@ -9,16 +9,16 @@
 // the end of the input, and call Advance when timed rules may be due. Each returns the outputs to write, in order.
 // Due times never decrease, except that a reset is due at once.
 type StreamPlan struct {
-	conn          *ConnPlan
-	direction     Direction
-	offset        int64          // bytes read so far
-	pending       []*pendingRule // rules that have not fired
-	active        []activeRule   // rules that affect the size or the due time of outputs
-	editing       *activeRule    // the rule that changes bytes; nil: none
-	repeated      []byte         // bytes that an active Repeat rule will send once more
-	lastDue       time.Duration  // due time of the last output so far
-	ended         bool
-	initialOutput []Output // outputs of rules that fired when the connection began; returned by the first Advance
+	conn           *ConnPlan
+	direction      Direction
+	offset         int64          // bytes read so far
+	pendingRules   []*pendingRule // rules that have not fired
+	activeRules    []activeRule   // rules that affect the size or the due time of outputs
+	editingRule    *activeRule    // the rule that changes bytes; nil: none
+	bytesToRepeat  []byte         // bytes that an active Repeat rule will send once more
+	lastDue        time.Duration  // due time of the last output so far
+	ended          bool
+	initialOutputs []Output // outputs of rules that fired when the connection began; returned by the first Advance
 }
 
 // activeRule is a rule that has fired and still has an effect.
@@ -32,11 +32,11 @@
 func (s *StreamPlan) addRule(r *Rule, now time.Duration) {
 	trigger := r.Trigger
 	if trigger.Pattern != "" {
-		s.pending = append(s.pending, &pendingRule{rule: r, failureTable: failureTable(trigger.Pattern)})
+		s.pendingRules = append(s.pendingRules, &pendingRule{rule: r, failureTable: failureTable(trigger.Pattern)})
 		return
 	}
 	if trigger.Time > now && trigger.Time >= 0 || trigger.Byte > 0 {
-		s.pending = append(s.pending, &pendingRule{rule: r})
+		s.pendingRules = append(s.pendingRules, &pendingRule{rule: r})
 		return
 	}
 	if s.conn.ended {
@@ -44,7 +44,7 @@
 	}
 	s.fire(r, now)
 	if r.Kind.ending() != NotEnded && !s.ended {
-		s.initialOutput = append(s.initialOutput, s.end(now, r.Kind.ending()))
+		s.initialOutputs = append(s.initialOutputs, s.end(now, r.Kind.ending()))
 	}
 }
 
@@ -58,22 +58,22 @@
 		Link: s.conn.link, ConnNumber: s.conn.number, Direction: s.direction, Offset: offset,
 		ScriptLine: r.ScriptLine, Kind: r.Kind,
 	})
-	fired := activeRule{rule: r, bytesLeft: r.Amount}
+	firedRule := activeRule{rule: r, bytesLeft: r.Amount}
 	if r.Duration > 0 {
-		fired.until = now + r.Duration
+		firedRule.until = now + r.Duration
 	}
 	switch r.Kind {
 	case Delay, Rate, Pieces, Silence:
-		s.active = append(s.active, fired)
+		s.activeRules = append(s.activeRules, firedRule)
 	case Garble, Drop, Repeat:
-		s.editing = &fired
-		s.repeated = nil
+		s.editingRule = &firedRule
+		s.bytesToRepeat = nil
 	}
 }
 
 // PendingTimes returns the times of the timed rules that have not fired yet.
 func (s *StreamPlan) PendingTimes() (times []time.Duration) {
-	for _, p := range s.pending {
+	for _, p := range s.pendingRules {
 		if p.rule.Trigger.Time >= 0 {
 			times = append(times, p.rule.Trigger.Time)
 		}
@@ -83,11 +83,11 @@
 
 // Advance fires the timed rules that are due and returns their output. Its first call also returns the output of
 // rules that fired when the connection began.
-func (s *StreamPlan) Advance(now time.Duration) (output []Output) {
-	output = s.initialOutput
-	s.initialOutput = nil
+func (s *StreamPlan) Advance(now time.Duration) (outputs []Output) {
+	outputs = s.initialOutputs
+	s.initialOutputs = nil
 	s.ended = s.ended || s.conn.ended
-	for _, p := range slices.Clone(s.pending) {
+	for _, p := range slices.Clone(s.pendingRules) {
 		due := p.rule.Trigger.Time >= 0 && p.rule.Trigger.Time <= now
 		if !due || s.ended {
 			continue
@@ -95,51 +95,51 @@
 		s.removePending(p)
 		s.fire(p.rule, now)
 		if p.rule.Kind.ending() != NotEnded {
-			output = append(output, s.end(now, p.rule.Kind.ending()))
+			outputs = append(outputs, s.end(now, p.rule.Kind.ending()))
 		}
 	}
-	return output
+	return outputs
 }
 
 func (s *StreamPlan) removePending(p *pendingRule) {
-	s.pending = slices.DeleteFunc(s.pending, func(other *pendingRule) bool { return other == p })
+	s.pendingRules = slices.DeleteFunc(s.pendingRules, func(other *pendingRule) bool { return other == p })
 }
 
 // Feed takes bytes that were read and returns the output for them. A rule takes effect right after the byte that
 // triggers it.
-func (s *StreamPlan) Feed(data []byte, now time.Duration) (output []Output) {
-	output = s.Advance(now)
-	var edited []byte
+func (s *StreamPlan) Feed(data []byte, now time.Duration) (outputs []Output) {
+	outputs = s.Advance(now)
+	var editedData []byte
 	for _, b := range data {
 		if s.ended {
-			return output
+			return outputs
 		}
 		s.offset++
-		edited = s.edit(edited, b)
-		for _, p := range slices.Clone(s.pending) {
+		editedData = s.edit(editedData, b)
+		for _, p := range slices.Clone(s.pendingRules) {
 			if p.rule.Trigger.Time >= 0 || !p.advance(b, s.offset) {
 				continue
 			}
 			s.removePending(p)
-			output = append(output, s.shape(edited, now)...)
-			edited = nil
+			outputs = append(outputs, s.shape(editedData, now)...)
+			editedData = nil
 			s.fire(p.rule, now)
 			if p.rule.Kind.ending() != NotEnded {
-				return append(output, s.end(now, p.rule.Kind.ending()))
+				return append(outputs, s.end(now, p.rule.Kind.ending()))
 			}
 		}
 	}
-	return append(output, s.shape(edited, now)...)
+	return append(outputs, s.shape(editedData, now)...)
 }
 
 // CloseInput handles the end of the input and returns the last outputs. They end the stream with EndHalfClosed, unless
 // a rule has ended it.
 func (s *StreamPlan) CloseInput(now time.Duration) []Output {
-	output := s.Advance(now)
+	outputs := s.Advance(now)
 	if s.ended {
-		return output
+		return outputs
 	}
-	return append(output, s.end(now, EndHalfClosed))
+	return append(outputs, s.end(now, EndHalfClosed))
 }
 
 // end ends the stream and returns the output with its ending. A reset is due now, any other ending no earlier than
--- a/internal/fault/timing.go
+++ b/internal/fault/timing.go
@@ -13,36 +13,38 @@
 )
 
 // shape splits data into outputs and sets their due times, as the active rules require.
-func (s *StreamPlan) shape(data []byte, now time.Duration) (output []Output) {
-	s.active = slices.DeleteFunc(s.active, func(a activeRule) bool { return a.until > 0 && a.until <= now })
+func (s *StreamPlan) shape(data []byte, now time.Duration) (outputs []Output) {
+	s.activeRules = slices.DeleteFunc(s.activeRules, func(active activeRule) bool {
+		return active.until > 0 && active.until <= now
+	})
 	pieceSize := len(data)
-	for _, a := range s.active {
-		if a.rule.Kind == Pieces {
-			pieceSize = min(pieceSize, int(a.rule.Amount))
+	for _, active := range s.activeRules {
+		if active.rule.Kind == Pieces {
+			pieceSize = min(pieceSize, int(active.rule.Amount))
 		}
 	}
 	for len(data) > 0 {
 		size := min(pieceSize, len(data))
-		output = append(output, Output{Data: data[:size:size], Due: s.dueTime(now, size)})
+		outputs = append(outputs, Output{Data: data[:size:size], Due: s.dueTime(now, size)})
 		data = data[size:]
 	}
-	return output
+	return outputs
 }
 
 // dueTime returns the due time of the next size bytes: the latest of now, the times that the active rules give, and
 // the last due time. Due times thus never decrease, so that bytes keep their order.
 func (s *StreamPlan) dueTime(now time.Duration, size int) time.Duration {
 	due := now
-	for _, a := range s.active {
-		due = max(due, s.dueByRule(a, now, size))
+	for _, active := range s.activeRules {
+		due = max(due, s.dueByRule(active, now, size))
 	}
 	s.lastDue = max(s.lastDue, due)
 	return s.lastDue
 }
 
 // dueByRule returns the due time that one active rule gives the next size bytes.
-func (s *StreamPlan) dueByRule(a activeRule, now time.Duration, size int) time.Duration {
-	switch r := a.rule; r.Kind {
+func (s *StreamPlan) dueByRule(active activeRule, now time.Duration, size int) time.Duration {
+	switch r := active.rule; r.Kind {
 	case Delay:
 		return now + r.Delay + s.jitter(r)
 	case Rate:
@@ -51,10 +53,10 @@
 	case Pieces:
 		return s.lastDue + pieceGap
 	case Silence:
-		if a.until == 0 {
+		if active.until == 0 {
 			return unlimitedSilence
 		}
-		return a.until
+		return active.until
 	default:
 		return now
 	}
--- a/internal/fault/trigger.go
+++ b/internal/fault/trigger.go
@@ -2,10 +2,10 @@
 
 // pendingRule is a rule that has not fired yet, with the state of the search for its pattern.
 type pendingRule struct {
-	rule         *Rule
-	failureTable []int // failure table of the Knuth-Morris-Pratt search; nil without a pattern
-	matched      int   // length of the pattern's prefix that the last bytes of the stream match
-	matches      int   // complete matches so far
+	rule          *Rule
+	failureTable  []int // failure table of the Knuth-Morris-Pratt search; nil without a pattern
+	matchedLength int   // length of the pattern's prefix that the last bytes of the stream match
+	matchCount    int   // complete matches so far
 }
 
 // failureTable returns for each prefix of a pattern the length of the longest proper prefix that is also its
@@ -32,15 +32,15 @@
 	if pattern == "" {
 		return p.rule.Trigger.Byte == offset
 	}
-	for p.matched > 0 && (p.matched == len(pattern) || pattern[p.matched] != b) {
-		p.matched = p.failureTable[p.matched-1]
+	for p.matchedLength > 0 && (p.matchedLength == len(pattern) || pattern[p.matchedLength] != b) {
+		p.matchedLength = p.failureTable[p.matchedLength-1]
 	}
-	if pattern[p.matched] == b {
-		p.matched++
+	if pattern[p.matchedLength] == b {
+		p.matchedLength++
 	}
-	if p.matched < len(pattern) {
+	if p.matchedLength < len(pattern) {
 		return false
 	}
-	p.matches++
-	return p.matches == p.rule.Trigger.NthMatch
+	p.matchCount++
+	return p.matchCount == p.rule.Trigger.NthMatch
 }
--- a/internal/fault/validate.go
+++ b/internal/fault/validate.go
@@ -50,8 +50,8 @@
 // canBlockNewConns reports whether a rule's conditions suit a fault on new connections. Before a connection is
 // accepted, it has neither bytes nor directions, and a rule can select it only by naming its number in advance.
 func (r *Rule) canBlockNewConns() bool {
-	byBytes := r.Trigger.Byte >= 0 || r.Trigger.Pattern != ""
-	return !byBytes && r.Direction == Both && r.EveryNth == 0 && r.Probability == 0
+	triggeredByBytes := r.Trigger.Byte >= 0 || r.Trigger.Pattern != ""
+	return !triggeredByBytes && r.Direction == Both && r.EveryNth == 0 && r.Probability == 0
 }
 
 func countTrue(conditions ...bool) (count int) {
