--- a/internal/relay/conn.go
+++ b/internal/relay/conn.go
@@ -53,17 +53,17 @@
 
 // relayDirection reads one direction until it ends, while a second goroutine writes the output that the plan
 // returns. It returns when both goroutines have ended.
-func (c *relayedConn) relayDirection(d fault.Direction, from, to *net.TCPConn) {
-	outputs := newOutputQueue()
+func (c *relayedConn) relayDirection(d fault.Direction, src, dst *net.TCPConn) {
+	queue := newOutputQueue()
 	stream := c.plan.Stream(d)
 	var writer sync.WaitGroup
-	writer.Go(func() { c.write(to, outputs) })
-	c.fireDue(stream, outputs)
+	writer.Go(func() { c.write(dst, queue) })
+	c.fireDue(stream, queue)
 	for _, due := range c.pendingTimes(stream) {
-		c.relay.runAt(c.ctx, due, func() { c.fireDue(stream, outputs) })
+		c.relay.runAt(c.ctx, due, func() { c.fireDue(stream, queue) })
 	}
-	c.read(from, stream, outputs)
-	outputs.close()
+	c.read(src, stream, queue)
+	queue.close()
 	writer.Wait()
 }
 
@@ -75,31 +75,31 @@
 
 // fireDue fires the timed rules that are due. A reset takes effect at once, any other ending when the writer reaches
 // it, after the output that is still pending.
-func (c *relayedConn) fireDue(s *fault.StreamPlan, outputs *outputQueue) {
+func (c *relayedConn) fireDue(s *fault.StreamPlan, queue *outputQueue) {
 	c.planMu.Lock()
-	planned := s.Advance(c.relay.now())
+	outputs := s.Advance(c.relay.now())
 	firings := c.plan.TakeFirings()
 	c.planMu.Unlock()
 	c.relay.recordAll(firings)
-	for _, o := range planned {
+	for _, o := range outputs {
 		if o.Ending == fault.EndReset {
 			c.close(fault.EndReset)
 		}
 	}
-	c.enqueue(planned, outputs)
+	c.enqueue(outputs, queue)
 }
 
 // read reads one direction, and enqueues the output that the plan returns, until the stream or the connection ends.
-func (c *relayedConn) read(from *net.TCPConn, s *fault.StreamPlan, outputs *outputQueue) {
+func (c *relayedConn) read(src *net.TCPConn, s *fault.StreamPlan, queue *outputQueue) {
 	buffer := make([]byte, readBufferSize)
 	for {
-		n, err := from.Read(buffer)
-		planned := c.feed(s, buffer[:n], err != nil)
+		n, err := src.Read(buffer)
+		outputs := c.feed(s, buffer[:n], err != nil)
 		if err != nil && !errors.Is(err, io.EOF) {
 			c.close(fault.EndReset) // the other end gets a reset too
 			return
 		}
-		if !c.enqueue(planned, outputs) || err != nil {
+		if !c.enqueue(outputs, queue) || err != nil {
 			return
 		}
 	}
@@ -108,20 +108,20 @@
 // feed passes what was read to the plan, records the faults that fire, and returns the output to write.
 func (c *relayedConn) feed(s *fault.StreamPlan, data []byte, inputEnded bool) []fault.Output {
 	c.planMu.Lock()
-	planned := s.Feed(data, c.relay.now())
+	outputs := s.Feed(data, c.relay.now())
 	if inputEnded {
-		planned = append(planned, s.CloseInput(c.relay.now())...)
+		outputs = append(outputs, s.CloseInput(c.relay.now())...)
 	}
 	firings := c.plan.TakeFirings()
 	c.planMu.Unlock()
 	c.relay.recordAll(firings)
-	return planned
+	return outputs
 }
 
 // enqueue passes outputs to the writer. It reports false once the stream or the connection has ended.
-func (c *relayedConn) enqueue(planned []fault.Output, outputs *outputQueue) bool {
-	for _, o := range planned {
-		if !outputs.put(c.ctx, o) {
+func (c *relayedConn) enqueue(outputs []fault.Output, queue *outputQueue) bool {
+	for _, o := range outputs {
+		if !queue.put(c.ctx, o) {
 			return false
 		}
 		if o.Ending != fault.NotEnded {
@@ -133,27 +133,27 @@
 
 // write writes each output when it is due, until the queue is closed or the connection has ended. An ending takes
 // effect when write reaches it, after the output before it.
-func (c *relayedConn) write(to *net.TCPConn, outputs *outputQueue) {
-	for o := range outputs.pending {
+func (c *relayedConn) write(dst *net.TCPConn, queue *outputQueue) {
+	for o := range queue.pending {
 		if !c.relay.sleepUntil(c.ctx, o.Due) {
 			return
 		}
 		if len(o.Data) > 0 {
-			if _, err := to.Write(o.Data); err != nil {
+			if _, err := dst.Write(o.Data); err != nil {
 				c.close(fault.EndReset)
 				return
 			}
 		}
-		c.applyEnding(to, o.Ending)
+		c.applyEnding(dst, o.Ending)
 	}
 }
 
 // applyEnding ends one direction or the connection, unless ending is NotEnded.
-func (c *relayedConn) applyEnding(to *net.TCPConn, ending fault.Ending) {
+func (c *relayedConn) applyEnding(dst *net.TCPConn, ending fault.Ending) {
 	switch ending {
 	case fault.NotEnded:
 	case fault.EndHalfClosed:
-		to.CloseWrite() //nolint:errcheck // the connection may have ended
+		dst.CloseWrite() //nolint:errcheck // the connection may have ended
 	default:
 		c.close(ending)
 	}
--- a/internal/relay/listener.go
+++ b/internal/relay/listener.go
@@ -30,15 +30,15 @@
 // linkListener is the listening side of a link. While a Refuse rule is active, it does not listen. While a Stall
 // rule is active, its accept queue is full, and new connections time out.
 type linkListener struct {
-	relay    *Relay
-	link     fault.Link
-	addr     net.Addr
-	mu       sync.Mutex       // guards the fields below
-	listener *net.TCPListener // nil: new connections are refused
-	closed   bool
-	changed  chan struct{}       // closed and replaced when listener is replaced, or accepts again after a stall
-	fillers  map[string]net.Conn // the relay's own connections that fill the accept queue, by local address
-	accepted int                 // connections accepted so far, without the fillers
+	relay         *Relay
+	link          fault.Link
+	addr          net.Addr
+	mu            sync.Mutex       // guards the fields below
+	listener      *net.TCPListener // nil: new connections are refused
+	closed        bool
+	changed       chan struct{}       // closed and replaced when listener is replaced, or accepts again after a stall
+	fillers       map[string]net.Conn // the relay's own connections that fill the accept queue, by local address
+	acceptedCount int                 // connections accepted so far, without the fillers
 }
 
 // openLink listens on a link's address, and schedules the rules that block new connections. The rules for
@@ -242,6 +242,6 @@
 		delete(l.fillers, remote)
 		return 0, filler
 	}
-	l.accepted++
-	return l.accepted, nil
+	l.acceptedCount++
+	return l.acceptedCount, nil
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -20,7 +20,7 @@
 type Relay struct {
 	script     *fault.Script
 	record     func(fault.Firing)
-	start      time.Time
+	startTime  time.Time
 	ctx        context.Context // ends when Close is called
 	cancel     context.CancelFunc
 	goroutines sync.WaitGroup
@@ -32,7 +32,7 @@
 // call at a time. If Start fails, it leaves nothing open.
 func Start(script *fault.Script, record func(fault.Firing)) (*Relay, error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &Relay{script: script, record: record, start: time.Now(), ctx: ctx, cancel: cancel}
+	r := &Relay{script: script, record: record, startTime: time.Now(), ctx: ctx, cancel: cancel}
 	for _, link := range script.Links {
 		l, err := r.openLink(link)
 		if err != nil {
@@ -68,7 +68,7 @@
 }
 
 // now returns the time since Start, to which the times of scripts and plans refer.
-func (r *Relay) now() time.Duration { return time.Since(r.start) }
+func (r *Relay) now() time.Duration { return time.Since(r.startTime) }
 
 func (r *Relay) recordAll(firings []fault.Firing) {
 	r.recordMu.Lock()
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -29,10 +29,10 @@
 
 // testRelay is a relay in front of an echo server, with the log lines of the faults that have fired.
 type testRelay struct {
-	t     *testing.T
-	relay *Relay
-	mu    sync.Mutex
-	fired []string
+	t       *testing.T
+	relay   *Relay
+	mu      sync.Mutex
+	firings []string
 }
 
 // newTestRelay starts a relay with one link named c and the given rules.
@@ -63,7 +63,7 @@
 	if r.relay, err = Start(script, func(e fault.Firing) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.fired = append(r.fired, e.String())
+		r.firings = append(r.firings, e.String())
 	}); err != nil {
 		t.Fatal(err)
 	}
@@ -122,7 +122,7 @@
 		_, err = c.Read(make([]byte, 1))
 	}
 	if !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("reset when the connection begins: error %v", err)
+		t.Errorf("reset when the connection begins: got error %v, want a reset", err)
 	}
 }
 
@@ -130,13 +130,13 @@
 // refused and stalled, and that they succeed after the stall.
 func TestTimedFaultsAndBlockedConnections(t *testing.T) {
 	r := newTestRelay(t, "c conn 1 time 300ms : reset\nc conn 2 : refuse 500ms\nc conn 3 : stall 1500ms")
-	first := r.dial()
-	r.await("c#2 both - line 3 refuse")
+	firstConn := r.dial()
+	r.awaitFault("c#2 both - line 3 refuse")
 	if _, err := net.DialTimeout("tcp", r.relay.Addr("c").String(), testTimeout); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("dial while refused: error %v", err)
+		t.Errorf("dial while refused: got error %v, want a refused connection", err)
 	}
-	if _, err := first.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("timed reset: error %v", err)
+	if _, err := firstConn.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
+		t.Errorf("timed reset: got error %v, want a reset", err)
 	}
 	for {
 		c, err := net.DialTimeout("tcp", r.relay.Addr("c").String(), testTimeout)
@@ -145,14 +145,14 @@
 			break
 		}
 	}
-	r.await("c#3 both - line 4 stall")
+	r.awaitFault("c#3 both - line 4 stall")
 	if c, err := net.DialTimeout("tcp", r.relay.Addr("c").String(), 50*time.Millisecond); err == nil {
 		closeOnce(t, c)
 		t.Error("a connection was established while the link was stalled")
 	}
 	got, err := r.exchange("again")
 	if got != "again" || err != nil {
-		t.Errorf("after the stall: read %q, error %v", got, err)
+		t.Errorf(`after the stall: read %q, error %v, want "again" and no error`, got, err)
 	}
 }
 
@@ -168,24 +168,24 @@
 		c.SetReadDeadline(time.Now().Add(testTimeout)) //nolint:errcheck // ends the read
 		got, err := io.ReadAll(c)
 		if string(got) != "held back" || err != nil {
-			t.Errorf("%s: read %q, error %v", ending, got, err)
+			t.Errorf(`%s: read %q, error %v, want "held back" and no error`, ending, got, err)
 		}
-		r.await("c#1 down - line 3 " + ending)
+		r.awaitFault("c#1 down - line 3 " + ending)
 	}
 }
 
-// await waits until a fault with the given log line has fired.
-func (r *testRelay) await(logLine string) {
+// awaitFault waits until a fault with the given log line has fired.
+func (r *testRelay) awaitFault(logLine string) {
 	r.t.Helper()
-	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		r.mu.Lock()
-		found := slices.Contains(r.fired, logLine)
+		found := slices.Contains(r.firings, logLine)
 		r.mu.Unlock()
 		if found {
 			return
 		}
-		if time.Now().After(end) {
-			r.t.Fatalf("fault %q did not fire, only %q", logLine, r.fired)
+		if time.Now().After(deadline) {
+			r.t.Fatalf("fault %q did not fire, only %q", logLine, r.firings)
 		}
 	}
 }
@@ -194,22 +194,22 @@
 // and that the relay buffers a bounded amount for it.
 func TestSlowReceiverBlocksOnlyItsConnection(t *testing.T) {
 	r := newTestRelay(t, "")
-	blocked := r.dial()
-	var sent int64
-	blocked.SetWriteDeadline(time.Now().Add(500 * time.Millisecond)) //nolint:errcheck // a failure shows in the writes
+	blockedConn := r.dial()
+	var sentBytes int64
+	blockedConn.SetWriteDeadline(time.Now().Add(500 * time.Millisecond)) //nolint:errcheck // a failure shows in the writes
 	for block := make([]byte, 64<<10); ; {
-		n, err := blocked.Write(block)
-		sent += int64(n)
+		n, err := blockedConn.Write(block)
+		sentBytes += int64(n)
 		if err != nil {
 			break
 		}
-		if sent > 256<<20 {
+		if sentBytes > 256<<20 {
 			t.Fatal("the relay buffers without a limit")
 		}
 	}
 	got, err := r.exchange("other")
 	if got != "other" || err != nil {
-		t.Errorf("other connection: read %q, error %v", got, err)
+		t.Errorf(`other connection: read %q, error %v, want "other" and no error`, got, err)
 	}
 }
 
@@ -221,15 +221,15 @@
 			r.exchange("abcdefghij") //nolint:errcheck // some are reset
 		}
 		r.relay.Close()
-		return strings.Join(r.fired, "\n")
+		return strings.Join(r.firings, "\n")
 	}
-	sorted := func(log string) string {
-		list := strings.Split(log, "\n")
-		slices.Sort(list)
-		return strings.Join(list, "\n")
+	sortLines := func(log string) string {
+		lines := strings.Split(log, "\n")
+		slices.Sort(lines)
+		return strings.Join(lines, "\n")
 	}
-	a := sorted(run())
-	b := sorted(run())
+	a := sortLines(run())
+	b := sortLines(run())
 	if a != b || len(a) < 100 {
 		t.Errorf("the logs differ or are too short:\n%s\n\nand\n\n%s", a, b)
 	}
@@ -249,12 +249,12 @@
 	}
 	r, err := Start(script, func(fault.Firing) {})
 	if err == nil || !strings.Contains(err.Error(), "link b") {
-		t.Errorf("relay %v, error %v", r, err)
+		t.Errorf("got relay %v, error %v, want an error that names link b", r, err)
 	}
 }
 
-// echo measures round trips of 64 bytes on one connection.
-func echo(b *testing.B, addr string) {
+// benchmarkEcho measures round trips of 64 bytes on one connection.
+func benchmarkEcho(b *testing.B, addr string) {
 	b.Helper()
 	c, err := net.DialTimeout("tcp", addr, testTimeout)
 	if err != nil {
@@ -297,8 +297,8 @@
 		b.Fatal(err)
 	}
 	defer r.Close()
-	b.Run("direct", func(b *testing.B) { echo(b, ln.Addr().String()) })
-	b.Run("relay", func(b *testing.B) { echo(b, r.Addr("c").String()) })
+	b.Run("direct", func(b *testing.B) { benchmarkEcho(b, ln.Addr().String()) })
+	b.Run("relay", func(b *testing.B) { benchmarkEcho(b, r.Addr("c").String()) })
 	b.Run("memory of 200 connections", func(b *testing.B) {
 		for b.Loop() {
 			var before, after runtime.MemStats
