--- a/cmd/faultproxy/compare.go
+++ b/cmd/faultproxy/compare.go
@@ -13,21 +13,21 @@
 // the order of their lines differs between runs and is ignored. The order within one direction of a connection is
 // fixed by the plan and is compared.
 func compareLogs(pathA, pathB string, out io.Writer) error {
-	a, err := readSorted(pathA)
+	linesA, err := readSorted(pathA)
 	if err != nil {
 		return err
 	}
-	b, err := readSorted(pathB)
+	linesB, err := readSorted(pathB)
 	if err != nil {
 		return err
 	}
-	if slices.Equal(a, b) {
-		fmt.Fprintf(out, "the same %d faults\n", len(a)) //nolint:errcheck // the exit status says the same
+	if slices.Equal(linesA, linesB) {
+		fmt.Fprintf(out, "the same %d faults\n", len(linesA)) //nolint:errcheck // the exit status says the same
 		return nil
 	}
-	first := firstDifference(a, b)
+	first := firstDifference(linesA, linesB)
 	return fmt.Errorf("%s and %s differ: %d and %d faults; the first difference is %q and %q",
-		pathA, pathB, len(a), len(b), lineAt(a, first), lineAt(b, first))
+		pathA, pathB, len(linesA), len(linesB), lineAt(linesA, first), lineAt(linesB, first))
 }
 
 // firstDifference returns the index of the first line in which two unequal logs differ.
--- a/cmd/faultproxy/main_test.go
+++ b/cmd/faultproxy/main_test.go
@@ -33,35 +33,35 @@
 // TestBadCommandLines checks that run rejects bad flags and scripts with an error of one line, and that -check accepts
 // a good script.
 func TestBadCommandLines(t *testing.T) {
-	good := "link a listen 127.0.0.1:0 to 127.0.0.1:9\n"
+	validScript := "link a listen 127.0.0.1:0 to 127.0.0.1:9\n"
 	for want, args := range map[string][]string{
 		"-script FILE is required":  {},
 		"flag provided but not":     {"-nonsense"},
 		"no such file":              {"-script", "/nowhere/at/all"},
-		"line 2: explode":           {"-script", writeFile(t, good+"a : explode")},
-		"-for must be at least 0":   {"-script", writeFile(t, good), "-for", "-3s"},
+		"line 2: explode":           {"-script", writeFile(t, validScript+"a : explode")},
+		"-for must be at least 0":   {"-script", writeFile(t, validScript), "-for", "-3s"},
 		"two logs":                  {"-compare", "one"},
 		"listen: 10.1.2.3:1 is not": {"-script", writeFile(t, "link a listen 10.1.2.3:1 to 127.0.0.1:9")},
 	} {
 		if err := run(args, io.Discard); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("arguments %v: error %v", args, err)
+			t.Errorf("arguments %v: got error %v, want the error of the case, in one line", args, err)
 		}
 	}
-	if err := run([]string{"-script", writeFile(t, good), "-check"}, io.Discard); err != nil {
+	if err := run([]string{"-script", writeFile(t, validScript), "-check"}, io.Discard); err != nil {
 		t.Error(err)
 	}
 }
 
 // TestCompare checks that -compare ignores the order of connections, and rejects missing and different lines.
 func TestCompare(t *testing.T) {
-	a := writeFile(t, "c#1 up 3 line 4 reset\nc#2 up 9 line 5 drop\nc#1 down 7 line 4 close\n")
-	b := writeFile(t, "c#2 up 9 line 5 drop\nc#1 up 3 line 4 reset\nc#1 down 7 line 4 close\n")
-	if err := run([]string{"-compare", a, b}, io.Discard); err != nil {
+	pathA := writeFile(t, "c#1 up 3 line 4 reset\nc#2 up 9 line 5 drop\nc#1 down 7 line 4 close\n")
+	pathB := writeFile(t, "c#2 up 9 line 5 drop\nc#1 up 3 line 4 reset\nc#1 down 7 line 4 close\n")
+	if err := run([]string{"-compare", pathA, pathB}, io.Discard); err != nil {
 		t.Error(err)
 	}
-	for _, other := range []string{"c#1 up 3 line 4 reset\n", "", "c#1 up 3 line 4 reset\nc#2 up 8 line 5 drop\nc#1 down 7 line 4 close\n"} {
-		if err := run([]string{"-compare", a, writeFile(t, other)}, io.Discard); err == nil {
-			t.Errorf("the different log %q compares as equal", other)
+	for _, otherLog := range []string{"c#1 up 3 line 4 reset\n", "", "c#1 up 3 line 4 reset\nc#2 up 8 line 5 drop\nc#1 down 7 line 4 close\n"} {
+		if err := run([]string{"-compare", pathA, writeFile(t, otherLog)}, io.Discard); err == nil {
+			t.Errorf("the different log %q compares as equal", otherLog)
 		}
 	}
 }
@@ -73,19 +73,19 @@
 		t.Fatal(err)
 	}
 	defer closeOnce(t, target)
-	free, err := net.Listen("tcp", "127.0.0.3:0")
+	tempListener, err := net.Listen("tcp", "127.0.0.3:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr := free.Addr().String()
+	addr := tempListener.Addr().String()
 	log := filepath.Join(t.TempDir(), "log")
-	closeOnce(t, free)
+	closeOnce(t, tempListener)
 	script := writeFile(t, "link a listen "+addr+" to "+target.Addr().String()+"\na up byte 3 : close\n")
 	ended := make(chan error, 1)
 	go func() { ended <- run([]string{"-script", script, "-log", log, "-for", "1m"}, io.Discard) }()
 	var conn net.Conn
-	for end := time.Now().Add(20 * time.Second); conn == nil; {
-		if conn, err = net.Dial("tcp", addr); err != nil && time.Now().After(end) {
+	for deadline := time.Now().Add(20 * time.Second); conn == nil; {
+		if conn, err = net.Dial("tcp", addr); err != nil && time.Now().After(deadline) {
 			t.Fatal(err)
 		}
 	}
@@ -108,6 +108,6 @@
 	}
 	text, err = os.ReadFile(log)
 	if err != nil || string(text) != "a#1 up 3 line 2 close\n" {
-		t.Errorf("log %q, error %v", text, err)
+		t.Errorf("got log %q, error %v, want the line of the close", text, err)
 	}
 }
