--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -55,7 +55,7 @@
 	case len(os.Args) == 2 && os.Args[1] == "serve":
 		err = serve()
 	case len(os.Args) == 4 && os.Args[1] == "ask":
-		err = request(os.Args[2], os.Args[3])
+		err = sendRequest(os.Args[2], os.Args[3])
 	}
 	if err != nil {
 		log.Fatal(err)
@@ -105,9 +105,9 @@
 	log.Printf("coordinator: followed from %d", lastIndex)
 	if lastIndex < 1 {
 		const serverFormat = `{"id":%q,"addr":%q,"zone":%q,"kind":%q,"cell":0,"state":"SERVING","weight":20,"started_ms":0}`
-		list := fmt.Sprintf(serverFormat, "s-cache", cacheAddr, "office", "estandar") + "," +
+		servers := fmt.Sprintf(serverFormat, "s-cache", cacheAddr, "office", "estandar") + "," +
 			fmt.Sprintf(serverFormat, "s-origin", originAddr, "hub", "origin")
-		if _, err := fmt.Fprintf(conn, `{"index":1,"endpoints":{"version":1,"full":true,"servers":[%s]}}`+"\n", list); err != nil {
+		if _, err := fmt.Fprintf(conn, `{"index":1,"endpoints":{"version":1,"full":true,"servers":[%s]}}`+"\n", servers); err != nil {
 			return err
 		}
 	}
@@ -126,15 +126,15 @@
 	in := bufio.NewReader(conn)
 	cached := map[string]bool{}
 	for {
-		words, err := readCommand(in)
+		args, err := readCommand(in)
 		if err != nil {
 			return err
 		}
-		log.Printf("%s: %q", name, words)
-		if len(words) != 4 || words[0] != "REQ" {
+		log.Printf("%s: %q", name, args)
+		if len(args) != 4 || args[0] != "REQ" {
 			continue
 		}
-		_, key, _ := strings.Cut(words[2], "k=")
+		_, key, _ := strings.Cut(args[2], "k=")
 		key, _, _ = strings.Cut(key, ",")
 		note := "TCP_MISS"
 		if cached[key] {
@@ -144,14 +144,14 @@
 		h := fnv.New64a()
 		h.Write([]byte(key)) //nolint:errcheck // a write to a hash never fails
 		fields := fmt.Sprintf("etag=%016x,made=%d,note=%s,ttfb=0", h.Sum64(), time.Now().UnixMilli(), note)
-		if _, err := conn.Write(bulkArray(words[1], "served", fields, "object "+key+" from the "+name+"\n")); err != nil {
+		if _, err := conn.Write(bulkArray(args[1], "served", fields, "object "+key+" from the "+name+"\n")); err != nil {
 			return err
 		}
 	}
 }
 
 // readCommand decodes a RESP array of bulk strings.
-func readCommand(in *bufio.Reader) (words []string, err error) {
+func readCommand(in *bufio.Reader) (args []string, err error) {
 	var count, size int
 	if _, err := fmt.Fscanf(in, "*%d\r\n", &count); err != nil {
 		return nil, err
@@ -160,26 +160,26 @@
 		if _, err := fmt.Fscanf(in, "$%d\r\n", &size); err != nil {
 			return nil, err
 		}
-		word := make([]byte, size+2)
-		if _, err := io.ReadFull(in, word); err != nil {
+		arg := make([]byte, size+2)
+		if _, err := io.ReadFull(in, arg); err != nil {
 			return nil, err
 		}
-		words = append(words, string(word[:size]))
+		args = append(args, string(arg[:size]))
 	}
-	return words, nil
+	return args, nil
 }
 
 // bulkArray encodes a RESP array of bulk strings.
-func bulkArray(words ...string) []byte {
-	out := fmt.Appendf(nil, "*%d\r\n", len(words))
-	for _, w := range words {
+func bulkArray(values ...string) []byte {
+	out := fmt.Appendf(nil, "*%d\r\n", len(values))
+	for _, w := range values {
 		out = fmt.Appendf(out, "$%d\r\n%s\r\n", len(w), w)
 	}
 	return out
 }
 
-// request sends one FastCGI request to the proxy and prints the answer.
-func request(class, object string) error {
+// sendRequest sends one FastCGI request to the proxy and prints the answer.
+func sendRequest(class, object string) error {
 	conn, err := net.Dial("tcp", proxyAddr)
 	if err != nil {
 		return err
