--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -172,8 +172,8 @@
 // bulkArray encodes a RESP array of bulk strings.
 func bulkArray(values ...string) []byte {
 	out := fmt.Appendf(nil, "*%d\r\n", len(values))
-	for _, w := range values {
-		out = fmt.Appendf(out, "$%d\r\n%s\r\n", len(w), w)
+	for _, value := range values {
+		out = fmt.Appendf(out, "$%d\r\n%s\r\n", len(value), value)
 	}
 	return out
 }
