--- a/cmd/edgeproxy/config.go
+++ b/cmd/edgeproxy/config.go
@@ -42,9 +42,9 @@
 
 	fields map[string]json.RawMessage // top-level fields of the file, not decoded
 
-	listen, admin, coordinator netip.AddrPort // parsed from the fields Listen, Admin and Coordinator
-	inheritedListenFD          int            // descriptor of the inherited listening socket for clients; 0: none
-	proxy                      proxy.Config
+	listenAddr, adminAddr, coordinatorAddr netip.AddrPort // parsed from Listen, Admin and Coordinator
+	inheritedListenFD                      int            // descriptor of the inherited listening socket for clients; 0: none
+	proxy                                  proxy.Config
 }
 
 // loadConfig reads and checks the configuration. Environment variables take precedence over the file.
@@ -116,15 +116,15 @@
 	if c.Limits.MemoryMB < minMemoryMB || c.Limits.Sockets < minSockets {
 		return fmt.Errorf("limits: memory_mb must be %d or more and sockets %d or more", minMemoryMB, minSockets)
 	}
-	decoded, err := settings.Decode(c.Settings)
+	decodedSettings, err := settings.Decode(c.Settings)
 	if err != nil {
 		return err
 	}
-	if err := decoded.Check(); err != nil {
+	if err := decodedSettings.Check(); err != nil {
 		return err
 	}
 	c.proxy = proxy.Config{
-		Settings:               decoded,
+		Settings:               decodedSettings,
 		Seed:                   seed,
 		InitialState:           c.KnownState,
 		MaxDescriptors:         c.Limits.Sockets,
@@ -141,17 +141,17 @@
 
 // parseAddresses parses the addresses for clients, for operators and of the coordinator.
 func (c *config) parseAddresses() (err error) {
-	c.listen, err = netip.ParseAddrPort(c.Listen)
+	c.listenAddr, err = netip.ParseAddrPort(c.Listen)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
 	if c.Admin != "" {
-		c.admin, err = netip.ParseAddrPort(c.Admin)
+		c.adminAddr, err = netip.ParseAddrPort(c.Admin)
 		if err != nil {
 			return fmt.Errorf("admin_addr: %w", err)
 		}
 	}
-	c.coordinator, err = netip.ParseAddrPort(c.Coordinator)
+	c.coordinatorAddr, err = netip.ParseAddrPort(c.Coordinator)
 	if err != nil {
 		return fmt.Errorf("coordinator: %w", err)
 	}
--- a/cmd/edgeproxy/config_test.go
+++ b/cmd/edgeproxy/config_test.go
@@ -184,7 +184,7 @@
 func TestExampleConfiguration(t *testing.T) {
 	env := map[string]string{"BALANCER_CONFIG": "../../example/config.json", "BALANCER_LISTEN": "127.0.0.1:9", "BALANCER_NAME": "n7"}
 	c, err := loadConfig(func(name string) string { return env[name] })
-	if err != nil || c.listen.Port() != 9 || c.Name != "n7" || len(c.proxy.Settings.Policy.Classes) != 2 {
+	if err != nil || c.listenAddr.Port() != 9 || c.Name != "n7" || len(c.proxy.Settings.Policy.Classes) != 2 {
 		t.Errorf("got configuration %+v, error %v", c, err)
 	}
 }
--- a/cmd/edgeproxy/main.go
+++ b/cmd/edgeproxy/main.go
@@ -54,22 +54,22 @@
 	}
 }
 
-// signals holds the channels of the signals that the program handles: SIGTERM and SIGINT stop it, SIGHUP reloads
-// its configuration.
-type signals struct{ stop, reload chan os.Signal }
+// signalChannels holds the channels of the signals that the program handles: SIGTERM and SIGINT stop it, SIGHUP
+// reloads its configuration.
+type signalChannels struct{ stop, reload chan os.Signal }
 
 // listenForSignals starts to receive signals and returns their channels. SIGPIPE is ignored, so that the program
 // continues when the reader of its log has gone.
-func listenForSignals() signals {
+func listenForSignals() signalChannels {
 	signal.Ignore(syscall.SIGPIPE)
-	s := signals{stop: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
+	s := signalChannels{stop: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
 	signal.Notify(s.stop, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(s.reload, syscall.SIGHUP)
 	return s
 }
 
 // run starts a proxy with a configuration and serves until it has been stopped.
-func run(cfg *config, clock eventloop.TimeSource, s signals, logger *slog.Logger, out *logging.Writer) error {
+func run(cfg *config, clock eventloop.TimeSource, s signalChannels, logger *slog.Logger, out *logging.Writer) error {
 	// The platform kills a process that reaches its memory limit, so the garbage collector has to run more often
 	// before that.
 	debug.SetMemoryLimit(int64(cfg.proxy.MaxMemoryBytes) * heapLimitPercent / 100)
@@ -83,7 +83,7 @@
 	if err := openListeners(p, cfg); err != nil {
 		return err
 	}
-	p.WatchCoordinator(cfg.coordinator, cfg.KnownState.Index)
+	p.WatchCoordinator(cfg.coordinatorAddr, cfg.KnownState.Index)
 	return p.Run(proxy.Signals{Stop: s.stop, Reload: s.reload, LoadConfig: cfg.reloader(logger)})
 }
 
@@ -105,21 +105,21 @@
 		if cfg.inheritedListenFD != 0 {
 			return p.ListenOn(cfg.inheritedListenFD, maxClientConns)
 		}
-		return p.Listen(cfg.listen, maxClientConns)
+		return p.Listen(cfg.listenAddr, maxClientConns)
 	})
 	if err != nil || cfg.Admin == "" {
 		return err
 	}
-	return retryOnResourceShortage(func() error { return p.ListenAdmin(cfg.admin) })
+	return retryOnResourceShortage(func() error { return p.ListenAdmin(cfg.adminAddr) })
 }
 
 // retryOnResourceShortage retries a step of the start, for up to startupRetryTimeout, while it fails for a lack of
 // descriptors or memory, which may be temporary. It returns the last error.
 func retryOnResourceShortage(step func() error) error {
-	end := time.Now().Add(startupRetryTimeout)
+	deadline := time.Now().Add(startupRetryTimeout)
 	for {
 		err := step()
-		if !errors.Is(err, eventloop.ErrLocalResourcesExhausted) || time.Now().After(end) {
+		if !errors.Is(err, eventloop.ErrLocalResourcesExhausted) || time.Now().After(deadline) {
 			return err
 		}
 		time.Sleep(startupRetryInterval)
--- a/cmd/edgeproxy/reload.go
+++ b/cmd/edgeproxy/reload.go
@@ -16,36 +16,36 @@
 // the one in use and, if it is valid, puts it into use.
 func (c *config) reloader(logger *slog.Logger) func() (proxy.PrepareUpdateFunc, error) {
 	return func() (proxy.PrepareUpdateFunc, error) {
-		later, err := loadConfig(os.Getenv)
+		laterConfig, err := loadConfig(os.Getenv)
 		if err != nil {
 			return nil, err
 		}
-		return func() (proxy.ConfigUpdate, error) { return c.replaceWith(later, logger) }, nil
+		return func() (proxy.ConfigUpdate, error) { return c.replaceWith(laterConfig, logger) }, nil
 	}
 }
 
 // replaceWith checks a configuration that was read later and, if it is valid, puts it into use.
-func (c *config) replaceWith(later *config, logger *slog.Logger) (proxy.ConfigUpdate, error) {
-	if err := c.checkReplacement(later); err != nil {
+func (c *config) replaceWith(laterConfig *config, logger *slog.Logger) (proxy.ConfigUpdate, error) {
+	if err := c.checkReplacement(laterConfig); err != nil {
 		return proxy.ConfigUpdate{}, err
 	}
-	if fields := c.restartOnlyChanges(later); fields != "" {
+	if fields := c.restartOnlyChanges(laterConfig); fields != "" {
 		logger.Warn("configuration changes need a restart", "fields", fields)
 	}
-	c.fields = later.fields
-	c.proxy.Settings = later.proxy.Settings
+	c.fields = laterConfig.fields
+	c.proxy.Settings = laterConfig.proxy.Settings
 	return proxy.ConfigUpdate{
-		Coordinator:            later.coordinator,
-		Settings:               later.proxy.Settings,
-		TransferBytesPerSecond: later.TransferBytesPerSecond,
+		Coordinator:            laterConfig.coordinatorAddr,
+		Settings:               laterConfig.proxy.Settings,
+		TransferBytesPerSecond: laterConfig.TransferBytesPerSecond,
 	}, nil
 }
 
 // checkReplacement checks whether a later configuration may replace this one. The later one must have every key of
 // this one: a file that was cut off or lacks a key would otherwise silently reset values to their defaults.
-func (c *config) checkReplacement(later *config) error {
+func (c *config) checkReplacement(laterConfig *config) error {
 	for name, value := range c.fields {
-		laterValue, present := later.fields[name]
+		laterValue, present := laterConfig.fields[name]
 		if !present {
 			return fmt.Errorf("configuration: %s is missing", name)
 		}
@@ -53,16 +53,16 @@
 			return fmt.Errorf("configuration: %w", err)
 		}
 	}
-	return later.proxy.Settings.CheckAfter(c.proxy.Settings)
+	return laterConfig.proxy.Settings.CheckAfter(c.proxy.Settings)
 }
 
 // checkKeys checks that a field's later value has all keys of the earlier one, with values of the same types.
 // The initial state is exempt, as each kind of event in it has keys of its own.
-func checkKeys(name string, earlier, later json.RawMessage) error {
+func checkKeys(name string, earlierValue, laterValue json.RawMessage) error {
 	if name == "known" {
 		return nil
 	}
-	path, err := settings.MissingKey(earlier, later)
+	path, err := settings.MissingKey(earlierValue, laterValue)
 	if err != nil {
 		return err
 	}
@@ -76,16 +76,16 @@
 // the next start: the name, the addresses and the limits are fixed while the proxy runs. The settings, the
 // transfer rate and the coordinator's address take effect at once. The seed and the initial state are not
 // compared, as they are used only at the start and the coordinator has reported all changes since.
-func (c *config) restartOnlyChanges(later *config) string {
+func (c *config) restartOnlyChanges(laterConfig *config) string {
 	var names []string
 	for _, field := range []struct {
 		name    string
 		changed bool
 	}{
-		{"name", c.Name != later.Name},
-		{"listen", c.listen != later.listen},
-		{"admin_addr", c.admin != later.admin},
-		{"limits", c.Limits != later.Limits},
+		{"name", c.Name != laterConfig.Name},
+		{"listen", c.listenAddr != laterConfig.listenAddr},
+		{"admin_addr", c.adminAddr != laterConfig.adminAddr},
+		{"limits", c.Limits != laterConfig.Limits},
 	} {
 		if field.changed {
 			names = append(names, field.name)
