--- a/cmd/edgeproxy/admin_test.go
+++ b/cmd/edgeproxy/admin_test.go
@@ -14,7 +14,7 @@
 	env := startTestEnv(t)
 	c := env.dial()
 	c.request(1, "artes", longTimeoutMS, 1, "")
-	open := receive(t, env.cache.calls, "call")
+	openCall := receive(t, env.cache.calls, "call")
 	c.request(2, "registro", longTimeoutMS, 2, "body")
 	receive(t, env.origin.calls, "call").answer("crashed", "-", "")
 	receive(t, c.answers, "answer")
@@ -39,7 +39,7 @@
 		operationsMetric("registro", "faulted"): 1, operationsMetric("registro", "throttled"): 1,
 		"svc_open_requests": 1, "svc_registry_entries": 2, "svc_out_of_rotation": 0, "svc_cfg_accepted": 0, "svc_cfg_invalid": 0,
 	})
-	open.answer("served", "-", "fine")
+	openCall.answer("served", "-", "fine")
 	receive(t, c.answers, "answer")
 	env.checkMetrics(map[string]int{operationsMetric("artes", "fulfilled"): 1, "svc_open_requests": 0})
 	c.request(4, "artes", longTimeoutMS, 1, "")
@@ -104,29 +104,29 @@
 // once the drain is stopped.
 func TestDrain(t *testing.T) {
 	env := startTestEnv(t)
-	idle := env.dial()
-	busy := env.dial()
-	idle.request(1, "artes", longTimeoutMS, 1, "")
+	idleClient := env.dial()
+	busyClient := env.dial()
+	idleClient.request(1, "artes", longTimeoutMS, 1, "")
 	receive(t, env.cache.calls, "call").answer("served", "-", "one")
-	receive(t, idle.answers, "answer")
-	busy.request(1, "registro", longTimeoutMS, 1, "") // a read would be hedged
-	open := receive(t, env.origin.calls, "call")
+	receive(t, idleClient.answers, "answer")
+	busyClient.request(1, "registro", longTimeoutMS, 1, "") // a read would be hedged
+	openCall := receive(t, env.origin.calls, "call")
 	status, _ := env.adminCall("PUT", "/ops/drain/start")
 	if status != 200 || env.readiness() != 503 {
 		t.Error("not draining")
 	}
-	env.awaitAlive("503")
-	a := receive(t, idle.answers, "close")
+	env.awaitAliveStatus("503")
+	a := receive(t, idleClient.answers, "close")
 	if a.id != 0 {
 		t.Errorf("got answer %+v, want the close of the connection", a)
 	}
-	env.requestUntilRejected(busy, 2)
-	open.answer("served", "-", "fine")
-	a = receive(t, busy.answers, "answer")
+	env.requestUntilRejected(busyClient, 2)
+	openCall.answer("served", "-", "fine")
+	a = receive(t, busyClient.answers, "answer")
 	if a.id != 1 || a.body != "fine" {
 		t.Errorf(`got answer %+v, want ID 1 and body "fine"`, a)
 	}
-	a = receive(t, busy.answers, "close")
+	a = receive(t, busyClient.answers, "close")
 	if a.id != 0 {
 		t.Errorf("got answer %+v, want the close of the connection", a)
 	}
@@ -170,7 +170,7 @@
 	for range 33 {
 		a := receive(t, c.answers, "answer")
 		if len(a.body) != 240_000 && a.id != 100 || a.id == 0 {
-			t.Fatalf("answer %d: got status %s and %d bytes", a.id, a.status, len(a.body))
+			t.Fatalf("answer %d: got status %s and %d bytes, want 240,000 bytes, or any answer to request 100", a.id, a.status, len(a.body))
 		}
 	}
 	a := receive(t, c.answers, "close")
@@ -184,13 +184,13 @@
 func TestUnservedRequestsAreCountedByReason(t *testing.T) {
 	env := startTestEnv(t)
 	c := env.dial()
-	checkCounted := func(want, reason, class string, params ...string) {
+	checkCounted := func(wantStatus, reason, class string, params ...string) {
 		t.Helper()
 		c.request(1, class, longTimeoutMS, 1, "", params...)
 		a := receive(t, c.answers, "answer")
 		counter := fmt.Sprintf(`svc_not_served{reason=%q}`, reason)
-		if a.status != want || env.metric(counter) != 1 {
-			t.Errorf("%s: got answer %+v, counted %d times", reason, a, env.metric(counter))
+		if a.status != wantStatus || env.metric(counter) != 1 {
+			t.Errorf("%s: got answer %+v, counted %d times, want the status of the case, counted once", reason, a, env.metric(counter))
 		}
 	}
 	checkCounted("400", "malformed", "artes", "HTTP_REQ_ID", "nonsense")
--- a/cmd/edgeproxy/cache_test.go
+++ b/cmd/edgeproxy/cache_test.go
@@ -23,13 +23,13 @@
 		}
 	}
 	n, err := strconv.Atoi(got.fields["w"])
-	if err != nil || n <= 0 || n > longTimeoutMS || got.words[1] != "9b1f03aa5c7e2d41" {
-		t.Errorf("got call %q, want the ID of the request and a timeout no longer than the request's", got.words)
+	if err != nil || n <= 0 || n > longTimeoutMS || got.args[1] != "9b1f03aa5c7e2d41" {
+		t.Errorf("got call %q, want the ID of the request and a timeout no longer than the request's", got.args)
 	}
 	got.answer("served", "etag=4be0c1927d55a6f4,made=1,note=TCP_MISS,ttfb=3", big)
 	a := receive(t, c.answers, "answer")
 	if a.id != 7 || a.status != "200" || a.body != big {
-		t.Errorf("answer %d: got status %s and %d bytes", a.id, a.status, len(a.body))
+		t.Errorf("answer %d: got status %s and %d bytes, want ID 7, status 200 and the whole body", a.id, a.status, len(a.body))
 	}
 
 	c.request(7, "artes", longTimeoutMS, 0xabc, "", "HTTP_X_VER", "4be0c1927d55a6f4")
@@ -45,14 +45,14 @@
 	env := startTestEnv(t)
 	c := env.dial()
 	c.request(1, "artes", longTimeoutMS, 1, "")
-	first := receive(t, env.cache.calls, "call")
+	firstCall := receive(t, env.cache.calls, "call")
 	c.request(2, "artes", longTimeoutMS, 2, "")
 	receive(t, env.cache.calls, "call").answer("served", "-", "two")
 	a := receive(t, c.answers, "answer")
 	if a.id != 2 || a.body != "two" {
 		t.Errorf(`got answer %+v, want ID 2 and body "two"`, a)
 	}
-	first.answer("served", "-", "one")
+	firstCall.answer("served", "-", "one")
 	a = receive(t, c.answers, "answer")
 	if a.id != 1 || a.body != "one" {
 		t.Errorf(`got answer %+v, want ID 1 and body "one"`, a)
@@ -67,8 +67,8 @@
 	write := strings.Repeat("w", 48_000)
 	c.request(1, "registro", longTimeoutMS, 1, write)
 	got := receive(t, env.origin.calls, "call")
-	if got.words[3] != write {
-		t.Errorf("the origin got a body of %d bytes, not the one sent", len(got.words[3]))
+	if got.args[3] != write {
+		t.Errorf("the origin got a body of %d bytes, not the one sent", len(got.args[3]))
 	}
 	closeOnce(t, got.conn)
 	a := receive(t, c.answers, "answer")
@@ -104,16 +104,16 @@
 // TestMalformedAnswerDropsTheConnection checks that a malformed answer fails its attempt and closes the
 // connection, and that the request is retried.
 func TestMalformedAnswerDropsTheConnection(t *testing.T) {
-	for _, bad := range []string{"hello\r\n", "*4\r\n$99999999\r\n", "still_good"} {
-		t.Run(bad, func(t *testing.T) {
+	for _, malformedAnswer := range []string{"hello\r\n", "*4\r\n$99999999\r\n", "still_good"} {
+		t.Run(malformedAnswer, func(t *testing.T) {
 			env := startTestEnv(t)
 			c := env.dial()
 			c.request(1, "artes", longTimeoutMS, 1, "")
 			got := receive(t, env.cache.calls, "call")
-			if bad == "still_good" { // the client has no copy that could be confirmed
-				got.answer(bad, "-", "")
+			if malformedAnswer == "still_good" { // the client has no copy that could be confirmed
+				got.answer(malformedAnswer, "-", "")
 			} else {
-				mustWrite(t, got.conn, bad)
+				mustWrite(t, got.conn, malformedAnswer)
 			}
 			env.origin.answerAll("served", "-", "again")
 			env.cache.answerAll("served", "-", "again")
@@ -154,15 +154,15 @@
 	t.Parallel()
 	env := startTestEnv(t)
 	c := env.dial()
-	used := map[net.Conn]bool{}
+	usedConns := map[net.Conn]bool{}
 	id := uint16(0)
 	go func() {
 		for got := range env.origin.calls {
-			if used[got.conn] {
+			if usedConns[got.conn] {
 				closeOnce(t, got.conn)
 				continue
 			}
-			used[got.conn] = true
+			usedConns[got.conn] = true
 			got.answer("served", "-", "fine")
 		}
 	}()
@@ -187,14 +187,14 @@
 	env := startTestEnv(t)
 	c := env.dial()
 	c.request(1, "registro", longTimeoutMS, 1, "x")
-	silent := receive(t, env.origin.calls, "call").conn
+	silentConn := receive(t, env.origin.calls, "call").conn
 	id := uint16(1)
 	env.eventually("a call uses another connection", func() bool {
 		id++
 		c.request(id, "registro", longTimeoutMS, 1, "x")
 		got := receive(t, env.origin.calls, "call")
-		got.words[0] = "answered"
-		if got.conn != silent {
+		got.args[0] = "answered"
+		if got.conn != silentConn {
 			return true
 		}
 		c.writeRecord(recordAbort, id, "")
@@ -210,16 +210,16 @@
 	c := env.dial()
 	for i, fields := range []string{"etag=4be0c1927d55a6f4,made=1,note=TCP_HIT", "made=1,note=TCP_HIT", "-"} {
 		c.request(1, "artes", longTimeoutMS, i, "", "HTTP_X_VER", "4be0c1927d55a6f3")
-		first := receive(t, env.cache.calls, "call")
-		first.answer("still_good", fields, "")
-		var again *receivedCall
+		firstCall := receive(t, env.cache.calls, "call")
+		firstCall.answer("still_good", fields, "")
+		var retriedCall *receivedCall
 		select {
-		case again = <-env.cache.calls:
-		case again = <-env.origin.calls:
+		case retriedCall = <-env.cache.calls:
+		case retriedCall = <-env.origin.calls:
 		case <-time.After(testTimeout):
 			t.Fatalf("%s: not retried", fields)
 		}
-		again.answer("served", "etag=4be0c1927d55a6f5,made=1", "whole")
+		retriedCall.answer("served", "etag=4be0c1927d55a6f5,made=1", "whole")
 		a := receive(t, c.answers, "answer")
 		if a.body != "whole" || strings.Contains(a.headers, "X-Unchanged") {
 			t.Errorf("%s: got answer %+v, want the whole object without X-Unchanged", fields, a)
@@ -233,18 +233,18 @@
 	env := startTestEnv(t)
 	c := env.dial()
 	c.request(1, "registro", longTimeoutMS, 1, "x")
-	first := receive(t, env.origin.calls, "call")
+	firstCall := receive(t, env.origin.calls, "call")
 	resume := env.pause()
-	mustWrite(t, first.conn, fmt.Sprintf("*4\r\n$16\r\n%s\r\n$6\r\nserved\r\n$1\r\n-\r\n$900\r\nhalf", first.words[1]))
+	mustWrite(t, firstCall.conn, fmt.Sprintf("*4\r\n$16\r\n%s\r\n$6\r\nserved\r\n$1\r\n-\r\n$900\r\nhalf", firstCall.args[1]))
 	c.writeRecord(recordAbort, 1, "")
 	resume()
 	receive(t, c.answers, "END_REQUEST")
 	c.request(2, "registro", longTimeoutMS, 2, "x")
-	second := receive(t, env.origin.calls, "call")
-	if second.conn == first.conn {
+	secondCall := receive(t, env.origin.calls, "call")
+	if secondCall.conn == firstCall.conn {
 		t.Error("the connection with an incomplete answer is used again")
 	}
-	second.answer("served", "-", "fine")
+	secondCall.answer("served", "-", "fine")
 	a := receive(t, c.answers, "answer")
 	if a.id != 2 || a.body != "fine" {
 		t.Errorf(`got answer %+v, want ID 2 and body "fine"`, a)
@@ -256,14 +256,14 @@
 func TestDuplicateAndUnknownAnswersAreIgnored(t *testing.T) {
 	env := startTestEnv(t)
 	c := env.dial()
-	unknown := &receivedCall{words: []string{"", "ffffffffffffffff"}}
+	unknownCall := &receivedCall{args: []string{"", "ffffffffffffffff"}}
 	for i := range 5 {
 		c.request(1, "artes", longTimeoutMS, i, "")
 		got := receive(t, env.cache.calls, "call")
 		out := &bufferedConn{Conn: got.conn}
-		unknown.conn = out
-		unknown.answer("served", "-", "unknown")
-		first := &receivedCall{conn: out, words: got.words}
+		unknownCall.conn = out
+		unknownCall.answer("served", "-", "unknown")
+		first := &receivedCall{conn: out, args: got.args}
 		first.answer("served", "-", "first")
 		first.answer("served", "-", "second")
 		first.answer("crashed", "-", "")
@@ -288,26 +288,26 @@
 	env.reload(`"second-copies":true`, `"second-copies":false`)
 	env.eventually("the configuration is reloaded", func() bool { return env.metric("svc_cfg_accepted") == 1 })
 	c := env.dial()
-	var silent, next *receivedCall
+	var silentCall, nextCall *receivedCall
 	env.eventually("a call is retried", func() bool { // the server counts as quiet only some time after its last answer
 		c.request(1, "artes", longTimeoutMS, 1, "")
 		receive(t, env.cache.calls, "call").answer("served", "made=1,note=TCP_HIT", "warm")
 		receive(t, c.answers, "answer")
 		c.request(2, "artes", longTimeoutMS, 2, "")
-		silent = receive(t, env.cache.calls, "call")
+		silentCall = receive(t, env.cache.calls, "call")
 		select {
-		case next = <-env.cache.calls:
-		case next = <-env.origin.calls:
+		case nextCall = <-env.cache.calls:
+		case nextCall = <-env.origin.calls:
 		case <-time.After(testTimeout):
 			t.Fatal("not retried")
 		}
-		return next.words[1] == silent.words[1]
+		return nextCall.args[1] == silentCall.args[1]
 	})
 	env.eventually("the connection of the first call is closed", func() bool {
-		_, err := silent.conn.Write([]byte("*4\r\n$16\r\nffffffffffffffff\r\n$6\r\nnobody\r\n$1\r\n-\r\n$0\r\n\r\n"))
+		_, err := silentCall.conn.Write([]byte("*4\r\n$16\r\nffffffffffffffff\r\n$6\r\nnobody\r\n$1\r\n-\r\n$0\r\n\r\n"))
 		return err != nil
 	})
-	next.answer("served", "made=1", "again")
+	nextCall.answer("served", "made=1", "again")
 	a := receive(t, c.answers, "answer")
 	if a.id != 2 || a.body != "again" {
 		t.Errorf(`got answer %+v, want ID 2 and body "again"`, a)
@@ -322,7 +322,7 @@
 	c.request(1, "artes", longTimeoutMS, 1, "", "HTTP_REQ_TOKEN", "a-Key_7.x")
 	first := receive(t, env.cache.calls, "call")
 	if first.fields["i"] != "a-Key_7.x" {
-		t.Errorf("first call %q lacks the key", first.words)
+		t.Errorf("first call %q lacks the key", first.args)
 	}
 	first.answer("overload", "-", "")
 	select {
@@ -335,16 +335,16 @@
 	}
 	first.answer("served", "made=1", "fine")
 	if first.fields["i"] != "a-Key_7.x" {
-		t.Errorf("second call %q lacks the key", first.words)
+		t.Errorf("second call %q lacks the key", first.args)
 	}
 	a := receive(t, c.answers, "answer")
 	if a.body != "fine" {
 		t.Errorf(`got answer %+v, want body "fine"`, a)
 	}
-	for _, bad := range []string{"a,b", "a=b", "a b", strings.Repeat("x", 65)} {
-		c.request(2, "artes", longTimeoutMS, 2, "", "HTTP_REQ_TOKEN", bad)
+	for _, malformedKey := range []string{"a,b", "a=b", "a b", strings.Repeat("x", 65)} {
+		c.request(2, "artes", longTimeoutMS, 2, "", "HTTP_REQ_TOKEN", malformedKey)
 		if a := receive(t, c.answers, "answer"); a.status != "400" {
-			t.Errorf("key %q: got answer %+v, want status 400", bad, a)
+			t.Errorf("key %q: got answer %+v, want status 400", malformedKey, a)
 		}
 	}
 }
--- a/cmd/edgeproxy/client_test.go
+++ b/cmd/edgeproxy/client_test.go
@@ -11,17 +11,17 @@
 func TestMalformedClients(t *testing.T) {
 	env := startTestEnv(t)
 	env.cache.answerAll("served", "-", "fine")
-	for _, bytes := range []string{
+	for _, input := range []string{
 		"GET / HTTP/1.1\r\n\r\n",
 		"\x01\x01\x00\x01\x00\x00\x00\x00",
 		"\x01\x01\x00\x01\x00\x08\x00\x00\x00\x01\x01\x00\x00\x00\x00\x00" +
 			"\x01\x04\x00\x01\x00\x03\x00\x00\xff\xff\xff\x01\x04\x00\x01\x00\x00\x00\x00",
 	} {
 		c := env.dial()
-		mustWrite(t, c, bytes)
+		mustWrite(t, c, input)
 		a := receive(t, c.answers, "close")
 		if a.id != 0 {
-			t.Errorf("%q: got answer %+v, want the close of the connection", bytes, a)
+			t.Errorf("%q: got answer %+v, want the close of the connection", input, a)
 		}
 	}
 	c := env.dial()
--- a/cmd/edgeproxy/clientlimits_test.go
+++ b/cmd/edgeproxy/clientlimits_test.go
@@ -37,21 +37,21 @@
 // TestMemoryFullOfIncompleteRequests checks that complete requests are answered although incomplete ones have used
 // up the memory, and that no connection is closed without an answer.
 func TestMemoryFullOfIncompleteRequests(t *testing.T) {
-	const clients = 200
+	const clientCount = 200
 	env := newTestEnv(t)
 	env.memoryMB = 16
 	env.start(fullList(env.cache.Addr(), env.origin.Addr()))
-	env.awaitAlive("200")
-	var all []*client
-	for i := range clients {
+	env.awaitAliveStatus("200")
+	var clients []*client
+	for i := range clientCount {
 		c := env.dial()
 		c.request(1, "artes", longTimeoutMS, i, "")
 		c.writeRecord(recordBegin, 2, beginKeepConn)
 		c.writeRecord(recordStdin, 2, strings.Repeat("x", 60_000))
-		all = append(all, c)
+		clients = append(clients, c)
 	}
 	env.cache.answerAll("served", "-", "fine")
-	for i, c := range all {
+	for i, c := range clients {
 		for {
 			a := receive(t, c.answers, "answer")
 			if a.id == 0 {
@@ -67,35 +67,35 @@
 // TestConnectionGoesOnAfterMemoryWasFull checks that a connection serves the next request although the one before
 // was rejected for lack of memory when only a part of it had arrived.
 func TestConnectionGoesOnAfterMemoryWasFull(t *testing.T) {
-	const clients = 200
+	const clientCount = 200
 	env := newTestEnv(t)
 	env.memoryMB = 16
 	env.startWith(env.cache.Addr(), env.origin.Addr())
 	env.cache.answerAll("served", "-", "fine")
-	var all []*client
-	const size, part = 60_000, 50_000
-	content := strings.Repeat("x", size)
-	for range clients {
+	var clients []*client
+	const contentSize, partSize = 60_000, 50_000
+	content := strings.Repeat("x", contentSize)
+	for range clientCount {
 		c := env.dial()
 		c.writeRecord(recordBegin, 2, beginKeepConn)
-		c.writeRecord(recordStdin, 2, content[:size/2])
+		c.writeRecord(recordStdin, 2, content[:contentSize/2])
 		out := &bufferedConn{Conn: c.Conn}
 		(&client{Conn: out}).writeRecord(recordStdin, 2, content)
-		c.Write(out.buffer[:part]) //nolint:errcheck // a lost connection shows in the answers
-		all = append(all, c)
+		c.Write(out.buffer[:partSize]) //nolint:errcheck // a lost connection shows in the answers
+		clients = append(clients, c)
 	}
 	rejected := 0
-	for i, c := range all {
+	for i, c := range clients {
 		out := &bufferedConn{Conn: c.Conn}
 		(&client{Conn: out}).writeRecord(recordStdin, 2, content)
-		c.Write(out.buffer[part:]) //nolint:errcheck // a lost connection shows in the answers
+		c.Write(out.buffer[partSize:]) //nolint:errcheck // a lost connection shows in the answers
 		c.request(3, "artes", longTimeoutMS, i, "")
 		for id := uint16(0); id != 3; {
 			a := receive(t, c.answers, "answer")
 			if id = a.id; id == 0 {
 				t.Fatalf("client %d: closed with no answer", i)
 			}
-			if a.protocol == 2 { // OVERLOADED
+			if a.protocolStatus == 2 { // OVERLOADED
 				rejected++
 			}
 		}
@@ -108,21 +108,21 @@
 // TestBurstOfAnswersAfterAPause checks that no answer is lost if the answers that arrive in one turn of the event
 // loop are larger than the memory limit allows.
 func TestBurstOfAnswersAfterAPause(t *testing.T) {
-	const clients, each = 20, 4
+	const clientCount, requestsPerClient = 20, 4
 	env := newTestEnv(t)
 	env.memoryMB = 16
 	env.startWith(env.cache.Addr(), env.origin.Addr())
 	big := strings.Repeat("x", 240_000)
-	var all []*client
-	for i := range clients {
+	var clients []*client
+	for i := range clientCount {
 		c := env.dial()
-		for id := range uint16(each) {
-			c.request(id+1, "artes", longTimeoutMS, i*each+int(id), "")
+		for id := range uint16(requestsPerClient) {
+			c.request(id+1, "artes", longTimeoutMS, i*requestsPerClient+int(id), "")
 		}
-		all = append(all, c)
+		clients = append(clients, c)
 	}
 	var calls []*receivedCall
-	for range clients * each {
+	for range clientCount * requestsPerClient {
 		calls = append(calls, receive(t, env.cache.calls, "call"))
 	}
 	resume := env.pause()
@@ -132,11 +132,11 @@
 	}
 	answered.Wait() // the sockets' buffers hold all answers
 	resume()
-	for i, c := range all {
-		for range each {
+	for i, c := range clients {
+		for range requestsPerClient {
 			a := receive(t, c.answers, "answer")
 			if a.body != big {
-				t.Fatalf("client %d: answer %d has status %q and %d bytes", i, a.id, a.status, len(a.body))
+				t.Fatalf("client %d: answer %d has status %q and %d bytes, want the whole body", i, a.id, a.status, len(a.body))
 			}
 		}
 	}
@@ -185,32 +185,32 @@
 	t.Parallel()
 	env := startTestEnv(t)
 	env.cache.answerAll("served", "-", "fine")
-	served := func(who string, c *client) {
+	checkServed := func(clientName string, c *client) {
 		t.Helper()
 		c.request(1, "artes", longTimeoutMS, 1, "")
 		a := receive(t, c.answers, "answer")
 		if a.body != "fine" {
-			t.Errorf(`%s: got answer %+v, want body "fine"`, who, a)
+			t.Errorf(`%s: got answer %+v, want body "fine"`, clientName, a)
 		}
 	}
-	early := env.dial()
-	served("early", early)
-	var silent []*client
+	earlyClient := env.dial()
+	checkServed("early", earlyClient)
+	var silentClients []*client
 	for range 600 { // more than 409, the two fifths of the descriptors that clients may use
-		silent = append(silent, env.dial())
+		silentClients = append(silentClients, env.dial())
 	}
-	served("late", env.dial())
-	served("early", early)
+	checkServed("late", env.dial())
+	checkServed("early", earlyClient)
 	incomplete := env.dial()
 	incomplete.writeRecord(recordBegin, 1, beginKeepConn)
-	for _, c := range append(silent, incomplete) {
+	for _, c := range append(silentClients, incomplete) {
 		a := receive(t, c.answers, "close")
 		if a.id != 0 {
 			t.Errorf("got answer %+v, want the close of the connection", a)
 		}
 	}
 	for range 600 {
-		served("once", env.dial())
+		checkServed("once", env.dial())
 	}
 }
 
@@ -236,7 +236,7 @@
 		}()
 	}
 	a := receive(t, answers, "rejection")
-	if a.protocol != 2 {
+	if a.protocolStatus != 2 {
 		t.Errorf("got answer %+v, want OVERLOADED", a)
 	}
 	for _, c := range conns {
@@ -266,7 +266,7 @@
 			t.Fatalf(`client %d: got answer %+v, want body "fine"`, i, a)
 		}
 	}
-	env.awaitAlive("200")
+	env.awaitAliveStatus("200")
 	env.resumeCoordinator()
 	got := receive(t, env.followLines, "follow")
 	if got != "follow 1" {
--- a/cmd/edgeproxy/clock_test.go
+++ b/cmd/edgeproxy/clock_test.go
@@ -48,9 +48,9 @@
 
 // attach passes the program's ends of the pipes to a command that has not been started yet.
 func (m *manualClock) attach(cmd *exec.Cmd) {
-	first := 3 + len(cmd.ExtraFiles)
+	firstFD := 3 + len(cmd.ExtraFiles)
 	cmd.ExtraFiles = append(cmd.ExtraFiles, m.toProgram, m.ackProgram)
-	cmd.Env = append(cmd.Env, fmt.Sprintf("CLOVERDOOR_TEST_CLOCK=%d", m.now), fmt.Sprintf("CLOVERDOOR_TEST_CLOCK_FD=%d", first))
+	cmd.Env = append(cmd.Env, fmt.Sprintf("CLOVERDOOR_TEST_CLOCK=%d", m.now), fmt.Sprintf("CLOVERDOOR_TEST_CLOCK_FD=%d", firstFD))
 }
 
 // advance advances the program's time by offset. When it returns, the program has carried out everything that became due.
@@ -73,10 +73,10 @@
 
 // manualTimeSource is the program's side of a manual clock.
 type manualTimeSource struct {
-	now     time.Duration
-	in      int  // descriptor from which the steps are read
-	acks    int  // descriptor to which the acknowledgments are written
-	pending bool // a step has been read and is not acknowledged yet
+	now        time.Duration
+	stepFD     int  // descriptor from which the steps are read
+	ackFD      int  // descriptor to which the acknowledgments are written
+	ackPending bool // a step has been read and is not acknowledged yet
 }
 
 // stepPollInterval limits, in real time, the program's wait for events before it looks for the next step.
@@ -86,30 +86,30 @@
 func (c *manualTimeSource) Now() eventloop.Timestamp { return c.now }
 
 // PollTimeout acknowledges the step if the last turn of the event loop has carried one out, and reads the next one if
-// it has arrived. It returns wanted, but at most stepPollInterval.
-func (c *manualTimeSource) PollTimeout(wanted time.Duration) time.Duration {
+// it has arrived. It returns timeout, but at most stepPollInterval.
+func (c *manualTimeSource) PollTimeout(timeout time.Duration) time.Duration {
 	var step [clockMessageSize]byte
-	if c.pending {
-		c.pending = false
+	if c.ackPending {
+		c.ackPending = false
 		binary.BigEndian.PutUint64(step[:], uint64(c.now))
-		syscall.Write(c.acks, step[:]) //nolint:errcheck // a test that has ended reads no acknowledgment
+		syscall.Write(c.ackFD, step[:]) //nolint:errcheck // a test that has ended reads no acknowledgment
 	}
-	n, err := syscall.Read(c.in, step[:])
+	n, err := syscall.Read(c.stepFD, step[:])
 	if err == nil && n == clockMessageSize {
 		c.now = time.Duration(binary.BigEndian.Uint64(step[:]))
-		c.pending = true
+		c.ackPending = true
 	}
-	return min(wanted, stepPollInterval)
+	return min(timeout, stepPollInterval)
 }
 
 // offsetClock is a wall clock that is wrong by a fixed offset.
 type offsetClock struct {
 	eventloop.TimeSource
-	by time.Duration
+	offset time.Duration
 }
 
 // Now returns the wrong time.
-func (c offsetClock) Now() eventloop.Timestamp { return c.TimeSource.Now() + c.by }
+func (c offsetClock) Now() eventloop.Timestamp { return c.TimeSource.Now() + c.offset }
 
 // clockOffsetEnv is the environment variable with the duration by which the program's wall clock is wrong.
 const clockOffsetEnv = "CLOVERDOOR_TEST_CLOCK_OFFSET"
@@ -121,8 +121,8 @@
 	onViolation = func(text string) { panic("invariant violated: " + text) }
 	start, err1 := strconv.ParseInt(os.Getenv("CLOVERDOOR_TEST_CLOCK"), 10, 64)
 	fd, err2 := strconv.Atoi(os.Getenv("CLOVERDOOR_TEST_CLOCK_FD"))
-	if by, err := time.ParseDuration(os.Getenv(clockOffsetEnv)); err == nil {
-		serve(offsetClock{eventloop.SystemClock(), by})
+	if offset, err := time.ParseDuration(os.Getenv(clockOffsetEnv)); err == nil {
+		serve(offsetClock{eventloop.SystemClock(), offset})
 		return
 	}
 	if errors.Join(err1, err2) != nil {
@@ -130,17 +130,17 @@
 		return
 	}
 	syscall.SetNonblock(fd, true) //nolint:errcheck // a pipe supports it
-	serve(&manualTimeSource{now: time.Duration(start), in: fd, acks: fd + 1})
+	serve(&manualTimeSource{now: time.Duration(start), stepFD: fd, ackFD: fd + 1})
 }
 
 // TestWallClockWrongAtTheStart checks that a process whose wall clock is wrong at the start applies purges correctly
 // once an event of the coordinator has shown the right time.
 func TestWallClockWrongAtTheStart(t *testing.T) {
-	for _, by := range []string{"1h", "-1h", "4s", "-4s"} {
+	for _, offset := range []string{"1h", "-1h", "4s", "-4s"} {
 		env := newTestEnv(t)
-		env.extraEnv = []string{clockOffsetEnv + "=" + by}
+		env.extraEnv = []string{clockOffsetEnv + "=" + offset}
 		env.start(fullList(env.cache.Addr(), env.origin.Addr()))
-		env.awaitAlive("200")
+		env.awaitAliveStatus("200")
 		receive(t, env.followLines, "follow")
 		c := env.dial()
 		purgedAt := time.Now()
@@ -151,14 +151,14 @@
 		maxAge, _ := strconv.ParseInt(got.fields["maxage"], 10, 64)
 		sincePurge := time.Since(purgedAt).Milliseconds()
 		if maxAge <= 0 || maxAge > sincePurge {
-			t.Errorf("%s: maxage is %d when the purge was %d ms ago", by, maxAge, sincePurge)
+			t.Errorf("%s: maxage is %d when the purge was %d ms ago", offset, maxAge, sincePurge)
 		}
 		got.answer("served", fmt.Sprintf("etag=a,note=TCP_JOIN,made=%d", purgedAt.UnixMilli()-1000), "from before the purge")
-		got = receive(t, env.cache.calls, by+": further call")
+		got = receive(t, env.cache.calls, offset+": further call")
 		got.answer("served", fmt.Sprintf("etag=b,note=TCP_MISS,made=%d", time.Now().UnixMilli()), "from after the purge")
 		a := receive(t, c.answers, "answer")
 		if a.status != "200" || a.body != "from after the purge" {
-			t.Errorf(`%s: got answer %+v, want status 200 and body "from after the purge"`, by, a)
+			t.Errorf(`%s: got answer %+v, want status 200 and body "from after the purge"`, offset, a)
 		}
 	}
 }
--- a/cmd/edgeproxy/config_test.go
+++ b/cmd/edgeproxy/config_test.go
@@ -23,7 +23,7 @@
 	receive(t, env.followLines, "follow")
 	env.sendEvent("nonsense") // is logged
 	receive(t, env.followLines, "follow")
-	env.awaitAlive("503")
+	env.awaitAliveStatus("503")
 }
 
 // fullPipe returns both ends of a pipe whose buffer is full: a write blocks until somebody reads.
@@ -109,15 +109,15 @@
 	receive(t, env.followLines, "follow")
 	c := env.dial()
 	c.request(1, "artes", longTimeoutMS, 1, "")
-	open := receive(t, env.cache.calls, "call")
+	openCall := receive(t, env.cache.calls, "call")
 
-	old := env.watchConn
-	env.reload(old.LocalAddr().String(), env.startCoordinator())
+	oldConn := env.watchConn
+	env.reload(oldConn.LocalAddr().String(), env.startCoordinator())
 	got := receive(t, env.followLines, "follow")
-	if got != "follow 2" || env.watchConn.LocalAddr().String() == old.LocalAddr().String() {
+	if got != "follow 2" || env.watchConn.LocalAddr().String() == oldConn.LocalAddr().String() {
 		t.Errorf(`got line %q at %v, want "follow 2" at the new coordinator`, got, env.watchConn.LocalAddr())
 	}
-	open.answer("served", "-", "fine")
+	openCall.answer("served", "-", "fine")
 	a := receive(t, c.answers, "answer")
 	if a.body != "fine" {
 		t.Errorf(`got answer %+v, want body "fine"`, a)
@@ -131,16 +131,16 @@
 	receive(t, env.followLines, "follow")
 	c := env.dial()
 	c.request(1, "artes", longTimeoutMS, 1, "")
-	open := receive(t, env.cache.calls, "call")
+	openCall := receive(t, env.cache.calls, "call")
 	addr := env.watchConn.LocalAddr().String()
-	elsewhere := env.startCoordinator()
-	for i, broken := range [][]string{
-		{"", ""}, {"", "{"}, {addr, elsewhere, `"max-attempts":8`, `"max-attempts":0`},
-		{addr, elsewhere, `"gain":1,"name":"artes"`, `"name":"artes"`}, {addr, elsewhere, `"settings"`, `"set"`},
-		{addr, elsewhere, `"may-cancel":true,`, ""}, {addr, elsewhere, `"name":"artes"`, `"deadline-us":-5,"name":"artes"`},
-		{addr, elsewhere, `"pass-on":[false,true]`, `"pass-on":[false]`}, {addr, elsewhere, `"zone":1`, `"zone":0`},
+	otherAddr := env.startCoordinator()
+	for i, invalidChanges := range [][]string{
+		{"", ""}, {"", "{"}, {addr, otherAddr, `"max-attempts":8`, `"max-attempts":0`},
+		{addr, otherAddr, `"gain":1,"name":"artes"`, `"name":"artes"`}, {addr, otherAddr, `"settings"`, `"set"`},
+		{addr, otherAddr, `"may-cancel":true,`, ""}, {addr, otherAddr, `"name":"artes"`, `"deadline-us":-5,"name":"artes"`},
+		{addr, otherAddr, `"pass-on":[false,true]`, `"pass-on":[false]`}, {addr, otherAddr, `"zone":1`, `"zone":0`},
 	} {
-		env.reload(broken...)
+		env.reload(invalidChanges...)
 		env.eventually("the configuration is rejected", func() bool { return env.metric("svc_cfg_invalid") == i+1 })
 	}
 	c.request(2, "artes", longTimeoutMS, 2, "")
@@ -172,7 +172,7 @@
 	if a.status != "400" {
 		t.Errorf("a removed class: got answer %+v, want status 400", a)
 	}
-	open.answer("served", "-", "fine")
+	openCall.answer("served", "-", "fine")
 	a = receive(t, c.answers, "answer")
 	if a.id != 1 || a.body != "fine" {
 		t.Errorf(`got answer %+v, want ID 1 and body "fine"`, a)
@@ -185,7 +185,7 @@
 	env := map[string]string{"BALANCER_CONFIG": "../../example/config.json", "BALANCER_LISTEN": "127.0.0.1:9", "BALANCER_NAME": "n7"}
 	c, err := loadConfig(func(name string) string { return env[name] })
 	if err != nil || c.listenAddr.Port() != 9 || c.Name != "n7" || len(c.proxy.Settings.Policy.Classes) != 2 {
-		t.Errorf("got configuration %+v, error %v", c, err)
+		t.Errorf("got configuration %+v, error %v, want the values of the environment and two classes", c, err)
 	}
 }
 
@@ -239,11 +239,11 @@
 		env.start(endpointEvent(1, true, endpoint("c1", "std", "edge", "SERVING", env.cache.Addr())))
 		select {
 		case err := <-env.exited:
-			t.Errorf("%s: exited with %v", failure, err)
+			t.Errorf("%s: exited with %v, want it to serve", failure, err)
 			continue
 		case <-env.followLines:
 		}
-		env.awaitAlive("200")
+		env.awaitAliveStatus("200")
 		env.cmd.Process.Kill() //nolint:errcheck // the next case starts another process
 	}
 }
--- a/cmd/edgeproxy/coordinator_test.go
+++ b/cmd/edgeproxy/coordinator_test.go
@@ -12,9 +12,9 @@
 func TestDrainingCacheGetsNoNewCalls(t *testing.T) {
 	env := startTestEnv(t)
 	receive(t, env.followLines, "follow")
-	second := newFakeServer(t)
+	secondCache := newFakeServer(t)
 	env.cache.answerAll("served", "-", "first")
-	second.answerAll("served", "-", "second")
+	secondCache.answerAll("served", "-", "second")
 	c := env.dial()
 	id := uint16(0)
 	readBody := func(object int) string {
@@ -22,12 +22,13 @@
 		c.request(id, "artes", longTimeoutMS, object, "")
 		return receive(t, c.answers, "answer").body
 	}
-	env.sendEvent(endpointEvent(2, false, endpoint("c1", "std", "edge", "DRAINING", env.cache.Addr()), endpoint("c2", "std", "edge", "SERVING", second.Addr())))
+	env.sendEvent(endpointEvent(2, false, endpoint("c1", "std", "edge", "DRAINING", env.cache.Addr()),
+		endpoint("c2", "std", "edge", "SERVING", secondCache.Addr())))
 	env.eventually("the event is applied", func() bool { return readBody(1) == "second" })
 	for object := range 20 {
 		got := readBody(object)
 		if got != "second" {
-			t.Errorf("object %d is served by %q", object, got)
+			t.Errorf(`object %d is served by %q, want "second"`, object, got)
 		}
 	}
 }
@@ -75,19 +76,19 @@
 			receive(t, c.answers, "answer")
 			maxAge, _ := strconv.ParseInt(got.fields["maxage"], 10, 64)
 			if maxAge > sincePurge {
-				t.Errorf("%q: the maximum age exceeds the %d ms since the purge", got.words[2], sincePurge)
+				t.Errorf("%q: the maximum age exceeds the %d ms since the purge", got.args[2], sincePurge)
 			}
 			return maxAge > 0
 		})
 		c.request(1000, "artes", longTimeoutMS, 1, "")
 		got := receive(t, env.cache.calls, "call")
 		if !strings.Contains(got.fields["flags"], "coalesce") {
-			t.Errorf("%q lacks the flag coalesce: each call that misses after a purge would fill separately", got.words[2])
+			t.Errorf("%q lacks the flag coalesce: each call that misses after a purge would fill separately", got.args[2])
 		}
 		got.answer("served", fmt.Sprintf("etag=a,note=TCP_JOIN,made=%d", purgedAt.UnixMilli()-1000), "from before the purge")
 		got = receive(t, env.cache.calls, "further call")
 		if strings.Contains(got.fields["flags"], "coalesce") {
-			t.Errorf("%q has the flag coalesce: the call may join the same fill again", got.words[2])
+			t.Errorf("%q has the flag coalesce: the call may join the same fill again", got.args[2])
 		}
 		got.answer("served", fmt.Sprintf("etag=b,note=TCP_MISS,made=%d", purgedAt.UnixMilli()+100), "from after the purge")
 		a := receive(t, c.answers, "answer")
@@ -102,34 +103,34 @@
 func TestWatchReconnects(t *testing.T) {
 	t.Parallel()
 	env := startTestEnv(t)
-	follow := func(what, want string) {
+	checkFollow := func(occasion, want string) {
 		t.Helper()
-		got := receive(t, env.followLines, "follow "+what)
+		got := receive(t, env.followLines, "follow "+occasion)
 		if got != want {
-			t.Errorf("%s: got line %q, want %q", what, got, want)
+			t.Errorf("%s: got line %q, want %q", occasion, got, want)
 		}
 	}
-	follow("at the start", "follow 1")
+	checkFollow("at the start", "follow 1")
 	env.sendEvent(`{"index":1,"evict":{"shard":1,"unix_ms":1}}`)
 	env.sendEvent(`{"index":2,"evict":{"shard":1,"unix_ms":1}}`)
 	env.sendEvent("2")
 	env.sendEvent("nonsense")
-	follow("after a malformed line", "follow 2")
+	checkFollow("after a malformed line", "follow 2")
 	env.sendEvent(`{"index":4,"evict":{"shard":1,"unix_ms":1}}`)
-	follow("after a gap", "follow 2")
+	checkFollow("after a gap", "follow 2")
 	env.sendEvent("3")
-	follow("after an index that is too high", "follow 2")
+	checkFollow("after an index that is too high", "follow 2")
 	env.sendEvent(`{"index":3,"evict":{"shard":1,"unix_ms":1}}`)
 	closeWrite(t, env.watchConn)
-	follow("after the end of the stream", "follow 3")
-	follow("after silence", "follow 3")
+	checkFollow("after the end of the stream", "follow 3")
+	checkFollow("after silence", "follow 3")
 }
 
 // TestAliveOnceTheListIsKnown checks that /alive answers 503 until the endpoint list is known, and 200 afterwards.
 func TestAliveOnceTheListIsKnown(t *testing.T) {
 	env := newTestEnv(t)
 	env.start()
-	env.awaitAlive("503")
+	env.awaitAliveStatus("503")
 	got := receive(t, env.followLines, "follow")
 	if got != "follow 0" {
 		t.Errorf(`got line %q, want "follow 0"`, got)
@@ -141,7 +142,7 @@
 		t.Errorf("without an endpoint list: got answer %+v, want status 503", a)
 	}
 	env.sendEvent(fullList(env.cache.Addr(), env.origin.Addr()))
-	env.awaitAlive("200")
+	env.awaitAliveStatus("200")
 }
 
 // TestFullListAfterAReload checks that a server that is not in a full endpoint list counts as removed, also right
@@ -149,12 +150,13 @@
 func TestFullListAfterAReload(t *testing.T) {
 	env := startTestEnv(t)
 	receive(t, env.followLines, "follow")
-	second := newFakeServer(t)
-	second.answerAll("served", "-", "second")
+	secondCache := newFakeServer(t)
+	secondCache.answerAll("served", "-", "second")
 	old := env.watchConn
 	env.reload(old.LocalAddr().String(), env.startCoordinator())
 	receive(t, env.followLines, "follow")
-	env.sendEvent(endpointEvent(2, true, endpoint("c2", "std", "edge", "SERVING", second.Addr()), endpoint("o1", "origin", "hub", "SERVING", env.origin.Addr())))
+	env.sendEvent(endpointEvent(2, true, endpoint("c2", "std", "edge", "SERVING", secondCache.Addr()),
+		endpoint("o1", "origin", "hub", "SERVING", env.origin.Addr())))
 	env.awaitEventsApplied()
 	env.checkServedOnlyBy("second")
 }
@@ -166,7 +168,7 @@
 	env.cache.answerAll("served", "-", "fine")
 	env.coordinatorDown = true
 	env.start(fullList(env.cache.Addr(), env.origin.Addr()))
-	env.awaitAlive("200")
+	env.awaitAliveStatus("200")
 	c := env.dial()
 	c.request(1, "artes", longTimeoutMS, 1, "")
 	a := receive(t, c.answers, "answer")
--- a/cmd/edgeproxy/coordinatorenv_test.go
+++ b/cmd/edgeproxy/coordinatorenv_test.go
@@ -11,8 +11,8 @@
 )
 
 // endpoint returns an entry of the endpoint list.
-func endpoint(id, kind, zone, state string, at net.Addr) map[string]any {
-	return map[string]any{"id": id, "addr": at.String(), "zone": zone, "kind": kind, "state": state, "weight": 10000}
+func endpoint(id, kind, zone, state string, addr net.Addr) map[string]any {
+	return map[string]any{"id": id, "addr": addr.String(), "zone": zone, "kind": kind, "state": state, "weight": 10000}
 }
 
 // fullList returns event 1 with a full endpoint list: one cache and the origin.
@@ -108,11 +108,11 @@
 		c.request(1, "artes", longTimeoutMS, i, "")
 		a := receive(env.t, c.answers, "answer")
 		if a.body != body {
-			env.t.Errorf("object %d: got answer %+v", i, a)
+			env.t.Errorf("object %d: got answer %+v, want the body of the only server", i, a)
 		}
 	}
 	if len(env.cache.calls) > 0 {
-		env.t.Errorf("call %q was sent to a cache that must get no calls", (<-env.cache.calls).words)
+		env.t.Errorf("call %q was sent to a cache that must get no calls", (<-env.cache.calls).args)
 	}
 }
 
@@ -125,8 +125,8 @@
 }
 
 // newSlowCoordinator starts a coordinator that sends the given line as JSON. Each line that the program sends is
-// passed to the channel follows.
-func newSlowCoordinator(t *testing.T, line any, follows chan<- string) *slowCoordinator {
+// passed to the channel followLines.
+func newSlowCoordinator(t *testing.T, line any, followLines chan<- string) *slowCoordinator {
 	t.Helper()
 	text, err := json.Marshal(line)
 	if err != nil {
@@ -139,7 +139,7 @@
 			s.mu.Lock()
 			s.sent[conn] = 0
 			s.mu.Unlock()
-			follows <- in.Text()
+			followLines <- in.Text()
 		}
 	})
 	return s
@@ -147,11 +147,11 @@
 
 // writeNext writes the given number of further bytes of the line on each stream, or the rest of the line if there are
 // fewer.
-func (s *slowCoordinator) writeNext(bytes int) {
+func (s *slowCoordinator) writeNext(byteCount int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for conn, sent := range s.sent {
-		next := min(sent+bytes, len(s.line))
+		next := min(sent+byteCount, len(s.line))
 		fmt.Fprint(conn, s.line[sent:next]) //nolint:errcheck // the proxy may have disconnected
 		s.sent[conn] = next
 	}
--- a/cmd/edgeproxy/coordinatorlines_test.go
+++ b/cmd/edgeproxy/coordinatorlines_test.go
@@ -14,9 +14,9 @@
 func TestDrainInACutOffLine(t *testing.T) {
 	env := startTestEnv(t)
 	receive(t, env.followLines, "follow")
-	second := newFakeServer(t)
-	second.answerAll("served", "-", "second")
-	env.sendEvent(endpointEvent(2, false, endpoint("c2", "std", "edge", "SERVING", second.Addr())))
+	secondCache := newFakeServer(t)
+	secondCache.answerAll("served", "-", "second")
+	env.sendEvent(endpointEvent(2, false, endpoint("c2", "std", "edge", "SERVING", secondCache.Addr())))
 	drain := `{"index":3,"endpoints":{"version":3,"full":false,"servers":[{"id":"c1","addr":"` + env.cache.Addr().String() +
 		`","zone":"edge","kind":"std","state":"DRAINING","weight":10000}]}}`
 	env.mu.Lock()
@@ -38,10 +38,10 @@
 	env := startTestEnv(t)
 	receive(t, env.followLines, "follow")
 	env.mu.Lock()
-	feed := env.watchConn
+	streamConn := env.watchConn
 	env.mu.Unlock()
 	go func() {
-		for _, err := fmt.Fprint(feed, `{"index":2,`); err == nil; _, err = fmt.Fprint(feed, " ") {
+		for _, err := fmt.Fprint(streamConn, `{"index":2,`); err == nil; _, err = fmt.Fprint(streamConn, " ") {
 			time.Sleep(50 * time.Millisecond)
 		}
 	}()
@@ -56,11 +56,11 @@
 func TestUnreadableEntryCountsAsRemoved(t *testing.T) {
 	env := startTestEnv(t)
 	receive(t, env.followLines, "follow")
-	second := newFakeServer(t)
-	second.answerAll("served", "-", "second")
-	broken := endpoint("c1", "std", "edge", "DRAINING", env.cache.Addr())
-	broken["addr"] = "nowhere"
-	env.sendEvent(endpointEvent(2, false, broken, endpoint("c2", "std", "edge", "SERVING", second.Addr())))
+	secondCache := newFakeServer(t)
+	secondCache.answerAll("served", "-", "second")
+	malformedEntry := endpoint("c1", "std", "edge", "DRAINING", env.cache.Addr())
+	malformedEntry["addr"] = "nowhere"
+	env.sendEvent(endpointEvent(2, false, malformedEntry, endpoint("c2", "std", "edge", "SERVING", secondCache.Addr())))
 	env.awaitEventsApplied()
 	env.checkServedOnlyBy("second")
 }
@@ -71,19 +71,20 @@
 	const duration, step = 6 * time.Second, 100 * time.Millisecond
 	env := newTestEnv(t)
 	env.clock = newManualClock(t)
-	second := newFakeServer(t)
-	second.answerAll("served", "-", "second")
-	drain := newSlowCoordinator(t, endpointEvent(2, false, endpoint("c1", "std", "edge", "DRAINING", env.cache.Addr())), env.followLines)
-	env.relayCoordinator = func(string) string { return drain.Addr().String() }
-	env.start(endpointEvent(1, true, endpoint("c1", "std", "edge", "SERVING", env.cache.Addr()), endpoint("c2", "std", "edge", "SERVING", second.Addr()),
+	secondCache := newFakeServer(t)
+	secondCache.answerAll("served", "-", "second")
+	coordinator := newSlowCoordinator(t, endpointEvent(2, false, endpoint("c1", "std", "edge", "DRAINING", env.cache.Addr())), env.followLines)
+	env.relayCoordinator = func(string) string { return coordinator.Addr().String() }
+	env.start(endpointEvent(1, true, endpoint("c1", "std", "edge", "SERVING", env.cache.Addr()),
+		endpoint("c2", "std", "edge", "SERVING", secondCache.Addr()),
 		endpoint("o1", "origin", "hub", "SERVING", env.origin.Addr())))
-	env.awaitAlive("200")
+	env.awaitAliveStatus("200")
 	receive(t, env.followLines, "follow")
 	for range duration / step {
-		drain.writeNext(1 + len(drain.line)/int(duration/step))
+		coordinator.writeNext(1 + len(coordinator.line)/int(duration/step))
 		env.clock.advance(step)
 	}
-	env.awaitAlive("200") // answered in a later turn of the event loop: everything sent before has been read
+	env.awaitAliveStatus("200") // answered in a later turn of the event loop: everything sent before has been read
 	env.checkServedOnlyBy("second")
 }
 
@@ -93,15 +94,16 @@
 	env := newTestEnv(t)
 	env.start(endpointEvent(1, true, endpoint("c0", "std", "edge", "RESTING", env.cache.Addr()), endpoint("c1", "std", "edge", "SERVING", env.cache.Addr()),
 		endpoint("o1", "origin", "hub", "SERVING", env.origin.Addr())))
-	env.awaitAlive("200")
+	env.awaitAliveStatus("200")
 	receive(t, env.followLines, "follow")
-	second := newFakeServer(t)
-	second.answerAll("served", "-", "second")
-	env.sendEvent(endpointEvent(2, false, endpoint("c1", "std", "edge", "RESTING", env.cache.Addr()), endpoint("c2", "std", "edge", "SERVING", second.Addr()),
-		endpoint("c3", "std", "edge", "SERVING", second.Addr())))
+	secondCache := newFakeServer(t)
+	secondCache.answerAll("served", "-", "second")
+	env.sendEvent(endpointEvent(2, false, endpoint("c1", "std", "edge", "RESTING", env.cache.Addr()),
+		endpoint("c2", "std", "edge", "SERVING", secondCache.Addr()),
+		endpoint("c3", "std", "edge", "SERVING", secondCache.Addr())))
 	env.eventually("the rest of the event is applied", func() bool { return env.metric("svc_registry_entries") == 3 })
 	env.checkServedOnlyBy("second")
-	env.sendEvent(endpointEvent(3, false, endpoint("c3", "std", "edge", "DELETED", second.Addr())))
+	env.sendEvent(endpointEvent(3, false, endpoint("c3", "std", "edge", "DELETED", secondCache.Addr())))
 	env.eventually("the next event is applied", func() bool { return env.metric("svc_registry_entries") == 2 })
 	if len(env.followLines) != 0 {
 		t.Errorf("reconnected: %q", <-env.followLines)
@@ -122,7 +124,7 @@
 	env.sendEvent(endpointEvent(3, false, endpoint("c2", "std", "edge", "SERVING", env.cache.Addr())))
 	env.eventually("the event after the malformed line is applied", func() bool { return env.metric("svc_registry_entries") == 3 })
 	if env.metric("svc_registry_unreadable") != 1 || len(env.followLines) != 0 {
-		t.Errorf("%d unreadable lines, %d reconnects", env.metric("svc_registry_unreadable"), len(env.followLines))
+		t.Errorf("%d unreadable lines, %d reconnects, want 1 and 0", env.metric("svc_registry_unreadable"), len(env.followLines))
 	}
 }
 
@@ -134,7 +136,7 @@
 	env.sendEvent(endpointEvent(3, false, endpoint("c2", "std", "edge", "SERVING", env.cache.Addr())))
 	env.eventually("the next event is applied", func() bool { return env.metric("svc_registry_entries") == 3 })
 	if len(env.followLines) != 0 || env.metric("svc_registry_unreadable") != 1 {
-		t.Errorf("%d reconnects, %d unreadable events", len(env.followLines), env.metric("svc_registry_unreadable"))
+		t.Errorf("%d reconnects, %d unreadable events, want 0 and 1", len(env.followLines), env.metric("svc_registry_unreadable"))
 	}
 }
 
@@ -166,9 +168,9 @@
 func TestDrainBehindAMalformedLine(t *testing.T) {
 	env := startTestEnv(t)
 	receive(t, env.followLines, "follow")
-	second := newFakeServer(t)
-	second.answerAll("served", "-", "second")
-	env.sendEvent(endpointEvent(2, false, endpoint("c2", "std", "edge", "SERVING", second.Addr())))
+	secondCache := newFakeServer(t)
+	secondCache.answerAll("served", "-", "second")
+	env.sendEvent(endpointEvent(2, false, endpoint("c2", "std", "edge", "SERVING", secondCache.Addr())))
 	env.eventually("the second cache is known", func() bool { return env.metric("svc_registry_entries") == 3 })
 	c := env.dial()
 	drain, err := json.Marshal(endpointEvent(4, false, endpoint("c1", "std", "edge", "DRAINING", env.cache.Addr())))
@@ -188,7 +190,7 @@
 		}
 	}
 	if len(env.cache.calls) > 0 || len(env.followLines) > 0 {
-		t.Errorf("%d calls to the draining cache, %d reconnects", len(env.cache.calls), len(env.followLines))
+		t.Errorf("%d calls to the draining cache, %d reconnects, want none", len(env.cache.calls), len(env.followLines))
 	}
 }
 
@@ -198,18 +200,18 @@
 func TestCorruptedDrainIsRequestedAgain(t *testing.T) {
 	env := startTestEnv(t)
 	receive(t, env.followLines, "follow")
-	second := newFakeServer(t)
-	second.answerAll("served", "-", "second")
+	secondCache := newFakeServer(t)
+	secondCache.answerAll("served", "-", "second")
 	text, err := json.Marshal(endpointEvent(2, false, endpoint("c1", "std", "edge", "DRAINING", env.cache.Addr())))
 	if err != nil {
 		t.Fatal(err)
 	}
 	drain := string(text)
-	after, err := json.Marshal(endpointEvent(3, false, endpoint("c2", "std", "edge", "SERVING", second.Addr())))
+	laterEvent, err := json.Marshal(endpointEvent(3, false, endpoint("c2", "std", "edge", "SERVING", secondCache.Addr())))
 	if err != nil {
 		t.Fatal(err)
 	}
-	env.sendEvent(drain[:len(drain)/2] + drain + "\n" + string(after))
+	env.sendEvent(drain[:len(drain)/2] + drain + "\n" + string(laterEvent))
 	env.eventually("the event after the corrupted line is applied", func() bool { return env.metric("svc_registry_entries") == 3 })
 	got := receive(t, env.followLines, "follow again")
 	if got != "follow 1" {
--- a/cmd/edgeproxy/disconnect_test.go
+++ b/cmd/edgeproxy/disconnect_test.go
@@ -15,8 +15,8 @@
 	got := receive(t, env.cache.calls, "call")
 	c.writeRecord(recordAbort, 1, "")
 	stop := receive(t, env.cache.stops, "STOP")
-	if stop.words[1] != got.words[1] {
-		t.Errorf("got %q, want the STOP of the call", stop.words)
+	if stop.args[1] != got.args[1] {
+		t.Errorf("got %q, want the STOP of the call", stop.args)
 	}
 	a := receive(t, c.answers, "END_REQUEST")
 	if a.id != 1 || a.status != "" {
@@ -40,18 +40,18 @@
 // would be rejected.
 func TestAbortInTheSameTurnIsReleased(t *testing.T) {
 	env := newTestEnv(t)
-	small := endpoint("c1", "std", "edge", "SERVING", env.cache.Addr())
-	small["weight"] = 1
-	env.start(endpointEvent(1, true, small, endpoint("o1", "origin", "hub", "SERVING", env.origin.Addr())))
-	env.awaitAlive("200")
+	smallCache := endpoint("c1", "std", "edge", "SERVING", env.cache.Addr())
+	smallCache["weight"] = 1
+	env.start(endpointEvent(1, true, smallCache, endpoint("o1", "origin", "hub", "SERVING", env.origin.Addr())))
+	env.awaitAliveStatus("200")
 	c := env.dial()
-	together := &bufferedConn{Conn: c.Conn}
+	batch := &bufferedConn{Conn: c.Conn}
 	for id := range uint16(30) {
-		r := &client{Conn: together}
+		r := &client{Conn: batch}
 		r.request(id+1, "artes", longTimeoutMS, int(id), "")
 		r.writeRecord(recordAbort, id+1, "")
 	}
-	together.flush()
+	batch.flush()
 	for range 30 {
 		receive(t, c.answers, "END_REQUEST")
 	}
@@ -66,8 +66,8 @@
 // TestNoCallForADisconnectedClient checks that no call begins for a request whose client had disconnected, or had
 // aborted it, before the program read it.
 func TestNoCallForADisconnectedClient(t *testing.T) {
-	for _, how := range []string{"half-close", "close", "abort"} {
-		t.Run(how, func(t *testing.T) {
+	for _, action := range []string{"half-close", "close", "abort"} {
+		t.Run(action, func(t *testing.T) {
 			env := startTestEnv(t)
 			c := env.dial()
 			c.request(1, "artes", longTimeoutMS, 1, "")
@@ -76,7 +76,7 @@
 			resume := env.pause()
 			c.request(2, "artes", longTimeoutMS, 2, "")
 			c.request(3, "registro", longTimeoutMS, 3, strings.Repeat("x", 40_000))
-			switch how {
+			switch action {
 			case "half-close":
 				c.closeWrite()
 			case "close":
@@ -87,7 +87,7 @@
 			}
 			time.Sleep(pastDisconnectGrace) // not a race: the disconnect is older than the grace period
 			resume()
-			if how == "half-close" { // the client is told that nothing was executed
+			if action == "half-close" { // the client is told that nothing was executed
 				for range 2 {
 					a := receive(t, c.answers, "rejection")
 					if a.status != "503" {
@@ -95,14 +95,14 @@
 					}
 				}
 			}
-			other := env.dial()
-			other.request(1, "artes", longTimeoutMS, 77, "")
+			otherClient := env.dial()
+			otherClient.request(1, "artes", longTimeoutMS, 77, "")
 			got := receive(t, env.cache.calls, "call")
 			if got.fields["k"] != fmt.Sprintf("%016x", 77) || len(env.origin.calls) > 0 {
-				t.Errorf("call %q was sent for a client that had disconnected or aborted", got.words)
+				t.Errorf("call %q was sent for a client that had disconnected or aborted", got.args)
 			}
 			got.answer("served", "-", "")
-			receive(t, other.answers, "answer")
+			receive(t, otherClient.answers, "answer")
 		})
 	}
 }
@@ -128,24 +128,24 @@
 // TestUnreadingClientDisconnects checks that a disconnect or an abort takes effect although the client does not read
 // its answers. Otherwise a retry could begin afterwards.
 func TestUnreadingClientDisconnects(t *testing.T) {
-	for _, how := range []string{"half-close", "abort"} {
-		t.Run(how, func(t *testing.T) {
+	for _, action := range []string{"half-close", "abort"} {
+		t.Run(action, func(t *testing.T) {
 			env := startTestEnv(t)
 			conn, inFlight := newUnreadingClient(env)
 			c := &client{Conn: conn}
 			c.request(100, "artes", longTimeoutMS, 100, "") // waits, as its client reads nothing
-			if how == "abort" {
+			if action == "abort" {
 				c.writeRecord(recordAbort, 99, "")
 				c.writeRecord(recordAbort, 100, "")
 			} else {
 				c.closeWrite()
 			}
 			stop := receive(t, env.cache.stops, "STOP")
-			if stop.words[1] != inFlight.words[1] {
-				t.Errorf("got %q, want the STOP of the call in flight", stop.words)
+			if stop.args[1] != inFlight.args[1] {
+				t.Errorf("got %q, want the STOP of the call in flight", stop.args)
 			}
 			if len(env.cache.calls) > 0 {
-				t.Errorf("call %q was sent for the blocked request", (<-env.cache.calls).words)
+				t.Errorf("call %q was sent for the blocked request", (<-env.cache.calls).args)
 			}
 		})
 	}
@@ -189,7 +189,7 @@
 	c.writeRecord(recordAbort, 99, "")
 	receive(t, env.cache.stops, "STOP") // no request is open: the program closes the connection
 	c.closeWrite()
-	env.awaitAlive("200") // answered in a later turn of the event loop: the program has closed its side
+	env.awaitAliveStatus("200") // answered in a later turn of the event loop: the program has closed its side
 	go c.readAnswers()
 	for range 31 {
 		a := receive(t, c.answers, "answer")
@@ -204,21 +204,21 @@
 func TestIdleConnectionsAreClosed(t *testing.T) {
 	t.Parallel()
 	env := startTestEnv(t)
-	idle := env.dial()
-	incomplete := env.dial()
-	waiting := env.dial()
-	idle.writeRequest(1, map[string]string{"SCRIPT_NAME": "/alive"}, "")
-	receive(t, idle.answers, "answer")
-	incomplete.writeRecord(recordBegin, 1, beginKeepConn)
-	waiting.request(1, "artes", longTimeoutMS, 1, "")
-	for _, c := range []*client{idle, incomplete} {
+	idleClient := env.dial()
+	incompleteClient := env.dial()
+	waitingClient := env.dial()
+	idleClient.writeRequest(1, map[string]string{"SCRIPT_NAME": "/alive"}, "")
+	receive(t, idleClient.answers, "answer")
+	incompleteClient.writeRecord(recordBegin, 1, beginKeepConn)
+	waitingClient.request(1, "artes", longTimeoutMS, 1, "")
+	for _, c := range []*client{idleClient, incompleteClient} {
 		a := receive(t, c.answers, "close")
 		if a.id != 0 {
 			t.Errorf("got answer %+v, want the close of the connection", a)
 		}
 	}
 	receive(t, env.cache.calls, "call").answer("served", "-", "late")
-	a := receive(t, waiting.answers, "answer")
+	a := receive(t, waitingClient.answers, "answer")
 	if a.body != "late" {
 		t.Errorf(`the client that waits for an answer: got answer %+v, want body "late"`, a)
 	}
--- a/cmd/edgeproxy/env_test.go
+++ b/cmd/edgeproxy/env_test.go
@@ -60,7 +60,7 @@
 	t.Helper()
 	env := newTestEnv(t)
 	env.start(fullList(env.cache.Addr(), env.origin.Addr()))
-	env.awaitAlive("200")
+	env.awaitAliveStatus("200")
 	return env
 }
 
@@ -74,7 +74,7 @@
 }
 
 // start starts the coordinator, and the program with the given events in its configuration.
-func (env *testEnv) start(known ...any) {
+func (env *testEnv) start(events ...any) {
 	env.addr = freeAddr(env.t)
 	env.adminAddr = freeAddr(env.t)
 	coordinator := env.startCoordinator()
@@ -87,7 +87,7 @@
 	env.cmd, env.configPath = programCommand(env.t, map[string]any{
 		"name": "n1", "listen": env.addr, "admin_addr": env.adminAddr, "seed": "8c1f30d27a5be964", "coordinator": coordinator,
 		"limits": map[string]any{"cores": 1, "memory_mb": env.memoryMB, "sockets": testSockets},
-		"known":  map[string]any{"index": len(known), "updates": known},
+		"known":  map[string]any{"index": len(events), "updates": events},
 		"settings": map[string]any{
 			"areas": []string{"hub", "edge"}, "host-types": []string{"std", "parent", "origin"}, "zone": 1, "group-size": 1,
 			"weight-source": "nominal",
@@ -133,15 +133,15 @@
 	env.t.Helper()
 	text := env.initialConfig
 	for i := 0; i < len(changes); i += 2 {
-		before := changes[i]
-		after := changes[i+1]
-		if before == "" {
-			text = after
+		oldText := changes[i]
+		newText := changes[i+1]
+		if oldText == "" {
+			text = newText
 			continue
 		}
-		text = strings.Replace(text, before, after, 1)
-		if !strings.Contains(text, after) {
-			env.t.Fatalf("%q is not in the configuration", before)
+		text = strings.Replace(text, oldText, newText, 1)
+		if !strings.Contains(text, newText) {
+			env.t.Fatalf("%q is not in the configuration", oldText)
 		}
 	}
 	if err := os.WriteFile(env.configPath, []byte(text), 0o600); err != nil {
@@ -154,13 +154,13 @@
 
 // startReplacement starts a second process beside the running one, with an admin address of its own, and returns
 // the running one. From then on env.cmd and env.adminAddr are those of the second process.
-func (env *testEnv) startReplacement() (old *exec.Cmd) {
-	old = env.cmd
+func (env *testEnv) startReplacement() (oldCmd *exec.Cmd) {
+	oldCmd = env.cmd
 	env.adminAddr = freeAddr(env.t)
 	env.cmd = exec.Command(os.Args[0])
 	env.cmd.Env = append(os.Environ(), programEnv+"=1", "BALANCER_CONFIG="+env.configPath, "BALANCER_ADMIN_ADDR="+env.adminAddr)
 	env.startProgram()
-	return old
+	return oldCmd
 }
 
 // programCommand writes a configuration file, and returns the command that starts the program with it and the path of
@@ -181,17 +181,17 @@
 }
 
 // eventually waits until a condition holds.
-func (env *testEnv) eventually(what string, holds func() bool) {
+func (env *testEnv) eventually(description string, condition func() bool) {
 	env.t.Helper()
-	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(retryInterval) {
-		if time.Now().After(end) {
-			env.t.Fatalf("timed out waiting for: %s", what)
+	for deadline := time.Now().Add(testTimeout); !condition(); time.Sleep(retryInterval) {
+		if time.Now().After(deadline) {
+			env.t.Fatalf("timed out waiting for: %s", description)
 		}
 	}
 }
 
-// awaitAlive waits until the program answers /alive with the given status.
-func (env *testEnv) awaitAlive(status string) {
+// awaitAliveStatus waits until the program answers /alive with the given status.
+func (env *testEnv) awaitAliveStatus(status string) {
 	env.t.Helper()
 	env.eventually("/alive "+status, func() bool {
 		conn, err := net.Dial("tcp", env.addr)
@@ -218,7 +218,7 @@
 	kb, err := strconv.Atoi(strings.Fields(peak)[0])
 	env.t.Logf("peak of resident memory: %d KB", kb)
 	if err != nil || kb > limitKB {
-		env.t.Errorf("peak of resident memory: %d KB, error %v", kb, err)
+		env.t.Errorf("peak of resident memory: %d KB, error %v, want at most the default limit", kb, err)
 	}
 }
 
@@ -246,7 +246,7 @@
 func (env *testEnv) startWith(cache, origin net.Addr) {
 	env.t.Helper()
 	env.start(fullList(cache, origin))
-	env.awaitAlive("200")
+	env.awaitAliveStatus("200")
 }
 
 // signal sends signals to the program.
--- a/cmd/edgeproxy/fakeserver_test.go
+++ b/cmd/edgeproxy/fakeserver_test.go
@@ -14,14 +14,14 @@
 // receivedCall is a command that a fake server has read.
 type receivedCall struct {
 	conn   net.Conn
-	words  []string          // the command and its arguments
+	args   []string          // the command and its arguments
 	fields map[string]string // values by name, decoded from the second argument of REQ
 }
 
 // answer writes an answer to the call. The fields are NAME=VALUE pairs separated by commas, or "-" for none.
 func (c *receivedCall) answer(status, fields, body string) {
 	text := fmt.Sprintf("*4\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n",
-		len(c.words[1]), c.words[1], len(status), status, len(fields), fields, len(body), body)
+		len(c.args[1]), c.args[1], len(status), status, len(fields), fields, len(body), body)
 	io.WriteString(c.conn, text) //nolint:errcheck // the program may have closed the connection
 }
 
@@ -39,16 +39,16 @@
 	go serveEach(s, func(conn net.Conn) {
 		in := bufio.NewReader(conn)
 		for {
-			words, err := readCommand(in)
+			args, err := readCommand(in)
 			if err != nil {
 				return
 			}
-			c := &receivedCall{conn: conn, words: words, fields: map[string]string{}}
-			if words[0] == "STOP" {
+			c := &receivedCall{conn: conn, args: args, fields: map[string]string{}}
+			if args[0] == "STOP" {
 				s.stops <- c
 				continue
 			}
-			for _, f := range strings.Split(words[2], ",") {
+			for _, f := range strings.Split(args[2], ",") {
 				name, value, _ := strings.Cut(f, "=")
 				c.fields[name] = value
 			}
@@ -117,7 +117,7 @@
 }
 
 // readCommand reads a RESP array of bulk strings.
-func readCommand(in *bufio.Reader) (words []string, err error) {
+func readCommand(in *bufio.Reader) (args []string, err error) {
 	var n, size int
 	if _, err := fmt.Fscanf(in, "*%d\r\n", &n); err != nil {
 		return nil, err
@@ -126,11 +126,11 @@
 		if _, err := fmt.Fscanf(in, "$%d\r\n", &size); err != nil {
 			return nil, err
 		}
-		word := make([]byte, size+2)
-		if _, err := io.ReadFull(in, word); err != nil {
+		arg := make([]byte, size+2)
+		if _, err := io.ReadFull(in, arg); err != nil {
 			return nil, err
 		}
-		words = append(words, string(word[:size]))
+		args = append(args, string(arg[:size]))
 	}
-	return words, nil
+	return args, nil
 }
--- a/cmd/edgeproxy/fastcgi_client_test.go
+++ b/cmd/edgeproxy/fastcgi_client_test.go
@@ -31,10 +31,10 @@
 
 // answer is a complete answer, or, if id is 0, the end of the connection.
 type answer struct {
-	id           uint16
-	status, body string
-	headers      string
-	protocol     byte // protocol status of END_REQUEST
+	id             uint16
+	status, body   string
+	headers        string
+	protocolStatus byte // protocol status of END_REQUEST
 }
 
 // dial connects to the program.
@@ -58,35 +58,35 @@
 // readAnswers sends each answer to the channel, and a zero answer when the connection ends.
 func (c *client) readAnswers() {
 	defer func() { c.answers <- answer{} }()
-	texts := map[uint16]string{}
+	stdoutByID := map[uint16]string{}
 	for {
-		var head [8]byte
-		if _, err := io.ReadFull(c, head[:]); err != nil {
+		var header [8]byte
+		if _, err := io.ReadFull(c, header[:]); err != nil {
 			return
 		}
-		id := binary.BigEndian.Uint16(head[2:])
-		contentLength := binary.BigEndian.Uint16(head[4:])
-		paddingLength := uint16(head[6])
+		id := binary.BigEndian.Uint16(header[2:])
+		contentLength := binary.BigEndian.Uint16(header[4:])
+		paddingLength := uint16(header[6])
 		content := make([]byte, contentLength+paddingLength)
 		if _, err := io.ReadFull(c, content); err != nil {
 			return
 		}
-		if head[1] == recordStdout {
-			texts[id] += string(content)
+		if header[1] == recordStdout {
+			stdoutByID[id] += string(content)
 		}
-		if head[1] == recordEnd {
-			top, body, _ := strings.Cut(texts[id], "\r\n\r\n")
-			status, headers, _ := strings.Cut(strings.TrimPrefix(top, "Status: "), "\r\n")
-			c.answers <- answer{id: id, status: status, headers: headers, body: body, protocol: content[4]}
-			delete(texts, id)
+		if header[1] == recordEnd {
+			headerBlock, body, _ := strings.Cut(stdoutByID[id], "\r\n\r\n")
+			status, headers, _ := strings.Cut(strings.TrimPrefix(headerBlock, "Status: "), "\r\n")
+			c.answers <- answer{id: id, status: status, headers: headers, body: body, protocolStatus: content[4]}
+			delete(stdoutByID, id)
 		}
 	}
 }
 
 // writeRecord writes one record.
-func (c *client) writeRecord(kind byte, id uint16, content string) {
-	head := []byte{1, kind, byte(id >> 8), byte(id), byte(len(content) >> 8), byte(len(content)), 0, 0}
-	c.Write(append(head, content...)) //nolint:errcheck // a lost connection shows in the answers
+func (c *client) writeRecord(recordType byte, id uint16, content string) {
+	header := []byte{1, recordType, byte(id >> 8), byte(id), byte(len(content) >> 8), byte(len(content)), 0, 0}
+	c.Write(append(header, content...)) //nolint:errcheck // a lost connection shows in the answers
 }
 
 // writeRequest writes all records of a request.
--- a/cmd/edgeproxy/fault_test.go
+++ b/cmd/edgeproxy/fault_test.go
@@ -13,7 +13,7 @@
 // origin is reset, at whatever point. The map gives the number of executions of the write for each fault.
 func TestResetAroundAWrite(t *testing.T) {
 	const onceIfServed = -1 // one execution if the answer is served, none otherwise
-	for rule, runs := range map[string]int{
+	for rule, executions := range map[string]int{
 		"c up byte 0 : reset":              onceIfServed, // when the connection is established: if nothing was written yet, the call is retried
 		"c up byte 60 : reset":             0,            // in the middle of the call
 		`c up match "the end\r\n" : reset`: 1,            // just after the call
@@ -24,12 +24,12 @@
 		env := newTestEnv(t)
 		origin := newFaultyRelay(t, env.origin.Addr().String(), strings.Replace(rule, "c ", "c conn 1 ", 1))
 		env.startWith(env.cache.Addr(), origin.Addr())
-		var ran []*receivedCall
+		var executedCalls []*receivedCall
 		var mu sync.Mutex
 		go func() {
 			for got := range env.origin.calls {
 				mu.Lock()
-				ran = append(ran, got)
+				executedCalls = append(executedCalls, got)
 				mu.Unlock()
 				got.answer("served", "-", "written")
 			}
@@ -37,13 +37,13 @@
 		c := env.dial()
 		c.request(1, "registro", 2000, 1, "a body up to the end")
 		a := receive(t, c.answers, "outcome")
-		if a.id != 1 || a.status == "200" && runs != onceIfServed {
-			t.Errorf("%s: got answer %+v", rule, a)
+		if a.id != 1 || a.status == "200" && executions != onceIfServed {
+			t.Errorf("%s: got answer %+v, want ID 1 and, unless the write may be retried, another status than 200", rule, a)
 		}
-		if runs == onceIfServed {
-			runs = 0
+		if executions == onceIfServed {
+			executions = 0
 			if a.status == "200" {
-				runs = 1
+				executions = 1
 			}
 		}
 		// The second request reaches the origin on another connection, after all calls of the first.
@@ -53,8 +53,8 @@
 			t.Errorf("%s, next request: got answer %+v, want ID 2 and status 200", rule, a)
 		}
 		mu.Lock()
-		if len(ran) != runs+1 {
-			t.Errorf("%s: the first write was executed %d times, want %d", rule, len(ran)-1, runs)
+		if len(executedCalls) != executions+1 {
+			t.Errorf("%s: the first write was executed %d times, want %d", rule, len(executedCalls)-1, executions)
 		}
 		mu.Unlock()
 	}
@@ -68,9 +68,10 @@
 	env.relayCoordinator = func(addr string) string {
 		return newFaultyRelay(t, addr, `c down conn 1 match "DRAIN" : silence`).Addr().String()
 	}
-	second := newFakeServer(t)
-	second.answerAll("served", "-", "second")
-	env.start(endpointEvent(1, true, endpoint("c1", "std", "edge", "SERVING", env.cache.Addr()), endpoint("c2", "std", "edge", "SERVING", second.Addr()),
+	secondCache := newFakeServer(t)
+	secondCache.answerAll("served", "-", "second")
+	env.start(endpointEvent(1, true, endpoint("c1", "std", "edge", "SERVING", env.cache.Addr()),
+		endpoint("c2", "std", "edge", "SERVING", secondCache.Addr()),
 		endpoint("o1", "origin", "hub", "SERVING", env.origin.Addr())))
 	receive(t, env.followLines, "follow")
 	drain := endpointEvent(2, false, endpoint("c1", "std", "edge", "DRAINING", env.cache.Addr()))
@@ -96,8 +97,8 @@
 	defer closeOnce(t, conn)
 	newClient(conn).request(1, "artes", longTimeoutMS, 1, "")
 	env.eventually("the connection is reset", func() bool { return clientRelay.log() != "" })
-	other := env.dial()
-	other.request(1, "artes", longTimeoutMS, 77, "")
+	otherClient := env.dial()
+	otherClient.request(1, "artes", longTimeoutMS, 77, "")
 	for {
 		got := receive(t, env.cache.calls, "call")
 		if got.fields["k"] == fmt.Sprintf("%016x", 77) {
@@ -107,7 +108,7 @@
 		receive(t, env.cache.stops, "STOP")
 		got.answer("overload", "-", "") // must not be retried
 	}
-	receive(t, other.answers, "answer")
+	receive(t, otherClient.answers, "answer")
 	if len(env.cache.calls)+len(env.origin.calls) > 0 {
 		t.Error("a call was made for a client that had disconnected")
 	}
@@ -165,7 +166,7 @@
 		c.request(1, "artes", 2500, 1, "")
 		a := receive(t, c.answers, "outcome")
 		if a.id != 1 || want != "" && a.status != want || a.status == "200" && a.body != "whole" {
-			t.Errorf("%s: got answer %+v", rule, a)
+			t.Errorf("%s: got answer %+v, want ID 1, the status of the case and, with status 200, the whole body", rule, a)
 		}
 		for id := range uint16(3) {
 			c.request(id+2, "artes", longTimeoutMS, int(id), "")
--- a/cmd/edgeproxy/faultyrelay_test.go
+++ b/cmd/edgeproxy/faultyrelay_test.go
@@ -13,9 +13,9 @@
 
 // faultyRelay is a relay that injects faults into the connections to an address.
 type faultyRelay struct {
-	relay *relay.Relay
-	mu    sync.Mutex
-	fired []string // guarded by mu
+	relay   *relay.Relay
+	mu      sync.Mutex
+	firings []string // guarded by mu
 }
 
 // Addr returns the address of the relay.
@@ -26,9 +26,9 @@
 func (r *faultyRelay) log() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	list := slices.Clone(r.fired)
-	slices.Sort(list)
-	return strings.Join(list, "\n")
+	lines := slices.Clone(r.firings)
+	slices.Sort(lines)
+	return strings.Join(lines, "\n")
 }
 
 // newFaultyRelay starts a relay to an address with a script of fault rules. In the rules, the relay is the link "c".
@@ -42,7 +42,7 @@
 	if r.relay, err = relay.Start(script, func(f fault.Firing) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.fired = append(r.fired, f.String())
+		r.firings = append(r.firings, f.String())
 	}); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/edgeproxy/lateread_test.go
+++ b/cmd/edgeproxy/lateread_test.go
@@ -26,7 +26,7 @@
 	}
 	got := receive(t, env.cache.calls, "call")
 	if got.fields["k"] != fmt.Sprintf("%016x", 3) {
-		t.Errorf("call %q was made for a request after its deadline", got.words)
+		t.Errorf("call %q was made for a request after its deadline", got.args)
 	}
 }
 
@@ -66,22 +66,22 @@
 	env := startTestEnv(t)
 	env.cache.answerAll("served", "-", "fine")
 	resume := env.pause()
-	late := env.dial()
-	inTime := env.dial()
-	late.request(2, "artes", 500, 2, "")
-	inTime.request(3, "artes", longTimeoutMS, 3, "")
+	lateClient := env.dial()
+	inTimeClient := env.dial()
+	lateClient.request(2, "artes", 500, 2, "")
+	inTimeClient.request(3, "artes", longTimeoutMS, 3, "")
 	time.Sleep(600 * time.Millisecond) // not a race: the deadline of request 2 has passed
-	late.request(4, "artes", longTimeoutMS, 4, "")
+	lateClient.request(4, "artes", longTimeoutMS, 4, "")
 	resume()
-	a := receive(t, late.answers, "rejection")
+	a := receive(t, lateClient.answers, "rejection")
 	if a.id != 2 || a.status != "503" {
 		t.Errorf("got answer %+v, want ID 2 and status 503", a)
 	}
-	a = receive(t, late.answers, "answer")
+	a = receive(t, lateClient.answers, "answer")
 	if a.id != 4 || a.body != "fine" {
 		t.Errorf(`got answer %+v, want ID 4 and body "fine"`, a)
 	}
-	a = receive(t, inTime.answers, "answer")
+	a = receive(t, inTimeClient.answers, "answer")
 	if a.id != 3 || a.body != "fine" {
 		t.Errorf(`got answer %+v, want ID 3 and body "fine"`, a)
 	}
@@ -117,6 +117,6 @@
 	beforeClose.request(3, "artes", longTimeoutMS, 4, "")
 	got := receive(t, env.cache.calls, "call")
 	if got.fields["k"] != fmt.Sprintf("%016x", 4) {
-		t.Errorf("call %q was made for a request after the close of its connection", got.words)
+		t.Errorf("call %q was made for a request after the close of its connection", got.args)
 	}
 }
--- a/cmd/edgeproxy/main_test.go
+++ b/cmd/edgeproxy/main_test.go
@@ -19,12 +19,12 @@
 const testTimeout = 20 * time.Second
 
 // receive returns the next value of a channel, and fails the test if none comes within testTimeout.
-func receive[T any](t *testing.T, from <-chan T, what string) (v T) {
+func receive[T any](t *testing.T, ch <-chan T, description string) (v T) {
 	t.Helper()
 	select {
-	case v = <-from:
+	case v = <-ch:
 	case <-time.After(testTimeout):
-		t.Fatalf("timed out waiting for: %s", what)
+		t.Fatalf("timed out waiting for: %s", description)
 	}
 	return v
 }
--- a/cmd/edgeproxy/replace_test.go
+++ b/cmd/edgeproxy/replace_test.go
@@ -21,7 +21,7 @@
 	env.inheritedSocket = socket
 	env.start(fullList(env.cache.Addr(), env.origin.Addr()))
 	env.addr = listener.Addr().String()
-	env.awaitAlive("200")
+	env.awaitAliveStatus("200")
 }
 
 // awaitReplacementReady waits until the process that startReplacement has started is ready to serve.
@@ -44,11 +44,11 @@
 	env.startOnInheritedSocket()
 	oldClient := env.dial()
 	oldClient.request(1, "artes", longTimeoutMS, 1, "")
-	open := receive(t, env.cache.calls, "call")
+	openCall := receive(t, env.cache.calls, "call")
 
-	old := env.startReplacement()
+	oldCmd := env.startReplacement()
 	env.awaitReplacementReady()
-	if err := old.Process.Signal(syscall.SIGTERM); err != nil {
+	if err := oldCmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	for id := range uint16(50) { // once the old process stops accepting, only the new one accepts connections
@@ -60,7 +60,7 @@
 			t.Fatalf(`got answer %+v, want body "new"`, a)
 		}
 	}
-	open.answer("served", "-", "fine")
+	openCall.answer("served", "-", "fine")
 	a := receive(t, oldClient.answers, "answer")
 	if a.body != "fine" {
 		t.Errorf(`got answer %+v, want body "fine"`, a)
@@ -72,7 +72,7 @@
 	if err := receive(t, env.exited, "exit"); err != nil {
 		t.Error(err)
 	}
-	env.awaitAlive("200")
+	env.awaitAliveStatus("200")
 	if env.metric(operationsMetric("artes", "fulfilled")) < 1 {
 		t.Error("the new process has served nothing")
 	}
@@ -91,17 +91,17 @@
 	defer closeOnce(t, socket)
 	env.inheritedSocket = socket
 	env.addr = listener.Addr().String()
-	late := env.dial()
-	inTime := env.dial()
-	late.request(1, "artes", 500, 1, "")
-	inTime.request(2, "artes", longTimeoutMS, 2, "")
+	lateClient := env.dial()
+	inTimeClient := env.dial()
+	lateClient.request(1, "artes", 500, 1, "")
+	inTimeClient.request(2, "artes", longTimeoutMS, 2, "")
 	time.Sleep(600 * time.Millisecond) // not a race: the deadline of request 1 has passed
 	env.start(fullList(env.cache.Addr(), env.origin.Addr()))
-	a := receive(t, late.answers, "rejection")
+	a := receive(t, lateClient.answers, "rejection")
 	if a.status != "503" {
 		t.Errorf("got answer %+v, want status 503", a)
 	}
-	a = receive(t, inTime.answers, "answer")
+	a = receive(t, inTimeClient.answers, "answer")
 	if a.body != "fine" {
 		t.Errorf(`got answer %+v, want body "fine"`, a)
 	}
@@ -130,9 +130,9 @@
 	env := newTestEnv(t)
 	env.startOnInheritedSocket()
 	env.cache.answerAll("served", "-", "fine")
-	old := env.startReplacement()
+	oldCmd := env.startReplacement()
 	env.awaitReplacementReady()
-	if err := old.Process.Signal(syscall.SIGSTOP); err != nil { // only the new process accepts the clients
+	if err := oldCmd.Process.Signal(syscall.SIGSTOP); err != nil { // only the new process accepts the clients
 		t.Fatal(err)
 	}
 	var clients []*client
@@ -145,15 +145,15 @@
 		}
 		clients = append(clients, c)
 	}
-	descriptors := env.countDescriptors(old.Process.Pid) + env.countDescriptors(env.cmd.Process.Pid)
+	descriptors := env.countDescriptors(oldCmd.Process.Pid) + env.countDescriptors(env.cmd.Process.Pid)
 	if descriptors > testSockets {
 		t.Errorf("both processes hold %d descriptors, the limit is %d", descriptors, testSockets)
 	}
-	if err := old.Process.Signal(syscall.SIGCONT); err != nil {
+	if err := oldCmd.Process.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
 	clients[0].request(2, "artes", longTimeoutMS, 1, "")
 	if a := receive(t, clients[0].answers, "answer on the first connection"); a.body != "fine" {
-		t.Errorf("got answer %+v", a)
+		t.Errorf(`got answer %+v, want body "fine"`, a)
 	}
 }
--- a/cmd/edgeproxy/scriptplay_test.go
+++ b/cmd/edgeproxy/scriptplay_test.go
@@ -36,8 +36,8 @@
 // playScript sends fixed traffic while a fixed script injects faults into the connections of clients, servers and the
 // coordinator. It returns the program's counters of outcomes and the faults that fired, except those on the connections
 // to the coordinator. The program's clock advances only between two requests, so that the speed of the machine has no
-// effect. If slow is set, some answers take longer than the program waits for an answer before it retries.
-func playScript(t *testing.T, length time.Duration, slow bool) (counters, faults string) {
+// effect. If delayAnswers is set, some answers take longer than the program waits for an answer before it retries.
+func playScript(t *testing.T, length time.Duration, delayAnswers bool) (counters, faults string) {
 	t.Helper()
 	env := newTestEnv(t)
 	env.clock = newManualClock(t)
@@ -45,7 +45,7 @@
 	go func() {
 		for got := range env.cache.calls {
 			calls++
-			if slow && calls%50 == 25 {
+			if delayAnswers && calls%50 == 25 {
 				time.Sleep(slowAnswer) // not a race: the outcomes must not depend on this delay
 			}
 			got.answer("served", "made=1,note=TCP_HIT", strings.Repeat("c", 500))
--- a/cmd/edgeproxy/shutdown_test.go
+++ b/cmd/edgeproxy/shutdown_test.go
@@ -13,14 +13,14 @@
 	env := startTestEnv(t)
 	c := env.dial()
 	c.request(1, "artes", longTimeoutMS, 1, "")
-	first := receive(t, env.cache.calls, "call")
+	firstCall := receive(t, env.cache.calls, "call")
 	if err := env.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	env.awaitAlive("503")
-	late := env.dial()
-	late.request(1, "artes", longTimeoutMS, 2, "")
-	second := receive(t, env.cache.calls, "call")
+	env.awaitAliveStatus("503")
+	lateClient := env.dial()
+	lateClient.request(1, "artes", longTimeoutMS, 2, "")
+	secondCall := receive(t, env.cache.calls, "call")
 	env.eventually("connections are refused", func() bool {
 		conn, err := net.Dial("tcp", env.addr)
 		if err == nil {
@@ -28,13 +28,13 @@
 		}
 		return err != nil
 	})
-	first.answer("served", "-", "one")
-	second.answer("served", "-", "two")
+	firstCall.answer("served", "-", "one")
+	secondCall.answer("served", "-", "two")
 	a := receive(t, c.answers, "answer")
 	if a.body != "one" {
 		t.Errorf(`got answer %+v, want body "one"`, a)
 	}
-	a = receive(t, late.answers, "answer")
+	a = receive(t, lateClient.answers, "answer")
 	if a.body != "two" {
 		t.Errorf(`got answer %+v, want body "two"`, a)
 	}
@@ -55,7 +55,7 @@
 	if err := env.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	env.awaitAlive("503")
+	env.awaitAliveStatus("503")
 	c.request(2, "registro", longTimeoutMS, 2, "")
 	receive(t, env.origin.calls, "call")
 	a := receive(t, c.answers, "answer")
@@ -82,7 +82,7 @@
 		out.buffer = out.buffer[:part]
 		out.flush()
 		env.signal(syscall.SIGTERM)
-		env.awaitAlive("503")
+		env.awaitAliveStatus("503")
 		env.awaitNotListening()
 		c.Write(rest) //nolint:errcheck // a lost connection shows in the answers
 		a := receive(t, c.answers, "answer")
@@ -101,7 +101,7 @@
 	env := startTestEnv(t)
 	env.cache.answerAll("served", "-", "fine")
 	env.signal(syscall.SIGTERM)
-	env.awaitAlive("503")
+	env.awaitAliveStatus("503")
 	resume := env.pause()
 	c := env.dial()
 	c.request(1, "artes", longTimeoutMS, 1, "")
@@ -119,13 +119,13 @@
 	conn, inFlight := newUnreadingClient(env)
 	inFlight.answer("served", "-", "last")
 	env.signal(syscall.SIGTERM)
-	env.awaitAlive("503")
+	env.awaitAliveStatus("503")
 	env.awaitNotListening()
 	c := newClient(conn)
 	for range 32 {
 		a := receive(t, c.answers, "answer")
 		if a.status != "200" || a.id != 99 && len(a.body) != 240_000 {
-			t.Errorf("answer %d: got status %s and %d bytes", a.id, a.status, len(a.body))
+			t.Errorf("answer %d: got status %s and %d bytes, want 200 and, except for ID 99, 240,000", a.id, a.status, len(a.body))
 		}
 	}
 	if err := receive(t, env.exited, "exit"); err != nil {
@@ -140,14 +140,14 @@
 	receive(t, env.followLines, "follow")
 	c := env.dial()
 	c.request(1, "artes", longTimeoutMS, 1, "")
-	open := receive(t, env.cache.calls, "call")
+	openCall := receive(t, env.cache.calls, "call")
 	resume := env.pause()
 	env.reload(`"max-attempts":8`, `"max-attempts":7`)
 	env.signal(syscall.SIGTERM)
 	c.request(2, "artes", longTimeoutMS, 2, "")
 	resume()
 	receive(t, env.cache.calls, "call").answer("served", "-", "two")
-	open.answer("served", "-", "one")
+	openCall.answer("served", "-", "one")
 	for range 2 {
 		a := receive(t, c.answers, "answer")
 		if a.status != "200" {
@@ -175,7 +175,7 @@
 	if err := env.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	env.awaitAlive("503")
+	env.awaitAliveStatus("503")
 	for range untilKill/step - 1 {
 		env.clock.advance(step)
 	}
@@ -220,7 +220,7 @@
 	t.Parallel()
 	env := newTestEnv(t)
 	env.start()
-	env.awaitAlive("503")
+	env.awaitAliveStatus("503")
 	c := env.dial()
 	c.request(1, "artes", longTimeoutMS, 1, "")
 	a := receive(t, c.answers, "answer")
--- a/cmd/edgeproxy/soak_test.go
+++ b/cmd/edgeproxy/soak_test.go
@@ -30,16 +30,16 @@
 // history of each run against the rules of package soak. The environment sets the seeds, the number of processes and
 // the duration of a run: CI makes a few short runs, `make soak` more.
 func TestSoak(t *testing.T) {
-	first := envInt(t, "SEED", 1)
-	seeds := envInt(t, "SEEDS", 4)
-	fleet := envInt(t, "FLEET", 10)
+	firstSeed := envInt(t, "SEED", 1)
+	seedCount := envInt(t, "SEEDS", 4)
+	fleetSize := envInt(t, "FLEET", 10)
 	seconds := envInt(t, "SECONDS", 12)
 	violations := 0
-	for seed := first; seed < first+seeds; seed++ {
+	for seed := firstSeed; seed < firstSeed+seedCount; seed++ {
 		result, err := soak.Run(uint64(seed), soak.Options{
 			Program: os.Args[0], ProgramEnv: []string{programEnv + "=1"},
 			ClockOffsetEnv: clockOffsetEnv, SyscallFaultSeedEnv: randomFaultsEnv,
-			LoopbackAddr: loopbackAddr, FleetSize: fleet, Duration: time.Duration(seconds) * time.Second, ConfigDir: t.TempDir(),
+			LoopbackAddr: loopbackAddr, FleetSize: fleetSize, Duration: time.Duration(seconds) * time.Second, ConfigDir: t.TempDir(),
 			ReportDir: filepath.Join("..", "..", "found", "soak"), FaultKinds: strings.Fields(os.Getenv("KINDS")),
 			Shrink: os.Getenv("SHRINK") != "",
 		})
@@ -53,5 +53,5 @@
 		}
 		violations += len(result.Violations)
 	}
-	fmt.Printf("%d seeds, %d violations\n", seeds, violations)
+	fmt.Printf("%d seeds, %d violations\n", seedCount, violations)
 }
--- a/cmd/edgeproxy/syscallfaults_test.go
+++ b/cmd/edgeproxy/syscallfaults_test.go
@@ -138,8 +138,8 @@
 // injectSyscallFaults makes system calls fail as randomFaultsEnv and syscallFaultsEnv say.
 func injectSyscallFaults() {
 	injectRandomSyscallFaults()
-	for _, word := range strings.Fields(os.Getenv(syscallFaultsEnv)) {
-		call, rest, _ := strings.Cut(word, ":")
+	for _, faultSpec := range strings.Fields(os.Getenv(syscallFaultsEnv)) {
+		call, rest, _ := strings.Cut(faultSpec, ":")
 		if call == "halfwrite" {
 			blockWritesAfter([]byte(rest))
 			continue
@@ -147,7 +147,7 @@
 		name, bounds, _ := strings.Cut(rest, ":")
 		var from, to int
 		if _, err := fmt.Sscanf(bounds, "%d-%d", &from, &to); err != nil {
-			panic(word)
+			panic(faultSpec)
 		}
 		failCall(call, errnoByName(name), from, to)
 	}
@@ -208,21 +208,21 @@
 	)
 	write := eventloop.System.Write
 	socket := eventloop.System.Socket
-	blocked := notYet // descriptor of the blocked connection
+	blockedFD := notYet // descriptor of the blocked connection
 	eventloop.System.Socket = func(family, kind, protocol int) (int, error) {
 		fd, err := socket(family, kind, protocol)
-		if fd == blocked {
-			blocked = closed
+		if fd == blockedFD {
+			blockedFD = closed
 		}
 		return fd, err
 	}
 	eventloop.System.Write = func(fd int, data []byte) (int, error) {
-		if fd == blocked {
+		if fd == blockedFD {
 			return -1, unix.EAGAIN
 		}
 		at := bytes.Index(data, text)
-		if at >= 0 && blocked == notYet {
-			blocked = fd
+		if at >= 0 && blockedFD == notYet {
+			blockedFD = fd
 			return write(fd, data[:at+len(text)])
 		}
 		return write(fd, data)
--- a/cmd/edgeproxy/system_test.go
+++ b/cmd/edgeproxy/system_test.go
@@ -39,7 +39,7 @@
 		}
 		n := env.metric("svc_out_of_rotation")
 		if n != 0 {
-			t.Errorf("%s: %d servers are ejected", failure, n)
+			t.Errorf("%s: %d servers are ejected, want none", failure, n)
 		}
 		env.cmd.Process.Signal(syscall.SIGKILL) //nolint:errcheck // the next case starts another process
 	}
