--- a/policy/estimators.go
+++ b/policy/estimators.go
@@ -9,8 +9,11 @@
 	firstByteSamples = 10  // window of the means of first-byte times, in fills
 	missSamples      = 10  // window of the fraction of misses, in answers
 
-	epochFills  = 20  // fills and misses per epoch of a ratio; the paper uses 100, which is rarely reached
-	epochWeight = 0.3 // weight of a new epoch; the paper uses 0.1, over more epochs
+	// epochFills is the number of fills and misses in an epoch of a misindicationRatio. The paper uses 100, but
+	// a router rarely counts that many.
+	epochFills = 20
+	// epochWeight is the weight of a new epoch in a misindicationRatio. The paper uses 0.1, over more epochs.
+	epochWeight = 0.3
 )
 
 // mean is the arithmetic mean of the first values and an exponentially weighted mean of later ones, so that a
--- a/policy/links.go
+++ b/policy/links.go
@@ -151,8 +151,8 @@
 	return a.missProbability
 }
 
-// linkCapacity is an endpoint's weight, in transfers, or defaultCapacity where weights are not capacities or
-// the endpoint has none.
+// linkCapacity is the capacity of an endpoint's link, in transfers: the endpoint's weight, or defaultCapacity
+// if Settings.WeightsConfigured is false or the endpoint has no weight.
 func (r *Router) linkCapacity(e *endpointState, defaultCapacity float64) float64 {
 	if r.settings.WeightsConfigured && e.Weight > 0 {
 		return e.Weight
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -155,8 +155,8 @@
 	return turnsAt(r.now) > turnsAt(r.now-window)
 }
 
-// offeredSeconds is the integral of the slow-start fraction from the start to an age: the number of seconds
-// at full capacity that would have offered as much.
+// offeredSeconds is the integral of the slow-start fraction from an endpoint's start to the given age. At
+// full capacity, an endpoint offers as much in that many seconds as it does from its start to that age.
 func (rules slowStartRules) offeredSeconds(age time.Duration) float64 {
 	seconds := max(age, 0).Seconds()
 	gainedCapacity := (1 - rules.initialCapacity) * seconds / rules.duration.Seconds() / 2
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -19,7 +19,8 @@
 			sent++
 		}
 	}
-	// Each attempt costs 0.1 transfer seconds; 2 times a fifth of 5 transfers for 2 s is 4 transfer seconds.
+	// Each attempt costs 0.1 transfer seconds. The cache can take 4 transfer seconds in the window:
+	// the overload multiple 2, times the initial capacity of 0.2 * 5 transfers, times the window of 2 s.
 	if sent == 0 || float64(sent)*0.1 > 4 {
 		t.Fatalf("%d attempts sent to a cache in slow start, want 1 to 40", sent)
 	}
