--- a/internal/proxy/partialrequest.go
+++ b/internal/proxy/partialrequest.go
@@ -8,8 +8,8 @@
 	"cloverdoor/policy"
 )
 
-// minSkippedBytes is the minimum number of received bytes of an incomplete record for the record to be discarded
-// while the memory budget is critical. The records that begin a request are shorter.
+// minSkippedBytes is the minimum size of the received part of an incomplete record that is discarded while the
+// memory budget is critical. The records that begin a request are shorter.
 const minSkippedBytes = 1 << 10
 
 // hasPartialRequest reports whether a part of a request has been received.
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -1,7 +1,7 @@
-// Package proxy turns client requests into events for the decision module, and the module's actions into
-// attempts at caches. It holds requests and attempts, the watch of the coordinator and the phases of the
-// program. The decision module is package policy: it decides which cache a request goes to, and what follows
-// from the result.
+// Package proxy passes client requests as events to the decision module, and carries out the module's actions,
+// such as an attempt to get the answer from a cache. It keeps the state of requests and attempts, watches the
+// coordinator and controls the phases of the program. The decision module is package policy: it decides which
+// cache a request goes to, and what to do after the result.
 package proxy
 
 import (
--- a/internal/proxy/watchrecovery_test.go
+++ b/internal/proxy/watchrecovery_test.go
@@ -107,8 +107,9 @@
 	}
 }
 
-// TestMissingEventIsRecoveredThoughStreamsFail guards against missing events that delay new ones, or are never
-// delivered, when the next streams fail.
+// TestMissingEventIsRecoveredThoughStreamsFail checks that a missing event and newer events are all delivered within
+// maxEventDelay although the next two streams fail. It guards against two faults: the missing event is never
+// delivered, or it delays the newer ones.
 func TestMissingEventIsRecoveredThoughStreamsFail(t *testing.T) {
 	for name, brokenScript := range failureScripts() {
 		h := newWatchHarness(t, func(stream int) streamScript {
