--- a/internal/eventloop/delay.go
+++ b/internal/eventloop/delay.go
@@ -11,8 +11,8 @@
 	// in the accept queue.
 	acceptDelayThreshold = 20 * time.Millisecond
 
-	// largeInputBytes is the minimum input of a connection in one turn after which the connection's next input
-	// is assumed to have arrived at the same time, and so to have waited since then.
+	// If at least largeInputBytes are read from a connection in one turn, the connection's next input is
+	// assumed to have arrived at the same time, and so to have waited since then.
 	largeInputBytes = 64 << 10
 )
 
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -9,8 +9,9 @@
 )
 
 // Dial starts a connection to addr. Output may be queued at once; it is written when the connection is
-// established. A connection that is not established within timeout fails with ErrConnectTimeout. The error of
-// Dial wraps ErrNotConnected, and ErrLocalResourcesExhausted too if it says nothing about the peer.
+// established. A connection that is not established within timeout fails with ErrConnectTimeout. An error that
+// Dial returns wraps ErrNotConnected. If it was caused by this host or process, and so says nothing about the
+// peer, it wraps ErrLocalResourcesExhausted as well.
 func (l *Loop) Dial(addr netip.AddrPort, timeout time.Duration, h Handler) (*Conn, error) {
 	fd, err := newSocket(addr)
 	if err != nil {
--- a/internal/eventloop/errors.go
+++ b/internal/eventloop/errors.go
@@ -29,13 +29,13 @@
 	return err
 }
 
-// isLocalError reports whether err is a failure of this host or process, which says nothing about the peer.
+// isLocalError reports whether err was caused by this host or process. Such an error says nothing about the peer.
 func isLocalError(err error) bool {
 	return isExhausted(err) || isOneOf(err, unix.EADDRNOTAVAIL, unix.EPERM, unix.EACCES)
 }
 
-// isExhausted reports whether err is a lack of descriptors, memory or another resource of the system, which may
-// be temporary.
+// isExhausted reports whether err was caused by a shortage of descriptors, memory or another resource of the
+// system. Such a shortage may be temporary.
 func isExhausted(err error) bool {
 	return isOneOf(err, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.ENOSPC, unix.EAGAIN)
 }
