--- a/internal/simwire/message.go
+++ b/internal/simwire/message.go
@@ -40,16 +40,17 @@
 	Name     string `json:"op"`
 	Instance string `json:"proxy-id"`
 
-	// eventStart
+	// Fields of eventStart.
 	Seed     uint64          `json:"prng"`
 	Settings json.RawMessage `json:"conf"`
 
-	// eventEndpointList and eventEndpointUpdate
+	// Fields of eventEndpointList and eventEndpointUpdate.
 	ListNumber int        `json:"ref"`
 	Endpoints  []endpoint `json:"hosts"`
 	UpdateMode updateMode `json:"mode"`
 
-	// eventRequest; eventPurge also uses Object and Group, and all other events about a request use Request
+	// Fields of eventRequest. Object and Group are also used by eventPurge, and Request is also used by
+	// eventOutcome, eventStreamStarted and eventClientDisconnected.
 	Request   int64        `json:"job"`
 	Object    string       `json:"asset"`
 	Class     int          `json:"kind"`
@@ -58,10 +59,10 @@
 	Part      float64      `json:"part"`
 	Group     float64      `json:"set-no"`
 
-	// eventTimerFired
+	// Field of eventTimerFired.
 	Token uint64 `json:"mark"`
 
-	// eventOutcome; eventStreamStarted also uses Attempt
+	// Fields of eventOutcome. Attempt is also used by eventStreamStarted.
 	Attempt         int          `json:"try"`
 	Result          int          `json:"verdict"` // see resultOf
 	Elapsed         microseconds `json:"duration-us"`
@@ -69,7 +70,7 @@
 	CacheStatus     int          `json:"note"` // see cacheStatusOf
 	SourceFirstByte microseconds `json:"source-wait-us"`
 
-	// eventPurge
+	// Field of eventPurge.
 	Age microseconds `json:"age-us"` // time since the purge
 }
 
