--- a/internal/soak/rule_answers.go
+++ b/internal/soak/rule_answers.go
@@ -39,9 +39,10 @@
 
 // answerDue returns the latest time for the answer to a request, and whether an answer is required. None is
 // required if the request was not sent in full, was cancelled or may have raced with the close of an idle
-// connection, or if the process was killed before the answer was due. A kill after SIGTERM is no excuse: it comes
-// no earlier than maxShutdown after the signal. The process knows when it will be killed and has to answer before,
-// unless the request was sent so shortly before the kill that the process may not have read it.
+// connection, or if the process was killed before the answer was due. If SIGTERM preceded the kill, an answer is
+// required nevertheless: the kill comes no earlier than maxShutdown after the signal, so the process knows when it
+// will be killed and has to answer before. The exception is a request that was sent so shortly before the kill that
+// the process may not have read it.
 func (c *historyChecker) answerDue(req *Request) (due time.Duration, required bool) {
 	incarnation := c.history.incarnation(req.Proxy, req.Incarnation)
 	if req.SentAt == 0 || req.CancelledAt != 0 || req.AnswerNotRequired || incarnation == nil {
--- a/internal/soak/rule_calls.go
+++ b/internal/soak/rule_calls.go
@@ -73,9 +73,9 @@
 	}
 }
 
-// withdrawnSince reports whether a server is draining or removed at a given moment, and since when the process
-// that handled a request counts as notified of that. Events published up to callTimeUncertainty after the moment
-// are included.
+// withdrawnSince reports whether a server is draining or removed at a given time. If it is, since is the time at
+// which the process that handled the request counts as notified of that (see notifiedAt). Events published up to
+// callTimeUncertainty after the given time are included.
 func (c *historyChecker) withdrawnSince(server string, req *Request, at time.Duration) (since time.Duration, withdrawn bool) {
 	if server == "" {
 		return 0, false
