--- a/cmd/edgeproxy/coordinatorlines_test.go
+++ b/cmd/edgeproxy/coordinatorlines_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// TestDrainInACutOffLine checks that a drain takes effect when it is sent again after the end of the stream has cut
-// off its line.
+// TestDrainInACutOffLine checks that a drain takes effect if the stream ends in the middle of the drain's line and the
+// line is then sent again on the next stream.
 func TestDrainInACutOffLine(t *testing.T) {
 	env := startTestEnv(t)
 	receive(t, env.followLines, "follow")
