--- a/policy/estimators.go
+++ b/policy/estimators.go
@@ -9,8 +9,8 @@
 	firstByteSamples = 10  // window of the means of first-byte times, in fills
 	missSamples      = 10  // window of the fraction of misses, in answers
 
-	// epochFills is the number of fills and misses in an epoch of a misindicationRatio. The paper uses 100, but
-	// a router rarely counts that many.
+	// epochFills is the number of fills and misses in an epoch of a misindicationRatio. The paper uses 100,
+	// but a router rarely counts that many.
 	epochFills = 20
 	// epochWeight is the weight of a new epoch in a misindicationRatio. The paper uses 0.1, over more epochs.
 	epochWeight = 0.3
