--- a/internal/proxy/backpressure.go
+++ b/internal/proxy/backpressure.go
@@ -15,8 +15,8 @@
 // backpressureBytes is the number of queued bytes of answers at which a client's further requests are blocked.
 const backpressureBytes = 1 << 20
 
-// A request may be blocked for its timeout divided by blockedTimeoutDivisor; then it is rejected. A later rejection
-// would leave the client too little time for a retry.
+// blockedTimeoutDivisor is the number by which a request's timeout is divided to get the time for which the request
+// may be blocked; then it is rejected. A later rejection would leave the client too little time for a retry.
 const blockedTimeoutDivisor = 2
 
 // errMemoryLimit says that a connection was closed because its unread answers take memory that the process
