--- a/internal/eventloop/delay.go
+++ b/internal/eventloop/delay.go
@@ -11,8 +11,9 @@
 	// in the accept queue.
 	acceptDelayThreshold = 20 * time.Millisecond
 
-	// If at least largeInputBytes are read from a connection in one turn, the connection's next input is
-	// assumed to have arrived at the same time, and so to have waited since then.
+	// largeInputBytes is the amount of input that counts as large when it is read from a connection in one
+	// turn. If at least this much is read, the connection's next input is assumed to have arrived at the same
+	// time, and so to have waited since then.
 	largeInputBytes = 64 << 10
 )
 
