--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -86,9 +86,10 @@
 }
 
 // notifiedAt returns when an event counts as known to the process that handled a request: when the event's line
-// had been written to it, or at the latest maxNotifyDelay after the publication. That delay excludes the time
-// in which the coordinator sent the process nothing or the process was paused. Events in the process's
-// configuration are known from its start.
+// had first been written to any process of the proxy, or at the latest maxNotifyDelay after the publication. That
+// delay excludes the time in which the coordinator sent the proxy no events or the process was paused. Events in the
+// process's configuration are known from its start. Deliveries are kept by proxy: while two processes of one proxy
+// run, during a takeover, the delivery to either of them counts for both.
 func (c *historyChecker) notifiedAt(e *WatchEvent, req *Request) time.Duration {
 	incarnation := c.history.incarnation(req.Proxy, req.Incarnation)
 	unreachableSpans := c.history.Withheld[req.Proxy]
